--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays many instances of the decision module on the simulator's wire: batches on
-// standard input, replies on standard output. It decides nothing.
+// Command adapter plays many instances of the decision module on the simulator's wire: batches on standard input, replies
+// on standard output. It decides nothing.
 package main
 
 import (
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/wire"
 )
 
@@ -18,76 +18,93 @@
 	}
 }
 
-// turn gathers what one instance is told in a batch.
-type turn struct {
-	root   string
-	agg    *harepass.Aggregator
-	events []harepass.Event
-}
-
+// run plays all batches; it returns nil at the clean end of input.
 func run(in io.Reader, out io.Writer) error {
-	dec, enc := wire.NewDecoder(in), wire.NewEncoder(out)
-	roots := map[string]*harepass.Aggregator{}
+	decoder, encoder := wire.NewDecoder(in), wire.NewEncoder(out)
+	a := adapter{machines: map[string]*scatter.Machine{}}
 	for {
-		batch, err := dec.Next()
+		batch, err := decoder.Next()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		var turns []*turn // in order of each instance's first event, so replies are reproducible
-		current := map[string]*turn{}
-		for _, m := range batch.Messages {
-			switch {
-			case m.Start != nil:
-				agg, err := harepass.New(m.Start.Seed, m.Start.Settings)
-				if err != nil {
-					return fmt.Errorf("line %d: settings of %s: %w", m.Line, m.Root, err)
-				}
-				roots[m.Root] = agg
-				delete(current, m.Root)
-			case m.Stop:
-				delete(roots, m.Root)
-				if t := current[m.Root]; t != nil {
-					t.agg = nil
-					delete(current, m.Root)
-				}
-			default:
-				t := current[m.Root]
-				if t == nil {
-					if roots[m.Root] == nil {
-						continue // an instance that never started
-					}
-					t = &turn{root: m.Root, agg: roots[m.Root]}
-					current[m.Root] = t
-					turns = append(turns, t)
-				}
-				t.events = append(t.events, m.Event)
-			}
+		inputs, err := a.distribute(batch)
+		if err != nil {
+			return err
 		}
-		for _, t := range turns {
-			if t.agg == nil {
-				continue
+		for _, in := range inputs {
+			if in.machine != nil {
+				in.play(encoder, batch)
 			}
-			actions, err := step(t, batch)
-			if err != nil {
-				enc.Exception(t.root, err.Error())
-				continue
-			}
-			enc.Actions(t.root, actions)
 		}
-		if err := enc.End(); err != nil {
+		if err := encoder.End(); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-func step(t *turn, batch wire.Batch) (actions []harepass.Action, err error) {
+// adapter holds the instances that run.
+type adapter struct {
+	machines map[string]*scatter.Machine
+}
+
+// input is what one instance gets in a batch.
+type input struct {
+	instance string
+	machine  *scatter.Machine // nil where the instance was stopped in this batch
+	events   []scatter.Event
+}
+
+// distribute starts and stops instances and sorts a batch's events by instance, in order of each one's first event, so that
+// replies are reproducible. Events of an instance that never started are dropped.
+func (a *adapter) distribute(batch wire.Batch) (inputs []*input, err error) {
+	current := map[string]*input{}
+	for _, m := range batch.Messages {
+		switch {
+		case m.Start != nil:
+			machine, err := scatter.New(m.Start.Seed, m.Start.Settings)
+			if err != nil {
+				return nil, fmt.Errorf("line %d: settings of %s: %w", m.Line, m.Instance, err)
+			}
+			a.machines[m.Instance] = machine
+			delete(current, m.Instance)
+		case m.Stop:
+			delete(a.machines, m.Instance)
+			if in := current[m.Instance]; in != nil {
+				in.machine = nil
+				delete(current, m.Instance)
+			}
+		case a.machines[m.Instance] != nil:
+			in := current[m.Instance]
+			if in == nil {
+				in = &input{instance: m.Instance, machine: a.machines[m.Instance]}
+				current[m.Instance] = in
+				inputs = append(inputs, in)
+			}
+			in.events = append(in.events, m.Event)
+		}
+	}
+	return inputs, nil
+}
+
+// play steps an instance and writes what it asks for, or that its code failed.
+func (in *input) play(encoder *wire.Encoder, batch wire.Batch) {
+	actions, err := in.step(batch)
+	if err != nil {
+		encoder.Exception(in.instance, err.Error())
+		return
+	}
+	encoder.Actions(in.instance, actions)
+}
+
+// step turns a panic of the decision code into an error, so that the other instances go on.
+func (in *input) step(batch wire.Batch) (actions []scatter.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
-	return t.agg.Step(batch.Time, t.events), nil
+	return in.machine.Step(batch.Time, in.events), nil
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -72,7 +72,7 @@
 func TestImpossibleSettingsEndTheRun(t *testing.T) {
 	err := run(strings.NewReader("batch time_us=1\nprovision root_id=r random_seed=1"+
 		strings.Replace(settings, "reach=1", "reach=9", 1)+"\nflush\n"), &bytes.Buffer{})
-	if err == nil || !strings.Contains(err.Error(), "line 2") || !strings.Contains(err.Error(), "Reach") {
+	if err == nil || !strings.Contains(err.Error(), "line 2") || !strings.Contains(err.Error(), "ReplicationFactor") {
 		t.Errorf("error %v names neither line nor field", err)
 	}
 }
--- a/cmd/harepass/config.go
+++ b/cmd/harepass/config.go
@@ -9,8 +9,8 @@
 	"os"
 	"strconv"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/inventory"
 	"harepass/internal/opensearch"
 	"harepass/internal/platform"
@@ -75,14 +75,14 @@
 	config     *config
 	socket     int // the descriptor of the clients' socket where the platform holds that; 0 where it does not
 	search     *opensearch.Config
-	settings   harepass.Settings
+	settings   scatter.Settings
 	pushed     bool // lists are pushed to an agent, which is asked like discovery itself
 	caps       wire.Limits
 	limits     limits
 	seed       uint64
-	known      []core.Node
-	inventory  *inventory.Keeper
-	hosts      []core.Node
+	known      []core.Endpoint
+	inventory  *inventory.Reader
+	hosts      []core.Endpoint
 	searchPath string
 	overload   *overloadFile // nil where overload control is off
 
@@ -177,7 +177,7 @@
 		}
 		s.limits = s.limits.half()
 	}
-	s.known, err = c.Known.Nodes()
+	s.known, err = c.Known.CoreEndpoints()
 	return err
 }
 
@@ -205,7 +205,7 @@
 	}
 	s.search = c
 	if c.Inventory != "" {
-		s.inventory = &inventory.Keeper{Path: c.Inventory, Group: c.Group, Cells: s.settings.Cells}
+		s.inventory = &inventory.Reader{Path: c.Inventory, Group: c.Group, RingSize: s.settings.RingSize}
 		s.hosts, err = s.inventory.Read(clock())
 	}
 	return err
--- a/cmd/harepass/count.go
+++ b/cmd/harepass/count.go
@@ -33,7 +33,7 @@
 }
 
 // logReady writes when a coordinator that was started at a time has left the phase Starting.
-func logReady(owner *core.Owner, started time.Time) {
+func logReady(owner *core.Coordinator, started time.Time) {
 	<-owner.Started()
 	slog.Info("phase", "is", owner.Phase().String(), "after", time.Since(started).Round(time.Millisecond))
 }
--- a/cmd/harepass/distribution.go
+++ b/cmd/harepass/distribution.go
@@ -16,9 +16,10 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
+	"harepass/internal/logmsg"
 )
 
 // This file is where the node list and settings come from where relays give them out.
@@ -52,7 +53,7 @@
 		return nil, err
 	}
 	f := &distributionFile{Resources: []string{resourceNodes, resourceSettings},
-		Heartbeat: distribution.DefaultHold, Allowance: distribution.DefaultAllowance}
+		Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultAllowance}
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	if err := dec.Decode(f); err != nil && err != io.EOF {
@@ -87,8 +88,8 @@
 
 // follower returns a follower of a resource for a coordinator with a seed.
 func (f *distributionFile) follower(c distribution.Config, seed uint64) *distribution.Follower {
-	c = withSources(c, f.Sources, sources.Place{Zone: f.Zone, Region: f.Region})
-	c.Hold, c.Allowance = f.Heartbeat, f.Allowance
+	c = withSources(c, f.Sources, failover.Place{Zone: f.Zone, Region: f.Region})
+	c.Heartbeat, c.Allowance = f.Heartbeat, f.Allowance
 	c.Rand = rand.New(rand.NewPCG(seed, rand.Uint64()))
 	return distribution.New(c)
 }
@@ -100,7 +101,7 @@
 		if u.Completed {
 			slog.Info("list in force", "version", versionText(u.Slice.Version), "source", u.Source)
 		}
-		if u.Whole {
+		if u.Complete {
 			logInForce(distribution.Instances, u.Slice.Version)
 		}
 	}
@@ -228,7 +229,7 @@
 
 // logInForce tells from when on a version is in force here.
 func logInForce(r distribution.Resource, v versionlog.Version) {
-	slog.Info("version in force", "resource", r.Name(), "epoch", v.Epoch, "index", v.Index, "at_unix_ms", time.Now().UnixMilli())
+	slog.Info(logmsg.VersionInForce, "resource", r.Name(), "epoch", v.Epoch, "index", v.Index, "at_unix_ms", time.Now().UnixMilli())
 }
 
 // versionText is a version for logs: epoch and index.
--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -16,8 +16,8 @@
 
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/relay"
-	"harepass/internal/rig"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/faultinjection"
 )
 
 // relays are two of a region, with one authority's versions.
@@ -66,7 +66,7 @@
 // distributed is a process that takes all from relays; its discovery does not exist.
 type distributed struct {
 	*exec.Cmd
-	log     *rig.Log
+	log     *faultinjection.Log
 	native  string
 	door    string
 	logged  func(line string)
@@ -83,7 +83,7 @@
 		}
 		return path
 	}
-	p := &distributed{log: &rig.Log{}, native: reserve(t), door: reserve(t)}
+	p := &distributed{log: &faultinjection.Log{}, native: reserve(t), door: reserve(t)}
 	config, err := json.Marshal(map[string]any{"name": "n1", "listen": p.native, "operator": p.door, "discovery": reserve(t), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"index": 0, "snapshot": true, "endpoints": []any{}},
@@ -125,7 +125,7 @@
 // by the next relay where the first is gone, bad settings are refused whole in one line, a file that is read again does not
 // take settings back, and with no relay left it serves on by what it has.
 func TestDistribution(t *testing.T) {
-	first, second := &standin.Fleet{}, &standin.Fleet{}
+	first, second := &fake.Fleet{}, &fake.Fleet{}
 	at := []net.Listener{listen(t), listen(t)}
 	go first.Frames(at[0])
 	go second.Frames(at[1])
@@ -202,12 +202,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet, at, dir := &standin.Fleet{}, listen(t), t.TempDir()
+	fleet, at, dir := &fake.Fleet{}, listen(t), t.TempDir()
 	go fleet.Frames(at)
 	r := newRelays(t)
 	r.node("f0", "in_service", at)
 	r.node("f1", "in_service", at)
-	door := func(p *distributed, line string) string { return (&rig.Process{Door: p.door}).Call(line) }
+	door := func(p *distributed, line string) string { return (&faultinjection.Process{Door: p.door}).Call(line) }
 	first := startDistributed(t, r, settings, dir)
 	first.logged("list in force version=7/2")
 	eventually(t, "a file with both nodes", func() bool {
--- a/cmd/harepass/fleet_test.go
+++ b/cmd/harepass/fleet_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // The scenarios of the rig, each on as many real processes as it names. What has to hold is the same in all of them: see
@@ -16,13 +16,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	files, err := filepath.Glob("../../internal/rig/scenarios/*.yaml")
+	files, err := filepath.Glob("../../internal/test/faultinjection/scenarios/*.yaml")
 	if err != nil || len(files) < 4 {
 		t.Fatalf("scenarios %v, %v", files, err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".yaml"), func(t *testing.T) {
-			s, err := rig.Load(file)
+			s, err := faultinjection.Load(file)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -32,8 +32,8 @@
 }
 
 // playFleet plays a scenario on processes of the test's own binary, and shows all that happened where something did not hold.
-func playFleet(t *testing.T, settings []byte, s *rig.Scenario) {
-	f, err := rig.NewFleet(rig.FleetConfig{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"}, Env: []string{"HAREPASS_TEST_RUN=1"}, Settings: settings}, s)
+func playFleet(t *testing.T, settings []byte, s *faultinjection.Scenario) {
+	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"}, Env: []string{"HAREPASS_TEST_RUN=1"}, Settings: settings}, s)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harepass/incident_test.go
+++ b/cmd/harepass/incident_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"harepass/internal/decide/backoff"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // This file reproduces the incident of 2026-12-02 (docs/incidents) on real processes and sockets.
@@ -108,7 +108,7 @@
 			var late, sent int
 			var told time.Time // from when on nothing new may go to the first two nodes
 			for _, n := range s.nodes[:2] {
-				n.Heard = func(standin.Part, standin.Kind) {
+				n.Heard = func(fake.Part, fake.Kind) {
 					mu.Lock()
 					defer mu.Unlock()
 					if sent++; !told.IsZero() && time.Now().After(told) {
@@ -119,7 +119,7 @@
 			startFleetMember(t, s, d, fleet)
 			time.Sleep(1500 * time.Millisecond)
 			mu.Lock()
-			told = time.Now().Add(backoff.Binds + drainGrace + wireSlack)
+			told = time.Now().Add(backoff.NotifiedAfter + drainGrace + wireSlack)
 			mu.Unlock()
 			d.crowded.Store(true)
 			statuses := map[int]int{}
@@ -204,7 +204,7 @@
 	mu    sync.Mutex
 	parts map[string][]time.Time // by query
 	left  time.Time              // when the clients closed
-	reply standin.Reply
+	reply fake.Reply
 }
 
 func (h *heldUpRun) signal(s syscall.Signal) {
@@ -294,7 +294,7 @@
 	{"clients leave before their parts are sent again", func(h *heldUpRun) time.Duration {
 		h.connect(true)
 		h.mu.Lock()
-		h.reply = standin.Reply{Kind: standin.Fail, After: 60 * time.Millisecond}
+		h.reply = fake.Reply{Kind: fake.Fail, After: 60 * time.Millisecond}
 		h.mu.Unlock()
 		h.sendAll()
 		return 20 * time.Millisecond
@@ -306,7 +306,7 @@
 	{"a long query is open at a shutdown", func(h *heldUpRun) time.Duration {
 		h.connect(true)
 		h.mu.Lock()
-		h.reply = standin.Reply{Kind: standin.Silent}
+		h.reply = fake.Reply{Kind: fake.Silent}
 		h.mu.Unlock()
 		for i, c := range h.clients {
 			c.send(h.T, fmt.Sprint("long-", i), "conditions-summary", 5*time.Second, 0, 1, 2, 3, 4, 5)
@@ -332,12 +332,12 @@
 			s := newSmall(t, 256, 6)
 			h := &heldUpRun{T: t, small: s, parts: map[string][]time.Time{}}
 			for _, n := range s.nodes {
-				n.Script = func(int, int) standin.Reply {
+				n.Script = func(int, int) fake.Reply {
 					h.mu.Lock()
 					defer h.mu.Unlock()
 					return h.reply
 				}
-				n.Heard = func(p standin.Part, _ standin.Kind) {
+				n.Heard = func(p fake.Part, _ fake.Kind) {
 					h.mu.Lock()
 					defer h.mu.Unlock()
 					query, _, _ := strings.Cut(p.ID, ".")
@@ -366,7 +366,7 @@
 	startFleetMember(t, s, d, 35)
 	time.Sleep(1500 * time.Millisecond)
 	d.down.Store(true)
-	for end := time.Now().Add(2 * backoff.Binds); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(2 * backoff.NotifiedAfter); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if status := ask(t, s.native, 0, 1, 2, 3, 4, 5); status != 200 {
 			t.Fatalf("a query ended with %d\n%s", status, s.log)
 		}
--- a/cmd/harepass/keyed_test.go
+++ b/cmd/harepass/keyed_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"harepass/internal/rig"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/faultinjection"
 )
 
 // send sends a request with headers and returns the status and the body.
@@ -53,16 +53,16 @@
 // that follows a connection broken after SIGTERM, and an update without one is told what it lacks.
 func TestKeysThroughTheProgram(t *testing.T) {
 	const breaks = 5
-	nodes := &standin.Fleet{Script: func(shard, try int) standin.Reply {
+	nodes := &fake.Fleet{Script: func(shard, try int) fake.Reply {
 		if shard == breaks && try == 0 {
-			return standin.Reply{Kind: standin.Break, After: 300 * time.Millisecond}
+			return fake.Reply{Kind: fake.Break, After: 300 * time.Millisecond}
 		}
-		return standin.Reply{}
+		return fake.Reply{}
 	}}
 	frames, api, discovery := listen(t), listen(t), listen(t)
 	go nodes.Frames(frames)
 	go nodes.API(api)
-	go standin.Discovery(discovery, func() string {
+	go fake.Discovery(discovery, func() string {
 		return fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[{"name":"f0","address":%q,"zone":"z","type":"m","group":0,"status":"in_service","weight":1,"since_ms":0}]}`, frames.Addr())
 	})
 	dir := t.TempDir()
@@ -86,7 +86,7 @@
 	cmd := exec.Command(os.Args[0], "serve", "-opensearch",
 		write("front.yaml", "listen: "+search+"\ninventory: nodes.csv\nindices:\n  claims: {class: claim-update, reports: true}\n"))
 	cmd.Env = append(os.Environ(), "HAREPASS_TEST_RUN=1", "PROXY_CONFIG="+write("config.json", string(conf)), "PROXY_LISTEN="+native, "PROXY_DISCOVERY="+discovery.Addr().String())
-	log := &rig.Log{}
+	log := &faultinjection.Log{}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -152,14 +152,14 @@
 func TestShareOfThePartsIsWhole(t *testing.T) {
 	t.Parallel()
 	s := newSmall(t, 96, 3)
-	s.nodes[2].Script = func(int, int) standin.Reply { return standin.Reply{Kind: standin.Fail} } // the only one with section 2
+	s.nodes[2].Script = func(int, int) fake.Reply { return fake.Reply{Kind: fake.Fail} } // the only one with section 2
 	s.adapt = func(settings map[string]any) {
 		family := settings["family_info"].(map[string]any)
 		family["reach"], family["positions"], family["shards"] = 1, 3, 3
 		family["need_by_class"], family["floor_by_class"] = []any{1.0, 1.0, 0.67, 1.0}, []any{1.0, 1.0, 0.67, 1.0}
 	}
 	l := listen(t)
-	go standin.Discovery(l, func() string { return string(s.list(1, inService)) })
+	go fake.Discovery(l, func() string { return string(s.list(1, inService)) })
 	s.mode = "push"
 	s.config(s.list(1, inService), l.Addr().String())
 	if err := s.cmd.Start(); err != nil {
--- a/cmd/harepass/limits_test.go
+++ b/cmd/harepass/limits_test.go
@@ -17,22 +17,22 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/backoff"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/inventory"
-	"harepass/internal/rig"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/faultinjection"
 )
 
 // small is a process of its own under a limit of descriptors that the system holds it to.
 type small struct {
 	cmd       *exec.Cmd
-	log       *rig.Log
+	log       *faultinjection.Log
 	native    string
 	discovery string
 	address   string // of a discovery that a test serves
 	config    func(known []byte, discovery string)
-	nodes     []*standin.Fleet
+	nodes     []*fake.Fleet
 	mode      string                        // of discovery
 	adapt     func(settings map[string]any) // changes the example's settings; nil for none
 	list      func(version int, state func(node int) string) []byte
@@ -53,7 +53,7 @@
 
 // apart finds an address that somebody can listen on later: each on a loopback address of its own, where nobody else's port is.
 func apart(t *testing.T) string {
-	address, err := rig.Reserve()
+	address, err := faultinjection.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,18 +62,18 @@
 
 // newSmall makes nodes, and a configuration for a process that knows them; it starts nothing.
 func newSmall(t *testing.T, sockets, nodes int) *small {
-	s := &small{native: apart(t), discovery: apart(t), log: &rig.Log{}, mode: "ask"}
+	s := &small{native: apart(t), discovery: apart(t), log: &faultinjection.Log{}, mode: "ask"}
 	var addresses []string
 	for range nodes {
-		f, l := &standin.Fleet{}, listen(t)
+		f, l := &fake.Fleet{}, listen(t)
 		go f.Frames(l)
 		s.nodes = append(s.nodes, f)
 		addresses = append(addresses, l.Addr().String())
 	}
 	s.list = func(version int, state func(int) string) []byte {
-		l := standin.Listing{Index: int64(version), Snapshot: true}
+		l := fake.Listing{Index: int64(version), Snapshot: true}
 		for i, a := range addresses {
-			l.Endpoints = append(l.Endpoints, standin.Entry{Name: fmt.Sprint("f", i), Address: a, Zone: "z", Group: i % 3, Status: state(i), Weight: 1})
+			l.Endpoints = append(l.Endpoints, fake.Entry{Name: fmt.Sprint("f", i), Address: a, Zone: "z", Group: i % 3, Status: state(i), Weight: 1})
 		}
 		data, err := json.Marshal(l)
 		if err != nil {
@@ -165,7 +165,7 @@
 	defer l.Close()
 	var told atomic.Bool
 	draining := s.list(2, func(i int) string { return []string{"terminating", "in_service"}[min(i, 1)] })
-	go standin.Discovery(l, func() string { told.Store(true); return string(draining) })
+	go fake.Discovery(l, func() string { told.Store(true); return string(draining) })
 	eventually(t, "discovery is asked", func() bool { fill(); return told.Load() })
 	time.Sleep(200 * time.Millisecond)
 	before := len(s.nodes[0].Seen())
@@ -258,7 +258,7 @@
 	s.mode = "push"
 	l := listen(t)
 	var changed atomic.Bool
-	go standin.Discovery(l, func() string {
+	go fake.Discovery(l, func() string {
 		if changed.Load() {
 			return string(s.list(2, func(i int) string { return []string{"terminating", "in_service"}[min(i, 1)] }))
 		}
@@ -276,7 +276,7 @@
 		t.Error("nothing ever went to the node that drains")
 	}
 	changed.Store(true)
-	time.Sleep(backoff.Hold + backoff.Silence)
+	time.Sleep(backoff.WatchHold + backoff.WatchSilence)
 	before := len(s.nodes[0].Seen())
 	for range 30 {
 		if status := ask(t, s.native, 0, 1); status != 200 {
@@ -331,7 +331,7 @@
 			}
 		}
 	}
-	load(backoff.Binds + 300*time.Millisecond)
+	load(backoff.NotifiedAfter + 300*time.Millisecond)
 	count := func() int { return len(s.nodes[0].Seen()) + len(s.nodes[1].Seen()) }
 	before := count()
 	if before == 0 {
@@ -348,7 +348,7 @@
 func TestEndsBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second} {
 		p := &program{setup: &setup{}}
-		p.settings.Classes = append(p.settings.Classes, harepass.Class{Deadline: longest / 2}, harepass.Class{Deadline: longest})
+		p.settings.Classes = append(p.settings.Classes, scatter.Class{Deadline: longest / 2}, scatter.Class{Deadline: longest})
 		kill := acceptAfterTerm + min(longest, 3*time.Second)
 		if p.closeTime() < acceptAfterTerm || p.closeTime() >= p.drainTime() || p.drainTime() >= kill {
 			t.Errorf("deadlines up to %v: connections close at %v, the last answer by %v, the kill at %v", longest, p.closeTime(), p.drainTime(), kill)
@@ -359,7 +359,7 @@
 // Of an end and a reload that are there together the end is heard, whichever came first: nothing is read again.
 func TestEndGoesBeforeReload(t *testing.T) {
 	for range 100 {
-		p := &program{setup: &setup{inventory: &inventory.Keeper{}}} // to read it would fail the test: there is no clock
+		p := &program{setup: &setup{inventory: &inventory.Reader{}}} // to read it would fail the test: there is no clock
 		ends, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
 		again <- syscall.SIGHUP
 		ends <- syscall.SIGTERM
--- a/cmd/harepass/main_test.go
+++ b/cmd/harepass/main_test.go
@@ -19,20 +19,20 @@
 	"testing/synctest"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 	"harepass/internal/platform"
-	"harepass/internal/rig"
-	"harepass/internal/scale"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/faultinjection"
+	"harepass/internal/test/scaletest"
 )
 
 // TestMain lets the test binary be the program, for tests on real sockets and signals, or a host of hollow coordinators.
 func TestMain(m *testing.M) {
 	if os.Getenv("HAREPASS_TEST_RUN") == "1" {
-		if len(os.Args) > 1 && os.Args[1] == scale.HollowCommand {
-			if err := scale.RunHost(context.Background(), os.Stdin, os.Stdout); err != nil {
+		if len(os.Args) > 1 && os.Args[1] == scaletest.HollowCommand {
+			if err := scaletest.RunHost(context.Background(), os.Stdin, os.Stdout); err != nil {
 				log.Fatal(err)
 			}
 			return
@@ -136,7 +136,7 @@
 // eventually waits for something that is only a matter of time.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	if err := rig.Wait(what, ok); err != nil {
+	if err := faultinjection.Wait(what, ok); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -144,12 +144,12 @@
 // The whole program on real loopback sockets, both fronts at once: frame nodes from discovery and API nodes
 // from an inventory, a reload, a bad reload, and a SIGTERM that finds a query under way.
 func TestServe(t *testing.T) {
-	frames, api := &standin.Fleet{Script: slowAt(5)}, &standin.Fleet{Script: slowAt(5)}
+	frames, api := &fake.Fleet{Script: slowAt(5)}, &fake.Fleet{Script: slowAt(5)}
 	frameNode, apiNode, discovery := listen(t), listen(t), listen(t)
 	go frames.Frames(frameNode)
 	go api.API(apiNode)
 	list := fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[{"name":"f0","address":%q,"zone":"z","type":"m","group":0,"status":"in_service","weight":1,"since_ms":0}]}`, frameNode.Addr())
-	go standin.Discovery(discovery, func() string { return list })
+	go fake.Discovery(discovery, func() string { return list })
 
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -177,7 +177,7 @@
 		write("front.yaml", "listen: "+search+"\ninventory: nodes.csv\nindices:\n  trails: {class: route-lookup}\n  hazards: {class: hazard-report, reports: true}\n"))
 	cmd.Env = append(os.Environ(), "HAREPASS_TEST_RUN=1", "PROXY_CONFIG="+write("config.json", conf(discovery)), "PROXY_LISTEN="+native,
 		"PROXY_DISCOVERY="+discovery.Addr().String())
-	log := &rig.Log{}
+	log := &faultinjection.Log{}
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -228,10 +228,10 @@
 	write("config.json", "{")
 	cmd.Process.Signal(syscall.SIGHUP)
 	eventually(t, "a refused configuration", func() bool { return strings.Contains(log.String(), "config.json: unexpected end") })
-	fresh, moved := &standin.Fleet{Script: slowAt(5)}, listen(t)
+	fresh, moved := &fake.Fleet{Script: slowAt(5)}, listen(t)
 	freshNode := listen(t)
 	go fresh.Frames(freshNode)
-	go standin.Discovery(moved, func() string {
+	go fake.Discovery(moved, func() string {
 		return strings.NewReplacer(`"index":1`, `"index":0`, "f0", "f2", frameNode.Addr().String(), freshNode.Addr().String()).Replace(list)
 	})
 	write("nodes.csv", "name,address,port,cell,api\n")
@@ -271,17 +271,17 @@
 // closed only with an answer given after the listener is closed, or when they have nothing open then.
 func TestDrainKeepsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &program{setup: &setup{settings: harepass.Settings{Roots: 1, Cells: 1, Reach: 1, CallBatch: 1, MaxAttempts: 1,
-			Classes: []harepass.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Need: 1, Floor: 1}}}}, clock: core.SystemClock()}
+		p := &program{setup: &setup{settings: scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 1,
+			Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, CompleteFraction: 1, MinFraction: 1}}}}, clock: core.SystemClock()}
 		var err error
-		p.owner, err = core.New(core.Config{Settings: p.settings, Clock: p.clock, Subscribe: func() {}, Limits: core.Limits{Drain: p.drainTime()}})
+		p.owner, err = core.New(core.Config{Settings: p.settings, Clock: p.clock, Subscribe: func() {}, Limits: core.Limits{DrainTimeout: p.drainTime()}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		go p.owner.Run()
-		var memory standin.Net
+		var memory fake.Net
 		l := memory.Listen("c")
-		s := &http1.Server{Handler: (&platform.Front{Owner: p.owner, Clock: p.clock}).Handle, Limits: http1.DefaultLimits}
+		s := &http1.Server{Handler: (&platform.Front{Coordinator: p.owner, Clock: p.clock}).Handle, Limits: http1.DefaultLimits}
 		go s.Serve(l)
 		p.servers, p.listens = []*http1.Server{s}, []net.Listener{l}
 		dial := func() *http1.Client {
@@ -319,12 +319,12 @@
 }
 
 // slowAt serves at once but for one shard.
-func slowAt(slow int) func(shard, try int) standin.Reply {
-	return func(shard, _ int) standin.Reply {
+func slowAt(slow int) func(shard, try int) fake.Reply {
+	return func(shard, _ int) fake.Reply {
 		if shard == slow {
-			return standin.Reply{After: 400 * time.Millisecond}
+			return fake.Reply{After: 400 * time.Millisecond}
 		}
-		return standin.Reply{}
+		return fake.Reply{}
 	}
 }
 
--- a/cmd/harepass/overload.go
+++ b/cmd/harepass/overload.go
@@ -11,9 +11,9 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"harepass"
 	"harepass/internal/decide/overload"
-	"harepass/internal/guard"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/loadshed"
 )
 
 // defaultOverload is the file of overload control; that is off where it is missing.
@@ -60,11 +60,11 @@
 }
 
 // control is the controller's configuration. A platform bounds what the refused may be told.
-func (f *overloadFile) control(s harepass.Settings, l limits, platform bool) overload.Config {
-	c := guard.Config(s)
-	c.Target, c.Cores, c.Memory, c.MaxRetry = f.LoopDelay, l.Cores, int64(f.MemoryMB)<<20, f.MaxRetryAfter
+func (f *overloadFile) control(s scatter.Settings, l limits, platform bool) overload.Config {
+	c := loadshed.ControllerConfig(s)
+	c.WaitTarget, c.Cores, c.MemoryBytes, c.MaxRetryAfter = f.LoopDelay, l.Cores, int64(f.MemoryMB)<<20, f.MaxRetryAfter
 	if platform {
-		c.MaxRetry = min(c.MaxRetry, s.RetryAdvice)
+		c.MaxRetryAfter = min(c.MaxRetryAfter, s.RetryAfter)
 	}
 	return c
 }
--- a/cmd/harepass/relay.go
+++ b/cmd/harepass/relay.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 	"harepass/internal/relay"
@@ -110,8 +110,8 @@
 	}
 	for resource, kept := range map[distribution.Resource]*relay.Resource{
 		distribution.Instances: r.server.Instances, distribution.Settings: r.server.Settings} {
-		config := distribution.Config{Resource: resource, Hold: r.file.Heartbeat, Allowance: r.file.Allowance}
-		config = withSources(config, r.file.Sources, sources.Place{Zone: r.file.Zone, Region: r.file.Region})
+		config := distribution.Config{Resource: resource, Heartbeat: r.file.Heartbeat, Allowance: r.file.Allowance}
+		config = withSources(config, r.file.Sources, failover.Place{Zone: r.file.Zone, Region: r.file.Region})
 		go kept.Follow(ctx, config)
 	}
 }
--- a/cmd/harepass/relay_test.go
+++ b/cmd/harepass/relay_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"harepass/internal/relay"
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 func TestRelayFile(t *testing.T) {
@@ -79,13 +79,13 @@
 }
 
 // startRelay runs a relay as a process of its own until it is stopped or the test ends.
-func startRelay(t *testing.T, name, config string) (cmd *exec.Cmd, log *rig.Log) {
+func startRelay(t *testing.T, name, config string) (cmd *exec.Cmd, log *faultinjection.Log) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name+".yaml")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	log = &rig.Log{}
+	log = &faultinjection.Log{}
 	cmd = exec.Command(os.Args[0], "relay", "-config", path)
 	cmd.Env, cmd.Stderr = append(os.Environ(), "HAREPASS_TEST_RUN=1"), log
 	if err := cmd.Start(); err != nil {
--- a/cmd/harepass/reload.go
+++ b/cmd/harepass/reload.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"harepass/internal/core"
-	"harepass/internal/decide/reload"
+	"harepass/internal/decide/settingsdiff"
 	"harepass/internal/platform"
 	"harepass/internal/wire"
 )
@@ -51,15 +51,15 @@
 		p.settings, p.caps = old.settings, old.caps
 		return err
 	}
-	p.frames.Tune(p.caps.Streams, p.caps.ConnectTimeout, p.quietTime(), p.caps.KeepAlive)
+	p.frames.Configure(p.caps.CallsPerConn, p.caps.ConnectTimeout, p.quietTime(), p.caps.KeepAlive)
 	if p.watch != nil {
-		p.watch.Reclass(p.settings)
+		p.watch.SetClasses(p.settings)
 	}
 	if p.disc != nil {
-		p.disc.Tune(platform.Tuning{Fleet: p.settings.Roots, ListMaxAge: p.settings.ListMaxAge, Grace: p.settings.DrainGrace})
+		p.disc.Configure(platform.Tuning{Fleet: p.settings.Coordinators, ListMaxAge: p.settings.ListMaxAge, Grace: p.settings.DrainGrace})
 	}
 	if p.disc != nil && next.config.Discovery != p.config.Discovery {
-		p.disc.Move(next.config.Discovery)
+		p.disc.SetAddress(next.config.Discovery)
 	}
 	if !next.config.sameBut(p.config) {
 		slog.Warn("a new name, listen or operator address, or limits need a restart")
@@ -111,11 +111,11 @@
 	if err != nil {
 		return nil, err
 	}
-	old, flat = reload.Named(old), reload.Named(flat)
-	if missing := reload.Missing(old, flat); len(missing) > 0 {
+	old, flat = settingsdiff.Named(old), settingsdiff.Named(flat)
+	if missing := settingsdiff.Missing(old, flat); len(missing) > 0 {
 		return nil, fmt.Errorf("the file's settings lack %s; the old ones stay", strings.Join(missing, ", "))
 	}
-	return reload.Differences(old, flat), nil
+	return settingsdiff.Differences(old, flat), nil
 }
 
 // sameBut tells whether two configurations differ at most in what is taken over when the file is read again.
--- a/cmd/harepass/reload_test.go
+++ b/cmd/harepass/reload_test.go
@@ -139,7 +139,7 @@
 		}
 		names := map[string]bool{}
 		for _, c := range next.settings.Classes {
-			if c.Name == "" || names[c.Name] || c.Deadline <= 0 || c.Aim <= 0 || next.settings.MaxAttempts < 1 {
+			if c.Name == "" || names[c.Name] || c.Deadline <= 0 || c.LatencyObjective <= 0 || next.settings.MaxAttempts < 1 {
 				t.Errorf("class %+v, attempts %d", c, next.settings.MaxAttempts)
 			}
 			names[c.Name] = true
--- a/cmd/harepass/scale_test.go
+++ b/cmd/harepass/scale_test.go
@@ -9,24 +9,24 @@
 	"strings"
 	"testing"
 
-	"harepass/internal/scale"
+	"harepass/internal/test/scaletest"
 )
 
 // playPlan plays a plan with real processes of this test binary.
-func playPlan(t *testing.T, ctx context.Context, plan *scale.Plan, log io.Writer) (*scale.Result, error) {
+func playPlan(t *testing.T, ctx context.Context, plan *scaletest.Plan, log io.Writer) (*scaletest.Result, error) {
 	t.Helper()
 	settings, err := os.ReadFile("../../deploy/settings.example.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	self := []string{os.Args[0]}
-	return scale.Run(ctx, plan, scale.Config{Dir: t.TempDir(), Program: self, Lab: self, Env: []string{"HAREPASS_TEST_RUN=1"}, Settings: settings, Log: log})
+	return scaletest.Run(ctx, plan, scaletest.Config{Dir: t.TempDir(), Program: self, Lab: self, Env: []string{"HAREPASS_TEST_RUN=1"}, Settings: settings, Log: log})
 }
 
 // The scale run at small size: real coordinators, relays and an authority beside hollow coordinators, through a killed relay,
 // a region that is cut off and a zone that goes. Every change reaches every member, and no rule is broken.
 func TestScaleRun(t *testing.T) {
-	plan, err := scale.Load("../../internal/scale/plans/small.yaml")
+	plan, err := scaletest.Load("../../internal/test/scaletest/plans/small.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 
 // A run that is interrupted amid its changes ends all that it has started.
 func TestScaleRunEndsItsProcesses(t *testing.T) {
-	plan, err := scale.Load("../../internal/scale/plans/small.yaml")
+	plan, err := scaletest.Load("../../internal/test/scaletest/plans/small.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harepass/serve.go
+++ b/cmd/harepass/serve.go
@@ -15,11 +15,12 @@
 	"syscall"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/guard"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 	"harepass/internal/inventory"
+	"harepass/internal/loadshed"
+	"harepass/internal/logmsg"
 	"harepass/internal/operator"
 	"harepass/internal/platform"
 )
@@ -78,13 +79,13 @@
 	for _, c := range changes {
 		fmt.Fprintln(out, "change:", c)
 	}
-	fmt.Fprintf(out, "settings: %d classes, %d tenants, %d cells\n", len(s.settings.Classes), len(s.settings.Tenants), s.settings.Cells)
+	fmt.Fprintf(out, "settings: %d classes, %d tenants, %d cells\n", len(s.settings.Classes), len(s.settings.Tenants), s.settings.RingSize)
 	if s.config != nil {
 		fmt.Fprintf(out, "platform: %s on %s, discovery at %s\n", s.config.Name, s.config.Listen, s.config.Discovery)
 	}
 	if s.search != nil {
 		fmt.Fprintf(out, "opensearch: on %s, %d indices, %d callers\n", s.search.Listen, len(s.search.Indices), len(s.search.Callers))
-		if classes := s.search.Firsts(); len(classes) > 0 {
+		if classes := s.search.TwoPhaseClasses(); len(classes) > 0 {
 			fmt.Fprintf(out, "two phases: for searches of %s, %d KiB of retained values\n", strings.Join(classes, ", "), s.limits.retained()>>10)
 		}
 	}
@@ -105,16 +106,16 @@
 type program struct {
 	*setup
 	clock   core.Clock
-	owner   *core.Owner
+	owner   *core.Coordinator
 	disc    *platform.Discovery // nil without the platform, and where relays give out the nodes
 	closers []func()
 	servers []*http1.Server
 	listens []net.Listener
-	staff   *operator.Register // nil where operators have no door
-	frames  *platform.Nodes
-	watch   *guard.Guard // nil where overload control is off
+	staff   *operator.Store // nil where operators have no door
+	frames  *platform.Caller
+	watch   *loadshed.Shedder // nil where overload control is off
 
-	distributed         *platform.Distributed // nil where discovery gives out the nodes
+	distributed         *platform.RelayedList // nil where discovery gives out the nodes
 	settingsUpdates     <-chan settingsUpdate // nil where no relay gives out settings
 	distributedSettings bool                  // those in force came from a relay
 }
@@ -138,7 +139,8 @@
 	debug.SetMemoryLimit(int64(float64(s.limits.MemoryMB) * memoryShare * (1 << 20)))
 	runtime.GOMAXPROCS(max(1, int(s.limits.Cores)))
 	p := &program{setup: s, clock: clock}
-	slog.Debug("settings", "limits", s.limits, "caps", s.caps, "settings", s.settings)
+	slog.Debug(logmsg.SettingsRead, logmsg.KeySlowStart, s.settings.SlowStart.Duration,
+		"limits", s.limits, "caps", s.caps, "settings", s.settings)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if err := p.start(ctx); err != nil {
@@ -161,7 +163,7 @@
 // clients is how many connections clients may hold; the operators' door has its own beside them.
 func (p *program) clients() int {
 	if p.staff != nil {
-		return p.limits.clients() - operator.Conns
+		return p.limits.clients() - operator.MaxConns
 	}
 	return p.limits.clients()
 }
@@ -169,20 +171,20 @@
 // room is how many connections clients may hold now: nodes may have more than their quarter where there are many, for each
 // is owed one.
 func (p *program) room() int {
-	return p.clients() - max(0, p.frames.Held()-p.frames.Most)
+	return p.clients() - max(0, p.frames.OpenConns()-p.frames.MaxConns)
 }
 
 // makeRoom lets idle clients go before a connection to a node is opened, so that it finds a descriptor.
 func (p *program) makeRoom() {
 	for _, s := range p.servers {
-		s.Fit()
+		s.TrimIdle()
 	}
 }
 
 // descriptors is the share of the connections that clients may hold which are in use.
 func (p *program) descriptors() (share float64) {
 	for _, s := range p.servers {
-		share = max(share, float64(s.Busy())/float64(s.Conns))
+		share = max(share, float64(s.OpenConns())/float64(s.MaxConns))
 	}
 	return share
 }
@@ -213,7 +215,7 @@
 		return
 	}
 	slog.Info("inventory reloaded", "nodes", len(nodes))
-	p.owner.Listed(inventory.Source, harepass.ListFull, nodes)
+	p.owner.UpdateEndpoints(inventory.Source, scatter.FullUpdate, nodes)
 }
 
 // drain answers all that is taken, and takes what still comes while clients learn that this coordinator ends:
@@ -247,7 +249,7 @@
 func (p *program) stopAccepting() {
 	for i, l := range p.listens {
 		if p.socket == 0 {
-			p.servers[i].Finish(l)
+			p.servers[i].CloseListener(l)
 		} else {
 			l.Close()
 		}
@@ -255,7 +257,7 @@
 }
 
 func (p *program) coreLimits() core.Limits {
-	return core.Limits{Open: p.caps.Open, Shards: p.caps.Shards, Drain: p.drainTime()}
+	return core.Limits{MaxOpen: p.caps.MaxOpen, Shards: p.caps.Shards, DrainTimeout: p.drainTime()}
 }
 
 // quietTime is how long a node's connection may be silent while answers are awaited: far longer than a part
@@ -263,7 +265,7 @@
 func (p *program) quietTime() time.Duration {
 	tightest := quietMost
 	for _, c := range p.settings.Classes {
-		tightest = min(tightest, c.Aim/quietShare)
+		tightest = min(tightest, c.LatencyObjective/quietShare)
 	}
 	return tightest
 }
--- a/cmd/harepass/soak_test.go
+++ b/cmd/harepass/soak_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // soakSeeds are those that CI plays, among them seeds that found something; `bin/lab soak` plays others.
@@ -19,6 +19,6 @@
 		t.Fatal(err)
 	}
 	for _, seed := range soakSeeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playFleet(t, settings, rig.Soak(seed)) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { playFleet(t, settings, faultinjection.Soak(seed)) })
 	}
 }
--- a/cmd/harepass/sources.go
+++ b/cmd/harepass/sources.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/distribution"
 )
 
@@ -54,10 +54,10 @@
 }
 
 // withSources is a follower's configuration with the sources of a file, for a reader at a place.
-func withSources(c distribution.Config, list []relaySource, own sources.Place) distribution.Config {
-	c.Own, c.Sources = own, nil
+func withSources(c distribution.Config, list []relaySource, own failover.Place) distribution.Config {
+	c.Place, c.Sources = own, nil
 	for _, s := range list {
-		c.Sources = append(c.Sources, sources.Source{Address: s.Address, Place: sources.Place{Zone: s.Zone, Region: s.Region}})
+		c.Sources = append(c.Sources, failover.Source{Address: s.Address, Place: failover.Place{Zone: s.Zone, Region: s.Region}})
 	}
 	return c
 }
--- a/cmd/harepass/upgrade.go
+++ b/cmd/harepass/upgrade.go
@@ -35,14 +35,14 @@
 	if err != nil {
 		slog.Error("calls of operators will not outlive this process", "err", err)
 	}
-	p.staff = operator.NewRegister(p.config.Name, files, p.clock)
-	data, from := p.staff.Found()
+	p.staff = operator.NewStore(p.config.Name, files, p.clock)
+	data, from := p.staff.FoundList()
 	if len(data) == 0 {
 		return known, p.config.Discovery
 	}
 	var found platform.List
 	err = json.Unmarshal(data, &found)
-	nodes, bad := found.Nodes()
+	nodes, bad := found.CoreEndpoints()
 	if err = errors.Join(err, bad); err != nil {
 		slog.Warn("the other process's list is not used", "err", err)
 		return known, p.config.Discovery
@@ -62,16 +62,16 @@
 	if err != nil {
 		return fmt.Errorf("operators' door: %w", err)
 	}
-	p.staff.Owner = p.owner
+	p.staff.Coordinator = p.owner
 	kept := p.keepList(p.staff.ListChanged)
 	p.staff.List = func() (string, json.RawMessage, error) {
-		address, whole := kept.Whole()
+		address, whole := kept.Snapshot()
 		data, err := json.Marshal(whole)
 		return address, data, err
 	}
 	p.staff.Publish()
 	go p.staff.Run(ctx)
-	door := &operator.Door{Desk: p.staff}
+	door := &operator.AdminServer{Handler: p.staff}
 	go door.Serve(l)
 	p.closers = append(p.closers, func() { l.Close(); door.Close() })
 	slog.Info("operators' door", "listen", l.Addr().String())
--- a/cmd/harepass/upgrade_test.go
+++ b/cmd/harepass/upgrade_test.go
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 const ruleSlack = 1050 * time.Millisecond // after the yes nothing new may be sent; the platform's slack is in it
 
 // host is the rig with the test's way to say that something went wrong.
 type host struct {
-	*rig.Host
+	*faultinjection.Host
 	t *testing.T
 }
 
@@ -31,7 +31,7 @@
 	settings = bytes.Replace(settings, []byte(`"push"`), []byte(`"ask"`), 1)
 	settings = bytes.Replace(settings, []byte(`"rules": {`), []byte(`"rules": {"ask_every_us": 20000000, `), 1)
 	settings = regexp.MustCompile(`"quota_per_s": [0-9.]+`).ReplaceAll(settings, []byte(`"quota_per_s": 5000`)) // the crowd is within its share
-	h, err := rig.NewHost(rig.Config{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"}, Env: []string{"HAREPASS_TEST_RUN=1"},
+	h, err := faultinjection.NewHost(faultinjection.Config{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"}, Env: []string{"HAREPASS_TEST_RUN=1"},
 		Settings: settings, Nodes: 6, Work: 20 * time.Millisecond, Slack: ruleSlack})
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func (h *host) begin(env ...string) *rig.Process {
+func (h *host) begin(env ...string) *faultinjection.Process {
 	h.t.Helper()
 	p, err := h.Start(env...)
 	h.must(err)
@@ -60,18 +60,18 @@
 	return p
 }
 
-func (h *host) ready(p *rig.Process) *rig.Process {
+func (h *host) ready(p *faultinjection.Process) *faultinjection.Process {
 	eventually(h.t, "a yes", p.Serves)
 	return p
 }
 
-func (h *host) ban(p *rig.Process, i int, out bool) {
+func (h *host) ban(p *faultinjection.Process, i int, out bool) {
 	h.t.Helper()
 	h.must(h.Take(p, i, out))
 }
 
 // end is a planned one.
-func (h *host) end(p *rig.Process) {
+func (h *host) end(p *faultinjection.Process) {
 	h.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	if err := <-p.Over; err != nil {
@@ -79,13 +79,13 @@
 	}
 }
 
-func (h *host) kill(p *rig.Process) {
+func (h *host) kill(p *faultinjection.Process) {
 	p.Process.Kill()
 	<-p.Over
 }
 
 // only holds what became of a crowd's requests, and the nodes' records, against what may be.
-func (h *host) only(c *rig.Crowd, what ...string) map[string]int {
+func (h *host) only(c *faultinjection.Crowd, what ...string) map[string]int {
 	h.t.Helper()
 	tally := c.Tally()
 	if tally["200"] < 100 {
@@ -185,9 +185,9 @@
 	eventually(t, "the list is kept", func() bool { return strings.Contains(h.states(), `"f5"`) })
 	c := h.Crowd(8)
 	time.Sleep(500 * time.Millisecond)
-	h.Discovery.Cut(rig.There, true)
-	h.Discovery.Cut(rig.Back, true)
-	h.Nodes[0].Link.Cut(rig.Back, true)
+	h.Discovery.Cut(faultinjection.There, true)
+	h.Discovery.Cut(faultinjection.Back, true)
+	h.Nodes[0].Link.Cut(faultinjection.Back, true)
 	h.Nodes[1].Link.Delay(30 * time.Millisecond)
 	h.ban(now, 3, true)
 	next := h.ready(h.begin())
@@ -197,9 +197,9 @@
 	}
 	h.end(now)
 	time.Sleep(ruleSlack)
-	h.Discovery.Cut(rig.There, false)
-	h.Discovery.Cut(rig.Back, false)
-	h.Nodes[0].Link.Cut(rig.Back, false)
+	h.Discovery.Cut(faultinjection.There, false)
+	h.Discovery.Cut(faultinjection.Back, false)
+	h.Nodes[0].Link.Cut(faultinjection.Back, false)
 	h.Nodes[1].Link.Delay(0)
 	h.ban(next, 3, false)
 	time.Sleep(300 * time.Millisecond)
@@ -227,8 +227,8 @@
 			t.Fatalf("ready after %d answers", n)
 		}
 		eventually(t, "the list is kept", func() bool { return strings.Contains(h.states(), `"f5"`) })
-		h.Discovery.Cut(rig.There, true)
-		h.Discovery.Cut(rig.Back, true)
+		h.Discovery.Cut(faultinjection.There, true)
+		h.Discovery.Cut(faultinjection.Back, true)
 		next := h.ready(h.begin())
 		h.kill(first)
 		h.kill(next)
--- a/cmd/lab/experiments.go
+++ b/cmd/lab/experiments.go
@@ -1,16 +1,16 @@
 package main
 
 import (
-	"harepass/internal/lab"
-	"harepass/internal/lab/experiments/capacity"
-	"harepass/internal/lab/experiments/choices"
-	"harepass/internal/lab/experiments/handover"
-	"harepass/internal/lab/experiments/overload"
-	"harepass/internal/lab/experiments/twophase"
+	"harepass/internal/test/experiment"
+	"harepass/internal/test/experiments/capacity"
+	"harepass/internal/test/experiments/choices"
+	"harepass/internal/test/experiments/handover"
+	"harepass/internal/test/experiments/overload"
+	"harepass/internal/test/experiments/twophase"
 )
 
 // experiments are those that 'lab run' offers, in the order of its help; a new one is a line here.
-var experiments = []lab.Experiment{
+var experiments = []experiment.Experiment{
 	twophase.Experiment,
 	choices.Experiment,
 	handover.Experiment,
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -11,23 +11,23 @@
 
 	"github.com/spf13/cobra"
 
-	"harepass/internal/capacity"
-	"harepass/internal/lab"
-	"harepass/internal/lab/coordinator"
-	labcapacity "harepass/internal/lab/experiments/capacity"
-	"harepass/internal/loadgen"
-	"harepass/internal/loadreport"
-	"harepass/internal/logview"
-	"harepass/internal/mountain"
-	"harepass/internal/nodeserver"
-	"harepass/internal/rigplay"
-	"harepass/internal/scale"
+	"harepass/internal/test/capacity"
+	"harepass/internal/test/coordinatorproc"
+	"harepass/internal/test/experiment"
+	labcapacity "harepass/internal/test/experiments/capacity"
+	"harepass/internal/test/fakedata"
+	"harepass/internal/test/fakeserver"
+	"harepass/internal/test/faultcli"
+	"harepass/internal/test/loadgen"
+	"harepass/internal/test/loadreport"
+	"harepass/internal/test/logsummary"
+	"harepass/internal/test/scaletest"
 )
 
 func main() {
 	if err := root().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lab:", err)
-		if errors.Is(err, lab.ErrMissed) || errors.Is(err, scale.ErrMissed) || errors.Is(err, rigplay.ErrBroken) {
+		if errors.Is(err, experiment.ErrMissed) || errors.Is(err, scaletest.ErrMissed) || errors.Is(err, faultcli.ErrBroken) {
 			os.Exit(1)
 		}
 		os.Exit(2)
@@ -46,7 +46,7 @@
 	var keep string
 	c := &cobra.Command{Use: "run NAME", Short: "Runs an experiment; exits 1 where an aim is missed", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return lab.Run(experiments, args[0], cmd.OutOrStdout(), keep)
+			return experiment.Run(experiments, args[0], cmd.OutOrStdout(), keep)
 		}}
 	c.Flags().StringVar(&keep, "keep", "", "folder for the results of its loads, for lab report")
 	c.Long = c.Short + ":\n"
@@ -57,7 +57,7 @@
 }
 
 func nodesCommand() *cobra.Command {
-	c := nodeserver.Config{}
+	c := fakeserver.Config{}
 	cmd := &cobra.Command{Use: "nodes", Short: "Serves the map nodes of an inventory on their loopback addresses, until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return c.Serve(cmd.Context(), cmd.OutOrStdout()) }}
 	cmd.Flags().StringVar(&c.Inventory, "inventory", "deploy/nodes.example.csv", "CSV or YAML file of the nodes")
@@ -75,7 +75,7 @@
 	var sections, trails int
 	c := &cobra.Command{Use: "mountain", Short: "Prints the data of a seed as YAML: sections, trails, open or closed, versions", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return mountain.New(seed, sections, trails).Write(cmd.OutOrStdout())
+			return fakedata.New(seed, sections, trails).Write(cmd.OutOrStdout())
 		}}
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed")
 	c.Flags().IntVar(&sections, "sections", 6, "sections")
@@ -131,11 +131,11 @@
 	c := &cobra.Command{Use: "logs DIR", Short: "Sums up by second what a fleet's coordinators wrote under 'serve -trace', one *.log each", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if id != "" {
-				return logview.Path(cmd.OutOrStdout(), args[0], id)
+				return logsummary.Path(cmd.OutOrStdout(), args[0], id)
 			}
-			s := logview.NewSummary()
-			for _, each := range []func(logview.Line){s.Learn, s.Add} {
-				if err := logview.ReadDir(args[0], each); err != nil {
+			s := logsummary.NewSummary()
+			for _, each := range []func(logsummary.Line){s.Learn, s.Add} {
+				if err := logsummary.ReadDir(args[0], each); err != nil {
 					return err
 				}
 			}
@@ -147,7 +147,7 @@
 }
 
 func upgradesCommand() *cobra.Command {
-	u := rigplay.Upgrades{}
+	u := faultcli.Upgrades{}
 	c := &cobra.Command{Use: "upgrades", Short: "Has real processes of the program take over from each other under load, and says what became of the requests", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return u.Play(cmd.OutOrStdout()) }}
 	c.Flags().StringVar(&u.Program, "program", "bin/harepass", "the built program")
@@ -159,8 +159,8 @@
 }
 
 func fleetCommand() *cobra.Command {
-	p := rigplay.Scenario{}
-	c := &cobra.Command{Use: "fleet SCENARIO.yaml", Short: "Plays a scenario of real processes, links that break and rules that hold, as the tests do; see internal/rig/scenarios", Args: cobra.ExactArgs(1),
+	p := faultcli.Scenario{}
+	c := &cobra.Command{Use: "fleet SCENARIO.yaml", Short: "Plays a scenario of real processes, links that break and rules that hold, as the tests do; see internal/test/faultinjection/scenarios", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return p.Play(args[0], cmd.OutOrStdout()) }}
 	c.Flags().StringVar(&p.Program, "program", "bin/harepass", "the built program")
 	c.Flags().StringVar(&p.Settings, "settings", "deploy/settings.example.json", "file of the site's settings")
@@ -169,7 +169,7 @@
 }
 
 func soakCommand() *cobra.Command {
-	s := rigplay.Soak{}
+	s := faultcli.Soak{}
 	c := &cobra.Command{Use: "soak", Short: "Plays fleets of real processes under troubles drawn from seeds; exits 1 where something broke", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return s.Play(cmd.OutOrStdout()) }}
 	c.Flags().StringVar(&s.Program, "program", "bin/harepass", "the built program")
@@ -183,9 +183,9 @@
 }
 
 func coordinatorCommand() *cobra.Command {
-	return &cobra.Command{Use: coordinator.ServeCommand, Hidden: true, Args: cobra.NoArgs,
+	return &cobra.Command{Use: coordinatorproc.ServeCommand, Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return coordinator.Serve(cmd.InOrStdin(), cmd.OutOrStdout())
+			return coordinatorproc.Serve(cmd.InOrStdin(), cmd.OutOrStdout())
 		}}
 }
 
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -9,18 +9,18 @@
 
 	"github.com/spf13/cobra"
 
-	"harepass/internal/scale"
+	"harepass/internal/test/scaletest"
 )
 
 // scaleCommand plays a plan of a large fleet.
 func scaleCommand() *cobra.Command {
 	var program, settings, out, keep string
-	c := &cobra.Command{Use: "scale PLAN.yaml", Short: "Plays a large fleet on this machine, real and hollow coordinators with relays between; see internal/scale/plans",
+	c := &cobra.Command{Use: "scale PLAN.yaml", Short: "Plays a large fleet on this machine, real and hollow coordinators with relays between; see internal/test/scaletest/plans",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			plan, err := scale.Load(args[0])
+			plan, err := scaletest.Load(args[0])
 			if err != nil {
 				return err
 			}
@@ -30,8 +30,8 @@
 			}
 			defer remove()
 			config.Log = cmd.ErrOrStderr()
-			result, err := scale.Run(ctx, plan, config)
-			if result == nil || err != nil && !errors.Is(err, scale.ErrMissed) {
+			result, err := scaletest.Run(ctx, plan, config)
+			if result == nil || err != nil && !errors.Is(err, scaletest.ErrMissed) {
 				return err
 			}
 			if out != "" {
@@ -47,7 +47,7 @@
 }
 
 // scaleConfig finds what a run is made of; remove ends its temporary folder.
-func scaleConfig(program, settings, keep string) (c scale.Config, remove func(), err error) {
+func scaleConfig(program, settings, keep string) (c scaletest.Config, remove func(), err error) {
 	remove = func() {}
 	if c.Settings, err = os.ReadFile(settings); err != nil {
 		return c, remove, err
@@ -71,9 +71,9 @@
 
 // hollowCommand runs hollow coordinators for a run.
 func hollowCommand() *cobra.Command {
-	return &cobra.Command{Use: scale.HollowCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+	return &cobra.Command{Use: scaletest.HollowCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 		defer stop()
-		return scale.RunHost(ctx, cmd.InOrStdin(), cmd.OutOrStdout())
+		return scaletest.RunHost(ctx, cmd.InOrStdin(), cmd.OutOrStdout())
 	}}
 }
--- a/internal/core/begin.go
+++ b/internal/core/begin.go
@@ -7,9 +7,10 @@
 	"sync/atomic"
 	"time"
 
-	"harepass"
 	"harepass/internal/counters"
-	"harepass/internal/decide/resend"
+	"harepass/internal/decide/retry"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/logmsg"
 )
 
 // This file is what may change between the module's decision to send an attempt and the first byte of it: it waits at its
@@ -47,7 +48,8 @@
 		return true
 	}
 	barred.Inc()
-	slog.Debug("attempt withheld", "id", at.Query, "shard", at.Shard, "no", at.no, "node", at.Node, "why", barred.Name())
+	slog.Debug(logmsg.AttemptWithheld, logmsg.KeyQuery, at.QueryID, logmsg.KeyShard, at.Shard, logmsg.KeyAttempt, at.no,
+		logmsg.KeyReplica, at.Endpoint, "reason", barred.Name())
 	return false
 }
 
@@ -92,23 +94,23 @@
 
 // permitted sets until when an attempt may begin: while its client waits, and where a part that may have run may be sent
 // again for a time only, inside that.
-func (o *Owner) permitted(at *Attempt) {
+func (o *Coordinator) permitted(at *Attempt) {
 	p := at.part
-	at.permit.clock, at.permit.until, at.permit.again, at.permit.query = o.cfg.Clock, p.q.Until, resend.Always, p.q.Query
+	at.permit.clock, at.permit.until, at.permit.again, at.permit.query = o.cfg.Clock, p.q.Deadline, retry.Unlimited, p.q.Query
 	for _, earlier := range p.attempts[:at.no] {
 		if !earlier.never {
-			at.permit.again = min(at.permit.again, p.q.resend.Until(earlier.sent))
+			at.permit.again = min(at.permit.again, p.q.resend.RetryableUntil(earlier.sent))
 		}
 	}
 }
 
 // withholdLeaving takes back what has not begun at nodes that are not to be sent to any more. The module hears that it has
 // never run, and may send it elsewhere at once.
-func (o *Owner) withholdLeaving() {
+func (o *Coordinator) withholdLeaving() {
 	var back []*Attempt
 	for _, p := range o.parts {
 		for _, at := range p.attempts {
-			if !at.ended && at.caller != nil && !o.sendable(at.Node) && at.withhold() {
+			if !at.ended && at.caller != nil && !o.sendable(at.Endpoint) && at.withhold() {
 				back = append(back, at)
 			}
 		}
@@ -118,13 +120,13 @@
 	})
 	for _, at := range back {
 		withheldLeaving.Inc()
-		o.end(at, harepass.Moot, nil, o.now)
-		at.caller.Abandon(at)
+		o.end(at, scatter.NotSent, nil, o.now)
+		at.caller.Cancel(at)
 	}
 }
 
 // sendable tells whether a node is listed as running and is not out by hand.
-func (o *Owner) sendable(id string) bool {
+func (o *Coordinator) sendable(id string) bool {
 	n, here := o.nodes[id]
-	return here && o.told(n).State == harepass.Ready
+	return here && o.told(n).State == scatter.Ready
 }
--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 // two is a rig with two nodes that hold all.
 func two(t *testing.T, change func(*Config)) *rig {
 	r := newRig(t, change)
-	r.Listed("test", harepass.ListFull, []Node{{Replica: harepass.Replica{ID: "a"}, Address: "a", Scheme: "hand"},
-		{Replica: harepass.Replica{ID: "b"}, Address: "b", Scheme: "hand"}})
+	r.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{{Replica: scatter.Replica{ID: "a"}, Address: "a", Scheme: "hand"},
+		{Replica: scatter.Replica{ID: "b"}, Address: "b", Scheme: "hand"}})
 	r.pass(0)
 	return r
 }
@@ -27,20 +27,20 @@
 		moves  bool
 	}{
 		"listed as draining": {func(r *rig, _ *Query, at *Attempt) {
-			r.Listed("test", harepass.ListChanges, []Node{{Replica: harepass.Replica{ID: at.Node, State: harepass.Draining}, Address: at.Node, Scheme: "hand"}})
+			r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{{Replica: scatter.Replica{ID: at.Endpoint, State: scatter.Draining}, Address: at.Endpoint, Scheme: "hand"}})
 		}, true},
 		"listed as gone": {func(r *rig, _ *Query, at *Attempt) {
-			r.Listed("test", harepass.ListChanges, []Node{{Replica: harepass.Replica{ID: at.Node, State: harepass.Gone}, Address: at.Node, Scheme: "hand"}})
+			r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{{Replica: scatter.Replica{ID: at.Endpoint, State: scatter.Removed}, Address: at.Endpoint, Scheme: "hand"}})
 		}, true},
 		"no longer listed": {func(r *rig, _ *Query, at *Attempt) {
-			r.Listed("test", harepass.ListFull, []Node{{Replica: harepass.Replica{ID: other[at.Node]}, Address: other[at.Node], Scheme: "hand"}})
+			r.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{{Replica: scatter.Replica{ID: other[at.Endpoint]}, Address: other[at.Endpoint], Scheme: "hand"}})
 		}, true},
 		"out by hand": {func(r *rig, _ *Query, at *Attempt) {
-			b := maintenance.Book{}
-			b.Call(at.Node, maintenance.Entry{Out: true, At: r.clock})
-			r.Maintenance(b)
+			b := maintenance.Register{}
+			b.Apply(at.Endpoint, maintenance.Entry{Out: true, At: r.clock})
+			r.SetMaintenance(b)
 		}, true},
-		"its client has left":      {func(r *rig, q *Query, _ *Attempt) { r.Gone(q) }, false},
+		"its client has left":      {func(r *rig, q *Query, _ *Attempt) { r.ClientGone(q) }, false},
 		"its client's time passes": {func(r *rig, _ *Query, _ *Attempt) { r.pass(4 * time.Second) }, false},
 	} {
 		for _, began := range []bool{false, true} {
@@ -57,7 +57,7 @@
 			if at.Begin() {
 				t.Errorf("%s, begun before: %t: the attempt may begin", name, began)
 			}
-			moved := len(r.hand.calls) == 2 && r.hand.last().Node == other[at.Node]
+			moved := len(r.hand.calls) == 2 && r.hand.last().Endpoint == other[at.Endpoint]
 			if want := tc.moves && !began; moved != want || moved && (!at.ended || !r.hand.last().Begin()) {
 				t.Errorf("%s, begun before: %t: went on elsewhere: %t, want %t", name, began, moved, want)
 			}
@@ -69,19 +69,19 @@
 // no window.
 func TestRepeatsBeginInTheirWindow(t *testing.T) {
 	const window = 300 * ms
-	for outcome, bound := range map[harepass.Outcome]bool{harepass.Errored: true, harepass.Reset: true, harepass.ConnectFailed: false} {
+	for outcome, bound := range map[scatter.Outcome]bool{scatter.Errored: true, scatter.ConnectionReset: true, scatter.ConnectFailed: false} {
 		for _, past := range []time.Duration{-ms, 0, ms} { // the window's end
 			r := two(t, func(c *Config) {
-				c.Settings.Classes[0].Repeat, c.Settings.Classes[0].Window = harepass.Guarded, window
+				c.Settings.Classes[0].Idempotency, c.Settings.Classes[0].DedupWindow = scatter.Keyed, window
 			})
 			q := r.query("free", 0)
-			q.Keys = []string{"key"}
+			q.IdempotencyKeys = []string{"key"}
 			r.Submit(q)
 			r.pass(0)
 			first := r.hand.last()
 			first.Begin()
 			r.pass(50 * ms)
-			r.Ended(first, outcome, nil)
+			r.AttemptEnded(first, outcome, nil)
 			r.pass(0)
 			if len(r.hand.calls) != 2 {
 				t.Fatalf("after outcome %d there are %d calls, want a repeat at once", outcome, len(r.hand.calls))
@@ -90,8 +90,8 @@
 			if got := r.hand.last().Begin(); got != (past <= 0 || !bound) {
 				t.Errorf("after outcome %d, %v past the window's end: the repeat may begin: %t", outcome, past, got)
 			}
-			if first.Key != "key" || r.hand.last().Key != "key" {
-				t.Errorf("after outcome %d the keys are %q and %q", outcome, first.Key, r.hand.last().Key)
+			if first.IdempotencyKey != "key" || r.hand.last().IdempotencyKey != "key" {
+				t.Errorf("after outcome %d the keys are %q and %q", outcome, first.IdempotencyKey, r.hand.last().IdempotencyKey)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 	r.Submit(q)
 	close(gone)
 	r.pass(0)
-	if a := r.Ask(r.query("free", 0), gone); a.Verdict != Failed {
+	if a := r.Ask(r.query("free", 0), gone); a.Status != Failed {
 		t.Errorf("the answer is %+v", a)
 	}
 	if r.pass(time.Second); len(r.hand.calls) > 0 || r.held > 0 {
@@ -126,19 +126,19 @@
 // without a key, and one that no longer is does not set attempts of earlier queries free.
 func TestRepeatRuleIsThatOfTheArrival(t *testing.T) {
 	const window = 300 * ms
-	configure := func(r *rig, repeat harepass.Repeat) {
+	configure := func(r *rig, repeat scatter.Idempotency) {
 		t.Helper()
 		s := r.set().Settings
-		s.Classes = append([]harepass.Class(nil), s.Classes...)
-		s.Classes[0].Repeat, s.Classes[0].Window = repeat, window
+		s.Classes = append([]scatter.Class(nil), s.Classes...)
+		s.Classes[0].Idempotency, s.Classes[0].DedupWindow = repeat, window
 		done := make(chan error, 1)
-		configured{&facts{s, Limits{}}, done}.apply(r.Owner)
+		configured{&facts{s, Limits{}}, done}.apply(r.Coordinator)
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 	}
 	r := two(t, nil)
-	configure(r, harepass.Guarded)
+	configure(r, scatter.Keyed)
 	r.Submit(r.query("free", 0)) // checked by its front when the class was not keyed
 	r.pass(0)
 	if len(r.hand.calls) > 0 {
@@ -146,16 +146,16 @@
 	}
 	r.want(t, fmt.Sprintf("%d whole=false []", Invalid))
 	q := r.query("free", 0)
-	q.Keys = []string{"key"}
+	q.IdempotencyKeys = []string{"key"}
 	r.Submit(q)
 	r.pass(0)
 	first := r.hand.last()
 	first.Begin()
-	configure(r, harepass.Free)
+	configure(r, scatter.Idempotent)
 	r.pass(50 * ms)
-	r.Ended(first, harepass.Reset, nil)
+	r.AttemptEnded(first, scatter.ConnectionReset, nil)
 	r.pass(window - 49*ms)
-	if again := r.hand.last(); again == first || again.Key != "key" || again.Begin() {
+	if again := r.hand.last(); again == first || again.IdempotencyKey != "key" || again.Begin() {
 		t.Error("the repeat is no longer held to its window, or lost its key")
 	}
 }
@@ -163,19 +163,19 @@
 // A second copy goes out while the first attempt still runs, with the same key.
 func TestSecondCopyHasTheKey(t *testing.T) {
 	r := two(t, func(c *Config) {
-		c.Settings.SecondCopies = true
-		c.Settings.Classes[0].Repeat, c.Settings.Classes[0].Window = harepass.Guarded, 4*time.Second
+		c.Settings.Hedging = true
+		c.Settings.Classes[0].Idempotency, c.Settings.Classes[0].DedupWindow = scatter.Keyed, 4*time.Second
 	})
 	ask := func(key string) {
 		q := r.query("free", 0)
-		q.Keys = []string{key}
+		q.IdempotencyKeys = []string{key}
 		r.Submit(q)
 		r.pass(0)
 	}
 	for range 50 { // so that copies are within what is earned
 		ask("earlier")
 		r.hand.last().Begin()
-		r.Ended(r.hand.last(), harepass.Served, []byte("v"))
+		r.AttemptEnded(r.hand.last(), scatter.Succeeded, []byte("v"))
 		r.pass(5 * ms)
 	}
 	ask("key")
@@ -185,7 +185,7 @@
 	if len(r.hand.calls) != calls+1 || first.ended || len(r.hand.abandoned) > 0 {
 		t.Fatalf("%d further calls, the first attempt ended: %t, %d given up", len(r.hand.calls)-calls, first.ended, len(r.hand.abandoned))
 	}
-	if second := r.hand.last(); first.Key != "key" || second.Key != "key" || second.Node == first.Node || !second.Begin() {
-		t.Errorf("the copy has the key %q at %s, the first attempt %q at %s", second.Key, second.Node, first.Key, first.Node)
+	if second := r.hand.last(); first.IdempotencyKey != "key" || second.IdempotencyKey != "key" || second.Endpoint == first.Endpoint || !second.Begin() {
+		t.Errorf("the copy has the key %q at %s, the first attempt %q at %s", second.IdempotencyKey, second.Endpoint, first.IdempotencyKey, first.Endpoint)
 	}
 }
--- a/internal/core/cells.go
+++ b/internal/core/cells.go
@@ -21,12 +21,12 @@
 func (x *cellIndex) position(no int) int { return (no%x.size + x.size) % x.size }
 
 func (x *cellIndex) add(n listedNode) {
-	at := x.position(n.Cell)
+	at := x.position(n.RingPosition)
 	x.nodes[at] = append(x.nodes[at], n.ID)
 }
 
 func (x *cellIndex) remove(n listedNode) {
-	at := x.position(n.Cell)
+	at := x.position(n.RingPosition)
 	rest := slices.DeleteFunc(x.nodes[at], func(id string) bool { return id == n.ID })
 	if x.nodes[at] = rest; len(rest) == 0 {
 		delete(x.nodes, at)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,16 +11,16 @@
 	"sync/atomic"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/twophase"
 )
 
 // Limits are the figures of a coordinator that bind the root round the module rather than the module.
 type Limits struct {
-	Open   int           // queries and parts held at once, sent or not; 0 for no limit
-	Shards int           // 0 if that is not told
-	Drain  time.Duration // from Drain on, until the last query has to have its answer; 0 for no limit
+	MaxOpen      int           // queries and parts held at once, sent or not; 0 for no limit
+	Shards       int           // 0 if that is not told
+	DrainTimeout time.Duration // from Drain on, until the last query has to have its answer; 0 for no limit
 }
 
 // Clock reads the time as a duration since the Unix epoch; it never goes back.
@@ -34,24 +34,24 @@
 
 // Config is what an Owner is made of.
 type Config struct {
-	Seed      uint64
-	Settings  harepass.Settings
-	Limits    Limits
-	Clock     Clock
-	Callers   map[string]Caller // by Node.Scheme
-	Subscribe func()            // asks a source for its list; must not block
-	Asked     string            // that source; others tell of themselves
+	Seed         uint64
+	Settings     scatter.Settings
+	Limits       Limits
+	Clock        Clock
+	Callers      map[string]Caller // by Node.Scheme
+	Subscribe    func()            // asks a source for its list; must not block
+	PolledSource string            // that source; others tell of themselves
 
 	// Two phases, for queries with an Index. Without a Planner all are asked in one.
-	Planner *twophase.Planner
-	Firsts  []string        // classes whose queries may have a first phase
-	Schemes map[string]bool // whose callers know of it
+	Planner         *twophase.Planner
+	TwoPhaseClasses []string        // classes whose queries may have a first phase
+	TwoPhaseSchemes map[string]bool // whose callers know of it
 
-	Recalled func(harepass.Memory) // told now and then of what the module has learned; must not block. nil for nobody
+	OnCheckpoint func(scatter.Checkpoint) // told now and then of what the module has learned; must not block. nil for nobody
 
-	Log      *slog.Logger // of queries, see trace.go; nil for the default
-	Gate     Gate         // nil admits all
-	Retained int          // bytes that the Planner may retain while memory does not run short
+	Log        *slog.Logger // of queries, see trace.go; nil for the default
+	Admitter   Admitter     // nil admits all
+	CacheBytes int          // bytes that the Planner may retain while memory does not run short
 }
 
 const (
@@ -69,10 +69,10 @@
 // ErrSecondStep is returned for classes with a second step, which no front of this program has.
 var ErrSecondStep = errors.New("core: classes with a second step are not served")
 
-// Owner holds the module. Use New, then Run.
-type Owner struct {
+// Coordinator holds the module. Use New, then Run.
+type Coordinator struct {
 	cfg   Config
-	agg   *harepass.Aggregator
+	agg   *scatter.Machine
 	queue chan posted
 	phase atomic.Int32
 	done  chan struct{}
@@ -90,12 +90,12 @@
 	nodesMu   sync.RWMutex // the owner takes it to write to nodes, others to read
 	cells     cellIndex    // of nodes
 	lists     []listed     // to be taken in the next turns
-	events    []harepass.Event
+	events    []scatter.Event
 	deadlines deadlines
 	wake      *deadline
 	held      int           // queries and parts open
 	bytes     int64         // held for them, as far as it is counted
-	waited    Turn          // of the present turn
+	waited    Tick          // of the present turn
 	began     atomic.Int64  // when the present turn began; 0 between turns
 	drainEnd  time.Duration // once it drains: by then all has to be answered
 	list      bool          // discovery has answered, be it with a refusal, or the remembered list has to do
@@ -109,17 +109,17 @@
 	words words
 
 	facts  atomic.Pointer[facts]
-	books  atomic.Pointer[maintenance.Book] // the latest one, from any goroutine
-	news   chan struct{}                    // holds a token when there is a later one
-	heeded *maintenance.Book                // that the module has heard of
-	book   maintenance.Book                 // the same
-	bare   []int                            // sections that were logged last as lost by it
-	shared atomic.Bool                      // with another process
+	books  atomic.Pointer[maintenance.Register] // the latest one, from any goroutine
+	news   chan struct{}                        // holds a token when there is a later one
+	heeded *maintenance.Register                // that the module has heard of
+	book   maintenance.Register                 // the same
+	bare   []int                                // sections that were logged last as lost by it
+	shared atomic.Bool                          // with another process
 }
 
 // New returns an Owner in the phase Starting.
-func New(cfg Config) (*Owner, error) {
-	agg, err := harepass.New(cfg.Seed, withFirsts(cfg.Settings, cfg.Firsts))
+func New(cfg Config) (*Coordinator, error) {
+	agg, err := scatter.New(cfg.Seed, withFirsts(cfg.Settings, cfg.TwoPhaseClasses))
 	if err == nil {
 		err = servable(cfg.Settings)
 	}
@@ -127,12 +127,12 @@
 		return nil, err
 	}
 	cfg.Log = cmp.Or(cfg.Log, slog.Default())
-	o := &Owner{cfg: cfg, agg: agg, queue: make(chan posted, queueSize), news: make(chan struct{}, 1), done: make(chan struct{}),
+	o := &Coordinator{cfg: cfg, agg: agg, queue: make(chan posted, queueSize), news: make(chan struct{}, 1), done: make(chan struct{}),
 		ready: make(chan struct{}), queries: map[string]*query{}, byQuery: map[*Query]*query{},
 		ids: map[string]struct{}{}, parts: map[string]*part{}, firsts: map[string]*first{}, ables: map[int]bool{}, nodes: map[string]listedNode{}, deadlines: newDeadlines()}
-	o.cells = newCellIndex(cfg.Settings.Cells, cfg.Settings.Reach, nil)
+	o.cells = newCellIndex(cfg.Settings.RingSize, cfg.Settings.ReplicationFactor, nil)
 	o.facts.Store(&facts{cfg.Settings, cfg.Limits})
-	if cfg.Recalled != nil {
+	if cfg.OnCheckpoint != nil {
 		o.deadlines.add(cfg.Clock()+recallEvery, o.recall)
 	}
 	return o, nil
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 const ms = time.Millisecond
@@ -20,15 +20,15 @@
 	idle      []string
 }
 
-func (h *hand) Call(_ Node, list []*Attempt) { h.calls = append(h.calls, list) }
-func (h *hand) Abandon(at *Attempt)          { h.abandoned = append(h.abandoned, at) }
-func (h *hand) Disconnect(node string)       { h.idle = append(h.idle, node) }
+func (h *hand) Call(_ Endpoint, list []*Attempt) { h.calls = append(h.calls, list) }
+func (h *hand) Cancel(at *Attempt)               { h.abandoned = append(h.abandoned, at) }
+func (h *hand) CloseIdleConnections(node string) { h.idle = append(h.idle, node) }
 
 func (h *hand) last() *Attempt { c := h.calls[len(h.calls)-1]; return c[len(c)-1] }
 
 // rig is an owner whose turns and clock the test moves.
 type rig struct {
-	*Owner
+	*Coordinator
 	hand    *hand
 	clock   time.Duration
 	answers []string
@@ -38,11 +38,11 @@
 func newRig(t testing.TB, change func(*Config)) *rig {
 	t.Helper()
 	r := &rig{hand: &hand{}, clock: time.Hour}
-	cfg := Config{Seed: 1, Asked: "test", Clock: func() time.Duration { return r.clock }, Callers: map[string]Caller{"hand": r.hand},
-		Subscribe: func() {}, Settings: harepass.Settings{Roots: 1, Cells: 1, Reach: 1, CallBatch: 2, MaxAttempts: 3, Cancel: true,
-			Turn: 5 * ms, RetryAdvice: time.Second, Classes: []harepass.Class{
-				{Name: "free", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.5, Need: 1, Floor: 1},
-				{Name: "once", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.5, Need: 1, Floor: 1, Repeat: harepass.SingleShot},
+	cfg := Config{Seed: 1, PolledSource: "test", Clock: func() time.Duration { return r.clock }, Callers: map[string]Caller{"hand": r.hand},
+		Subscribe: func() {}, Settings: scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 2, MaxAttempts: 3, Cancellation: true,
+			TickInterval: 5 * ms, RetryAfter: time.Second, Classes: []scatter.Class{
+				{Name: "free", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateWeight: 0.5, CompleteFraction: 1, MinFraction: 1},
+				{Name: "once", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateWeight: 0.5, CompleteFraction: 1, MinFraction: 1, Idempotency: scatter.NonIdempotent},
 			}}}
 	if change != nil {
 		change(&cfg)
@@ -51,8 +51,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Owner = o
-	o.Listed("test", harepass.ListFull, []Node{{Replica: harepass.Replica{ID: "a"}, Address: "a", Scheme: "hand"}})
+	r.Coordinator = o
+	o.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{{Replica: scatter.Replica{ID: "a"}, Address: "a", Scheme: "hand"}})
 	r.pass(0)
 	return r
 }
@@ -69,12 +69,12 @@
 
 func (r *rig) query(class string, shards ...int) *Query {
 	r.asked++
-	q := &Query{ID: fmt.Sprint("q", r.asked), Class: class, Until: r.clock + 3*time.Second}
+	q := &Query{ID: fmt.Sprint("q", r.asked), Class: class, Deadline: r.clock + 3*time.Second}
 	for _, s := range shards {
 		q.Parts = append(q.Parts, Part{Shard: s, Weight: 1 / float64(len(shards))})
 	}
 	q.Done = func(a Answer) {
-		r.answers = append(r.answers, fmt.Sprintf("%d whole=%t %q", a.Verdict, a.Whole, a.Values))
+		r.answers = append(r.answers, fmt.Sprintf("%d whole=%t %q", a.Status, a.Complete, a.Values))
 	}
 	return q
 }
@@ -95,12 +95,12 @@
 	}
 	for _, call := range r.hand.calls {
 		for _, at := range call {
-			r.Ended(at, harepass.Served, fmt.Appendf(nil, "v%d", at.Shard))
-			r.Ended(at, harepass.Errored, nil) // a second word on it changes nothing
+			r.AttemptEnded(at, scatter.Succeeded, fmt.Appendf(nil, "v%d", at.Shard))
+			r.AttemptEnded(at, scatter.Errored, nil) // a second word on it changes nothing
 		}
 	}
 	for n := len(r.queue); n > 0; n-- {
-		(<-r.queue).apply(r.Owner)
+		(<-r.queue).apply(r.Coordinator)
 	}
 	if len(r.events) != 3 {
 		t.Errorf("the module is told of %d outcomes, want 3", len(r.events))
@@ -125,7 +125,7 @@
 			t.Fatalf("%d given up and %d calls at the time-out, want 1 and 1", len(r.hand.abandoned), len(r.hand.calls))
 		}
 		if confirmed {
-			r.Ended(first, harepass.Cancelled, nil)
+			r.AttemptEnded(first, scatter.Cancelled, nil)
 			r.pass(0)
 		} else {
 			r.pass(abandonWait)
@@ -145,7 +145,7 @@
 	r := newRig(t, nil)
 	r.Submit(r.query("free", 0))
 	r.pass(0)
-	r.Ended(r.hand.last(), harepass.Cancelled, nil)
+	r.AttemptEnded(r.hand.last(), scatter.Cancelled, nil)
 	r.pass(0)
 	if r.want(t); len(r.hand.calls) != 2 {
 		t.Errorf("%d calls, want 2", len(r.hand.calls))
@@ -160,7 +160,7 @@
 	at := r.hand.last()
 	r.clock += at.Timeout
 	r.turn()
-	r.Ended(at, harepass.Served, []byte("v"))
+	r.AttemptEnded(at, scatter.Succeeded, []byte("v"))
 	r.pass(time.Second)
 	if len(r.answers) != 1 || len(r.hand.calls) != 1 {
 		t.Errorf("answers %q, %d calls", r.answers, len(r.hand.calls))
@@ -168,14 +168,14 @@
 }
 
 func TestHoldsNoMoreThanItMay(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Limits.Open = 5 })
+	r := newRig(t, func(c *Config) { c.Limits.MaxOpen = 5 })
 	r.Submit(r.query("free", 0, 1))
 	r.Submit(r.query("free", 0, 1))
 	r.pass(0)
 	r.want(t, "1 whole=false []")
 	for _, call := range r.hand.calls {
 		for _, at := range call {
-			r.Ended(at, harepass.Served, []byte("v"))
+			r.AttemptEnded(at, scatter.Succeeded, []byte("v"))
 		}
 	}
 	r.pass(0)
@@ -202,12 +202,12 @@
 	q := r.query("free", 0)
 	r.Submit(q)
 	r.pass(0)
-	r.Gone(q)
+	r.ClientGone(q)
 	r.pass(0)
 	if len(r.hand.abandoned) != 1 {
 		t.Errorf("%d attempts given up, want 1", len(r.hand.abandoned))
 	}
-	r.Ended(r.hand.last(), harepass.Cancelled, nil)
+	r.AttemptEnded(r.hand.last(), scatter.Cancelled, nil)
 	r.pass(5 * time.Second)
 	r.want(t)
 	if r.held != 0 || len(r.parts) != 0 {
@@ -221,7 +221,7 @@
 	q := r.query("free", 0)
 	r.Submit(q)
 	r.turn()
-	r.clock = q.Until + overdue
+	r.clock = q.Deadline + overdue
 	r.sweep()
 	r.now = r.clock
 	r.sweep()
@@ -231,7 +231,7 @@
 // The phases go one way, and a draining owner stops when its last query has been answered.
 // What is taken while it drains has its answer before the platform kills, whatever time the client gives.
 func TestDrainBoundsTheTime(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Limits.Drain = time.Second })
+	r := newRig(t, func(c *Config) { c.Limits.DrainTimeout = time.Second })
 	r.Drain()
 	r.pass(600 * ms)
 	r.Submit(r.query("free", 0))
@@ -255,7 +255,7 @@
 	r.pass(0)
 	note()
 	for _, call := range r.hand.calls {
-		r.Ended(call[0], harepass.Served, []byte("v"))
+		r.AttemptEnded(call[0], scatter.Succeeded, []byte("v"))
 	}
 	r.pass(0)
 	note()
@@ -270,15 +270,15 @@
 
 func TestStartingUntilTheListIsKnown(t *testing.T) {
 	o, err := New(Config{Settings: newRig(t, nil).cfg.Settings, Clock: func() time.Duration { return time.Hour },
-		Subscribe: func() {}, Asked: "test"})
+		Subscribe: func() {}, PolledSource: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, tc := range []struct {
-		scope harepass.ListScope
+		scope scatter.UpdateKind
 		want  Phase
-	}{{harepass.ListRemembered, Starting}, {harepass.ListRefused, Ready}} {
-		o.Listed("test", tc.scope, nil)
+	}{{scatter.CachedUpdate, Starting}, {scatter.FailedUpdate, Ready}} {
+		o.UpdateEndpoints("test", tc.scope, nil)
 		o.turn()
 		if o.Phase() != tc.want {
 			t.Errorf("after list of kind %d: %v, want %v", tc.scope, o.Phase(), tc.want)
@@ -293,12 +293,12 @@
 		settings := newRig(t, nil).cfg.Settings
 		settings.Subscribe, settings.ListMaxAge = true, 10*time.Second
 		now := time.Hour
-		o, err := New(Config{Settings: settings, Clock: func() time.Duration { return now }, Subscribe: func() {}, Asked: "test"})
+		o, err := New(Config{Settings: settings, Clock: func() time.Duration { return now }, Subscribe: func() {}, PolledSource: "test"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		remember := func() {
-			o.Listed("test", harepass.ListRemembered, []Node{{Replica: harepass.Replica{ID: "a"}, Scheme: "hand"}})
+			o.UpdateEndpoints("test", scatter.CachedUpdate, []Endpoint{{Replica: scatter.Replica{ID: "a"}, Scheme: "hand"}})
 			o.turn()
 		}
 		if before {
@@ -321,7 +321,7 @@
 	subscribed := 0
 	r := newRig(t, func(c *Config) {
 		c.Settings.Subscribe, c.Settings.ListMaxAge = true, time.Second
-		c.Asked, c.Subscribe = "discovery", func() { subscribed++ }
+		c.PolledSource, c.Subscribe = "discovery", func() { subscribed++ }
 	}) // which brings a list of the source "test"
 	r.pass(10 * time.Second)
 	if subscribed < 2 {
@@ -332,9 +332,9 @@
 // A full list of one source leaves the nodes of the others alone.
 func TestSourcesOfNodes(t *testing.T) {
 	r := newRig(t, nil)
-	node := func(id string) Node { return Node{Replica: harepass.Replica{ID: id}, Scheme: "hand"} }
-	r.Listed("other", harepass.ListFull, []Node{node("b"), node("c")})
-	r.Listed("other", harepass.ListFull, []Node{node("b")})
+	node := func(id string) Endpoint { return Endpoint{Replica: scatter.Replica{ID: id}, Scheme: "hand"} }
+	r.UpdateEndpoints("other", scatter.FullUpdate, []Endpoint{node("b"), node("c")})
+	r.UpdateEndpoints("other", scatter.FullUpdate, []Endpoint{node("b")})
 	r.turn()
 	if len(r.nodes) != 2 || r.nodes["a"].source != "test" || r.nodes["b"].source != "other" {
 		t.Errorf("nodes %v, want a and b", r.nodes)
@@ -358,7 +358,7 @@
 
 func TestSecondStepsAreNotServed(t *testing.T) {
 	s := newRig(t, nil).cfg.Settings
-	s.Classes[0].SecondStep = 2
+	s.Classes[0].SecondRoundParts = 2
 	if _, err := New(Config{Settings: s}); err == nil {
 		t.Error("a class with a second step is taken")
 	}
@@ -369,7 +369,7 @@
 func TestQueriesThatAreNone(t *testing.T) {
 	r := newRig(t, func(c *Config) {
 		c.Limits.Shards = 24
-		c.Settings.Tenants = []harepass.Tenant{{Name: "kitakaze"}}
+		c.Settings.Tenants = []scatter.Tenant{{Name: "kitakaze"}}
 	})
 	for change, want := range map[string]struct {
 		do     func(*Query)
@@ -381,7 +381,7 @@
 		"id of lines":    {func(q *Query) { q.ID = "a\nb" }, "bad id"},
 		"class":          {func(q *Query) { q.Class = "none" }, "unknown class"},
 		"tenant":         {func(q *Query) { q.Tenant = "none" }, "unknown tenant"},
-		"no time":        {func(q *Query) { q.Until = r.clock }, "no time left"},
+		"no time":        {func(q *Query) { q.Deadline = r.clock }, "no time left"},
 		"no parts":       {func(q *Query) { q.Parts = nil }, "no parts"},
 		"shard":          {func(q *Query) { q.Parts[1].Shard = 24 }, "unknown shard 24"},
 		"negative shard": {func(q *Query) { q.Parts[1].Shard = -1 }, "unknown shard -1"},
@@ -395,20 +395,20 @@
 		q := r.query("free", 0, 1)
 		q.Tenant = "kitakaze"
 		want.do(q)
-		if a := r.Ask(q, nil); a.Verdict != Invalid || a.Reason != want.reason || len(r.queue) > 0 {
+		if a := r.Ask(q, nil); a.Status != Invalid || a.Reason != want.reason || len(r.queue) > 0 {
 			t.Errorf("%s: %+v, want %q", change, a, want.reason)
 		}
 	}
 	first, second := r.query("free", 0), r.query("free", 0)
-	first.Until += time.Minute // no client is waited for longer than its class allows
-	if second.ID = first.ID; r.check(&Query{ID: "x", Class: "free", Tenant: "kitakaze", Parts: first.Parts, Until: first.Until}) != "" {
+	first.Deadline += time.Minute // no client is waited for longer than its class allows
+	if second.ID = first.ID; r.check(&Query{ID: "x", Class: "free", Tenant: "kitakaze", Parts: first.Parts, Deadline: first.Deadline}) != "" {
 		t.Error("a sound query is turned away")
 	}
 	r.Submit(first)
 	r.Submit(second)
 	r.pass(0)
 	r.want(t, "3 whole=false []")
-	r.Ended(r.hand.last(), harepass.Served, []byte("v"))
+	r.AttemptEnded(r.hand.last(), scatter.Succeeded, []byte("v"))
 	r.pass(0)
 	r.Submit(second) // nor is it free right after the answer
 	r.pass(0)
@@ -422,19 +422,19 @@
 // A long life of ever-new nodes leaves nothing behind: what has gone is forgotten, and its connections closed.
 func TestNodesAreForgotten(t *testing.T) {
 	r := newRig(t, nil)
-	node := func(i int, s harepass.ReplicaState) Node {
-		return Node{Replica: harepass.Replica{ID: fmt.Sprint("n", i), State: s}, Address: "x", Scheme: "hand"}
+	node := func(i int, s scatter.ReplicaState) Endpoint {
+		return Endpoint{Replica: scatter.Replica{ID: fmt.Sprint("n", i), State: s}, Address: "x", Scheme: "hand"}
 	}
 	for i := range 50 {
-		r.Listed("test", harepass.ListChanges, []Node{node(i, harepass.Ready)})
+		r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{node(i, scatter.Ready)})
 		r.pass(time.Second)
-		r.Listed("test", harepass.ListChanges, []Node{node(i, harepass.Gone)})
+		r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{node(i, scatter.Removed)})
 	}
 	r.pass(0)
 	if len(r.nodes) != 1 || len(r.hand.idle) < 50 {
 		t.Errorf("%d nodes remain, %d were disconnected", len(r.nodes), len(r.hand.idle))
 	}
-	r.Listed("test", harepass.ListFull, []Node{node(99, harepass.Ready)})
+	r.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{node(99, scatter.Ready)})
 	r.pass(0)
 	if r.nodes["n99"].ID == "" || len(r.nodes) != 1 || r.hand.idle[len(r.hand.idle)-1] != "a" {
 		t.Errorf("nodes %v after a full list, disconnected %v", r.nodes, r.hand.idle)
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"harepass"
 	"harepass/internal/counters"
+	"harepass/internal/decide/scatter"
 )
 
 // This file is what the owner counts: how queries and attempts ended, and why attempts were withheld.
@@ -37,6 +37,6 @@
 	return list
 }
 
-func countAnswer(v Verdict) { queriesEnded[v].Inc() }
+func countAnswer(v Status) { queriesEnded[v].Inc() }
 
-func countOutcome(outcome harepass.Outcome) { attemptsEnded[outcome].Inc() }
+func countOutcome(outcome scatter.Outcome) { attemptsEnded[outcome].Inc() }
--- a/internal/core/deadlines.go
+++ b/internal/core/deadlines.go
@@ -38,7 +38,7 @@
 }
 
 // sweep runs all that is due, in order of time.
-func (o *Owner) sweep() {
+func (o *Coordinator) sweep() {
 	for {
 		dl, ok := o.deadlines.tree.Min()
 		if !ok || dl.at > o.now {
@@ -53,7 +53,7 @@
 const longest = time.Minute
 
 // untilNext is the time to the first deadline.
-func (o *Owner) untilNext() time.Duration {
+func (o *Coordinator) untilNext() time.Duration {
 	dl, ok := o.deadlines.tree.Min()
 	if !ok {
 		return longest
--- a/internal/core/first_test.go
+++ b/internal/core/first_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/twophase"
 )
 
@@ -14,29 +14,29 @@
 // retained as known, if so.
 func newFirstRig(t *testing.T, known bool, change func(*Config)) *rig {
 	r := newRig(t, func(c *Config) {
-		c.Settings.Classes[0].Floor = 0.7
-		c.Planner, c.Firsts, c.Schemes = twophase.New(1<<20), []string{"free"}, map[string]bool{"hand": true}
+		c.Settings.Classes[0].MinFraction = 0.7
+		c.Planner, c.TwoPhaseClasses, c.TwoPhaseSchemes = twophase.New(1<<20), []string{"free"}, map[string]bool{"hand": true}
 		if change != nil {
 			change(c)
 		}
 	})
 	if known {
 		for s := range 4 {
-			r.cfg.Planner.Fetched(twophase.Topic{Index: "ix", Class: "free"}, s, "text", state(1), fmt.Appendf(nil, "known%d", s), 0)
+			r.cfg.Planner.ObserveFull(twophase.Topic{Index: "ix", Class: "free"}, s, "text", state(1), fmt.Appendf(nil, "known%d", s), 0)
 		}
 	}
 	return r
 }
 
 func state(max float64) twophase.Evidence {
-	return twophase.Evidence{Read: true, Matches: 1, Signed: true, Version: twophase.Version{Docs: 1, Max: max, Least: max, Sum: max}}
+	return twophase.Evidence{Readable: true, Matches: 1, Versioned: true, Version: twophase.Version{Docs: 1, Max: max, Min: max, Sum: max}}
 }
 
 func (r *rig) search() *Query {
 	q := r.query("free", 0, 1, 2, 3)
-	q.Index, q.Text, q.None = "ix", []byte("text"), []byte("none")
+	q.Index, q.Body, q.EmptyValue = "ix", []byte("text"), []byte("none")
 	q.Done = func(a Answer) {
-		r.answers = append(r.answers, fmt.Sprintf("%d %t %q %v", a.Verdict, a.Whole, a.Values, a.Pruned))
+		r.answers = append(r.answers, fmt.Sprintf("%d %t %q %v", a.Status, a.Complete, a.Values, a.Pruned))
 	}
 	r.Submit(q)
 	r.pass(0)
@@ -47,7 +47,7 @@
 func (r *rig) out(first bool) (list []*Attempt) {
 	for _, call := range r.hand.calls {
 		for _, at := range call {
-			if !at.ended && at.First == first && !slices.Contains(r.hand.abandoned, at) {
+			if !at.ended && at.FirstPhase == first && !slices.Contains(r.hand.abandoned, at) {
 				list = append(list, at)
 			}
 		}
@@ -55,44 +55,44 @@
 	return list
 }
 
-func (r *rig) end(at *Attempt, o harepass.Outcome, found twophase.Evidence) {
-	at.Found = found
-	r.Ended(at, o, fmt.Appendf(nil, "v%d", at.Shard))
+func (r *rig) end(at *Attempt, o scatter.Outcome, found twophase.Evidence) {
+	at.Evidence = found
+	r.AttemptEnded(at, o, fmt.Appendf(nil, "v%d", at.Shard))
 	r.pass(0)
 }
 
 func TestFirstPhase(t *testing.T) {
-	behind, gone := state(0), twophase.Evidence{Read: true, Signed: true, Version: state(1).Version}
+	behind, gone := state(0), twophase.Evidence{Readable: true, Versioned: true, Version: state(1).Version}
 	for _, tc := range []struct {
 		name    string
 		known   bool
-		outcome harepass.Outcome
+		outcome scatter.Outcome
 		found   func(shard int) twophase.Evidence
 		full    int  // parts asked in full
 		signed  bool // with their version
 		answer  string
 	}{
-		{"all pruned", true, harepass.Served, func(int) twophase.Evidence { return state(1) }, 0, false,
+		{"all pruned", true, scatter.Succeeded, func(int) twophase.Evidence { return state(1) }, 0, false,
 			`0 true ["known0" "known1" "known2" "known3"] [true true true true]`},
-		{"all empty", false, harepass.Served, func(int) twophase.Evidence { return gone }, 0, false,
+		{"all empty", false, scatter.Succeeded, func(int) twophase.Evidence { return gone }, 0, false,
 			`0 true ["none" "none" "none" "none"] [true true true true]`},
-		{"none pruned", true, harepass.Served, func(int) twophase.Evidence { return state(2) }, 4, true,
+		{"none pruned", true, scatter.Succeeded, func(int) twophase.Evidence { return state(2) }, 4, true,
 			`0 true ["v0" "v1" "v2" "v3"] [false false false false]`},
-		{"nothing known", false, harepass.Served, func(int) twophase.Evidence { return state(1) }, 4, true,
+		{"nothing known", false, scatter.Succeeded, func(int) twophase.Evidence { return state(1) }, 4, true,
 			`0 true ["v0" "v1" "v2" "v3"] [false false false false]`},
-		{"one changed", true, harepass.Served, func(s int) twophase.Evidence {
+		{"one changed", true, scatter.Succeeded, func(s int) twophase.Evidence {
 			if s == 2 {
 				return state(2)
 			}
 			return state(1)
 		}, 1, true, `0 true ["known0" "known1" "v2" "known3"] [true true false true]`},
-		{"all behind", true, harepass.Served, func(int) twophase.Evidence { return behind }, 4, true,
+		{"all behind", true, scatter.Succeeded, func(int) twophase.Evidence { return behind }, 4, true,
 			`0 true ["v0" "v1" "v2" "v3"] [false false false false]`},
-		{"unreadable", true, harepass.Served, func(int) twophase.Evidence { return twophase.Evidence{} }, 4, true,
+		{"unreadable", true, scatter.Succeeded, func(int) twophase.Evidence { return twophase.Evidence{} }, 4, true,
 			`0 true ["v0" "v1" "v2" "v3"] [false false false false]`},
-		{"all failed", true, harepass.Errored, func(int) twophase.Evidence { return state(1) }, 4, true,
+		{"all failed", true, scatter.Errored, func(int) twophase.Evidence { return state(1) }, 4, true,
 			`0 true ["v0" "v1" "v2" "v3"] [false false false false]`},
-		{"all full", true, harepass.Full, func(int) twophase.Evidence { return state(1) }, 4, true,
+		{"all full", true, scatter.Rejected, func(int) twophase.Evidence { return state(1) }, 4, true,
 			`0 true ["v0" "v1" "v2" "v3"] [false false false false]`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -105,7 +105,7 @@
 			for _, at := range firsts {
 				r.end(at, tc.outcome, tc.found(at.Shard))
 			}
-			if tc.outcome != harepass.Served { // the one replica is let be for a while
+			if tc.outcome != scatter.Succeeded { // the one replica is let be for a while
 				r.pass(450 * ms)
 			}
 			full := r.out(false)
@@ -113,10 +113,10 @@
 				t.Fatalf("%d full parts and %d first phases after it, want %d and 0", len(full), len(r.out(true)), tc.full)
 			}
 			for _, at := range full {
-				if at.Signed != tc.signed {
-					t.Errorf("section %d asked with its version: %t", at.Shard, at.Signed)
+				if at.WithVersion != tc.signed {
+					t.Errorf("section %d asked with its version: %t", at.Shard, at.WithVersion)
 				}
-				r.end(at, harepass.Served, state(3))
+				r.end(at, scatter.Succeeded, state(3))
 			}
 			r.pass(5 * time.Second)
 			r.want(t, tc.answer)
@@ -131,7 +131,7 @@
 func TestFirstPhaseLate(t *testing.T) {
 	r := newFirstRig(t, true, nil)
 	for range 10 { // slow answers in full leave it 100 ms
-		r.cfg.Planner.Took(twophase.Topic{Index: "ix", Class: "free"}, 0, true, 50*ms)
+		r.cfg.Planner.ObserveLatency(twophase.Topic{Index: "ix", Class: "free"}, 0, true, 50*ms)
 	}
 	r.search()
 	firsts := r.out(true)
@@ -144,18 +144,18 @@
 	if len(full) != 4 || len(r.out(true)) != 4 {
 		t.Fatalf("%d full parts and %d first phases, want 4 and 4", len(full), len(r.out(true)))
 	}
-	r.end(firsts[0], harepass.Served, state(1)) // late, and true all the same: its full part is called off
+	r.end(firsts[0], scatter.Succeeded, state(1)) // late, and true all the same: its full part is called off
 	if !slices.Contains(r.hand.abandoned, full[0]) {
 		t.Error("a full part that is known goes on")
 	}
-	r.Ended(full[0], harepass.Served, []byte("late"))
-	r.end(full[1], harepass.Served, state(1)) // the first phase of that section has nothing to add
+	r.AttemptEnded(full[0], scatter.Succeeded, []byte("late"))
+	r.end(full[1], scatter.Succeeded, state(1)) // the first phase of that section has nothing to add
 	if !slices.Contains(r.hand.abandoned, firsts[1]) {
 		t.Error("a first phase goes on whose section is in")
 	}
-	r.end(firsts[1], harepass.Served, state(1))
-	r.end(full[2], harepass.Served, state(1))
-	r.end(full[3], harepass.Served, state(1))
+	r.end(firsts[1], scatter.Succeeded, state(1))
+	r.end(full[2], scatter.Succeeded, state(1))
+	r.end(full[3], scatter.Succeeded, state(1))
 	r.pass(5 * time.Second)
 	r.want(t, `0 true ["known0" "v1" "v2" "v3"] [true false false false]`)
 }
@@ -168,9 +168,9 @@
 		r := newFirstRig(t, true, nil)
 		q := r.search()
 		for _, at := range r.out(true)[:proven] {
-			r.end(at, harepass.Served, state(1))
+			r.end(at, scatter.Succeeded, state(1))
 		}
-		r.pass(q.Until - r.clock)
+		r.pass(q.Deadline - r.clock)
 		r.want(t, want)
 		r.pass(5 * time.Second)
 		r.want(t, want)
@@ -183,17 +183,17 @@
 // A client that leaves, a limit on what is open, and a holder that knows of no first phase.
 func TestFirstPhaseAside(t *testing.T) {
 	r := newFirstRig(t, true, nil)
-	r.Gone(r.search())
+	r.ClientGone(r.search())
 	r.pass(0)
 	if len(r.out(true)) != 0 || r.held != 0 || len(r.firsts) != 0 {
 		t.Errorf("after its client left: %d first phases out, %d held", len(r.out(true)), r.held)
 	}
-	r = newFirstRig(t, true, func(c *Config) { c.Limits.Open = 9 })
+	r = newFirstRig(t, true, func(c *Config) { c.Limits.MaxOpen = 9 })
 	if r.search(); len(r.out(true)) != 0 || len(r.out(false)) != 4 {
 		t.Errorf("%d first phases, %d full parts where there is room for one query only", len(r.out(true)), len(r.out(false)))
 	}
 	r = newFirstRig(t, true, func(c *Config) { c.Callers["frames"] = c.Callers["hand"] })
-	r.Listed("test", harepass.ListChanges, []Node{{Replica: harepass.Replica{ID: "b"}, Address: "b", Scheme: "frames"}})
+	r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{{Replica: scatter.Replica{ID: "b"}, Address: "b", Scheme: "frames"}})
 	r.pass(0)
 	if r.search(); len(r.out(true)) != 0 || len(r.out(false)) != 4 {
 		t.Errorf("%d first phases, %d full parts with a holder that speaks frames", len(r.out(true)), len(r.out(false)))
@@ -205,10 +205,10 @@
 func TestFirstPhaseCountsOnce(t *testing.T) {
 	admitted := func(twoPhase bool) (n int) {
 		r := newFirstRig(t, true, func(c *Config) {
-			c.Settings.Tenants = []harepass.Tenant{{Name: "t", Quota: 0.1}}
-			c.Settings.OverShareWorth = 0.05
+			c.Settings.Tenants = []scatter.Tenant{{Name: "t", Quota: 0.1}}
+			c.Settings.OverQuotaWeight = 0.05
 			if !twoPhase {
-				c.Firsts = nil
+				c.TwoPhaseClasses = nil
 			}
 		})
 		for range 20 { // slow full answers make a load at which traffic over the share is refused
@@ -216,11 +216,11 @@
 			r.Submit(q)
 			r.pass(0)
 			r.pass(350 * ms)
-			r.end(r.out(false)[0], harepass.Served, state(1))
+			r.end(r.out(false)[0], scatter.Succeeded, state(1))
 		}
 		for range 12 {
 			q := r.query("free", 0, 1, 2, 3)
-			q.Tenant, q.Index, q.Text = "t", "ix", []byte("text")
+			q.Tenant, q.Index, q.Body = "t", "ix", []byte("text")
 			r.Submit(q)
 			r.pass(0)
 		}
--- a/internal/core/gate_test.go
+++ b/internal/core/gate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/overload"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/twophase"
 )
 
@@ -16,22 +16,22 @@
 	refuse bool
 	asked  []overload.Arrival
 	done   []int
-	turns  []Turn
+	turns  []Tick
 }
 
 func (k *keeper) Admit(a overload.Arrival) (bool, time.Duration) {
 	k.asked = append(k.asked, a)
 	return !k.refuse, 3 * time.Second
 }
-func (k *keeper) Done(parts int) { k.done = append(k.done, parts) }
-func (k *keeper) Turn(t Turn)    { k.turns = append(k.turns, t) }
+func (k *keeper) QueryDone(parts int) { k.done = append(k.done, parts) }
+func (k *keeper) ObserveTick(t Tick)  { k.turns = append(k.turns, t) }
 
 // What the gate refuses never reaches the owner; what it let in before is not asked about again.
 func TestGate(t *testing.T) {
 	k := &keeper{refuse: true}
-	r := newRig(t, func(c *Config) { c.Gate = k })
+	r := newRig(t, func(c *Config) { c.Admitter = k })
 	q := r.query("free", 0, 1)
-	if a := r.Ask(q, nil); a.Verdict != Refused || a.RetryIn != 3*time.Second || len(r.queue) != 0 {
+	if a := r.Ask(q, nil); a.Status != Rejected || a.RetryAfter != 3*time.Second || len(r.queue) != 0 {
 		t.Errorf("%+v, %d messages for the owner", a, len(r.queue))
 	}
 	if len(k.asked) != 1 || k.asked[0].Parts != 2 || k.asked[0].Class != "free" {
@@ -41,33 +41,33 @@
 	q.Admitted = true
 	gone := make(chan struct{})
 	close(gone)
-	if a := r.Ask(q, gone); a.Verdict != Failed || len(k.asked) != 1 {
+	if a := r.Ask(q, gone); a.Status != Failed || len(k.asked) != 1 {
 		t.Errorf("%+v, asked %d times", a, len(k.asked))
 	}
-	r = newRig(t, func(c *Config) { c.Gate, c.Settings.RetryAdvice = k, 0 }) // clients may not be told when to come back
-	if a := r.Ask(r.query("free", 0), nil); a.RetryIn != 0 {
-		t.Errorf("told to come back in %v", a.RetryIn)
+	r = newRig(t, func(c *Config) { c.Admitter, c.Settings.RetryAfter = k, 0 }) // clients may not be told when to come back
+	if a := r.Ask(r.query("free", 0), nil); a.RetryAfter != 0 {
+		t.Errorf("told to come back in %v", a.RetryAfter)
 	}
 }
 
 // The owner tells how late it was, what it holds, and of each query's end once; all books end at nothing.
 func TestTurnsTold(t *testing.T) {
 	k := &keeper{}
-	r := newRig(t, func(c *Config) { c.Gate, c.Limits.Open = k, 100 })
+	r := newRig(t, func(c *Config) { c.Admitter, c.Limits.MaxOpen = k, 100 })
 	r.Submit(r.query("free", 0, 1))
 	r.clock += 30 * ms
 	r.turn()
 	last := k.turns[len(k.turns)-1]
-	if last.Count != 1 || last.Wait != 30*ms || last.Worst != 30*ms || last.Open != 0.03 || last.Held != queryBytes+2*partBytes {
+	if last.Count != 1 || last.TotalWait != 30*ms || last.MaxWait != 30*ms || last.OpenFraction != 0.03 || last.QueryBytes != queryBytes+2*partBytes {
 		t.Errorf("%+v", last)
 	}
 	for _, call := range r.hand.calls {
 		for _, at := range call {
-			r.Ended(at, harepass.Served, make([]byte, 100))
+			r.AttemptEnded(at, scatter.Succeeded, make([]byte, 100))
 		}
 	}
 	r.pass(0)
-	if last := k.turns[len(k.turns)-1]; last.Held != 0 || last.Open != 0 || !slices.Equal(k.done, []int{2}) || r.bytes != 0 {
+	if last := k.turns[len(k.turns)-1]; last.QueryBytes != 0 || last.OpenFraction != 0 || !slices.Equal(k.done, []int{2}) || r.bytes != 0 {
 		t.Errorf("%+v, ended %v, %d bytes", last, k.done, r.bytes)
 	}
 }
@@ -77,10 +77,10 @@
 func TestSqueeze(t *testing.T) {
 	k := &keeper{}
 	r := newRig(t, func(c *Config) {
-		c.Gate, c.Planner, c.Retained = k, twophase.New(1<<20), 1<<20
-		c.Settings.Classes[0].Floor = 0.5
+		c.Admitter, c.Planner, c.CacheBytes = k, twophase.New(1<<20), 1<<20
+		c.Settings.Classes[0].MinFraction = 0.5
 	})
-	r.cfg.Planner.Fetched(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
+	r.cfg.Planner.ObserveFull(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
 	var once *Query
 	for i := range 3 {
 		q := r.query("free", 0, 1)
@@ -89,31 +89,31 @@
 			once = q
 		}
 		q.Done = func(a Answer) {
-			r.answers = append(r.answers, fmt.Sprintf("%s: %d whole=%t", q.ID, a.Verdict, a.Whole))
+			r.answers = append(r.answers, fmt.Sprintf("%s: %d whole=%t", q.ID, a.Status, a.Complete))
 		}
 		r.Submit(q)
 		r.pass(0)
 	}
-	r.Ended(r.hand.calls[0][0], harepass.Served, make([]byte, 100<<10)) // of the first query's two parts
+	r.AttemptEnded(r.hand.calls[0][0], scatter.Succeeded, make([]byte, 100<<10)) // of the first query's two parts
 	r.pass(0)
-	r.Squeeze(overload.DropRetained, 0)
+	r.RelieveMemory(overload.DropCached, 0)
 	r.pass(0)
-	if n, _ := r.cfg.Planner.Retained(); n != 0 || len(r.answers) != 0 {
+	if n, _ := r.cfg.Planner.Cached(); n != 0 || len(r.answers) != 0 {
 		t.Errorf("%d values retained, answers %q", n, r.answers)
 	}
-	r.Squeeze(overload.EndSome, 1)
+	r.RelieveMemory(overload.EndQueries, 1)
 	r.pass(0)
 	r.want(t, "q1: 0 whole=false") // half of it is in
-	r.Squeeze(overload.EndSome, 1<<30)
+	r.RelieveMemory(overload.EndQueries, 1<<30)
 	r.pass(0)
 	r.want(t, "q1: 0 whole=false", "q2: 1 whole=false")
 	if r.byQuery[once] == nil {
 		t.Error("a report that may have run was ended")
 	}
-	r.Squeeze(overload.Fine, 0)
+	r.RelieveMemory(overload.MemoryNormal, 0)
 	r.pass(0)
-	r.cfg.Planner.Fetched(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
-	if n, _ := r.cfg.Planner.Retained(); n != 1 {
+	r.cfg.Planner.ObserveFull(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
+	if n, _ := r.cfg.Planner.Cached(); n != 1 {
 		t.Error("nothing is retained after memory came back")
 	}
 }
--- a/internal/core/lease.go
+++ b/internal/core/lease.go
@@ -3,22 +3,24 @@
 import (
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // This file is what the owner does with the lease on the list of the source that the module asked: once it is over, nothing
 // new is sent by that list, since nodes may be leaving that the coordinator has not heard of.
 
-// Leased tells until when a source's list holds, on the owner's clock. Without a word a list holds for good.
-func (o *Owner) Leased(source string, expires time.Duration) { o.post(leased{source, expires}) }
+// SetListExpiry tells until when a source's list holds, on the owner's clock. Without a word a list holds for good.
+func (o *Coordinator) SetListExpiry(source string, expires time.Duration) {
+	o.post(leased{source, expires})
+}
 
 type leased struct {
 	source  string
 	expires time.Duration
 }
 
-func (m leased) apply(o *Owner) {
-	if m.source != o.cfg.Asked {
+func (m leased) apply(o *Coordinator) {
+	if m.source != o.cfg.PolledSource {
 		return
 	}
 	o.deadlines.remove(o.leaseEnd)
@@ -31,14 +33,14 @@
 }
 
 // expire stops what is sent by the list. The module hears that its nodes drain, until the list is confirmed.
-func (o *Owner) expire() {
+func (o *Coordinator) expire() {
 	o.leaseEnd = nil
 	if o.expired {
 		return
 	}
 	o.expired, o.onlyLeased = true, true
 	for _, n := range o.nodes {
-		o.onlyLeased = o.onlyLeased && n.source == o.cfg.Asked
+		o.onlyLeased = o.onlyLeased && n.source == o.cfg.PolledSource
 	}
 	o.cfg.Log.Warn("list expired: nothing new is sent until discovery confirms it", "queries_open", len(o.queries))
 	listsExpired.Inc()
@@ -47,18 +49,18 @@
 }
 
 // retellNodes has the module hear the whole list as it is to be taken now.
-func (o *Owner) retellNodes() {
+func (o *Coordinator) retellNodes() {
 	clear(o.ables)
-	o.events = append(o.events, harepass.ListReceived{Scope: harepass.ListRemembered, Replicas: o.replicas()})
+	o.events = append(o.events, scatter.EndpointUpdate{Kind: scatter.CachedUpdate, Replicas: o.replicas()})
 }
 
 // told is a node as the module is to hear of it: by the list, by its lease, and by who has been taken out by hand.
-func (o *Owner) told(n listedNode) harepass.Replica {
-	if o.expired && n.source == o.cfg.Asked && n.State == harepass.Ready {
-		n.State = harepass.Draining
+func (o *Coordinator) told(n listedNode) scatter.Replica {
+	if o.expired && n.source == o.cfg.PolledSource && n.State == scatter.Ready {
+		n.State = scatter.Draining
 	}
-	return o.book.Told(n.Replica)
+	return o.book.Effective(n.Replica)
 }
 
 // unservable tells whether nothing can be sent for want of a list that holds.
-func (o *Owner) unservable() bool { return o.expired && o.onlyLeased }
+func (o *Coordinator) unservable() bool { return o.expired && o.onlyLeased }
--- a/internal/core/lease_test.go
+++ b/internal/core/lease_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // A list that has expired stops all sends: queries are refused at once, a failed part is not sent again, and what is out is
@@ -18,7 +18,7 @@
 	if !waiting.Begin() || !failing.Begin() {
 		t.Fatal("attempts may not begin by a list that holds")
 	}
-	r.Leased("test", r.clock+100*ms)
+	r.SetListExpiry("test", r.clock+100*ms)
 	r.pass(99 * ms)
 	if r.expired {
 		t.Fatal("expired too soon")
@@ -30,20 +30,20 @@
 	r.Submit(r.query("free", 0))
 	r.pass(0)
 	r.want(t, `1 whole=false []`)
-	r.Ended(failing, harepass.Errored, nil)
-	r.Ended(waiting, harepass.Served, []byte("v"))
+	r.AttemptEnded(failing, scatter.Errored, nil)
+	r.AttemptEnded(waiting, scatter.Succeeded, []byte("v"))
 	r.pass(100 * ms)
 	r.want(t, `1 whole=false []`, `0 whole=true ["v"]`)
 	if len(r.hand.calls) != 1 {
 		t.Errorf("%d calls by an expired list", len(r.hand.calls)-1)
 	}
-	r.Leased("test", r.clock+time.Second)
+	r.SetListExpiry("test", r.clock+time.Second)
 	r.Submit(r.query("free", 0))
 	r.pass(50 * ms)
 	if len(r.hand.calls) < 2 {
 		t.Error("nothing is sent by a list that was confirmed")
 	}
-	r.Leased("another", r.clock)
+	r.SetListExpiry("another", r.clock)
 	r.pass(ms)
 	if r.expired {
 		t.Error("the lease of another source counts")
@@ -56,7 +56,7 @@
 	r.Submit(r.query("free", 0))
 	r.pass(0)
 	at := r.hand.last()
-	r.Leased("test", r.clock+10*ms)
+	r.SetListExpiry("test", r.clock+10*ms)
 	r.pass(10 * ms)
 	if at.Begin() {
 		t.Error("an attempt begins by an expired list")
@@ -67,9 +67,9 @@
 func BenchmarkExpiry(b *testing.B) {
 	r := newFleetRig(b, 3200)
 	for b.Loop() {
-		r.Leased("test", r.clock+ms)
+		r.SetListExpiry("test", r.clock+ms)
 		r.pass(ms)
-		r.Leased("test", r.clock+time.Hour)
+		r.SetListExpiry("test", r.clock+time.Hour)
 		r.pass(0)
 	}
 }
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -4,14 +4,14 @@
 	"errors"
 	"slices"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 // This file is the owner's part in nodes that operators have taken out: the module hears of the list as the book tells it.
 
-// Maintenance brings the book as it is from now on. It does not wait, be the owner's queue as long as it may.
-func (o *Owner) Maintenance(b maintenance.Book) {
+// SetMaintenance brings the book as it is from now on. It does not wait, be the owner's queue as long as it may.
+func (o *Coordinator) SetMaintenance(b maintenance.Register) {
 	o.books.Store(&b)
 	select {
 	case o.news <- struct{}{}:
@@ -19,8 +19,8 @@
 	}
 }
 
-// Serving tells why the owner does not take queries; for any goroutine.
-func (o *Owner) Serving() error {
+// CheckReady tells why the owner does not take queries; for any goroutine.
+func (o *Coordinator) CheckReady() error {
 	if p := o.Phase(); p != Ready {
 		return errors.New(p.String())
 	}
@@ -28,7 +28,7 @@
 }
 
 // heed takes over the latest book, before all else in a turn.
-func (o *Owner) heed() {
+func (o *Coordinator) heed() {
 	b := o.books.Load()
 	if b == nil || b == o.heeded {
 		return
@@ -40,18 +40,18 @@
 }
 
 // warnBare logs which sections have lost all holders by hand, when that changes. They stay lost: the rule holds.
-func (o *Owner) warnBare() {
+func (o *Coordinator) warnBare() {
 	var cells []int
 	for id, e := range o.book {
 		if n, listed := o.nodes[id]; listed && e.Out {
-			cells = append(cells, n.Cell)
+			cells = append(cells, n.RingPosition)
 		}
 	}
-	var list []harepass.Replica
+	var list []scatter.Replica
 	for _, id := range o.cells.near(cells) {
 		list = append(list, o.nodes[id].Replica)
 	}
-	bare := o.book.Bare(list, o.set().Cells, o.set().Reach, o.set().limits.Shards)
+	bare := o.book.UncoveredShards(list, o.set().RingSize, o.set().ReplicationFactor, o.set().limits.Shards)
 	if !slices.Equal(bare, o.bare) {
 		o.bare = bare
 		o.cfg.Log.Warn("sections whose nodes are all out by hand", "sections", bare, "do", "call one of their nodes back")
--- a/internal/core/maintenance_test.go
+++ b/internal/core/maintenance_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 // askedNode sends a query and tells which node its part went to; it is then served.
@@ -22,24 +22,24 @@
 		return "none"
 	}
 	at := r.hand.last()
-	r.Ended(at, harepass.Served, []byte("v"))
+	r.AttemptEnded(at, scatter.Succeeded, []byte("v"))
 	r.pass(0)
-	return at.Node
+	return at.Endpoint
 }
 
 // A node that is out gets nothing from the turn on that hears of it, whatever lists say meanwhile: that it runs, that it
 // is gone, that it is back, from the source anew or after a move. What the source says holds again after the call back.
 func TestNodeOutByHand(t *testing.T) {
 	r := newRig(t, nil)
-	node := func(id string, state harepass.ReplicaState) Node {
-		return Node{Replica: harepass.Replica{ID: id, State: state}, Address: id, Scheme: "hand"}
+	node := func(id string, state scatter.ReplicaState) Endpoint {
+		return Endpoint{Replica: scatter.Replica{ID: id, State: state}, Address: id, Scheme: "hand"}
 	}
-	r.Listed("test", harepass.ListFull, []Node{node("a", 0), node("b", 0)})
+	r.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{node("a", 0), node("b", 0)})
 	r.pass(0)
-	book := maintenance.Book{}
+	book := maintenance.Register{}
 	call := func(out bool) {
-		book = maintenance.Book{"a": {Out: out, At: r.clock, From: book["a"].At}}
-		r.Maintenance(book)
+		book = maintenance.Register{"a": {Out: out, At: r.clock, OutSince: book["a"].At}}
+		r.SetMaintenance(book)
 		r.pass(0)
 	}
 	only := func(what, want string) {
@@ -53,18 +53,18 @@
 		}
 	}
 	only("before", "map[a:true b:true]")
-	if !r.Knows("a") || r.Knows("c") {
+	if !r.HasEndpoint("a") || r.HasEndpoint("c") {
 		t.Error("the ids that are listed are not known")
 	}
 	call(true)
 	only("out", "map[b:true]")
-	r.Listed("test", harepass.ListChanges, []Node{node("a", harepass.Ready)})
+	r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{node("a", scatter.Ready)})
 	r.pass(0)
 	only("listed as running", "map[b:true]")
-	r.Listed("test", harepass.ListChanges, []Node{node("a", harepass.Gone)})
+	r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{node("a", scatter.Removed)})
 	r.pass(0)
 	only("gone", "map[b:true]")
-	r.Listed("test", harepass.ListFull, []Node{node("a", 0), node("b", 0)})
+	r.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{node("a", 0), node("b", 0)})
 	r.pass(0)
 	only("back under the same id", "map[b:true]")
 	r.clock += time.Second
@@ -83,7 +83,7 @@
 	r := newRig(t, nil)
 	for r.Submit(r.query("free", 0)) {
 	}
-	r.Maintenance(maintenance.Book{"a": {Out: true, At: r.clock}})
+	r.SetMaintenance(maintenance.Register{"a": {Out: true, At: r.clock}})
 	r.turn()
 	if len(r.hand.calls) != 0 {
 		t.Errorf("%d calls to a node that was out before the turn", len(r.hand.calls))
@@ -97,9 +97,9 @@
 		c.Limits.Shards = 1
 		c.Log = slog.New(slog.NewTextHandler(&log, nil))
 	})
-	r.Maintenance(maintenance.Book{"a": {Out: true, At: r.clock}})
+	r.SetMaintenance(maintenance.Register{"a": {Out: true, At: r.clock}})
 	r.pass(0)
-	r.Listed("test", harepass.ListChanges, []Node{{Replica: harepass.Replica{ID: "a"}, Address: "a", Scheme: "hand"}})
+	r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{{Replica: scatter.Replica{ID: "a"}, Address: "a", Scheme: "hand"}})
 	r.pass(0)
 	r.Submit(r.query("free", 0))
 	r.pass(4 * time.Second)
--- a/internal/core/nodes.go
+++ b/internal/core/nodes.go
@@ -4,52 +4,52 @@
 	"maps"
 	"slices"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // This file is the list of nodes, merged from what the sources tell.
 
-// Node is a replica with the way to reach it.
-type Node struct {
-	harepass.Replica
+// Endpoint is a replica with the way to reach it.
+type Endpoint struct {
+	scatter.Replica
 	Address string
 	Scheme  string // names the Caller that speaks to it
 }
 
 type listedNode struct {
-	Node
+	Endpoint
 	source string
 }
 
 type listed struct {
 	source string
-	scope  harepass.ListScope
-	nodes  []Node
+	scope  scatter.UpdateKind
+	nodes  []Endpoint
 	more   bool                // further slices of the same list follow
 	names  map[string]struct{} // in the last slice: all that the source lists; nil for a list of one piece
 }
 
-// Listed brings a source's list of nodes, its changes, or the news that it could not be had. A full list
+// UpdateEndpoints brings a source's list of nodes, its changes, or the news that it could not be had. A full list
 // takes away only what the same source had named.
-func (o *Owner) Listed(source string, scope harepass.ListScope, nodes []Node) {
+func (o *Coordinator) UpdateEndpoints(source string, scope scatter.UpdateKind, nodes []Endpoint) {
 	o.post(listed{source: source, scope: scope, nodes: nodes})
 }
 
-// ListedPart brings entries of a source's first list, of which further ones follow. They count at once, but the owner is
+// UpdateEndpointsPartially brings entries of a source's first list, of which further ones follow. They count at once, but the owner is
 // not ready by them: Listed with the last ones makes it so.
-func (o *Owner) ListedPart(source string, nodes []Node) {
-	o.post(listed{source: source, scope: harepass.ListChanges, nodes: nodes, more: true})
+func (o *Coordinator) UpdateEndpointsPartially(source string, nodes []Endpoint) {
+	o.post(listed{source: source, scope: scatter.IncrementalUpdate, nodes: nodes, more: true})
 }
 
 // merge merges the sources. The module takes a list, its changes or a refusal for an answer to its own
 // Subscribe, so a source that it did not ask comes in as remembered: with that it would never subscribe.
-func (o *Owner) merge(m listed) {
-	ev := harepass.ListReceived{Scope: m.scope}
-	if m.source != o.cfg.Asked {
-		ev.Scope = harepass.ListRemembered
+func (o *Coordinator) merge(m listed) {
+	ev := scatter.EndpointUpdate{Kind: m.scope}
+	if m.source != o.cfg.PolledSource {
+		ev.Kind = scatter.CachedUpdate
 	}
 	before := map[string]listedNode{} // those that the list may take away
-	whole := m.scope == harepass.ListFull || m.scope == harepass.ListRemembered
+	whole := m.scope == scatter.FullUpdate || m.scope == scatter.CachedUpdate
 	if whole {
 		for id, n := range o.nodes {
 			if n.source == m.source {
@@ -60,7 +60,7 @@
 	}
 	leaving := whole
 	for _, n := range slices.Concat(m.nodes, o.unnamed(m)) {
-		if before[n.ID] = o.nodes[n.ID]; n.State == harepass.Gone { // the module is told, the owner forgets it
+		if before[n.ID] = o.nodes[n.ID]; n.State == scatter.Removed { // the module is told, the owner forgets it
 			o.removeNode(n.ID)
 		} else {
 			o.putNode(listedNode{n, m.source})
@@ -71,10 +71,10 @@
 	}
 	for id, n := range before { // what is out there still has its connection, which ends when it has been idle
 		if _, here := o.nodes[id]; !here && o.cfg.Callers[n.Scheme] != nil {
-			o.cfg.Callers[n.Scheme].Disconnect(id)
+			o.cfg.Callers[n.Scheme].CloseIdleConnections(id)
 		}
 	}
-	if ev.Scope == harepass.ListFull || ev.Scope == harepass.ListRemembered {
+	if ev.Kind == scatter.FullUpdate || ev.Kind == scatter.CachedUpdate {
 		ev.Replicas = o.replicas()
 	}
 	o.events = append(o.events, ev)
@@ -87,13 +87,13 @@
 	if m.more {
 		return
 	}
-	o.list = o.list || m.scope != harepass.ListRemembered && m.source == o.cfg.Asked
+	o.list = o.list || m.scope != scatter.CachedUpdate && m.source == o.cfg.PolledSource
 	o.presume()
 }
 
 // presume lets the list that is remembered do after a while, once the source was asked for a newer one; whichever of the
 // two came first.
-func (o *Owner) presume() {
+func (o *Coordinator) presume() {
 	if o.asked && !o.list && len(o.nodes) > 0 {
 		o.asked = false
 		o.deadlines.add(o.now+presumeAfter, func() { o.list = true })
@@ -101,7 +101,7 @@
 }
 
 // replicas is the whole list as the module is to hear it.
-func (o *Owner) replicas() (list []harepass.Replica) {
+func (o *Coordinator) replicas() (list []scatter.Replica) {
 	for _, id := range slices.Sorted(maps.Keys(o.nodes)) {
 		list = append(list, o.told(o.nodes[id]))
 	}
@@ -109,17 +109,17 @@
 }
 
 // putNode enters a node, in the place of what was listed under its name.
-func (o *Owner) putNode(n listedNode) {
+func (o *Coordinator) putNode(n listedNode) {
 	o.removeNode(n.ID)
 	o.nodesMu.Lock()
 	o.nodes[n.ID] = n
 	o.nodesMu.Unlock()
 	o.cells.add(n)
-	o.cells.forShards(n.Cell, func(shard int) { delete(o.ables, shard) })
+	o.cells.forShards(n.RingPosition, func(shard int) { delete(o.ables, shard) })
 }
 
 // removeNode takes a node off the list, if it is there.
-func (o *Owner) removeNode(id string) {
+func (o *Coordinator) removeNode(id string) {
 	n, listed := o.nodes[id]
 	if !listed {
 		return
@@ -128,11 +128,11 @@
 	delete(o.nodes, id)
 	o.nodesMu.Unlock()
 	o.cells.remove(n)
-	o.cells.forShards(n.Cell, func(shard int) { delete(o.ables, shard) })
+	o.cells.forShards(n.RingPosition, func(shard int) { delete(o.ables, shard) })
 }
 
-// Knows tells whether some source lists a node; for any goroutine.
-func (o *Owner) Knows(id string) bool {
+// HasEndpoint tells whether some source lists a node; for any goroutine.
+func (o *Coordinator) HasEndpoint(id string) bool {
 	o.nodesMu.RLock()
 	defer o.nodesMu.RUnlock()
 	_, known := o.nodes[id]
--- a/internal/core/nodes_test.go
+++ b/internal/core/nodes_test.go
@@ -7,42 +7,42 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 // newFleetRig has a list of so many nodes, one to a cell, of which one is out by hand.
 func newFleetRig(t testing.TB, nodes int) *rig {
 	r := newRig(t, func(c *Config) {
-		c.Settings.Cells, c.Settings.Reach, c.Settings.Roots, c.Settings.Me = nodes, 3, 1500, 700
+		c.Settings.RingSize, c.Settings.ReplicationFactor, c.Settings.Coordinators, c.Settings.Ordinal = nodes, 3, 1500, 700
 		c.Limits.Shards = nodes
 	})
-	var list []Node
+	var list []Endpoint
 	for i := range nodes {
 		list = append(list, fleetNode(i))
 	}
-	r.Listed("test", harepass.ListFull, list)
-	r.Maintenance(maintenance.Book{"n1": {Out: true, At: r.clock}})
+	r.UpdateEndpoints("test", scatter.FullUpdate, list)
+	r.SetMaintenance(maintenance.Register{"n1": {Out: true, At: r.clock}})
 	for r.turn(); len(r.lists) > 0; {
 		r.pass(ms)
 	}
 	return r
 }
 
-func fleetNode(i int) Node {
-	return Node{Replica: harepass.Replica{ID: fmt.Sprint("n", i), Cell: i}, Address: "a", Scheme: "hand"}
+func fleetNode(i int) Endpoint {
+	return Endpoint{Replica: scatter.Replica{ID: fmt.Sprint("n", i), RingPosition: i}, Address: "a", Scheme: "hand"}
 }
 
 // change has one turn in which a node drains, and in the next call one in which it is back as a new process.
 func (r *rig) change(no, nodes int) {
 	n := fleetNode(no / 2 * 7 % nodes)
 	if no%2 == 0 {
-		n.State = harepass.Draining
+		n.State = scatter.Draining
 	} else {
-		n.Since = r.clock
+		n.StartedAt = r.clock
 	}
 	r.clock += 100 * time.Microsecond
-	r.turn(posted{listed{source: "test", scope: harepass.ListChanges, nodes: []Node{n}}, r.clock})
+	r.turn(posted{listed{source: "test", scope: scatter.IncrementalUpdate, nodes: []Endpoint{n}}, r.clock})
 }
 
 // A changed entry takes about as many allocations in a list of 700 as in one of 70: nothing is made anew that is as long as
@@ -68,13 +68,13 @@
 
 // The index finds the holders of a shard whatever was listed before, also where cells' numbers go round the ring.
 func TestHoldersByCell(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Settings.Cells, c.Settings.Reach = 5, 2 })
-	tell := func(scope harepass.ListScope, cells map[string]int, state harepass.ReplicaState) {
-		var list []Node
+	r := newRig(t, func(c *Config) { c.Settings.RingSize, c.Settings.ReplicationFactor = 5, 2 })
+	tell := func(scope scatter.UpdateKind, cells map[string]int, state scatter.ReplicaState) {
+		var list []Endpoint
 		for id, cell := range cells {
-			list = append(list, Node{Replica: harepass.Replica{ID: id, Cell: cell, State: state}, Scheme: "hand"})
+			list = append(list, Endpoint{Replica: scatter.Replica{ID: id, RingPosition: cell, State: state}, Scheme: "hand"})
 		}
-		r.Listed("test", scope, list)
+		r.UpdateEndpoints("test", scope, list)
 		r.pass(ms)
 	}
 	want := func(shard int, ids ...string) {
@@ -84,24 +84,24 @@
 			t.Errorf("shard %d is held by %v, want %v", shard, got, ids)
 		}
 	}
-	tell(harepass.ListFull, map[string]int{"a": 0, "b": 1, "c": 2, "d": 8, "e": 4}, harepass.Ready)
+	tell(scatter.FullUpdate, map[string]int{"a": 0, "b": 1, "c": 2, "d": 8, "e": 4}, scatter.Ready)
 	want(0, "a", "b")
 	want(2, "c", "d")
 	want(4, "a", "e")
-	tell(harepass.ListChanges, map[string]int{"a": 3}, harepass.Draining) // moved
+	tell(scatter.IncrementalUpdate, map[string]int{"a": 3}, scatter.Draining) // moved
 	want(4, "e")
 	want(3, "a", "d", "e")
-	tell(harepass.ListChanges, map[string]int{"d": 8}, harepass.Gone)
+	tell(scatter.IncrementalUpdate, map[string]int{"d": 8}, scatter.Removed)
 	want(2, "a", "c")
-	tell(harepass.ListFull, map[string]int{"b": 1, "f": 2}, harepass.Ready)
+	tell(scatter.FullUpdate, map[string]int{"b": 1, "f": 2}, scatter.Ready)
 	want(1, "b", "f")
 	want(3)
-	if r.Knows("a") || !r.Knows("f") {
+	if r.HasEndpoint("a") || !r.HasEndpoint("f") {
 		t.Error("what is known is not what is listed")
 	}
 	set := r.set().Settings
-	set.Cells, set.Reach = 2, 1
-	configured{&facts{set, Limits{}}, make(chan error, 1)}.apply(r.Owner)
+	set.RingSize, set.ReplicationFactor = 2, 1
+	configured{&facts{set, Limits{}}, make(chan error, 1)}.apply(r.Coordinator)
 	want(1, "b")
 	want(4, "f")
 }
@@ -110,17 +110,17 @@
 // with its last one, and what is told meanwhile comes after it.
 func TestLongListInSlices(t *testing.T) {
 	const nodes, slices = 3*sliceSize - 10, 3
-	r := newRig(t, func(c *Config) { c.Settings.Cells, c.Settings.Reach, c.Limits.Shards = nodes, 3, nodes })
-	r.Owner.list = false
-	list := []Node{}
+	r := newRig(t, func(c *Config) { c.Settings.RingSize, c.Settings.ReplicationFactor, c.Limits.Shards = nodes, 3, nodes })
+	r.Coordinator.list = false
+	list := []Endpoint{}
 	for i := range nodes {
 		list = append(list, fleetNode(i))
 	}
-	r.Listed("test", harepass.ListFull, list)
+	r.UpdateEndpoints("test", scatter.FullUpdate, list)
 	for i := range 100 { // after the list
 		gone := fleetNode(i)
-		gone.State = harepass.Gone
-		r.Listed("test", harepass.ListChanges, []Node{gone})
+		gone.State = scatter.Removed
+		r.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{gone})
 	}
 	for turn := 1; turn <= slices; turn++ {
 		r.clock += ms
@@ -129,12 +129,12 @@
 		if turn == slices {
 			want = nodes - 10 // the rest of what a turn may take
 		}
-		if known := turn == slices; len(r.nodes) != want || r.Owner.list != known || r.Knows("a") == known {
-			t.Errorf("after %d turns %d nodes, known whole %t, the one not named %t", turn, len(r.nodes), r.Owner.list, r.Knows("a"))
+		if known := turn == slices; len(r.nodes) != want || r.Coordinator.list != known || r.HasEndpoint("a") == known {
+			t.Errorf("after %d turns %d nodes, known whole %t, the one not named %t", turn, len(r.nodes), r.Coordinator.list, r.HasEndpoint("a"))
 		}
 	}
 	r.pass(2 * ms)
-	if len(r.nodes) != nodes-100 || r.Knows("n99") || r.hand.idle[0] != "a" {
+	if len(r.nodes) != nodes-100 || r.HasEndpoint("n99") || r.hand.idle[0] != "a" {
 		t.Errorf("%d nodes in the end, disconnected %v", len(r.nodes), r.hand.idle)
 	}
 }
@@ -145,12 +145,12 @@
 	if len(r.nodes) != sliceSize || len(r.lists) != 0 {
 		t.Errorf("%d nodes after one turn, %d slices left", len(r.nodes), len(r.lists))
 	}
-	list := []Node{}
+	list := []Endpoint{}
 	for i := range 2 * sliceSize {
 		list = append(list, fleetNode(i))
 	}
-	r.Listed("test", harepass.ListFull, list)
-	r.Remember(harepass.Memory{})
+	r.UpdateEndpoints("test", scatter.FullUpdate, list)
+	r.Restore(scatter.Checkpoint{})
 	r.turn()
 	if len(r.nodes) != 2*sliceSize || len(r.lists) != 0 {
 		t.Errorf("%d nodes before the memory, %d slices left", len(r.nodes), len(r.lists))
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // Phase is where the program stands between start and exit.
@@ -21,16 +21,16 @@
 func (p Phase) String() string { return [...]string{"starting", "ready", "draining", "stopped"}[p] }
 
 // Phase may be asked from any goroutine.
-func (o *Owner) Phase() Phase { return Phase(o.phase.Load()) }
+func (o *Coordinator) Phase() Phase { return Phase(o.phase.Load()) }
 
 // Started is closed once the phase has left Starting.
-func (o *Owner) Started() <-chan struct{} { return o.ready }
+func (o *Coordinator) Started() <-chan struct{} { return o.ready }
 
 // Drain begins the end: readiness fails from now on.
-func (o *Owner) Drain() { o.post(draining{}) }
+func (o *Coordinator) Drain() { o.post(draining{}) }
 
 // Stop ends a drained owner once nothing is open; it returns when Run has.
-func (o *Owner) Stop() {
+func (o *Coordinator) Stop() {
 	o.post(stopping{})
 	<-o.done
 }
@@ -41,15 +41,15 @@
 )
 
 // apply also bounds the time of what is open and of what is taken from now on, for the end is near.
-func (draining) apply(o *Owner) {
+func (draining) apply(o *Coordinator) {
 	o.to(Draining)
-	if o.set().limits.Drain == 0 || o.drainEnd > 0 {
+	if o.set().limits.DrainTimeout == 0 || o.drainEnd > 0 {
 		return
 	}
-	o.drainEnd = o.now + o.set().limits.Drain
+	o.drainEnd = o.now + o.set().limits.DrainTimeout
 	o.deadlines.add(o.drainEnd, o.endOpen)
 	for _, id := range slices.Sorted(maps.Keys(o.queries)) {
-		if q := o.queries[id]; q.Until > o.drainEnd {
+		if q := o.queries[id]; q.Deadline > o.drainEnd {
 			o.deadlines.remove(q.due)
 			q.due = o.deadlines.add(o.drainEnd+overdue, func() { o.overdue(q) })
 		}
@@ -57,17 +57,17 @@
 }
 
 // endOpen has the module end what is open, with what has come in: the platform is about to kill this process.
-func (o *Owner) endOpen() {
+func (o *Coordinator) endOpen() {
 	for _, id := range slices.Sorted(maps.Keys(o.queries)) {
-		o.events = append(o.events, harepass.QueryDue{ID: id})
+		o.events = append(o.events, scatter.QueryExpired{ID: id})
 	}
 }
 
 // apply marks the owner as ending; advance ends it when the last query has its answer.
-func (stopping) apply(o *Owner) { o.to(Draining); o.ending = true }
+func (stopping) apply(o *Coordinator) { o.to(Draining); o.ending = true }
 
 // to moves forward only.
-func (o *Owner) to(p Phase) {
+func (o *Coordinator) to(p Phase) {
 	if p <= o.Phase() {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // advance moves on at the end of a turn where the time for it has come.
-func (o *Owner) advance() {
+func (o *Coordinator) advance() {
 	if o.list {
 		o.to(Ready)
 	}
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -7,7 +7,7 @@
 // This file is the owner's bounded queue and its turns.
 
 // message is something that another goroutine tells the owner.
-type message interface{ apply(*Owner) }
+type message interface{ apply(*Coordinator) }
 
 // posted is a message with the time at which it was.
 type posted struct {
@@ -16,7 +16,7 @@
 }
 
 // post waits for room: socket goroutines may, the owner never posts.
-func (o *Owner) post(m message) {
+func (o *Coordinator) post(m message) {
 	select {
 	case o.queue <- posted{m, o.cfg.Clock()}:
 	case <-o.done:
@@ -24,7 +24,7 @@
 }
 
 // Run is the owner's goroutine. It returns when the phase is Stopped.
-func (o *Owner) Run() {
+func (o *Coordinator) Run() {
 	defer close(o.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -42,7 +42,7 @@
 }
 
 // turn applies what has come in, sweeps the deadlines, and lets the module decide.
-func (o *Owner) turn(first ...posted) {
+func (o *Coordinator) turn(first ...posted) {
 	o.now = max(o.now, o.cfg.Clock())
 	o.began.Store(int64(o.now))
 	o.heed()
@@ -59,13 +59,13 @@
 	o.tell()
 }
 
-func (o *Owner) take(m posted) {
+func (o *Coordinator) take(m posted) {
 	o.wait(o.now - m.at)
 	m.apply(o)
 }
 
 // step runs the module until what it asks for has no outcome at once.
-func (o *Owner) step() {
+func (o *Coordinator) step() {
 	for first := true; first || len(o.events) > 0; first = false {
 		events := o.events
 		o.events = nil
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -4,8 +4,8 @@
 	"errors"
 	"fmt"
 
-	"harepass"
-	"harepass/internal/decide/resend"
+	"harepass/internal/decide/retry"
+	"harepass/internal/decide/scatter"
 )
 
 // This file is how the owner's settings change while it serves.
@@ -13,15 +13,15 @@
 // facts are the settings in force, and the limits that come with them. A change makes new ones, so any goroutine may
 // read them.
 type facts struct {
-	harepass.Settings
+	scatter.Settings
 	limits Limits
 }
 
 // set is what is in force.
-func (o *Owner) set() *facts { return o.facts.Load() }
+func (o *Coordinator) set() *facts { return o.facts.Load() }
 
 // class is a class in force by its name, nil if there is none.
-func (f *facts) class(name string) *harepass.Class {
+func (f *facts) class(name string) *scatter.Class {
 	for i := range f.Classes {
 		if f.Classes[i].Name == name {
 			return &f.Classes[i]
@@ -31,17 +31,17 @@
 }
 
 // resendPolicy is that of a class in force by its name; without any bound if there is none.
-func (f *facts) resendPolicy(name string) resend.Policy {
+func (f *facts) resendPolicy(name string) retry.Policy {
 	if c := f.class(name); c != nil {
-		return c.Resend()
+		return c.RetryPolicy()
 	}
-	return resend.Policy{}
+	return retry.Policy{}
 }
 
 // servable tells what this program does not serve.
-func servable(s harepass.Settings) error {
+func servable(s scatter.Settings) error {
 	for _, c := range s.Classes {
-		if c.SecondStep > 0 {
+		if c.SecondRoundParts > 0 {
 			return fmt.Errorf("%w: %s", ErrSecondStep, c.Name)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // Configure takes settings and limits over: whole, or not at all with an error. Queries that were submitted before keep
 // their class.
-func (o *Owner) Configure(s harepass.Settings, l Limits) error {
+func (o *Coordinator) Configure(s scatter.Settings, l Limits) error {
 	if err := servable(s); err != nil {
 		return err
 	}
@@ -69,25 +69,25 @@
 	done  chan error
 }
 
-func (m configured) apply(o *Owner) {
+func (m configured) apply(o *Coordinator) {
 	o.step() // what has come before belongs to the old ones
-	err := o.agg.Configure(withFirsts(m.facts.Settings, o.cfg.Firsts))
+	err := o.agg.Configure(withFirsts(m.facts.Settings, o.cfg.TwoPhaseClasses))
 	if err == nil {
 		o.facts.Store(m.facts)
 		clear(o.ables)
-		if m.facts.Cells != o.cells.size || m.facts.Reach != o.cells.reach {
-			o.cells = newCellIndex(m.facts.Cells, m.facts.Reach, o.nodes)
+		if m.facts.RingSize != o.cells.size || m.facts.ReplicationFactor != o.cells.reach {
+			o.cells = newCellIndex(m.facts.RingSize, m.facts.ReplicationFactor, o.nodes)
 		}
 	}
 	m.done <- err
 }
 
-// Shared tells whether another process of the same coordinator serves beside this one: what may be open is for both.
-func (o *Owner) Shared(yes bool) { o.shared.Store(yes) }
+// SetShared tells whether another process of the same coordinator serves beside this one: what may be open is for both.
+func (o *Coordinator) SetShared(yes bool) { o.shared.Store(yes) }
 
 // most is how many queries and parts may be open; 0 for no limit.
-func (o *Owner) most() int {
-	most := o.set().limits.Open
+func (o *Coordinator) most() int {
+	most := o.set().limits.MaxOpen
 	if most > 0 && o.shared.Load() {
 		return max(1, most/2)
 	}
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // configure has the owner take settings over in its next turn.
-func (r *rig) configure(s harepass.Settings) error {
+func (r *rig) configure(s scatter.Settings) error {
 	done := make(chan error, 1)
 	r.post(configured{&facts{s, r.set().limits}, done})
 	r.pass(0)
@@ -25,25 +25,25 @@
 	first := r.hand.last()
 	s := r.cfg.Settings
 	s.MaxAttempts = 2
-	s.Classes = []harepass.Class{s.Classes[0], {Name: "new", Aim: time.Second, Deadline: time.Second, Worth: 1, Need: 1, Floor: 1}}
-	s.Classes[0].Repeat = harepass.SingleShot
+	s.Classes = []scatter.Class{s.Classes[0], {Name: "new", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}}
+	s.Classes[0].Idempotency = scatter.NonIdempotent
 	if err := r.configure(s); err != nil {
 		t.Fatal(err)
 	}
 	r.Submit(r.query("free", 0))
 	r.pass(0)
 	second := r.hand.last()
-	r.Ended(first, harepass.Errored, nil)
-	r.Ended(second, harepass.Errored, nil)
+	r.AttemptEnded(first, scatter.Errored, nil)
+	r.AttemptEnded(second, scatter.Errored, nil)
 	for len(r.hand.calls) < 3 && r.clock < time.Hour+2*time.Second {
 		r.pass(10 * ms)
 	}
 	r.want(t, `2 whole=false []`) // the second one has failed, the first one is tried again
 	third := r.hand.last()
-	if third == second || third.Query != first.Query {
+	if third == second || third.QueryID != first.QueryID {
 		t.Fatalf("tried %+v, want the first query again", third)
 	}
-	r.Ended(third, harepass.Errored, nil)
+	r.AttemptEnded(third, scatter.Errored, nil)
 	r.pass(4 * time.Second)
 	if n := len(r.hand.calls); n != 3 || len(r.answers) != 2 {
 		t.Errorf("%d calls and %d answers, want 3 and 2: fewer attempts hold for what is under way too", n, len(r.answers))
@@ -59,21 +59,21 @@
 func TestBadSettingsChangeNothing(t *testing.T) {
 	r := newRig(t, nil)
 	before := r.set()
-	for what, change := range map[string]func(*harepass.Settings){
-		"no deadline":      func(s *harepass.Settings) { s.Classes[1].Deadline = 0 },
-		"no attempts":      func(s *harepass.Settings) { s.MaxAttempts = 0 },
-		"no class":         func(s *harepass.Settings) { s.Classes = nil },
-		"no shards' reach": func(s *harepass.Settings) { s.Reach = 0 },
+	for what, change := range map[string]func(*scatter.Settings){
+		"no deadline":      func(s *scatter.Settings) { s.Classes[1].Deadline = 0 },
+		"no attempts":      func(s *scatter.Settings) { s.MaxAttempts = 0 },
+		"no class":         func(s *scatter.Settings) { s.Classes = nil },
+		"no shards' reach": func(s *scatter.Settings) { s.ReplicationFactor = 0 },
 	} {
 		s := before.Settings
-		s.Classes = append([]harepass.Class(nil), s.Classes...)
+		s.Classes = append([]scatter.Class(nil), s.Classes...)
 		change(&s)
 		if err := r.configure(s); err == nil || r.set() != before {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 	s := before.Settings
-	s.Classes = []harepass.Class{{Name: "c", Aim: 1, Deadline: 1, Need: 1, SecondStep: 1}}
+	s.Classes = []scatter.Class{{Name: "c", LatencyObjective: 1, Deadline: 1, CompleteFraction: 1, SecondRoundParts: 1}}
 	if err := r.Configure(s, before.limits); !errors.Is(err, ErrSecondStep) {
 		t.Errorf("a second step: %v", err)
 	}
@@ -84,12 +84,12 @@
 
 // While another process serves beside it, an owner opens half as much.
 func TestOpenQueriesShared(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Limits.Open = 8 })
+	r := newRig(t, func(c *Config) { c.Limits.MaxOpen = 8 })
 	for _, tc := range []struct {
 		shared bool
 		opened int // queries of one part, which take two places
 	}{{true, 2}, {false, 4}} {
-		r.Shared(tc.shared)
+		r.SetShared(tc.shared)
 		for range 6 {
 			r.Submit(r.query("free", 0))
 		}
--- a/internal/core/slices.go
+++ b/internal/core/slices.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // This file takes a long list in slices, one to a turn, so that no query waits for the whole of it.
@@ -14,7 +14,7 @@
 const sliceSize = 256
 
 // apply takes a list at once, or its first slice. What comes while slices are left waits behind them.
-func (m listed) apply(o *Owner) {
+func (m listed) apply(o *Coordinator) {
 	waiting := len(o.lists) > 0
 	o.lists = append(o.lists, o.sliced(m)...)
 	if !waiting {
@@ -23,7 +23,7 @@
 }
 
 // takeList takes what is next, up to a turn's share, and sees that the rest has turns of its own.
-func (o *Owner) takeList() {
+func (o *Coordinator) takeList() {
 	for left := sliceSize; len(o.lists) > 0 && (left == sliceSize || len(o.lists[0].nodes) <= left); {
 		m := o.lists[0]
 		o.lists = o.lists[1:]
@@ -36,7 +36,7 @@
 }
 
 // takeLists takes all that is left.
-func (o *Owner) takeLists() {
+func (o *Coordinator) takeLists() {
 	for _, m := range o.lists {
 		o.merge(m)
 	}
@@ -46,8 +46,8 @@
 // sliced cuts a whole list of the source that the module has asked into changes; all else stays in one piece. The entries
 // come in the order of their names, as in a whole list that the module hears. Only the last slice takes away what the list
 // does not name, and only with it the list is known.
-func (o *Owner) sliced(m listed) []listed {
-	if m.scope != harepass.ListFull || m.source != o.cfg.Asked || len(m.nodes) <= sliceSize {
+func (o *Coordinator) sliced(m listed) []listed {
+	if m.scope != scatter.FullUpdate || m.source != o.cfg.PolledSource || len(m.nodes) <= sliceSize {
 		return []listed{m}
 	}
 	names := make(map[string]struct{}, len(m.nodes))
@@ -55,10 +55,10 @@
 		names[n.ID] = struct{}{}
 	}
 	sorted := slices.Clone(m.nodes)
-	slices.SortStableFunc(sorted, func(x, y Node) int { return cmp.Compare(x.ID, y.ID) })
+	slices.SortStableFunc(sorted, func(x, y Endpoint) int { return cmp.Compare(x.ID, y.ID) })
 	var list []listed
 	for part := range slices.Chunk(sorted, sliceSize) {
-		list = append(list, listed{source: m.source, scope: harepass.ListChanges, nodes: part, more: true})
+		list = append(list, listed{source: m.source, scope: scatter.IncrementalUpdate, nodes: part, more: true})
 	}
 	last := &list[len(list)-1]
 	last.more, last.names = false, names
@@ -66,15 +66,15 @@
 }
 
 // unnamed is what the source's list does not name any more, as gone.
-func (o *Owner) unnamed(m listed) (gone []Node) {
+func (o *Coordinator) unnamed(m listed) (gone []Endpoint) {
 	if m.names == nil {
 		return nil
 	}
 	for _, id := range slices.Sorted(maps.Keys(o.nodes)) {
 		n := o.nodes[id]
 		if _, named := m.names[id]; !named && n.source == m.source {
-			n.State = harepass.Gone
-			gone = append(gone, n.Node)
+			n.State = scatter.Removed
+			gone = append(gone, n.Endpoint)
 		}
 	}
 	return gone
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -5,7 +5,8 @@
 	"log/slog"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/logmsg"
 )
 
 // This file is what the owner writes of single queries, so that one which ended wrongly can be followed by its id.
@@ -46,40 +47,41 @@
 }
 
 // tracing tells whether each step of each query is to be written.
-func (o *Owner) tracing() bool { return o.cfg.Log.Enabled(context.Background(), slog.LevelDebug) }
+func (o *Coordinator) tracing() bool { return o.cfg.Log.Enabled(context.Background(), slog.LevelDebug) }
 
 // traceListed writes an entry of the list; age is 0 for a node that started long ago.
-func (o *Owner) traceListed(n Node) {
+func (o *Coordinator) traceListed(n Endpoint) {
 	if !o.tracing() {
 		return
 	}
 	age := time.Duration(0)
-	if n.Since > 0 {
-		age = o.now - n.Since
+	if n.StartedAt > 0 {
+		age = o.now - n.StartedAt
 	}
-	o.cfg.Log.Debug("listed", "node", n.ID, "state", stateNames[n.State], "age", age)
+	o.cfg.Log.Debug(logmsg.EndpointUpdated, logmsg.KeyReplica, n.ID, logmsg.KeyState, stateNames[n.State], logmsg.KeyAge, age)
 }
 
 // traceEnd writes an attempt's end.
-func (o *Owner) traceEnd(at *Attempt, outcome harepass.Outcome, took time.Duration) {
+func (o *Coordinator) traceEnd(at *Attempt, outcome scatter.Outcome, took time.Duration) {
 	if o.tracing() {
-		o.cfg.Log.Debug("attempt", "id", at.Query, "shard", at.Shard, "no", at.no, "node", at.Node, "outcome", outcomeNames[outcome], "took", took)
+		o.cfg.Log.Debug(logmsg.AttemptEnded, logmsg.KeyQuery, at.QueryID, logmsg.KeyShard, at.Shard, logmsg.KeyAttempt, at.no,
+			logmsg.KeyReplica, at.Endpoint, logmsg.KeyOutcome, outcomeNames[outcome], logmsg.KeyLatency, took)
 	}
 }
 
 // traceGone writes that a query's client has left.
-func (o *Owner) traceGone(q *query) {
+func (o *Coordinator) traceGone(q *query) {
 	if o.tracing() {
-		o.cfg.Log.Debug("client left", "id", q.ID, "class", q.Class, "after", o.now-q.taken)
+		o.cfg.Log.Debug(logmsg.ClientLeft, logmsg.KeyQuery, q.ID, logmsg.KeyClass, q.Class, "after", o.now-q.taken)
 	}
 }
 
 // traceAnswer writes a query's end: at debug level each, else those that failed or came late.
-func (o *Owner) traceAnswer(q *query, a Answer) {
+func (o *Coordinator) traceAnswer(q *query, a Answer) {
 	took := o.now - q.taken
-	bad := a.Verdict == Failed
+	bad := a.Status == Failed
 	if c := o.set().class(q.Class); c != nil {
-		bad = bad || took > c.Aim
+		bad = bad || took > c.LatencyObjective
 	}
 	level := slog.LevelDebug
 	if bad {
@@ -102,6 +104,7 @@
 			in++
 		}
 	}
-	o.cfg.Log.Log(context.Background(), level, "query", "id", q.ID, "class", q.Class, "tenant", q.Tenant, "end", verdictNames[a.Verdict], "whole", a.Whole,
-		"took", took, "left", q.Until-o.now, "parts", len(q.parts), "in", in, "attempts", attempts, "unsaid", dropped)
+	o.cfg.Log.Log(context.Background(), level, logmsg.QueryEnded, logmsg.KeyQuery, q.ID, logmsg.KeyClass, q.Class, "tenant", q.Tenant,
+		logmsg.KeyStatus, verdictNames[a.Status], logmsg.KeyComplete, a.Complete, logmsg.KeyLatency, took, "time_left", q.Deadline-o.now,
+		"parts", len(q.parts), "parts_served", in, logmsg.KeyAttempts, attempts, "lines_dropped", dropped)
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 func logged(t *testing.T, level slog.Level) (*rig, *bytes.Buffer) {
@@ -22,21 +22,21 @@
 	r, out := logged(t, slog.LevelInfo)
 	r.Submit(r.query("free", 0))
 	r.pass(0)
-	r.Ended(r.hand.last(), harepass.Served, []byte("v"))
+	r.AttemptEnded(r.hand.last(), scatter.Succeeded, []byte("v"))
 	r.pass(ms)
 	if out.Len() > 0 {
 		t.Errorf("a good query is told: %s", out)
 	}
 	r.Submit(r.query("once", 0))
 	r.pass(100 * ms)
-	r.Ended(r.hand.last(), harepass.Reset, nil)
+	r.AttemptEnded(r.hand.last(), scatter.ConnectionReset, nil)
 	r.pass(ms)
-	for _, want := range []string{"id=q2", "class=once", "end=failed", "left=2.9s", "attempts=1"} {
+	for _, want := range []string{"query_id=q2", "class=once", "status=failed", "time_left=2.9s", "attempts=1"} {
 		if strings.Count(out.String(), want) != 1 {
 			t.Errorf("%q is not there once: %s", want, out)
 		}
 	}
-	if strings.Contains(out.String(), "msg=attempt") {
+	if strings.Contains(out.String(), `msg="attempt ended"`) {
 		t.Errorf("attempts are told without a trace: %s", out)
 	}
 }
@@ -68,14 +68,14 @@
 	r.pass(0)
 	for _, call := range r.hand.calls {
 		for _, at := range call {
-			r.Ended(at, harepass.Served, []byte("v"))
+			r.AttemptEnded(at, scatter.Succeeded, []byte("v"))
 		}
 	}
 	r.pass(time.Second)
-	if n := strings.Count(out.String(), "msg=attempt id=q1"); n != 2 {
+	if n := strings.Count(out.String(), `msg="attempt ended" query_id=q1`); n != 2 {
 		t.Errorf("%d attempts told, want 2: %s", n, out)
 	}
-	if !strings.Contains(out.String(), "end=served whole=true") {
+	if !strings.Contains(out.String(), "status=served complete=true") {
 		t.Errorf("the answer is not told: %s", out)
 	}
 }
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -22,11 +22,11 @@
 	queue = 0.75
 	// AtOnce is within what time a service that is down, or turns calls away unseen, answers. What fails later has waited in
 	// vain, for want of capacity.
-	AtOnce = 250 * time.Millisecond
+	ImmediateFailure = 250 * time.Millisecond
 	// A process that has asked for nothing is held to what it was given for ListMaxAge, and has to have asked well before.
 	firstShare = 0.5
 	// again is the least pause after a failure.
-	again = Binds / 24
+	again = NotifiedAfter / 24
 	// spare is how much dearer than taken a turn may be where there is time to wait for it.
 	spare = 3
 	// The span, in turns of the whole fleet, grows so fast with each failure for want of capacity, up to a bound: the
@@ -37,7 +37,7 @@
 
 // Schedule is for one coordinator of Fleet.
 type Schedule struct {
-	Fleet      int
+	FleetSize  int
 	ListMaxAge time.Duration // one that has not asked for so long is taken to know the list all the same; 0 where that is not so
 	Pushed     bool          // lists are pushed, to an agent of this coordinator's own
 	Rand       *rand.Rand
@@ -47,44 +47,46 @@
 	patience time.Duration // the soonest failure for want of capacity; 0 before the first
 }
 
-// First is how long to wait before the first call of a process that has something to go on with.
-func (p *Schedule) First() time.Duration {
+// FirstDelay is how long to wait before the first call of a process that has something to go on with.
+func (p *Schedule) FirstDelay() time.Duration {
 	if p.Pushed {
 		return 0
 	}
-	return p.draw(p.within(p.span(1)-p.queue(), Binds-Answer, scale(p.ListMaxAge, firstShare)))
+	return p.draw(p.within(p.span(1)-p.queue(), NotifiedAfter-CallTimeout, scale(p.ListMaxAge, firstShare)))
 }
 
-// Lost is how long to wait before a watch that has fallen silent or was broken is opened anew. It says nothing of the
+// WatchLostDelay is how long to wait before a watch that has fallen silent or was broken is opened anew. It says nothing of the
 // service: other watches stand, or have been lost together with this one.
-func (p *Schedule) Lost() time.Duration {
+func (p *Schedule) WatchLostDelay() time.Duration {
 	if p.Pushed {
 		return agentPause
 	}
-	return p.draw(min(p.span(spare), Spread))
+	return p.draw(min(p.span(spare), MaxSpread))
 }
 
-// Failed notes that a call has failed after so long and returns how long to wait before the next, where the list that the
+// FailureDelay notes that a call has failed after so long and returns how long to wait before the next, where the list that the
 // coordinator has is not going to expire.
-func (p *Schedule) Failed(took time.Duration) time.Duration { return p.FailedBefore(took, 0) }
+func (p *Schedule) FailureDelay(took time.Duration) time.Duration {
+	return p.FailureDelayBeforeExpiry(took, 0)
+}
 
-// FailedBefore is Failed where the list expires in a time: if the service can hear the whole fleet in the time in which
+// FailureDelayBeforeExpiry is Failed where the list expires in a time: if the service can hear the whole fleet in the time in which
 // changes bind, the next call is made such that it has its answer before that. What has expired already cannot be saved by a
 // call in haste.
-func (p *Schedule) FailedBefore(took, expiresIn time.Duration) time.Duration {
+func (p *Schedule) FailureDelayBeforeExpiry(took, expiresIn time.Duration) time.Duration {
 	if p.Pushed {
 		return agentPause
 	}
 	p.wide = max(1, p.wide)
-	if took >= AtOnce {
+	if took >= ImmediateFailure {
 		p.wide = min(widen*p.wide, widest)
-		if took < p.Answer() && (p.patience == 0 || took < p.patience) { // it was the service that gave up
+		if took < p.CallTimeout() && (p.patience == 0 || took < p.patience) { // it was the service that gave up
 			p.patience = took
 		}
 	}
-	allowed := min(p.ListMaxAge, time.Duration(p.wide)*Spread) // with each failure more, for the service to work off what failed
+	allowed := min(p.ListMaxAge, time.Duration(p.wide)*MaxSpread) // with each failure more, for the service to work off what failed
 	span := p.within(p.span(p.wide)-p.queue(), p.spread()-again, allowed-again)
-	if left := expiresIn - again - p.turnedAwayAfter(); left > 0 && p.span(1) <= Binds {
+	if left := expiresIn - again - p.turnedAwayAfter(); left > 0 && p.span(1) <= NotifiedAfter {
 		span = min(span, left)
 	}
 	return again + p.draw(span)
@@ -98,18 +100,18 @@
 	return patience
 }
 
-// Served notes that a call was answered.
-func (p *Schedule) Served() { p.wide, p.moved = 0, false }
+// Succeeded notes that a call was answered.
+func (p *Schedule) Succeeded() { p.wide, p.moved = 0, false }
 
-// Move notes that another service is asked from now on, of which nothing is known.
-func (p *Schedule) Move() { p.wide, p.patience, p.moved = 0, 0, true }
+// ServiceChanged notes that another service is asked from now on, of which nothing is known.
+func (p *Schedule) ServiceChanged() { p.wide, p.patience, p.moved = 0, 0, true }
 
 // within cuts a span to what is left of the time in which changes bind, where the service can hear the whole fleet in half
 // of that: who was heard asks no more, so the others get through. Where it cannot, calls that come all the same would fail
 // each other, and nobody would be heard: then they are spread as far as the fleet needs and is allowed.
 func (p *Schedule) within(span, inTime, allowed time.Duration) time.Duration {
 	switch {
-	case p.span(1) <= Binds/2:
+	case p.span(1) <= NotifiedAfter/2:
 		return min(span, inTime)
 	case p.ListMaxAge > 0:
 		return min(span, max(inTime, allowed))
@@ -118,7 +120,7 @@
 }
 
 // span is so many turns of the whole fleet.
-func (p *Schedule) span(times int) time.Duration { return time.Duration(times*p.Fleet) * turn }
+func (p *Schedule) span(times int) time.Duration { return time.Duration(times*p.FleetSize) * turn }
 
 // queue is how much of the service's time may be asked for at once.
 func (p *Schedule) queue() time.Duration {
--- a/internal/decide/backoff/backoff_test.go
+++ b/internal/decide/backoff/backoff_test.go
@@ -26,7 +26,7 @@
 	var paces []*Schedule
 	var due calls
 	for i := range fleet {
-		paces = append(paces, &Schedule{Fleet: fleet, Rand: rand.New(rand.NewPCG(uint64(i), 1))})
+		paces = append(paces, &Schedule{FleetSize: fleet, Rand: rand.New(rand.NewPCG(uint64(i), 1))})
 		heap.Push(&due, call{first(paces[i]), i})
 	}
 	free := up
@@ -39,7 +39,7 @@
 			free = begun + cost
 			if begun-c.at <= 2*time.Second {
 				had, last = had+1, max(last, free)
-				paces[c.who].Served()
+				paces[c.who].Succeeded()
 				continue
 			}
 			took = 2 * time.Second
@@ -52,7 +52,7 @@
 // The whole fleet has its list soon after a common start or failure, with few calls that fail; asked together, as
 // before, those that wait too long keep the service busy for nothing, and nobody gets through any more.
 func TestFleetHasItsList(t *testing.T) {
-	paced := (*Schedule).Failed
+	paced := (*Schedule).FailureDelay
 	for _, c := range []struct {
 		fleet          int
 		cost, up, late time.Duration
@@ -66,7 +66,7 @@
 		{300, 20 * time.Millisecond, 0, 31 * time.Second, 1.1, 300},
 		{3, 66 * time.Millisecond, 0, time.Second, 1, 3},
 	} {
-		made, had, last := play(c.fleet, c.cost, c.up, (*Schedule).First, paced)
+		made, had, last := play(c.fleet, c.cost, c.up, (*Schedule).FirstDelay, paced)
 		if had < c.had || last > c.late+2*time.Second || float64(made) > c.calls*float64(c.fleet) {
 			t.Errorf("%d at %v: %d calls, %d had it, the last after %v", c.fleet, c.cost, made, had, last)
 		}
@@ -83,11 +83,11 @@
 // One coordinator, or a few, wait for nobody; after a failure just long enough not to ask without end.
 func TestFewDoNotWait(t *testing.T) {
 	for fleet := range 5 {
-		p := &Schedule{Fleet: fleet, Rand: rand.New(rand.NewPCG(7, 7))}
-		if d := p.First(); d != 0 {
+		p := &Schedule{FleetSize: fleet, Rand: rand.New(rand.NewPCG(7, 7))}
+		if d := p.FirstDelay(); d != 0 {
 			t.Errorf("%d coordinators: the first waits %v", fleet, d)
 		}
-		if d := p.Failed(0); d != again {
+		if d := p.FailureDelay(0); d != again {
 			t.Errorf("%d coordinators: after a failure %v", fleet, d)
 		}
 	}
@@ -101,14 +101,14 @@
 	for _, fleet := range []int{80, 300, 2000} {
 		firsts := [10]int{}
 		for i := range fleet {
-			p := &Schedule{Fleet: fleet, ListMaxAge: told, Rand: rand.New(rand.NewPCG(uint64(i), 2))}
-			first := p.First()
+			p := &Schedule{FleetSize: fleet, ListMaxAge: told, Rand: rand.New(rand.NewPCG(uint64(i), 2))}
+			first := p.FirstDelay()
 			if first >= told/2 {
 				t.Fatalf("one of %d calls first after %v", fleet, first)
 			}
 			firsts[first*20/told]++
 			for range 8 {
-				if d := p.Failed(2 * time.Second); d >= told {
+				if d := p.FailureDelay(2 * time.Second); d >= told {
 					t.Fatalf("one of %d calls again after %v", fleet, d)
 				}
 			}
@@ -119,8 +119,8 @@
 			}
 		}
 	}
-	made, had, last := play(300, 10*time.Millisecond, 0, func(p *Schedule) time.Duration { p.ListMaxAge = told; return p.First() },
-		func(p *Schedule, took time.Duration) time.Duration { return p.Failed(took) })
+	made, had, last := play(300, 10*time.Millisecond, 0, func(p *Schedule) time.Duration { p.ListMaxAge = told; return p.FirstDelay() },
+		func(p *Schedule, took time.Duration) time.Duration { return p.FailureDelay(took) })
 	if had != 300 || made > 310 || last > told/2+2*time.Second {
 		t.Errorf("300: %d calls, %d had it, the last after %v", made, had, last)
 	}
@@ -131,8 +131,8 @@
 func TestSmallFleetsAreHeardInTime(t *testing.T) {
 	for _, fleet := range []int{6, 20, 30} {
 		for _, up := range []time.Duration{0, 3 * time.Second, 8 * time.Second} {
-			_, had, last := play(fleet, 100*time.Millisecond, up, (*Schedule).Lost, (*Schedule).Failed)
-			if had != fleet || last-up >= Binds {
+			_, had, last := play(fleet, 100*time.Millisecond, up, (*Schedule).WatchLostDelay, (*Schedule).FailureDelay)
+			if had != fleet || last-up >= NotifiedAfter {
 				t.Errorf("%d: %d had it, the last %v after discovery was back", fleet, had, last-up)
 			}
 		}
@@ -143,15 +143,15 @@
 // anew within Spread, and not by all together.
 func TestLostWatchIsOpenedAnew(t *testing.T) {
 	for _, fleet := range []int{1, 80, 300} {
-		p := &Schedule{Fleet: fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(uint64(fleet), 3))}
+		p := &Schedule{FleetSize: fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(uint64(fleet), 3))}
 		sum := time.Duration(0)
 		for range 100 {
-			d := p.Lost()
-			if sum += d; d >= Spread {
+			d := p.WatchLostDelay()
+			if sum += d; d >= MaxSpread {
 				t.Fatalf("one of %d opens its watch %v later", fleet, d)
 			}
 		}
-		if fleet >= 80 && sum < 30*Spread {
+		if fleet >= 80 && sum < 30*MaxSpread {
 			t.Errorf("one of %d waits %v in the mean: all come together", fleet, sum/100)
 		}
 	}
@@ -159,26 +159,26 @@
 
 // The pieces of the time in which a change binds end inside it: of a watch that fell silent, and of calls that nobody answered.
 func TestPiecesEndInTime(t *testing.T) {
-	if sum := Hold + Silence + Spread + Answer; sum >= Binds {
+	if sum := WatchHold + WatchSilence + MaxSpread + CallTimeout; sum >= NotifiedAfter {
 		t.Errorf("a silent watch is heard of after %v", sum)
 	}
-	if sum := Answer + Spread + Answer; sum >= Binds {
+	if sum := CallTimeout + MaxSpread + CallTimeout; sum >= NotifiedAfter {
 		t.Errorf("the end of a silence is heard of after %v", sum)
 	}
-	if sum := movedAnswer + movedSpread + movedAnswer; sum >= Moved {
+	if sum := movedAnswer + movedSpread + movedAnswer; sum >= NotifiedAfterReload {
 		t.Errorf("a service that a reload names is heard of after %v", sum)
 	}
 	for _, fleet := range []int{1, 6, 20, 30} { // whom a service of 0.1 s a call can hear in time
-		p := &Schedule{Fleet: fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(uint64(fleet), 5))}
+		p := &Schedule{FleetSize: fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(uint64(fleet), 5))}
 		for i := range 200 {
-			if d := p.Failed(time.Duration(i%3) * time.Second); d < again || d >= Spread {
+			if d := p.FailureDelay(time.Duration(i%3) * time.Second); d < again || d >= MaxSpread {
 				t.Fatalf("one of %d asks again after %v", fleet, d)
 			}
-			p.Move()
-			if d := p.Failed(p.Answer()); p.Answer() != movedAnswer || d >= movedSpread {
-				t.Fatalf("one of %d waits %v for a service that a reload names and asks again after %v", fleet, p.Answer(), d)
+			p.ServiceChanged()
+			if d := p.FailureDelay(p.CallTimeout()); p.CallTimeout() != movedAnswer || d >= movedSpread {
+				t.Fatalf("one of %d waits %v for a service that a reload names and asks again after %v", fleet, p.CallTimeout(), d)
 			}
-			p.Served()
+			p.Succeeded()
 		}
 	}
 }
@@ -188,23 +188,23 @@
 func TestLearnsThePatience(t *testing.T) {
 	pause := func(p *Schedule) (most time.Duration) {
 		for range 200 {
-			most = max(most, p.First())
+			most = max(most, p.FirstDelay())
 		}
 		return most
 	}
-	p := &Schedule{Fleet: 20, Rand: rand.New(rand.NewPCG(1, 6))}
+	p := &Schedule{FleetSize: 20, Rand: rand.New(rand.NewPCG(1, 6))}
 	assumed := pause(p)
-	p.Failed(400 * time.Millisecond)
+	p.FailureDelay(400 * time.Millisecond)
 	learned := pause(p)
 	if learned <= assumed || learned-assumed > 500*time.Millisecond {
 		t.Errorf("a service that fails calls after 0.4 s: 20 wait for up to %v, %v before", learned, assumed)
 	}
-	p.Failed(2 * time.Second) // whatever made one wait longer
-	p.Failed(0)               // and one that it did not let wait at all
+	p.FailureDelay(2 * time.Second) // whatever made one wait longer
+	p.FailureDelay(0)               // and one that it did not let wait at all
 	if d := pause(p); d < learned*9/10 || d > learned*11/10 {
 		t.Errorf("the lower patience is forgotten: %v, then %v", learned, d)
 	}
-	if p = (&Schedule{Fleet: 300, Pushed: true, Rand: p.Rand}); p.First() > 0 || p.Lost() > 100*time.Millisecond || p.Failed(time.Second) > 100*time.Millisecond || p.Answer() > 300*time.Millisecond {
+	if p = (&Schedule{FleetSize: 300, Pushed: true, Rand: p.Rand}); p.FirstDelay() > 0 || p.WatchLostDelay() > 100*time.Millisecond || p.FailureDelay(time.Second) > 100*time.Millisecond || p.CallTimeout() > 300*time.Millisecond {
 		t.Error("an agent of its own is waited for")
 	}
 }
@@ -219,10 +219,10 @@
 	}{{3, left - took}, {35, left - took}, {60, left - took}, {300, time.Minute}} {
 		latest, later := time.Duration(0), time.Duration(0)
 		for seed := range uint64(200) {
-			p := &Schedule{Fleet: c.fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(seed, 7))}
-			latest = max(latest, p.FailedBefore(took, left))
-			p.FailedBefore(took, left)
-			later = max(later, p.FailedBefore(took, left))
+			p := &Schedule{FleetSize: c.fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(seed, 7))}
+			latest = max(latest, p.FailureDelayBeforeExpiry(took, left))
+			p.FailureDelayBeforeExpiry(took, left)
+			later = max(later, p.FailureDelayBeforeExpiry(took, left))
 		}
 		if latest > c.most || c.fleet == 300 && later < 2*left {
 			t.Errorf("one of %d asks again up to %v later, and up to %v after two more failures", c.fleet, latest, later)
--- a/internal/decide/backoff/binding.go
+++ b/internal/decide/backoff/binding.go
@@ -12,23 +12,23 @@
 // time, nobody is kept from asking for it: see within.
 const (
 	// Binds is after what time a change counts as told that discovery had, and could be reached for.
-	Binds = 6 * time.Second
+	NotifiedAfter = 6 * time.Second
 	// Hold is how long a watch waits that brings nothing. A renewed watch costs discovery no turn.
-	Hold = Binds / 6
+	WatchHold = NotifiedAfter / 6
 	// Silence is how long after its hold a watch without a word has fallen silent.
-	Silence = Binds / 12
+	WatchSilence = NotifiedAfter / 12
 	// Answer is how long a call that does not wait for news is waited for.
-	Answer = 3 * Binds / 8
+	CallTimeout = 3 * NotifiedAfter / 8
 	// Spread is the most time over which the coordinators of a fleet ask that lost discovery together.
-	Spread = 5 * Binds / 24
+	MaxSpread = 5 * NotifiedAfter / 24
 )
 
 // What a discovery that a reload names has to tell binds sooner: Moved after the reload. Of a first call that failed at any
 // moment until a second one is answered the sum ends inside that.
 const (
-	Moved       = 4 * time.Second
-	movedAnswer = 3 * Moved / 8
-	movedSpread = Moved / 8
+	NotifiedAfterReload = 4 * time.Second
+	movedAnswer         = 3 * NotifiedAfterReload / 8
+	movedSpread         = NotifiedAfterReload / 8
 )
 
 // Where lists are pushed, an agent of the coordinator's own has them; what it has counts as told at once. Nobody else waits
@@ -36,43 +36,43 @@
 // that stands then: of what it has afterwards a coordinator hears at the latest AgentTold later, which is the sum of
 // agentHold, agentSilence and agentPause, and of agentAnswer and agentPause, with some time for the answer.
 const (
-	agentHold    = Binds / 30
-	agentSilence = Binds / 60
-	agentAnswer  = Binds / 24
-	agentPause   = Binds / 120
+	agentHold    = NotifiedAfter / 30
+	agentSilence = NotifiedAfter / 60
+	agentAnswer  = NotifiedAfter / 24
+	agentPause   = NotifiedAfter / 120
 
 	// AgentTold is after what time a coordinator has what its agent holds.
-	AgentTold = Binds / 15
+	AgentNotifiedAfter = NotifiedAfter / 15
 )
 
-// Watch is how long a watch may wait for news, and how long after that one without a word has fallen silent.
-func (p *Schedule) Watch() (hold, silence time.Duration) {
+// WatchTimeouts is how long a watch may wait for news, and how long after that one without a word has fallen silent.
+func (p *Schedule) WatchTimeouts() (hold, silence time.Duration) {
 	if p.Pushed {
 		return agentHold, agentSilence
 	}
-	return Hold, Silence
+	return WatchHold, WatchSilence
 }
 
-// Renew is how long to wait before a watch is renewed, after one that brought nothing and took so long. A service that does
+// RenewDelay is how long to wait before a watch is renewed, after one that brought nothing and took so long. A service that does
 // not hold watches is not to be asked all the time; the pause is shorter than what ends a watch.
-func (p *Schedule) Renew(took time.Duration) time.Duration {
-	if hold, _ := p.Watch(); took < hold/2 {
+func (p *Schedule) RenewDelay(took time.Duration) time.Duration {
+	if hold, _ := p.WatchTimeouts(); took < hold/2 {
 		return renewPause
 	}
 	return 0
 }
 
-const renewPause = Binds / 120
+const renewPause = NotifiedAfter / 120
 
-// Answer is how long to wait for a call that does not wait for news.
-func (p *Schedule) Answer() time.Duration {
+// CallTimeout is how long to wait for a call that does not wait for news.
+func (p *Schedule) CallTimeout() time.Duration {
 	switch {
 	case p.Pushed:
 		return agentAnswer
 	case p.moved:
 		return movedAnswer
 	}
-	return Answer
+	return CallTimeout
 }
 
 // spread is the most time over which a fleet asks that lost discovery together.
@@ -80,5 +80,5 @@
 	if p.moved {
 		return movedSpread
 	}
-	return Spread
+	return MaxSpread
 }
--- a/internal/decide/sources/sources.go
+++ b/internal/decide/failover/sources.go
@@ -1,10 +1,10 @@
-// Package sources decides which of several sources of the same versions a reader follows: one in its own zone before one
+// Package failover decides which of several sources of the same versions a reader follows: one in its own zone before one
 // in its region before any other, and among equals in an order drawn for each reader. A source that failed is left for
 // the next one and tried again after a pause that grows with each failure; a reader that had to go far returns to a nearer
 // source once that is healthy, at a moment of its own, so that a relay that comes back is not met by all its readers at
 // once. A reader whose source is stale looks for a fresher one (freshness.go). Times are durations on the caller's clock;
 // randomness is passed in.
-package sources
+package failover
 
 import (
 	"cmp"
--- a/internal/decide/sources/sources_test.go
+++ b/internal/decide/failover/sources_test.go
@@ -1,4 +1,4 @@
-package sources
+package failover
 
 import (
 	"math/rand/v2"
--- a/internal/decide/replica/replica.go
+++ b/internal/decide/follower/replica.go
@@ -1,8 +1,8 @@
-// Package replica keeps a reader's copy of a version log: where it stands, which names it holds at which index, and
+// Package follower keeps a reader's copy of a version log: where it stands, which names it holds at which index, and
 // whether an answer of a source may be taken. An answer is checked whole before anything of it counts, and the replica
 // never goes back: not to an older epoch, not to an older index. The package holds no bodies, does no I/O and reads no
 // clock.
-package replica
+package follower
 
 import (
 	"errors"
@@ -25,9 +25,9 @@
 	// has already are left out.
 	Entries []versionlog.Entry
 	// Gone are the names that a snapshot did not hold. They come with its last slice.
-	Gone []string
+	Removed []string
 	// Whole tells that the replica is the log's state at Version.
-	Whole bool
+	Complete bool
 	// Completed tells that this answer was the last slice of a snapshot.
 	Completed bool
 }
@@ -36,7 +36,7 @@
 type State struct {
 	// AnySnapshot takes a snapshot over whatever its index is. It is for a single source that counts by an index of its
 	// own, as the discovery service does.
-	AnySnapshot bool
+	AcceptAnySnapshot bool
 
 	known   bool // the cursor says something
 	cursor  versionlog.Cursor
@@ -49,9 +49,9 @@
 // Cursor is where the reader stands; ok is false where it has nothing and is to ask for a snapshot.
 func (s *State) Cursor() (c versionlog.Cursor, ok bool) { return s.cursor, s.known }
 
-// Whole tells whether the replica is the log's state at the cursor's version: no snapshot is missing or under way, and
+// Complete tells whether the replica is the log's state at the cursor's version: no snapshot is missing or under way, and
 // the reader has all that it was told of.
-func (s *State) Whole() bool { return s.all && s.cursor.Whole() }
+func (s *State) Complete() bool { return s.all && s.cursor.Complete() }
 
 // Seed enters names that the reader has from elsewhere: the first snapshot that does not hold them makes them gone.
 func (s *State) Seed(names []string) {
@@ -66,15 +66,15 @@
 // Len is how many names the replica holds.
 func (s *State) Len() int { return len(s.indexes) }
 
-// Take takes an answer over, or returns why it does not; then nothing has changed.
-func (s *State) Take(slice versionlog.Slice) (Change, error) {
+// Apply takes an answer over, or returns why it does not; then nothing has changed.
+func (s *State) Apply(slice versionlog.Slice) (Change, error) {
 	if err := s.check(slice); err != nil {
 		return Change{}, err
 	}
 	if slice.Snapshot {
 		s.begin(slice.Version.Epoch)
 	}
-	if slice.Snapshot && s.AnySnapshot {
+	if slice.Snapshot && s.AcceptAnySnapshot {
 		s.cursor, s.least = versionlog.Cursor{}, versionlog.Version{}
 	}
 	c := Change{Version: slice.Version}
@@ -86,9 +86,9 @@
 	s.cursor, s.known = s.cursor.After(slice), true
 	s.raise(slice)
 	if s.seen != nil && slice.Base == 0 {
-		c.Gone, c.Completed = s.complete(), true
+		c.Removed, c.Completed = s.complete(), true
 	}
-	c.Whole = s.Whole()
+	c.Complete = s.Complete()
 	return c, nil
 }
 
@@ -108,7 +108,7 @@
 
 // checkVersion holds an answer's version against the reader's.
 func (s *State) checkVersion(slice versionlog.Slice) error {
-	if slice.Snapshot && s.AnySnapshot {
+	if slice.Snapshot && s.AcceptAnySnapshot {
 		return nil
 	}
 	if s.known && slice.Version.Epoch < s.cursor.Epoch {
--- a/internal/decide/replica/replica_test.go
+++ b/internal/decide/follower/replica_test.go
@@ -1,4 +1,4 @@
-package replica
+package follower
 
 import (
 	"errors"
@@ -23,13 +23,13 @@
 }
 
 func (h *holder) take(slice versionlog.Slice) (Change, error) {
-	c, err := h.state.Take(slice)
+	c, err := h.state.Apply(slice)
 	for _, e := range c.Entries {
 		if h.held[e.Name] = string(e.Body); e.Removed {
 			delete(h.held, e.Name)
 		}
 	}
-	for _, name := range c.Gone {
+	for _, name := range c.Removed {
 		delete(h.held, name)
 	}
 	return c, err
@@ -45,7 +45,7 @@
 				delete(all, e.Name)
 			}
 		}
-		if cursor = cursor.After(slice); cursor.Whole() {
+		if cursor = cursor.After(slice); cursor.Complete() {
 			return all
 		}
 	}
@@ -88,7 +88,7 @@
 					t.Fatalf("relay: %v", err)
 				}
 			case 2:
-				if len(old) > 0 && h.state.Whole() {
+				if len(old) > 0 && h.state.Complete() {
 					h.take(old[rapid.IntRange(0, len(old)-1).Draw(t, "old")])
 				}
 			default:
@@ -103,20 +103,20 @@
 					t.Fatalf("an answer to %+v is refused: %v", cursor, err)
 				}
 			}
-			if h.state.Whole() {
+			if h.state.Complete() {
 				cursor, _ := h.state.Cursor()
 				if cursor.Before(last) {
 					t.Fatalf("whole at %+v after %+v", cursor.Version, last)
 				}
 				last = cursor.Version
 			}
-			if cursor, _ := h.state.Cursor(); h.state.Whole() && cursor.Version == authority.Head() && !maps.Equal(h.held, live(authority)) {
+			if cursor, _ := h.state.Cursor(); h.state.Complete() && cursor.Version == authority.Head() && !maps.Equal(h.held, live(authority)) {
 				t.Fatalf("it holds %v, the authority %v", h.held, live(authority))
 			}
 		}
 		for {
 			cursor, _ := h.state.Cursor()
-			if h.state.Whole() && cursor.Version == authority.Head() {
+			if h.state.Complete() && cursor.Version == authority.Head() {
 				break
 			}
 			if _, err := h.take(authority.Read(cursor, 120)); err != nil {
@@ -159,14 +159,14 @@
 			Entries: []versionlog.Entry{entry("b", 19), entry("d", 25)}}, ErrInvalid},
 	} {
 		var s State
-		if _, err := s.Take(whole); err != nil {
+		if _, err := s.Apply(whole); err != nil {
 			t.Fatal(err)
 		}
 		before, _ := s.Cursor()
-		if _, err := s.Take(tc.slice); !errors.Is(err, tc.want) {
+		if _, err := s.Apply(tc.slice); !errors.Is(err, tc.want) {
 			t.Errorf("%s: %v, want %v", what, err, tc.want)
 		}
-		if after, _ := s.Cursor(); after != before || !s.Whole() || s.Len() != 2 {
+		if after, _ := s.Cursor(); after != before || !s.Complete() || s.Len() != 2 {
 			t.Errorf("%s: the replica is at %+v with %d names, was at %+v", what, after, s.Len(), before)
 		}
 	}
@@ -178,20 +178,20 @@
 	var s State
 	s.Seed([]string{"known", "kept"})
 	first := versionlog.Slice{Version: versionlog.Version{Epoch: 2, Index: 4}, Head: 9, Base: 9, Snapshot: true, Entries: []versionlog.Entry{entry("a", 4)}}
-	c, err := s.Take(first)
-	if err != nil || len(c.Gone) > 0 || s.Whole() || len(c.Entries) != 1 {
+	c, err := s.Apply(first)
+	if err != nil || len(c.Removed) > 0 || s.Complete() || len(c.Entries) != 1 {
 		t.Fatalf("half: %+v, %v", c, err)
 	}
 	last := versionlog.Slice{Version: versionlog.Version{Epoch: 2, Index: 9}, Head: 9, Entries: []versionlog.Entry{entry("kept", 9)}}
-	if c, err = s.Take(last); err != nil || fmt.Sprint(c.Gone) != "[known]" || !c.Whole || !c.Completed {
+	if c, err = s.Apply(last); err != nil || fmt.Sprint(c.Removed) != "[known]" || !c.Complete || !c.Completed {
 		t.Fatalf("whole: %+v, %v", c, err)
 	}
 	half := versionlog.Slice{Version: versionlog.Version{Epoch: 3, Index: 1}, Head: 2, Base: 2, Snapshot: true, Entries: []versionlog.Entry{entry("b", 1)}}
-	if c, err = s.Take(half); err != nil || len(c.Gone) > 0 || s.Whole() {
+	if c, err = s.Apply(half); err != nil || len(c.Removed) > 0 || s.Complete() {
 		t.Fatalf("a later epoch: %+v, %v", c, err)
 	}
 	end := versionlog.Slice{Version: versionlog.Version{Epoch: 3, Index: 2}, Head: 2, Entries: []versionlog.Entry{entry("a", 2)}}
-	if c, err = s.Take(end); err != nil || fmt.Sprint(c.Gone) != "[kept]" || len(c.Entries) != 1 {
+	if c, err = s.Apply(end); err != nil || fmt.Sprint(c.Removed) != "[kept]" || len(c.Entries) != 1 {
 		t.Fatalf("a later epoch's end: %+v, %v", c, err)
 	}
 }
@@ -200,18 +200,18 @@
 func TestUnchangedIsNoNews(t *testing.T) {
 	var s State
 	list := versionlog.Slice{Version: versionlog.Version{Epoch: 2, Index: 9}, Head: 9, Snapshot: true, Entries: []versionlog.Entry{entry("a", 4), entry("b", 9)}}
-	if _, err := s.Take(list); err != nil {
+	if _, err := s.Apply(list); err != nil {
 		t.Fatal(err)
 	}
 	list.Version.Index, list.Head, list.Entries = 10, 10, []versionlog.Entry{entry("a", 4), entry("b", 10)}
-	if c, err := s.Take(list); err != nil || len(c.Entries) != 1 || c.Entries[0].Name != "b" {
+	if c, err := s.Apply(list); err != nil || len(c.Entries) != 1 || c.Entries[0].Name != "b" {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
 
 // A service without epochs tells of the whole list or of changes, in versions of the list alone.
 func TestWithoutEpochs(t *testing.T) {
-	h := &holder{state: State{AnySnapshot: true}, held: map[string]string{}}
+	h := &holder{state: State{AcceptAnySnapshot: true}, held: map[string]string{}}
 	plain := func(index int64, snapshot bool, names ...string) versionlog.Slice {
 		s := versionlog.Slice{Version: versionlog.Version{Index: index}, Head: index, Snapshot: snapshot}
 		for _, name := range names {
@@ -223,7 +223,7 @@
 		slice versionlog.Slice
 		names int
 	}{{plain(40, true, "a", "b"), 2}, {plain(41, false, "c"), 3}, {plain(41, false), 3}, {plain(3, true, "a"), 1}} {
-		if _, err := h.take(tc.slice); err != nil || len(h.held) != tc.names || !h.state.Whole() {
+		if _, err := h.take(tc.slice); err != nil || len(h.held) != tc.names || !h.state.Complete() {
 			t.Errorf("after %+v: %v, %v", tc.slice.Version, h.held, err)
 		}
 	}
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -27,24 +27,24 @@
 // usable is what sends may use up of a grace.
 func usable(grace time.Duration) time.Duration { return max(grace/2, grace-heldUp) }
 
-// Start is the lease of a process that begins with a remembered list and has not asked yet: it is held to that for the time
+// New is the lease of a process that begins with a remembered list and has not asked yet: it is held to that for the time
 // that the settings allow between two calls. Once a call has failed, only the usual period counts. Grace is for how long the
 // rule allows sends to a node after the word that it drains.
-func Start(now, listMaxAge, grace time.Duration) Lease {
-	l := Lease{confirmed: now, period: backoff.Binds, grace: usable(grace)}
-	l.expires = now + max(listMaxAge, backoff.Binds) + l.grace
+func New(now, listMaxAge, grace time.Duration) Lease {
+	l := Lease{confirmed: now, period: backoff.NotifiedAfter, grace: usable(grace)}
+	l.expires = now + max(listMaxAge, backoff.NotifiedAfter) + l.grace
 	return l
 }
 
-// Regrace takes over another grace, from the next news on.
-func (l *Lease) Regrace(grace time.Duration) { l.grace = usable(grace) }
+// SetGrace takes over another grace, from the next news on.
+func (l *Lease) SetGrace(grace time.Duration) { l.grace = usable(grace) }
 
 // Expires is when the list holds no longer.
 func (l *Lease) Expires() time.Duration { return l.expires }
 
 // Confirmed notes that the list was the latest one at a time.
 func (l *Lease) Confirmed(at time.Duration) {
-	l.period = backoff.Binds
+	l.period = backoff.NotifiedAfter
 	l.renew(at)
 }
 
@@ -54,10 +54,10 @@
 // Unanswered notes that a call may have reached discovery and brought nothing.
 func (l *Lease) Unanswered() { l.expires = min(l.expires, l.confirmed+l.period+l.grace) }
 
-// Moved notes that another service tells the list from a time on: what it has binds sooner, until it has answered.
-func (l *Lease) Moved(at time.Duration) {
-	l.confirmed = min(at, l.confirmed+l.period-backoff.Moved) // what came before is not prolonged
-	l.period = backoff.Moved
+// ServiceChanged notes that another service tells the list from a time on: what it has binds sooner, until it has answered.
+func (l *Lease) ServiceChanged(at time.Duration) {
+	l.confirmed = min(at, l.confirmed+l.period-backoff.NotifiedAfterReload) // what came before is not prolonged
+	l.period = backoff.NotifiedAfterReload
 	l.expires = min(l.expires, at+l.period+l.grace)
 }
 
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -32,8 +32,8 @@
 		name string
 		is   bool
 	}{
-		{"loop delay", s.Wait > c.cfg.Target}, {"cpu", c.cfg.Cores > 0 && s.CPU > cpuFull*c.cfg.Cores},
-		{"memory", c.memory > Fine}, {"descriptors", s.Descriptors > crowded}, {"open queries", s.Open > crowded},
+		{"loop delay", s.MeanWait > c.cfg.WaitTarget}, {"cpu", c.cfg.Cores > 0 && s.CPU > cpuFull*c.cfg.Cores},
+		{"memory", c.memory > MemoryNormal}, {"descriptors", s.Descriptors > crowded}, {"open queries", s.Open > crowded},
 	} {
 		if r.is {
 			list = append(list, r.name)
@@ -49,9 +49,9 @@
 	}
 	want, many := Normal, w.refusals > 0 && c.refusing > manyRefused
 	switch {
-	case w.highest || c.memory == EndSome:
+	case w.highest || c.memory == EndQueries:
 		want = Critical
-	case c.memory == RefuseNew || many && w.lowest >= lowScore-retryLoss:
+	case c.memory == RejectNew || many && w.lowest >= lowScore-retryLoss:
 		want = Shedding
 	case many:
 		want = Trimming
--- a/internal/decide/overload/memory.go
+++ b/internal/decide/overload/memory.go
@@ -5,71 +5,71 @@
 	"slices"
 )
 
-// Memory is what has to be done for want of memory; each level does what those below it do.
-type Memory int
+// MemoryLevel is what has to be done for want of memory; each level does what those below it do.
+type MemoryLevel int
 
 // The levels. Retained values go first: they only save work. New work is refused before any that was taken is ended.
 const (
-	Fine Memory = iota
-	DropRetained
-	RefuseNew
-	EndSome
+	MemoryNormal MemoryLevel = iota
+	DropCached
+	RejectNew
+	EndQueries
 )
 
-func (m Memory) String() string {
+func (m MemoryLevel) String() string {
 	return [...]string{"fine", "dropping retained values", "refusing new work", "ending queries"}[m]
 }
 
 // Shares of the memory at which a level is entered. It is left at leaveShare of that.
-var enter = [...]float64{Fine: 0, DropRetained: 0.6, RefuseNew: 0.72, EndSome: 0.85}
+var enter = [...]float64{MemoryNormal: 0, DropCached: 0.6, RejectNew: 0.72, EndQueries: 0.85}
 
 const leaveShare = 0.9
 
 // next is the level after a look. What is held counts as soon as it is, the live heap when the collector has seen it.
-func (m Memory) next(s Signals, limit int64) Memory {
+func (m MemoryLevel) next(s Signals, limit int64) MemoryLevel {
 	if limit <= 0 {
-		return Fine
+		return MemoryNormal
 	}
-	used := float64(max(s.Live, s.Held)) / float64(limit)
-	for l := EndSome; l > m; l-- {
+	used := float64(max(s.LiveBytes, s.QueryBytes)) / float64(limit)
+	for l := EndQueries; l > m; l-- {
 		if used >= enter[l] {
 			return l
 		}
 	}
-	for m > Fine && used < leaveShare*enter[m] {
+	for m > MemoryNormal && used < leaveShare*enter[m] {
 		m--
 	}
 	return m
 }
 
-// Memory is the present level.
-func (c *Controller) Memory() Memory { return c.memory }
+// MemoryLevel is the present level.
+func (c *Controller) MemoryLevel() MemoryLevel { return c.memory }
 
 // Excess is how many bytes have to go for the level EndSome to be left.
 func (c *Controller) Excess(s Signals) int64 {
-	if c.memory < EndSome {
+	if c.memory < EndQueries {
 		return 0
 	}
-	return max(0, max(s.Live, s.Held)-int64(leaveShare*enter[EndSome]*float64(c.cfg.Memory)))
+	return max(0, max(s.LiveBytes, s.QueryBytes)-int64(leaveShare*enter[EndQueries]*float64(c.cfg.MemoryBytes)))
 }
 
-// Holding is an open query and what is held for it.
-type Holding struct {
-	Bytes int64
-	Worth float64
-	Kept  bool // an attempt is out, or was, that may not be repeated
+// OpenQuery is an open query and what is held for it.
+type OpenQuery struct {
+	Bytes          int64
+	PriorityWeight float64
+	Protected      bool // an attempt is out, or was, that may not be repeated
 }
 
-// Choose lists the queries to end so that at least need bytes go: those that hold most for least worth first, none
+// SelectQueriesToEnd lists the queries to end so that at least need bytes go: those that hold most for least worth first, none
 // that is kept. It may list fewer, where there are no more.
-func Choose(list []Holding, need int64) (chosen []int) {
+func SelectQueriesToEnd(list []OpenQuery, need int64) (chosen []int) {
 	var order []int
 	for i, h := range list {
-		if !h.Kept && h.Bytes > 0 {
+		if !h.Protected && h.Bytes > 0 {
 			order = append(order, i)
 		}
 	}
-	dear := func(i int) float64 { return float64(list[i].Bytes) / max(list[i].Worth, 1e-9) }
+	dear := func(i int) float64 { return float64(list[i].Bytes) / max(list[i].PriorityWeight, 1e-9) }
 	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(dear(y), dear(x)) })
 	for _, i := range order {
 		if need <= 0 {
--- a/internal/decide/overload/overload.go
+++ b/internal/decide/overload/overload.go
@@ -14,27 +14,27 @@
 
 // Config is what an installation has and wants. Times and bytes of 0 or less are no limit.
 type Config struct {
-	Target   time.Duration // the mean wait for the loop that is aimed at
-	Cores    float64
-	Memory   int64         // bytes that may be in use
-	MaxRetry time.Duration // longest advice to the refused
-	Classes  []Class
-	Tenants  []Tenant       // none where traffic has no shares
-	Rand     func() float64 // in [0, 1), for spreading the refused
+	WaitTarget    time.Duration // the mean wait for the loop that is aimed at
+	Cores         float64
+	MemoryBytes   int64         // bytes that may be in use
+	MaxRetryAfter time.Duration // longest advice to the refused
+	Classes       []Class
+	Tenants       []Tenant       // none where traffic has no shares
+	Rand          func() float64 // in [0, 1), for spreading the refused
 }
 
 // Class is a class of queries.
 type Class struct {
-	Name  string
-	Worth float64
-	Kept  bool    // may not run twice: refused last
-	Parts float64 // usual number, where an arrival does not tell; at least 1
+	Name           string
+	PriorityWeight float64
+	NonIdempotent  bool    // may not run twice: refused last
+	TypicalParts   float64 // usual number, where an arrival does not tell; at least 1
 }
 
 // Tenant has a share of the traffic: queries a second at this coordinator.
 type Tenant struct {
 	Name  string
-	Share float64
+	Quota float64
 }
 
 // Tunables: ratios and counts; times follow from the target.
@@ -72,14 +72,14 @@
 // Arrival is a query as far as its head tells. Parts is 0 where that is not known yet.
 type Arrival struct {
 	Class, Tenant string
-	Retry         bool
+	IsRetry       bool
 	Parts         int
 }
 
 // Decision on an arrival. RetryIn is for refused ones.
 type Decision struct {
-	OK      bool
-	RetryIn time.Duration
+	Admitted   bool
+	RetryAfter time.Duration
 }
 
 // Controller admits and refuses. Use New.
@@ -104,7 +104,7 @@
 	level    Level
 	levelAt  time.Duration
 	refusing float64 // share of the arrivals that are refused, a moving mean
-	memory   Memory
+	memory   MemoryLevel
 	cost     cost
 }
 
@@ -133,23 +133,23 @@
 // New returns a Controller that limits nothing yet.
 func New(cfg Config) *Controller {
 	c := &Controller{cfg: cfg, cost: newCost()}
-	c.Reclass(cfg.Classes, cfg.Tenants)
+	c.SetClasses(cfg.Classes, cfg.Tenants)
 	return c
 }
 
-// Reclass takes other classes and tenants over. Of those that it knows, what was learned is kept.
-func (c *Controller) Reclass(classes []Class, tenants []Tenant) {
+// SetClasses takes other classes and tenants over. Of those that it knows, what was learned is kept.
+func (c *Controller) SetClasses(classes []Class, tenants []Tenant) {
 	knownClasses, knownTenants := c.classes, c.tenants
 	c.classes, c.tenants = map[string]*class{}, map[string]*tenant{}
 	for _, k := range classes {
-		c.classes[k.Name] = &class{Class: k, parts: max(1, k.Parts)}
+		c.classes[k.Name] = &class{Class: k, parts: max(1, k.TypicalParts)}
 		if o := knownClasses[k.Name]; o != nil {
 			c.classes[k.Name].parts = o.parts
 		}
 	}
 	for _, t := range tenants {
-		room := max(burstSeconds*t.Share, burstLeast)
-		n := &tenant{share: t.Share, room: room, tokens: room}
+		room := max(burstSeconds*t.Quota, burstLeast)
+		n := &tenant{share: t.Quota, room: room, tokens: room}
 		if o := knownTenants[t.Name]; o != nil {
 			n.tokens, n.at = min(room, o.tokens), o.at
 		}
@@ -162,14 +162,14 @@
 func (c *Controller) rank() {
 	best := 0.0
 	for _, k := range c.classes {
-		if !k.Kept {
-			best = max(best, k.Worth/c.cost.of(k.parts))
+		if !k.NonIdempotent {
+			best = max(best, k.PriorityWeight/c.cost.of(k.parts))
 		}
 	}
 	for _, k := range c.classes {
 		k.score = 1
-		if !k.Kept && best > 0 {
-			k.score = lowScore + (0.9-lowScore)*k.Worth/c.cost.of(k.parts)/best
+		if !k.NonIdempotent && best > 0 {
+			k.score = lowScore + (0.9-lowScore)*k.PriorityWeight/c.cost.of(k.parts)/best
 		}
 	}
 }
@@ -197,7 +197,7 @@
 func (c *Controller) score(k *class, in, retry bool) float64 {
 	s := k.score
 	switch {
-	case !in && k.Kept: // the first of those beyond
+	case !in && k.NonIdempotent: // the first of those beyond
 		s = keptScore
 	case !in:
 		s *= overScore
@@ -212,27 +212,27 @@
 func (c *Controller) Admit(a Arrival, now time.Duration) Decision {
 	k := c.classes[a.Class]
 	if k == nil {
-		return Decision{OK: true}
+		return Decision{Admitted: true}
 	}
 	parts := k.parts
 	if a.Parts > 0 {
 		parts = float64(a.Parts)
 		k.parts += partsGain * (parts - k.parts)
 	}
-	in := c.within(a.Tenant, k.Kept, a.Retry, now)
-	cost, score := c.cost.of(parts), c.score(k, in, a.Retry)
-	kept := k.Kept && in
-	if c.memory >= RefuseNew && !(kept && c.memory == RefuseNew) || c.limited && !c.take(cost, score, kept, now) {
+	in := c.within(a.Tenant, k.NonIdempotent, a.IsRetry, now)
+	cost, score := c.cost.of(parts), c.score(k, in, a.IsRetry)
+	kept := k.NonIdempotent && in
+	if c.memory >= RejectNew && !(kept && c.memory == RejectNew) || c.limited && !c.take(cost, score, kept, now) {
 		c.window.denied += cost
 		c.window.refusals++
 		c.window.lowest = max(c.window.lowest, score)
 		c.window.highest = c.window.highest || kept
-		return Decision{RetryIn: c.advice(cost, in, now)}
+		return Decision{RetryAfter: c.advice(cost, in, now)}
 	}
 	c.window.admitted += cost
 	c.window.queries++
 	c.window.parts += parts
-	return Decision{OK: true}
+	return Decision{Admitted: true}
 }
 
 // take draws the cost from the bucket. An arrival leaves it filled in proportion to what it lacks in score, so the
@@ -253,7 +253,7 @@
 }
 
 // depth is what the bucket holds at most: so much can come at once.
-func (c *Controller) depth() float64 { return c.rate * depthTargets * c.cfg.Target.Seconds() }
+func (c *Controller) depth() float64 { return c.rate * depthTargets * c.cfg.WaitTarget.Seconds() }
 
 // advice tells a refused one when to come back: as in a queue that is served with a share of what the loop can do, so
 // that all who were refused come back as a thin stream, however many they were at once. Those within their shares go
@@ -270,37 +270,37 @@
 	if !in {
 		ahead, line = ahead+c.owed[1], 1
 	}
-	wait := leastRetry * c.cfg.Target.Seconds() * (1 + c.cfg.Rand())
+	wait := leastRetry * c.cfg.WaitTarget.Seconds() * (1 + c.cfg.Rand())
 	if room > 0 {
 		wait += ahead / room
 	}
 	c.owed[line] += cost
-	if most := c.cfg.MaxRetry.Seconds(); most > 0 && wait > most { // the last half of it, evenly
+	if most := c.cfg.MaxRetryAfter.Seconds(); most > 0 && wait > most { // the last half of it, evenly
 		wait = most * (1 - c.cfg.Rand()/2)
 	}
 	return time.Duration(wait * float64(time.Second))
 }
 
-// Done books an admitted query that has had its final answer, with its parts.
-func (c *Controller) Done(parts int) { c.window.done += c.cost.of(float64(parts)) }
+// QueryDone books an admitted query that has had its final answer, with its parts.
+func (c *Controller) QueryDone(parts int) { c.window.done += c.cost.of(float64(parts)) }
 
 // Signals is what is seen of the process since the last look.
 type Signals struct {
-	Wait        time.Duration // mean wait for the loop, or for a core if that is longer
-	CPU         float64       // cores in use
-	Live, Held  int64         // bytes: of the live heap, and held for queries as counted
-	Descriptors float64       // share of those there may be
-	Open        float64       // share of the queries and parts that may be open
+	MeanWait              time.Duration // mean wait for the loop, or for a core if that is longer
+	CPU                   float64       // cores in use
+	LiveBytes, QueryBytes int64         // bytes: of the live heap, and held for queries as counted
+	Descriptors           float64       // share of those there may be
+	Open                  float64       // share of the queries and parts that may be open
 }
 
-// Window is how far apart looks should be.
-func (c *Controller) Window() time.Duration {
-	return time.Duration(windowTargets * float64(c.cfg.Target))
+// Interval is how far apart looks should be.
+func (c *Controller) Interval() time.Duration {
+	return time.Duration(windowTargets * float64(c.cfg.WaitTarget))
 }
 
-// Look takes the signals, moves the limits and tells whether the level changed. It comes once a window; sooner where
+// Observe takes the signals, moves the limits and tells whether the level changed. It comes once a window; sooner where
 // the wait is already far over the target.
-func (c *Controller) Look(s Signals, now time.Duration) (changed bool) {
+func (c *Controller) Observe(s Signals, now time.Duration) (changed bool) {
 	w := c.window
 	span := now - w.begun
 	if span <= 0 {
@@ -310,10 +310,10 @@
 	if w.begun == 0 { // the first look: nothing is known of the time before it
 		return false
 	}
-	stood := span > time.Duration(stallFactor*float64(c.Window()))
+	stood := span > time.Duration(stallFactor*float64(c.Interval()))
 	if !stood { // what was got done while standing still tells of that, not of what could be
 		c.done += doneGain * (w.done/span.Seconds() - c.done)
-		if s.Wait > c.cfg.Target { // else it did less since less was asked
+		if s.MeanWait > c.cfg.WaitTarget { // else it did less since less was asked
 			c.able *= ableKeep
 		}
 		c.able = max(c.able, c.done)
@@ -322,7 +322,7 @@
 		c.rank()
 	}
 	c.move(s, w, now)
-	c.memory = c.memory.next(s, c.cfg.Memory)
+	c.memory = c.memory.next(s, c.cfg.MemoryBytes)
 	return c.relevel(s, w, now)
 }
 
@@ -330,18 +330,18 @@
 // behind, it is also no more than what is got done, for then each query costs more than before. In a calm window it
 // grows as long as something is refused, the faster the farther it is from what the loop could do of late.
 func (c *Controller) move(s Signals, w window, now time.Duration) {
-	target := c.cfg.Target.Seconds()
-	behind := s.Wait.Seconds() - calm*target
-	if c.lateRun++; s.Wait <= c.cfg.Target {
+	target := c.cfg.WaitTarget.Seconds()
+	behind := s.MeanWait.Seconds() - calm*target
+	if c.lateRun++; s.MeanWait <= c.cfg.WaitTarget {
 		c.lateRun = 0
 	}
 	switch {
-	case !c.limited && (c.lateRun >= lateWindows || s.Wait.Seconds() > farTargets*target):
+	case !c.limited && (c.lateRun >= lateWindows || s.MeanWait.Seconds() > farTargets*target):
 		c.limited, c.rate, c.tokensAt = true, c.able, now
 		c.tokens = c.depth() / 2
 		fallthrough
 	case c.limited && behind > 0:
-		if s.Wait.Seconds() > farTargets*target {
+		if s.MeanWait.Seconds() > farTargets*target {
 			c.rate = min(c.rate, c.done)
 		}
 		c.rate = max(min(c.rate, c.able)*max(leastCut, 1-behind/(drainTargets*target)), leastRate*c.most)
@@ -356,7 +356,7 @@
 		}
 		c.rate = min(c.rate, mostRate*c.able)
 	}
-	if c.easyRun++; w.denied > 0 || s.Wait > c.cfg.Target {
+	if c.easyRun++; w.denied > 0 || s.MeanWait > c.cfg.WaitTarget {
 		c.easyRun = 0
 	}
 	c.limited = c.limited && c.easyRun < releaseAfter
