--- a/internal/decide/overload/overload_test.go
+++ b/internal/decide/overload/overload_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"harepass/internal/decide/overload"
-	"harepass/internal/virtualloop"
+	"harepass/internal/test/loopsim"
 )
 
 const ms = time.Millisecond
@@ -17,14 +17,14 @@
 
 func config() overload.Config {
 	rng := rand.New(rand.NewPCG(1, 2))
-	return overload.Config{Target: 10 * ms, Cores: 1, MaxRetry: 30 * time.Second, Rand: rng.Float64,
-		Classes: []overload.Class{{Name: "route", Worth: 1, Parts: 4}, {Name: "hazard", Worth: 2, Parts: 1, Kept: true}, {Name: "summary", Worth: 3, Parts: 12}},
-		Tenants: []overload.Tenant{{Name: "kitakaze", Share: 0.42 * normal * 1.1}, {Name: "shirakaba", Share: 0.41 * normal * 1.1}, {Name: "momiji", Share: 0.17 * normal * 1.1}}}
+	return overload.Config{WaitTarget: 10 * ms, Cores: 1, MaxRetryAfter: 30 * time.Second, Rand: rng.Float64,
+		Classes: []overload.Class{{Name: "route", PriorityWeight: 1, TypicalParts: 4}, {Name: "hazard", PriorityWeight: 2, TypicalParts: 1, NonIdempotent: true}, {Name: "summary", PriorityWeight: 3, TypicalParts: 12}},
+		Tenants: []overload.Tenant{{Name: "kitakaze", Quota: 0.42 * normal * 1.1}, {Name: "shirakaba", Quota: 0.41 * normal * 1.1}, {Name: "momiji", Quota: 0.17 * normal * 1.1}}}
 }
 
 // rush is that traffic times what factor says for each tenant; what goes beyond 1.1 lies beyond its share.
-func rush(length time.Duration, factor func(tenant string, t time.Duration) float64) virtualloop.Rush {
-	r := virtualloop.Rush{Time: length, Seed: 1, Retries: 2, Aim: 1500 * ms, Query: 300 * time.Microsecond, Part: 200 * time.Microsecond,
+func rush(length time.Duration, factor func(tenant string, t time.Duration) float64) loopsim.Rush {
+	r := loopsim.Rush{Time: length, Seed: 1, Retries: 2, Aim: 1500 * ms, Query: 300 * time.Microsecond, Part: 200 * time.Microsecond,
 		Refusal: 20 * time.Microsecond, Queue: 4000, Shares: map[string]float64{}}
 	for _, tenant := range []struct {
 		name  string
@@ -37,7 +37,7 @@
 			parts int
 			worth float64
 		}{{"route", 0.55, 4, 1}, {"hazard", 0.225, 1, 2}, {"summary", 0.225, 12, 3}} {
-			r.Loads = append(r.Loads, virtualloop.Load{Class: class.name, Tenant: tenant.name, Parts: class.parts, Worth: class.worth,
+			r.Loads = append(r.Loads, loopsim.Load{Class: class.name, Tenant: tenant.name, Parts: class.parts, Worth: class.worth,
 				Rate: func(t time.Duration) float64 { return normal * tenant.share * class.share * factor(tenant.name, t) }})
 		}
 	}
@@ -71,8 +71,8 @@
 	return time.Hour
 }
 
-func (w *watched) Look(s overload.Signals, now time.Duration) bool {
-	changed := w.Controller.Look(s, now)
+func (w *watched) Observe(s overload.Signals, now time.Duration) bool {
+	changed := w.Controller.Observe(s, now)
 	if changed {
 		w.changes = append(w.changes, fmt.Sprint(now, " ", w.Level()))
 	}
@@ -83,13 +83,13 @@
 }
 
 // share of a kind of traffic that was served.
-func served(t *virtualloop.Tally) float64 { return t.Served / max(1, t.Asked) }
+func served(t *loopsim.Tally) float64 { return t.Served / max(1, t.Asked) }
 
 // Three times the traffic for five seconds: the loop keeps up, what is served is worth more than first come's, and the
 // level is normal again soon after.
 func TestStep(t *testing.T) {
 	r := rush(12*time.Second, step)
-	plain := r.Play(virtualloop.FirstCome{})
+	plain := r.Play(loopsim.FirstCome{})
 	w := &watched{Controller: overload.New(config())}
 	got := r.Play(w)
 	if p99 := got.Wait(0.99, 0, 12*time.Second); p99 > 50*ms {
@@ -125,7 +125,7 @@
 		return 1
 	})
 	w := &watched{Controller: overload.New(config())}
-	got, plain := r.Play(w), r.Play(virtualloop.FirstCome{})
+	got, plain := r.Play(w), r.Play(loopsim.FirstCome{})
 	if p99 := got.Wait(0.99, 0, 12*time.Second); p99 > 100*ms || got.Total.Worth < 0.95*plain.Total.Worth || len(w.changes) > 20 {
 		t.Errorf("p99 %v, worth %.0f, first come %.0f, levels %v", p99, got.Total.Worth, plain.Total.Worth, w.changes)
 	}
@@ -159,25 +159,25 @@
 	for range 200 { // busy and behind, so that it knows what it can do and is limited
 		for range 30 {
 			c.Admit(overload.Arrival{Class: "route", Tenant: "kitakaze", Parts: 4}, now)
-			c.Done(4)
+			c.QueryDone(4)
 		}
-		now += c.Window()
-		c.Look(overload.Signals{Wait: 25 * ms, CPU: 1}, now)
+		now += c.Interval()
+		c.Observe(overload.Signals{MeanWait: 25 * ms, CPU: 1}, now)
 	}
 	back, last, n := map[int]int{}, map[string]time.Duration{}, 0
 	for range 1000 {
 		for _, tenant := range []string{"shirakaba", "nobody"} {
 			d := c.Admit(overload.Arrival{Class: "route", Tenant: tenant, Parts: 4}, now)
-			if d.OK {
+			if d.Admitted {
 				continue
 			}
 			n++
-			back[int(d.RetryIn/(100*ms))]++
+			back[int(d.RetryAfter/(100*ms))]++
 			if n <= 200 { // later ones of shirakaba lie beyond its share too
-				last[tenant] = max(last[tenant], d.RetryIn)
+				last[tenant] = max(last[tenant], d.RetryAfter)
 			}
-			if d.RetryIn <= 0 || d.RetryIn > 30*time.Second {
-				t.Fatalf("told to come back in %v", d.RetryIn)
+			if d.RetryAfter <= 0 || d.RetryAfter > 30*time.Second {
+				t.Fatalf("told to come back in %v", d.RetryAfter)
 			}
 		}
 	}
@@ -211,39 +211,39 @@
 // kept only when some has to be ended.
 func TestMemory(t *testing.T) {
 	cfg := config()
-	cfg.Memory = 1000
+	cfg.MemoryBytes = 1000
 	c := overload.New(cfg)
 	now := time.Second
-	look := func(held int64) overload.Memory {
-		now += c.Window()
-		c.Look(overload.Signals{Held: held}, now)
-		return c.Memory()
+	look := func(held int64) overload.MemoryLevel {
+		now += c.Interval()
+		c.Observe(overload.Signals{QueryBytes: held}, now)
+		return c.MemoryLevel()
 	}
 	look(0)
 	for _, tc := range []struct {
 		held int64
-		want overload.Memory
-	}{{599, overload.Fine}, {600, overload.DropRetained}, {541, overload.DropRetained}, {539, overload.Fine}, {850, overload.EndSome},
-		{770, overload.EndSome}, {764, overload.RefuseNew}, {650, overload.RefuseNew}, {647, overload.DropRetained}, {0, overload.Fine}} {
+		want overload.MemoryLevel
+	}{{599, overload.MemoryNormal}, {600, overload.DropCached}, {541, overload.DropCached}, {539, overload.MemoryNormal}, {850, overload.EndQueries},
+		{770, overload.EndQueries}, {764, overload.RejectNew}, {650, overload.RejectNew}, {647, overload.DropCached}, {0, overload.MemoryNormal}} {
 		if got := look(tc.held); got != tc.want {
 			t.Fatalf("%d of 1000 held: %v, want %v", tc.held, got, tc.want)
 		}
 		for _, class := range []string{"route", "hazard"} {
 			d := c.Admit(overload.Arrival{Class: class, Tenant: "kitakaze"}, now)
-			if want := c.Memory() < overload.RefuseNew || class == "hazard" && c.Memory() == overload.RefuseNew; d.OK != want {
-				t.Errorf("%v: %s admitted: %t", c.Memory(), class, d.OK)
+			if want := c.MemoryLevel() < overload.RejectNew || class == "hazard" && c.MemoryLevel() == overload.RejectNew; d.Admitted != want {
+				t.Errorf("%v: %s admitted: %t", c.MemoryLevel(), class, d.Admitted)
 			}
 		}
 	}
 	look(900)
-	if x := c.Excess(overload.Signals{Held: 900}); x != 135 {
+	if x := c.Excess(overload.Signals{QueryBytes: 900}); x != 135 {
 		t.Errorf("excess %d, want what is over 0.9 of 0.85", x)
 	}
-	list := []overload.Holding{{Bytes: 50, Worth: 1}, {Bytes: 90, Worth: 3}, {Bytes: 80, Worth: 1, Kept: true}, {Bytes: 20, Worth: 1}, {Worth: 0}}
-	if got := fmt.Sprint(overload.Choose(list, 60)); got != "[0 1]" {
+	list := []overload.OpenQuery{{Bytes: 50, PriorityWeight: 1}, {Bytes: 90, PriorityWeight: 3}, {Bytes: 80, PriorityWeight: 1, Protected: true}, {Bytes: 20, PriorityWeight: 1}, {PriorityWeight: 0}}
+	if got := fmt.Sprint(overload.SelectQueriesToEnd(list, 60)); got != "[0 1]" {
 		t.Errorf("chosen %s, want those that hold most for their worth, and none that is kept", got)
 	}
-	if got := fmt.Sprint(overload.Choose(list, 1000)); got != "[0 1 3]" {
+	if got := fmt.Sprint(overload.SelectQueriesToEnd(list, 1000)); got != "[0 1 3]" {
 		t.Errorf("chosen %s, want all that may be", got)
 	}
 }
@@ -252,16 +252,16 @@
 func TestCosts(t *testing.T) {
 	c := overload.New(config())
 	now := time.Second
-	c.Look(overload.Signals{}, now)
+	c.Observe(overload.Signals{}, now)
 	for i := range 500 {
 		n := i % 40
 		for range n {
 			c.Admit(overload.Arrival{Class: "route", Tenant: "kitakaze", Parts: 2 + 8*(i%2)}, now)
-			c.Done(2 + 8*(i%2))
+			c.QueryDone(2 + 8*(i%2))
 		}
-		now += c.Window()
+		now += c.Interval()
 		cpu := 0.002 + float64(n)*(0.0005+0.0004*float64(2+8*(i%2))) // seconds; 2 ms are of other things
-		c.Look(overload.Signals{CPU: cpu / c.Window().Seconds()}, now)
+		c.Observe(overload.Signals{CPU: cpu / c.Interval().Seconds()}, now)
 	}
 	if q, p := c.Costs(); q < 0.0004 || q > 0.0008 || p < 0.0003 || p > 0.0005 {
 		t.Errorf("a query costs %.6f and a part %.6f, want about 0.0005 and 0.0004", q, p)
--- a/internal/decide/admission/budget.go
+++ b/internal/decide/ratelimit/budget.go
@@ -1,6 +1,6 @@
-// Package admission decides which readers may begin a long transfer now and when the others come back, such that a fleet
+// Package ratelimit decides which readers may begin a long transfer now and when the others come back, such that a fleet
 // that asks in one instant is served as fast as the budget allows and nobody waits in vain. It reads no clock.
-package admission
+package ratelimit
 
 import "time"
 
--- a/internal/decide/admission/budget_test.go
+++ b/internal/decide/ratelimit/budget_test.go
@@ -1,4 +1,4 @@
-package admission
+package ratelimit
 
 import (
 	"math/rand/v2"
--- a/internal/decide/resend/resend.go
+++ b/internal/decide/retry/resend.go
@@ -1,6 +1,6 @@
-// Package resend decides whether and until when a part of a query may be sent again, and which idempotency key its
+// Package retry decides whether and until when a part of a query may be sent again, and which idempotency key its
 // attempts carry. It holds no state: nothing of one query counts for another, a client's retry included.
-package resend
+package retry
 
 import (
 	"errors"
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Kind tells how a class of query bears that one of its parts runs more than once.
-type Kind int
+// Idempotency tells how a class of query bears that one of its parts runs more than once.
+type Idempotency int
 
 // The kinds of class.
 const (
-	Free       Kind = iota // a part may run any number of times
-	Guarded                // data nodes drop a repeat that carries the same key, for the class's window
-	SingleShot             // a part that may have run is never sent again
+	Idempotent    Idempotency = iota // a part may run any number of times
+	Keyed                            // data nodes drop a repeat that carries the same key, for the class's window
+	NonIdempotent                    // a part that may have run is never sent again
 )
 
-// Header names the header in which clients hand over their idempotency key, on either front.
-const Header = "Idempotency-Key"
+// IdempotencyKeyHeader names the header in which clients hand over their idempotency key, on either front.
+const IdempotencyKeyHeader = "Idempotency-Key"
 
 // MaxKeyLength is the length of the longest key that is taken, in bytes.
 const MaxKeyLength = 128
@@ -32,26 +32,26 @@
 
 // Errors of Policy.Key. Their texts name the header, for they are told to the client.
 var (
-	ErrMissingKey   = errors.New(Header + " is missing: this class requires one")
-	ErrRepeatedKey  = errors.New(Header + " stands more than once")
-	ErrEmptyKey     = errors.New(Header + " is empty")
-	ErrLongKey      = fmt.Errorf("%s is longer than %d characters", Header, MaxKeyLength)
-	ErrMalformedKey = errors.New(Header + " may hold letters, digits and " + keyCharacters + " only")
+	ErrMissingKey   = errors.New(IdempotencyKeyHeader + " is missing: this class requires one")
+	ErrRepeatedKey  = errors.New(IdempotencyKeyHeader + " stands more than once")
+	ErrEmptyKey     = errors.New(IdempotencyKeyHeader + " is empty")
+	ErrLongKey      = fmt.Errorf("%s is longer than %d characters", IdempotencyKeyHeader, MaxKeyLength)
+	ErrMalformedKey = errors.New(IdempotencyKeyHeader + " may hold letters, digits and " + keyCharacters + " only")
 )
 
 // Policy is what the settings say of repeats in a class.
 type Policy struct {
-	Kind   Kind
-	Window time.Duration // Guarded: how long data nodes drop repeats
+	Idempotency Idempotency
+	DedupWindow time.Duration // Guarded: how long data nodes drop repeats
 }
 
-// Keyed tells whether queries of the class have an idempotency key, which every attempt of their parts carries.
-func (p Policy) Keyed() bool { return p.Kind == Guarded }
+// RequiresKey tells whether queries of the class have an idempotency key, which every attempt of their parts carries.
+func (p Policy) RequiresKey() bool { return p.Idempotency == Keyed }
 
 // Key returns the key that the attempts of a query carry, given the values of its Header field, one for each line. It is
 // empty, whatever the client sent, in a class that is not keyed.
 func (p Policy) Key(values []string) (string, error) {
-	if !p.Keyed() {
+	if !p.RequiresKey() {
 		return "", nil
 	}
 	switch {
@@ -81,21 +81,21 @@
 
 // The bounds of Until where time decides nothing.
 const (
-	Always = time.Duration(math.MaxInt64)
-	Never  = time.Duration(math.MinInt64)
+	Unlimited = time.Duration(math.MaxInt64)
+	Never     = time.Duration(math.MinInt64)
 )
 
-// Until returns the last moment at which another attempt of a part may begin, where an earlier one may have run. firstRun
+// RetryableUntil returns the last moment at which another attempt of a part may begin, where an earlier one may have run. firstRun
 // is when the first of those was sent, on the clock of the result. A part of which no attempt may have run is not bound.
 //
 // The window counts from the first attempt of this query's part. A client's retry is a query of its own, with a window of
 // its own, whatever its key: that its key is still remembered by the data nodes is for the client to know.
-func (p Policy) Until(firstRun time.Duration) time.Duration {
-	switch p.Kind {
-	case Free:
-		return Always
-	case Guarded:
-		return firstRun + p.Window
+func (p Policy) RetryableUntil(firstRun time.Duration) time.Duration {
+	switch p.Idempotency {
+	case Idempotent:
+		return Unlimited
+	case Keyed:
+		return firstRun + p.DedupWindow
 	default:
 		return Never
 	}
--- a/internal/decide/resend/resend_test.go
+++ b/internal/decide/retry/resend_test.go
@@ -1,4 +1,4 @@
-package resend
+package retry
 
 import (
 	"errors"
@@ -29,12 +29,12 @@
 		{[]string{"schlüssel"}, ErrMalformedKey},
 		{[]string{"a\xff"}, ErrMalformedKey},
 	} {
-		key, err := Policy{Kind: Guarded}.Key(tc.values)
-		if !errors.Is(err, tc.want) || err == nil && key != tc.values[0] || err != nil && (key != "" || !strings.HasPrefix(err.Error(), Header)) {
+		key, err := Policy{Idempotency: Keyed}.Key(tc.values)
+		if !errors.Is(err, tc.want) || err == nil && key != tc.values[0] || err != nil && (key != "" || !strings.HasPrefix(err.Error(), IdempotencyKeyHeader)) {
 			t.Errorf("%q: key %q, %v; want %v", tc.values, key, err, tc.want)
 		}
-		for _, kind := range []Kind{Free, SingleShot} {
-			if key, err := (Policy{Kind: kind}).Key(tc.values); key != "" || err != nil {
+		for _, kind := range []Idempotency{Idempotent, NonIdempotent} {
+			if key, err := (Policy{Idempotency: kind}).Key(tc.values); key != "" || err != nil {
 				t.Errorf("%q in a class that is not keyed: key %q, %v", tc.values, key, err)
 			}
 		}
@@ -43,8 +43,8 @@
 
 func TestUntil(t *testing.T) {
 	const firstRun, window = 7 * time.Second, 4 * time.Second
-	for kind, want := range map[Kind]time.Duration{Free: Always, Guarded: firstRun + window, SingleShot: Never} {
-		if got := (Policy{kind, window}).Until(firstRun); got != want {
+	for kind, want := range map[Idempotency]time.Duration{Idempotent: Unlimited, Keyed: firstRun + window, NonIdempotent: Never} {
+		if got := (Policy{kind, window}).RetryableUntil(firstRun); got != want {
 			t.Errorf("kind %d: %v, want %v", kind, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/decide/scatter/attempts.go
@@ -0,0 +1,148 @@
+package scatter
+
+import (
+	"slices"
+	"time"
+)
+
+// retryDelayShare is the wait before a part's third attempt and later ones, as a share of the latency objective: two
+// failures in a row say that the part's shard is overloaded or lost.
+const retryDelayShare = 0.2
+
+// mayRetry reports whether the class of a part allows another attempt of it now; the first one always.
+func (m *Machine) mayRetry(p *part) bool {
+	if len(p.attempts) == 0 {
+		return true
+	}
+	c := p.query.class
+	return len(p.attempts) < c.maxAttempts && m.retries.allows(m.now) &&
+		(!p.mayHaveRun || m.now <= c.RetryPolicy().RetryableUntil(p.firstSent))
+}
+
+// sendPart sends an attempt of a part, and where a probe is due, that probe beside it. Without hedged requests the
+// probe takes its place.
+func (m *Machine) sendPart(p *part) {
+	r, probed := m.pickReplica(p, false), m.dueProbe(p)
+	if probed != nil {
+		m.probes.take()
+		m.send(p, probed)
+	}
+	if r != nil && (probed == nil || m.settings.Hedging && m.mayRetry(p)) {
+		m.send(p, r)
+	}
+}
+
+// send begins an attempt of a part at a replica. Replicas drop what they have not begun by the time-out: before the
+// objective that is the objective, after it the end of the query.
+func (m *Machine) send(p *part, r *replica) {
+	if m.capacityFraction(r, m.now) < 1 {
+		r.slowStart.tokens--
+	}
+	if r.health.ejected {
+		r.health.nextProbe = m.now + r.health.probeBackoff
+	}
+	at := &attempt{part: p, number: len(p.attempts), replica: r, sentAt: m.now, probe: r.health.ejected}
+	if len(r.attempts) == 0 && r.lastUsed > 0 {
+		at.connectionIdle = m.now - r.lastUsed
+	}
+	if !m.idleConnections.trusts(at.connectionIdle) {
+		at.connectionIdle = 0
+		m.do(CloseIdleConnections{Replica: r.ID}) // so that the part opens a fresh connection
+	}
+	r.lastUsed = m.now
+	m.attach(at)
+	if at.number > 0 {
+		m.retries.retriedAt(m.now)
+	}
+	until := p.query.objective
+	if m.now >= until {
+		until = p.query.deadline
+	}
+	m.do(Send{Part: p.ID, Replica: r.ID, Timeout: max(until-m.now, time.Microsecond)})
+}
+
+// onAttemptEnded takes the outcome of an attempt; only the first one of each counts.
+func (m *Machine) onAttemptEnded(e AttemptEnded) {
+	p := m.queries.parts[e.Part]
+	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.attempts) || p.attempts[e.Attempt].ended {
+		return
+	}
+	at := p.attempts[e.Attempt]
+	at.replica.lastUsed = m.now
+	at.detach(e.Outcome.neverRan())
+	m.recordOutcome(at.replica, p.query.class, at, e)
+	if p.query.closed || !slices.Contains(p.query.parts, p) {
+		m.cancelAttempts(p)
+		return
+	}
+	if e.Outcome != Succeeded && len(p.attempts) > 1 {
+		p.notBefore = m.now + scale(p.query.class.LatencyObjective, retryDelayShare)
+	}
+	if e.Outcome == Succeeded && !p.served {
+		m.markServed(p)
+	}
+}
+
+// cancelAttempts ends the wait for a part's attempts, but for probes, whose outcome is wanted. A part without
+// attempts out is forgotten.
+func (m *Machine) cancelAttempts(p *part) {
+	for _, at := range p.attempts {
+		if m.settings.Cancellation && !at.ended && !at.cancelled && !at.probe {
+			m.cancel(at)
+		}
+	}
+	if !slices.ContainsFunc(p.attempts, func(at *attempt) bool { return !at.ended }) {
+		delete(m.queries.parts, p.ID)
+	}
+}
+
+func (m *Machine) cancel(at *attempt) {
+	at.cancelled = true
+	m.do(CancelAttempt{Part: at.part.ID, Attempt: at.number})
+}
+
+// attach enters a new attempt with its replica, its part and its call.
+func (m *Machine) attach(at *attempt) {
+	r, p := at.replica, at.part
+	at.call = m.openCall(r)
+	if at.call == nil {
+		at.call = &call{step: m.step}
+		r.lastCall = at.call
+		r.openCalls++
+	}
+	at.call.outstanding++
+	at.call.size++
+	r.attempts = append(r.attempts, at)
+	m.replicas.markBusy(r)
+	m.silence.watch(at)
+	if !p.mayHaveRun {
+		p.mayHaveRun, p.firstSent = true, at.sentAt
+	}
+	p.attempts = append(p.attempts, at)
+	p.outstandingCount++
+}
+
+// detach enters the end of an attempt; neverRan says that it is proven not to have run.
+func (at *attempt) detach(neverRan bool) {
+	at.ended, at.neverRan = true, neverRan
+	r, p := at.replica, at.part
+	p.outstandingCount--
+	p.query.markDirty()
+	r.attempts = slices.DeleteFunc(r.attempts, func(o *attempt) bool { return o == at })
+	if at.call.outstanding--; at.call.outstanding == 0 {
+		r.openCalls--
+	}
+	first := slices.IndexFunc(p.attempts, func(o *attempt) bool { return !o.neverRan })
+	if p.mayHaveRun = first >= 0; p.mayHaveRun {
+		p.firstSent = p.attempts[first].sentAt
+	}
+}
+
+// openCall is the call of this step to a replica that one more part can still join; nil if there is none.
+func (m *Machine) openCall(r *replica) *call {
+	c := r.lastCall
+	if c == nil || c.step != m.step || c.outstanding == 0 || c.size >= m.settings.PartsPerCall {
+		return nil
+	}
+	return c
+}
--- /dev/null
+++ b/internal/decide/scatter/benchmark_test.go
@@ -0,0 +1,35 @@
+package scatter
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A zero-evidence root at full size: what one step costs. Reported, never asserted.
+func BenchmarkStep(b *testing.B) {
+	s := base()
+	s.Coordinators, s.RingSize, s.ReplicationFactor, s.PartsPerCall = 90, 150, 4, 8
+	a, err := New(1, s)
+	if err != nil {
+		b.Fatal(err)
+	}
+	list := EndpointUpdate{Kind: FullUpdate}
+	for i := range 150 {
+		list.Replicas = append(list.Replicas, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
+	}
+	now := 100 * sec
+	a.Step(now, []Event{list})
+	for i := range int64(b.N) {
+		evs := []Event{QueryArrived{ID: fmt.Sprint(i), Number: i, Class: "c", Parts: 40, Expires: now + 6*sec}}
+		for k := range 40 {
+			evs = append(evs, PartArrived{ID: fmt.Sprint(i, ".", k), Number: i, Shard: (int(i)*7 + k) % 300, Weight: 0.025})
+		}
+		now += 300 * ms
+		var done []Event
+		for _, x := range of[Send](a.Step(now, evs)) {
+			done = append(done, ended(x.Part, 0, x.Replica, Succeeded, 100*ms))
+		}
+		now += 100 * ms
+		a.Step(now, done)
+	}
+}
--- /dev/null
+++ b/internal/decide/scatter/checkpoint.go
@@ -0,0 +1,218 @@
+package scatter
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// Checkpoint is what a Machine has learned, to be handed on to another one of the same coordinator that goes by the
+// same clock: a new version of the program would else meet replicas that are in slow start, ejected or overloaded
+// as if for the first time. Instants are on the coordinator's clock. The JSON names are stored data and stay as
+// they are.
+type Checkpoint struct {
+	At         time.Duration `json:"at"`
+	WarmRate   float64       `json:"warm"`    // parts a second served by each warmed up replica
+	DemandRate float64       `json:"asked"`   // parts a second of admitted queries for each ready replica
+	Windows    float64       `json:"refills"` // rebalance intervals that these rates are of
+	LoadFactor float64       `json:"strain"`  // how much longer than their classes' means parts take
+	// IdleLimit is how long connections had been unused that were lost.
+	IdleLimit time.Duration       `json:"idle_limit"`
+	Classes   []ClassCheckpoint   `json:"classes"`
+	Replicas  []ReplicaCheckpoint `json:"replicas"`
+	Shards    []ShardCheckpoint   `json:"shards"`
+}
+
+// ClassCheckpoint is what was learned of a class. Latencies are in seconds.
+type ClassCheckpoint struct {
+	Name        string    `json:"name"`
+	MeanLatency float64   `json:"base"`
+	MinService  float64   `json:"work"`
+	Latencies   []float64 `json:"seen"`
+}
+
+// ReplicaCheckpoint is what was learned of a replica. Lists are by class, in the order of Checkpoint.Classes.
+type ReplicaCheckpoint struct {
+	ID                    string        `json:"id"`
+	StartedAt             time.Duration `json:"since"` // of the process that this was learned of
+	LatencyRatio          float64       `json:"ratio"`
+	SlowStartFrom         time.Duration `json:"cold_from,omitempty"`
+	Ejected               bool          `json:"suspect,omitempty"`
+	FailsFast             bool          `json:"failing,omitempty"`
+	MayHaveRestarted      bool          `json:"restarted,omitempty"`
+	ProbeSuccesses        int           `json:"good,omitempty"`
+	ConsecutiveErrors     int           `json:"errors,omitempty"`
+	ConsecutiveRejections int           `json:"fulls,omitempty"`
+	ProbeBackoff          time.Duration `json:"pause,omitempty"`
+	EjectedAt             time.Duration `json:"suspect_at,omitempty"`
+	NextProbe             time.Duration `json:"trial_at,omitempty"`
+	LastSuccess           time.Duration `json:"last_ok,omitempty"`
+	RejectingUntil        time.Duration `json:"full_until,omitempty"`
+	AvoidUntil            time.Duration `json:"shun_until,omitempty"`
+	LastFailure           time.Duration `json:"failed_at,omitempty"`
+	LastReset             time.Duration `json:"reset_at,omitempty"`
+	LastError             time.Duration `json:"error_at,omitempty"`
+
+	ConsecutiveFaults   []int           `json:"faults,omitempty"`
+	ExcludedUntil       []time.Duration `json:"barred,omitempty"`
+	ClassLastSuccess    []time.Duration `json:"ok_at,omitempty"`
+	ClassLastUnanswered []time.Duration `json:"lost_at,omitempty"`
+}
+
+// ShardCheckpoint is a shard's traffic by class, in parts a rebalance interval.
+type ShardCheckpoint struct {
+	Number int       `json:"no"`
+	Rates  []float64 `json:"rates"`
+}
+
+// Checkpoint is what the Machine has learned. The caller may keep it.
+func (m *Machine) Checkpoint() Checkpoint {
+	c := Checkpoint{
+		At:         m.now,
+		WarmRate:   m.traffic.warmRate,
+		DemandRate: m.traffic.demandRate,
+		Windows:    m.traffic.intervals,
+		LoadFactor: m.loadFactor,
+		IdleLimit:  m.idleConnections.limit,
+	}
+	for _, k := range m.classes.list {
+		c.Classes = append(c.Classes, k.checkpoint())
+	}
+	for _, r := range m.replicas.all {
+		c.Replicas = append(c.Replicas, r.checkpoint())
+	}
+	for _, s := range m.shards.inUse {
+		s.decay(m.shares.periods)
+		c.Shards = append(c.Shards, ShardCheckpoint{Number: s.number, Rates: slices.Clone(s.rates)})
+	}
+	return c
+}
+
+func (c *class) checkpoint() ClassCheckpoint {
+	return ClassCheckpoint{
+		Name:        c.Name,
+		MeanLatency: c.meanLatency,
+		MinService:  c.minService,
+		Latencies:   slices.Clone(c.samples.kept()),
+	}
+}
+
+func (r *replica) checkpoint() ReplicaCheckpoint {
+	h := &r.health
+	return ReplicaCheckpoint{
+		ID:                    r.ID,
+		StartedAt:             r.StartedAt,
+		LatencyRatio:          r.latencyRatio,
+		SlowStartFrom:         r.slowStart.from,
+		Ejected:               h.ejected,
+		FailsFast:             h.failsFast,
+		MayHaveRestarted:      h.mayHaveRestarted,
+		ProbeSuccesses:        h.probeSuccesses,
+		ConsecutiveErrors:     h.consecutiveErrors,
+		ConsecutiveRejections: h.consecutiveRejections,
+		ProbeBackoff:          h.probeBackoff,
+		EjectedAt:             h.ejectedAt,
+		NextProbe:             h.nextProbe,
+		LastSuccess:           h.lastSuccess,
+		RejectingUntil:        h.rejectingUntil,
+		AvoidUntil:            h.avoidUntil,
+		LastFailure:           h.lastFailure,
+		LastReset:             h.lastReset,
+		LastError:             h.lastError,
+		ConsecutiveFaults:     byClass(r.classHealth, func(h classHealth) int { return h.consecutiveFaults }),
+		ExcludedUntil:         byClass(r.classHealth, func(h classHealth) time.Duration { return h.excludedUntil }),
+		ClassLastSuccess:      byClass(r.classHealth, func(h classHealth) time.Duration { return h.lastSuccess }),
+		ClassLastUnanswered:   byClass(r.classHealth, func(h classHealth) time.Duration { return h.lastUnanswered }),
+	}
+}
+
+// Restore takes over what another Machine had learned of the classes and replicas that this one knows; it is for
+// one that has learned nothing yet. A replica that has been started since is not the one that was known. Figures
+// that cannot have been learned are left out.
+func (m *Machine) Restore(c Checkpoint) {
+	from := make([]int, len(m.classes.list)) // a class's index in the checkpoint; negative where it is not there
+	for i, k := range m.classes.list {
+		from[i] = slices.IndexFunc(c.Classes, func(saved ClassCheckpoint) bool { return saved.Name == k.Name })
+		if from[i] >= 0 {
+			k.restore(c.Classes[from[i]])
+		}
+	}
+	if isRate(c.WarmRate) && isRate(c.DemandRate) && isRate(c.Windows) && isPositive(c.LoadFactor) {
+		t := &m.traffic
+		t.warmRate, t.demandRate, t.intervals, m.loadFactor = c.WarmRate, c.DemandRate, c.Windows, c.LoadFactor
+	}
+	if c.IdleLimit > 0 {
+		m.idleConnections.limit = c.IdleLimit
+	}
+	for _, saved := range c.Replicas {
+		if r := m.replicas.byID[saved.ID]; r != nil && saved.appliesTo(r, len(c.Classes)) {
+			m.restoreReplica(r, saved, from)
+		}
+	}
+	for _, saved := range c.Shards {
+		if len(saved.Rates) == len(c.Classes) && !slices.ContainsFunc(saved.Rates, isNoRate) {
+			m.shardOf(saved.Number).rates = reorder(saved.Rates, from)
+		}
+	}
+	m.shares.dirty = true
+}
+
+func (c *class) restore(saved ClassCheckpoint) {
+	if isPositive(saved.MeanLatency) {
+		c.meanLatency = saved.MeanLatency
+	}
+	if isPositive(saved.MinService) {
+		c.minService = saved.MinService
+	}
+	if slices.ContainsFunc(saved.Latencies, isNoLatency) {
+		return
+	}
+	c.samples.count = copy(c.samples.values[:], saved.Latencies)
+	c.updateQuantiles()
+}
+
+// appliesTo reports whether a checkpoint is of the same process and has figures for each of its classes.
+func (saved *ReplicaCheckpoint) appliesTo(r *replica, classes int) bool {
+	return r.StartedAt <= saved.StartedAt && isPositive(saved.LatencyRatio) &&
+		len(saved.ConsecutiveFaults) == classes && len(saved.ExcludedUntil) == classes &&
+		len(saved.ClassLastSuccess) == classes && len(saved.ClassLastUnanswered) == classes
+}
+
+// restoreReplica takes over what was learned of a replica. Nothing of what may be sent in slow start is saved up: the
+// other coordinator may still be sending.
+func (m *Machine) restoreReplica(r *replica, saved ReplicaCheckpoint, from []int) {
+	m.replicas.setEjected(r, saved.Ejected)
+	r.latencyRatio = saved.LatencyRatio
+	r.health = health{
+		ejected:               saved.Ejected,
+		ejectedAt:             saved.EjectedAt,
+		probeSuccesses:        saved.ProbeSuccesses,
+		probeBackoff:          saved.ProbeBackoff,
+		nextProbe:             saved.NextProbe,
+		consecutiveErrors:     saved.ConsecutiveErrors,
+		consecutiveRejections: saved.ConsecutiveRejections,
+		lastSuccess:           saved.LastSuccess,
+		rejectingUntil:        saved.RejectingUntil,
+		avoidUntil:            saved.AvoidUntil,
+		failsFast:             saved.FailsFast,
+		lastFailure:           saved.LastFailure,
+		lastError:             saved.LastError,
+		lastReset:             saved.LastReset,
+		idleBeforeReset:       r.health.idleBeforeReset,
+		mayHaveRestarted:      saved.MayHaveRestarted,
+	}
+	r.classHealth = reorder(fromLists(
+		saved.ConsecutiveFaults, saved.ExcludedUntil, saved.ClassLastSuccess, saved.ClassLastUnanswered), from)
+	r.slowStart.from = max(r.slowStart.from, saved.SlowStartFrom)
+	r.slowStart.tokens, r.slowStart.updatedAt = 0, m.now
+}
+
+// isPositive reports whether a latency or ratio could have been learned.
+func isPositive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
+
+func isNoLatency(x float64) bool { return !isPositive(x) }
+
+// isRate reports whether a rate could have been learned.
+func isRate(x float64) bool { return x == 0 || isPositive(x) }
+
+func isNoRate(x float64) bool { return !isRate(x) }
--- a/memory_test.go
+++ b/internal/decide/scatter/checkpoint_test.go
@@ -1,4 +1,4 @@
-package harepass
+package scatter
 
 import (
 	"encoding/json"
@@ -8,12 +8,12 @@
 
 // What one root has learned is at another one as it was, through JSON; a replica that was started since is new there,
 // and what cannot have been learned is left out.
-func TestMemoryGoesOver(t *testing.T) {
+func TestCheckpointIsRestored(t *testing.T) {
 	s := base()
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Name = "d"
-	list := ListReceived{Scope: ListFull, Replicas: []Replica{{ID: "r1", Since: 20 * sec}, {ID: "r2"}, {ID: "r3"}}}
-	learn := func(seed uint64) *Aggregator {
+	list := EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1", StartedAt: 20 * sec}, {ID: "r2"}, {ID: "r3"}}}
+	learn := func(seed uint64) *Machine {
 		a, err := New(seed, s)
 		if err != nil {
 			t.Fatal(err)
@@ -25,48 +25,48 @@
 	now := 100 * sec
 	for n := int64(1); n < 200; n++ {
 		now += 50 * ms
-		events := []Event{QueryArrived{ID: "q", Number: n, Class: "c", Parts: 1, ValidUntil: now + 5*sec}, PartArrived{ID: "p", Number: n, Weight: 1}}
+		events := []Event{QueryArrived{ID: "q", Number: n, Class: "c", Parts: 1, Expires: now + 5*sec}, PartArrived{ID: "p", Number: n, Weight: 1}}
 		for _, act := range old.Step(now, events) {
 			if send, ok := act.(Send); ok { // r3 fails each time
-				out := Served
+				out := Succeeded
 				if send.Replica == "r3" {
 					out = Errored
 				}
 				now += 10 * ms
-				old.Step(now, []Event{AttemptEnded{Part: send.Part, Replica: send.Replica, Outcome: out, Took: 10 * ms}, QueryGone{ID: "q"}})
+				old.Step(now, []Event{AttemptEnded{Part: send.Part, Replica: send.Replica, Outcome: out, Latency: 10 * ms}, QueryCancelled{ID: "q"}})
 			}
 		}
 	}
-	m := old.Recall()
-	if !old.byID["r3"].suspect || m.Warm == 0 || len(m.Classes[0].Seen) == 0 {
+	m := old.Checkpoint()
+	if !old.replicas.byID["r3"].health.ejected || m.WarmRate == 0 || len(m.Classes[0].Latencies) == 0 {
 		t.Fatalf("nothing was learned: %+v", m)
 	}
 	data, err := json.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again Memory
+	var again Checkpoint
 	if err := json.Unmarshal(data, &again); err != nil || !reflect.DeepEqual(again, m) {
 		t.Fatalf("%v: %s", err, data)
 	}
 
-	list.Replicas[0].Since = 90 * sec // restarted
+	list.Replicas[0].StartedAt = 90 * sec // restarted
 	fresh := learn(2)
-	fresh.Remember(again)
-	got := fresh.Recall()
+	fresh.Restore(again)
+	got := fresh.Checkpoint()
 	got.At = m.At
-	if !reflect.DeepEqual(got.Classes, m.Classes) || got.Warm != m.Warm || got.Refills != m.Refills || !reflect.DeepEqual(got.Shards, m.Shards) ||
+	if !reflect.DeepEqual(got.Classes, m.Classes) || got.WarmRate != m.WarmRate || got.Windows != m.Windows || !reflect.DeepEqual(got.Shards, m.Shards) ||
 		!reflect.DeepEqual(got.Replicas[1:], m.Replicas[1:]) {
 		t.Errorf("recalled\n%+v, remembered\n%+v", got, m)
 	}
-	if r := fresh.byID["r1"]; r.coldFrom != 90*sec || r.lastOK != 0 {
+	if r := fresh.replicas.byID["r1"]; r.slowStart.from != 90*sec || r.health.lastSuccess != 0 {
 		t.Errorf("a replica that was started anew is known as it was: %+v", r)
 	}
 
-	again.Classes[0].Base, again.Warm, again.Replicas[1].Ratio, again.Replicas[2].Barred = -1, -1, 0, nil
+	again.Classes[0].MeanLatency, again.WarmRate, again.Replicas[1].LatencyRatio, again.Replicas[2].ExcludedUntil = -1, -1, 0, nil
 	doubtful := learn(3)
-	doubtful.Remember(again)
-	if r := doubtful.byID["r3"]; doubtful.byClass["c"].base <= 0 || doubtful.warmRate < 0 || doubtful.byID["r2"].ratio == 0 || r.suspect || len(r.barred) != 2 {
+	doubtful.Restore(again)
+	if r := doubtful.replicas.byID["r3"]; doubtful.classes.byName["c"].meanLatency <= 0 || doubtful.traffic.warmRate < 0 || doubtful.replicas.byID["r2"].latencyRatio == 0 || r.health.ejected || len(r.classHealth) != 2 {
 		t.Error("figures that cannot be were taken over")
 	}
 	doubtful.Step(101*sec, nil)
--- a/fleet_test.go
+++ b/internal/decide/scatter/coordinators_test.go
@@ -1,4 +1,4 @@
-package harepass
+package scatter
 
 import (
 	"container/heap"
@@ -21,7 +21,7 @@
 }
 
 type root struct {
-	a     *Aggregator
+	a     *Machine
 	tries map[string]int
 }
 
@@ -45,9 +45,9 @@
 
 func newRoots(t *testing.T, n int, s Settings) *roots {
 	f := &roots{now: 100 * sec, onSend: func(string) {}, onEnd: func(string, time.Duration) {}, came: map[string]time.Duration{}}
-	s.Roots = n
+	s.Coordinators = n
 	for i := range n {
-		s.Me = i + 1
+		s.Ordinal = i + 1
 		a, err := New(uint64(i), s)
 		if err != nil {
 			t.Fatal(err)
@@ -58,19 +58,19 @@
 }
 
 // tell gives every root the same list.
-func (f *roots) tell(scope ListScope, list ...Replica) {
+func (f *roots) tell(scope UpdateKind, list ...Replica) {
 	for _, r := range f.all {
-		f.step(r, ListReceived{Scope: scope, Replicas: list})
+		f.step(r, EndpointUpdate{Kind: scope, Replicas: list})
 	}
 }
 
 func (f *roots) step(r *root, events ...Event) {
 	for _, act := range r.a.Step(f.now, events) {
 		switch x := act.(type) {
-		case WakeIn:
-			heap.Push(&f.due, rootDue{f.now + x.In, Woken{}, r})
-		case CallOff: // what is called off goes on at its node
-			heap.Push(&f.due, rootDue{f.now, AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Took: 200 * ms}, r})
+		case SetTimer:
+			heap.Push(&f.due, rootDue{f.now + x.After, TimerFired{}, r})
+		case CancelAttempt: // what is called off goes on at its node
+			heap.Push(&f.due, rootDue{f.now, AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Latency: 200 * ms}, r})
 		case Answer:
 			f.onEnd(x.Query, f.now-f.came[x.Query])
 		case Send:
@@ -81,7 +81,7 @@
 			}
 			no := r.tries[x.Part]
 			r.tries[x.Part]++
-			heap.Push(&f.due, rootDue{f.now + took, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: end, Took: took}, r})
+			heap.Push(&f.due, rootDue{f.now + took, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: end, Latency: took}, r})
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		r := f.all[int(f.asked*7)%len(f.all)]
 		id := fmt.Sprint("q", f.asked)
 		f.came[id] = f.now
-		evs := []Event{QueryArrived{ID: id, Number: f.asked, Class: "c", ValidUntil: f.now + sec, Parts: sections}}
+		evs := []Event{QueryArrived{ID: id, Number: f.asked, Class: "c", Expires: f.now + sec, Parts: sections}}
 		for i := range sections {
 			evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: f.asked, Shard: (int(f.asked)*11 + i) % cells, Weight: 1 / float64(sections)})
 		}
@@ -112,7 +112,7 @@
 // A node that starts is sent what the fall rule allows by all roots together, and yet as much as it can do: each root
 // meets it seldom, so that whole parts kept back by each one leave it idle while its siblings carry its load. So it is
 // with hundreds of roots, of which most have just started too.
-func TestFleetUsesColdReplica(t *testing.T) {
+func TestFleetUsesReplicaInSlowStart(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		roots, fresh, nodes int
@@ -123,18 +123,18 @@
 		{300, 0, 30, 25 * ms, 90},
 		{300, 210, 30, 25 * ms, 90},
 	} {
-		s := Settings{Cells: tc.nodes, Reach: 3, CallBatch: 1, Turn: ms, MaxAttempts: 4, Cancel: true, RetryAdvice: sec,
-			Classes: []Class{{Name: "c", Aim: 380 * ms, Deadline: sec, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 0.7}},
-			Cold:    Cold{Start: 0.2, WarmWithin: 18 * sec, Multiple: 2.5, Window: 1500 * ms}}
+		s := Settings{RingSize: tc.nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
+			Classes:   []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}},
+			SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}}
 		f := newRoots(t, tc.roots, s)
 		var list []Replica
 		for i := range tc.nodes {
-			list = append(list, Replica{ID: fmt.Sprint("r", i), Cell: i})
+			list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 		}
-		f.takes = func(string) (Outcome, time.Duration) { return Served, 40 * ms }
-		f.tell(ListFull, list...)
+		f.takes = func(string) (Outcome, time.Duration) { return Succeeded, 40 * ms }
+		f.tell(FullUpdate, list...)
 		f.run(6*sec, tc.gap, tc.nodes, tc.nodes)
-		list[0].Since = f.now
+		list[0].StartedAt = f.now
 		var sent []time.Duration
 		f.onSend = func(node string) {
 			if node == list[0].ID {
@@ -145,21 +145,21 @@
 		for i := range tc.fresh {
 			f.all[i].a = fresh.all[i].a // what is out of the old one ends as unknown to the new
 		}
-		f.tell(ListFull, list...)
+		f.tell(FullUpdate, list...)
 		f.run(8*sec, tc.gap, tc.nodes, tc.nodes)
-		ramp := func(at time.Duration) float64 { return 0.2 + 0.8*(at-list[0].Since).Seconds()/18 }
+		ramp := func(at time.Duration) float64 { return 0.2 + 0.8*(at-list[0].StartedAt).Seconds()/18 }
 		worst, from := 0.0, 0
 		for i, at := range sent {
-			for at-sent[from] > s.Cold.Window {
+			for at-sent[from] > s.SlowStart.Window {
 				from++
 			}
-			allowed := s.Cold.Multiple * ramp(sent[from]) * tc.capacity * s.Cold.Window.Seconds()
+			allowed := s.SlowStart.OverloadFactor * ramp(sent[from]) * tc.capacity * s.SlowStart.Window.Seconds()
 			worst = max(worst, float64(i-from+1)/allowed)
 		}
 		// Of what it can do for certain in the 8 s, or of what there is for it, where that is less.
-		least := 0.55 * min(tc.capacity*ramp(list[0].Since+4*sec), 1/tc.gap.Seconds()) * 8
+		least := 0.55 * min(tc.capacity*ramp(list[0].StartedAt+4*sec), 1/tc.gap.Seconds()) * 8
 		t.Logf("%d roots, %d fresh: %d parts, %.0f wanted; at worst %.2f of what makes it fall", tc.roots, tc.fresh, len(sent), least, worst)
-		if worst > coldSafety {
+		if worst > slowStartSafety {
 			t.Errorf("%d roots, %d fresh: a window brought %.2f of what makes it fall", tc.roots, tc.fresh, worst)
 		}
 		if float64(len(sent)) < least {
@@ -168,34 +168,35 @@
 	}
 }
 
-// Where two of a section's three holders fall silent, more is asked of the third than it can do. What it takes all the same
-// waits past its aim and is work done for nobody: hundreds of roots, each of which meets it every few seconds, have to
-// ask for less together. Their queries for other sections go on, and those it can serve are served.
-func TestLastHolderIsNotJammed(t *testing.T) {
+// Where two of a section's three holders fall silent, more is asked of the third than it can do. What it takes all
+// the same waits past its aim and is work done for nobody: hundreds of roots, each of which meets it every few
+// seconds, have to ask for less together. Their queries for other sections go on, and those it can serve are
+// served.
+func TestLastHolderIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	const (
 		nodes, sections = 30, 5
 		service         = time.Second / 80 // of a part, one at a time
 		queue           = 450 * ms         // of work, and full beyond it
 	)
-	f := newRoots(t, 300, Settings{Cells: nodes, Reach: 3, CallBatch: 1, Turn: ms, MaxAttempts: 4, Cancel: true, RetryAdvice: sec,
-		Classes: []Class{{Name: "c", Aim: 380 * ms, Deadline: sec, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 1}}})
+	f := newRoots(t, 300, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
+		Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}}})
 	var list []Replica
 	for i := range nodes {
-		list = append(list, Replica{ID: fmt.Sprint("r", i), Cell: i})
+		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 	}
 	free, silent := map[string]time.Duration{}, map[string]bool{}
 	f.takes = func(node string) (Outcome, time.Duration) {
 		if free[node] = max(free[node], f.now); free[node]-f.now > queue {
-			return Full, 2 * ms
+			return Rejected, 2 * ms
 		}
 		free[node] += service
 		if silent[node] {
-			return Served, -1
+			return Succeeded, -1
 		}
-		return Served, free[node] - f.now
+		return Succeeded, free[node] - f.now
 	}
-	f.tell(ListFull, list...)
+	f.tell(FullUpdate, list...)
 	f.run(4*sec, 3*ms, sections, nodes) // 55 parts a second for each node
 	silent["r1"], silent["r2"] = true, true
 	f.run(4*sec, 3*ms, sections, nodes)
@@ -216,30 +217,31 @@
 	}
 }
 
-// One of 300 roots that know their number sends to the two holders of a section that it keeps, as long as these will do; to
-// the third at once where one of them fails, and no more when that is back. One that is not told its number keeps all.
+// One of 300 roots that know their number sends to the two holders of a section that it keeps, as long as these
+// will do; to the third at once where one of them fails, and no more when that is back. One that is not told its
+// number keeps all.
 func TestKeepsItsSubset(t *testing.T) {
 	t.Parallel()
 	const nodes = 30
 	play := func(me int) (a *roots, used func(bad string) map[string]bool) {
-		f := newRoots(t, 1, Settings{Cells: nodes, Reach: 3, CallBatch: 1, Turn: ms, MaxAttempts: 4, Cancel: true,
-			Classes: []Class{{Name: "c", Aim: 380 * ms, Deadline: sec, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 1}}})
-		s := f.all[0].a.set
-		s.Roots, s.Me = 300, me
+		f := newRoots(t, 1, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
+			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}}})
+		s := f.all[0].a.settings
+		s.Coordinators, s.Ordinal = 300, me
 		if err := f.all[0].a.Configure(s); err != nil {
 			t.Fatal(err)
 		}
 		var list []Replica
 		for i := range nodes {
-			list = append(list, Replica{ID: fmt.Sprint("r", i), Cell: i})
+			list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 		}
-		f.tell(ListFull, list...)
+		f.tell(FullUpdate, list...)
 		return f, func(bad string) map[string]bool {
 			f.takes = func(node string) (Outcome, time.Duration) {
 				if node == bad {
 					return ConnectFailed, ms
 				}
-				return Served, 30 * ms
+				return Succeeded, 30 * ms
 			}
 			f.run(2*sec, 50*ms, 3, nodes) // by then it has met the bad one
 			seen := map[string]bool{}
--- a/held_test.go
+++ b/internal/decide/scatter/deferred_test.go
@@ -1,18 +1,18 @@
-package harepass
+package scatter
 
 import (
 	"testing"
 )
 
 // Held parts are not sent, by no path, before they are settled; what is settled as in counts as served.
-func TestHeldParts(t *testing.T) {
+func TestDeferredParts(t *testing.T) {
 	s := base()
-	s.Classes[0].Floor = 0.7
+	s.Classes[0].MinFraction = 0.7
 	b := start(t, s, names("r1", "r2")...)
 	b.n++
-	acts := b.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 4, ValidUntil: b.now + 6*sec},
-		PartArrived{ID: "q1.0", Number: 1, Weight: 0.25}, PartArrived{ID: "q1.1", Number: 1, Weight: 0.25, Held: true},
-		PartArrived{ID: "q1.2", Number: 1, Weight: 0.25, Held: true}, PartArrived{ID: "q1.3", Number: 1, Weight: 0.25, Held: true})
+	acts := b.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 4, Expires: b.now + 6*sec},
+		PartArrived{ID: "q1.0", Number: 1, Weight: 0.25}, PartArrived{ID: "q1.1", Number: 1, Weight: 0.25, Deferred: true},
+		PartArrived{ID: "q1.2", Number: 1, Weight: 0.25, Deferred: true}, PartArrived{ID: "q1.3", Number: 1, Weight: 0.25, Deferred: true})
 	if sends := of[Send](acts); len(sends) != 1 || sends[0].Part != "q1.0" {
 		t.Fatalf("%v, want only the part that is not held", acts)
 	}
@@ -23,39 +23,39 @@
 			}
 		}
 	}
-	acts = b.step(0, PartSettled{ID: "q1.1", In: true}, PartSettled{ID: "q1.2"})
+	acts = b.step(0, PartReleased{ID: "q1.1", Resolved: true}, PartReleased{ID: "q1.2"})
 	if sends := of[Send](acts); len(sends) != 1 || sends[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
 		t.Fatalf("%v, want the part that was let out", acts)
 	}
 	// A part that is out and turns out to be known is called off, and its late outcome changes nothing.
-	acts = b.step(0, PartSettled{ID: "q1.2", In: true}, PartSettled{ID: "q1.2", In: true}, PartSettled{ID: "q9.9", In: true})
-	if off := of[CallOff](acts); len(off) != 1 || off[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
+	acts = b.step(0, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q9.9", Resolved: true})
+	if off := of[CancelAttempt](acts); len(off) != 1 || off[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
 		t.Fatalf("%v, want the attempt called off and no answer from half of the weight", acts)
 	}
-	acts = b.step(0, ended("q1.2", 0, "r1", Served, 5*ms), PartSettled{ID: "q1.3", In: true})
+	acts = b.step(0, ended("q1.2", 0, "r1", Succeeded, 5*ms), PartReleased{ID: "q1.3", Resolved: true})
 	if len(of[Answer](acts)) > 0 {
 		t.Fatalf("%v: three quarters are no whole answer", acts)
 	}
-	acts = b.step(0, PartSettled{ID: "q1.0", In: true})
-	if ans := of[Answer](acts); len(ans) != 1 || !ans[0].Whole {
+	acts = b.step(0, PartReleased{ID: "q1.0", Resolved: true})
+	if ans := of[Answer](acts); len(ans) != 1 || !ans[0].Complete {
 		t.Fatalf("%v, want one whole answer", acts)
 	}
 }
 
 // What is held to the end is missing: the floor is kept, and the answer is not late.
-func TestHeldToTheEnd(t *testing.T) {
+func TestDeferredToTheEnd(t *testing.T) {
 	for _, in := range []float64{0.6, 0.8} {
 		s := base()
-		s.Classes[0].Floor = 0.7
+		s.Classes[0].MinFraction = 0.7
 		b := start(t, s, names("r1", "r2")...)
-		b.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 2, ValidUntil: b.now + sec},
-			PartArrived{ID: "q1.0", Number: 1, Weight: in, Held: true}, PartArrived{ID: "q1.1", Number: 1, Weight: 1 - in, Held: true})
-		b.step(0, PartSettled{ID: "q1.0", In: true})
+		b.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 2, Expires: b.now + sec},
+			PartArrived{ID: "q1.0", Number: 1, Weight: in, Deferred: true}, PartArrived{ID: "q1.1", Number: 1, Weight: 1 - in, Deferred: true})
+		b.step(0, PartReleased{ID: "q1.0", Resolved: true})
 		answers, refusals := 0, 0
 		for range 200 {
 			acts := b.step(5 * ms)
 			answers += len(of[Answer](acts))
-			refusals += len(of[Refuse](acts))
+			refusals += len(of[Reject](acts))
 		}
 		if answers+refusals != 1 || (answers == 1) != (in > 0.7) {
 			t.Errorf("%g in: %d answers and %d refusals", in, answers, refusals)
--- a/change_test.go
+++ b/internal/decide/scatter/endpoint_cost_test.go
@@ -1,4 +1,4 @@
-package harepass
+package scatter
 
 import (
 	"container/heap"
@@ -19,9 +19,9 @@
 // and every part its outcome.
 func fleetMember(t testing.TB, nodes int, inUse bool) *steady {
 	s := newSteady(t, 5, nodes, false)
-	set := s.a.set
-	set.Roots, set.Me = 1500, 700
-	set.Cold = Cold{Start: 0.2, WarmWithin: 18 * sec, Multiple: 2.5, Window: 1500 * ms}
+	set := s.a.settings
+	set.Coordinators, set.Ordinal = 1500, 700
+	set.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}
 	if err := s.a.Configure(set); err != nil {
 		t.Fatal(err)
 	}
@@ -43,14 +43,14 @@
 // change tells the module that one node drains, and in the next call that it is back as a new process.
 func (s *steady) change(no, nodes int) {
 	node := no / 2 * 7 % nodes
-	entry := Replica{ID: fmt.Sprint("r", node), Cell: node}
+	entry := Replica{ID: fmt.Sprint("r", node), RingPosition: node}
 	if no%2 == 0 {
 		entry.State = Draining
 	} else {
-		entry.Since = s.now
+		entry.StartedAt = s.now
 	}
 	s.now += 100 * time.Microsecond
-	s.a.Step(s.now, []Event{ListReceived{Scope: ListChanges, Replicas: []Replica{entry}}})
+	s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{entry}}})
 }
 
 // processTime is the processor time that this process has used.
@@ -79,7 +79,8 @@
 	}
 }
 
-// churn draws list changes: nodes that drain, restart, go, come, move to another cell, and whole lists that leave some out.
+// churn draws list changes: nodes that drain, restart, go, come, move to another cell, and whole lists that leave
+// some out.
 type churn struct {
 	rng  *rand.Rand
 	list []Replica
@@ -88,13 +89,13 @@
 func newChurn(nodes, layers int) *churn {
 	c := &churn{rng: rand.New(rand.NewPCG(3, 9))}
 	for i := range nodes * layers {
-		c.list = append(c.list, Replica{ID: fmt.Sprint("r", i), Cell: i % nodes})
+		c.list = append(c.list, Replica{ID: fmt.Sprint("r", i), RingPosition: i % nodes})
 	}
 	return c
 }
 
 // next is the next list to be told at a time.
-func (c *churn) next(now time.Duration, cells int) ListReceived {
+func (c *churn) next(now time.Duration, cells int) EndpointUpdate {
 	var changed []Replica
 	for range 1 + c.rng.IntN(4) {
 		e := &c.list[c.rng.IntN(len(c.list))]
@@ -102,14 +103,14 @@
 		case 0, 1, 2:
 			e.State = Draining
 		case 3:
-			e.State = Gone
+			e.State = Removed
 		case 4:
-			e.Cell = c.rng.IntN(cells + 3)
+			e.RingPosition = c.rng.IntN(cells + 3)
 		case 5:
-			c.list = append(c.list, Replica{ID: fmt.Sprint("n", len(c.list)), Cell: c.rng.IntN(cells), Since: now})
+			c.list = append(c.list, Replica{ID: fmt.Sprint("n", len(c.list)), RingPosition: c.rng.IntN(cells), StartedAt: now})
 			e = &c.list[len(c.list)-1]
 		case 6, 7, 8:
-			e.State, e.Since = Ready, now-time.Duration(c.rng.IntN(30))*sec
+			e.State, e.StartedAt = Ready, now-time.Duration(c.rng.IntN(30))*sec
 		default:
 			e.State = Ready
 		}
@@ -118,13 +119,13 @@
 	switch c.rng.IntN(12) {
 	case 0, 1:
 		from := c.rng.IntN(3)
-		return ListReceived{Scope: ListFull, Replicas: c.list[from:]}
+		return EndpointUpdate{Kind: FullUpdate, Replicas: c.list[from:]}
 	case 2:
-		return ListReceived{Scope: ListRemembered, Replicas: c.list}
+		return EndpointUpdate{Kind: CachedUpdate, Replicas: c.list}
 	case 3:
-		return ListReceived{Scope: ListRefused}
+		return EndpointUpdate{Kind: FailedUpdate}
 	}
-	return ListReceived{Scope: ListChanges, Replicas: changed}
+	return EndpointUpdate{Kind: IncrementalUpdate, Replicas: changed}
 }
 
 // The actions on recorded streams with list changes, new settings and memories handed over are those of the module from
@@ -146,9 +147,9 @@
 		{10, 200, 1, 300, 5, false, 0x4fe9784adaba09d1},
 	} {
 		s := newSteady(t, tc.open, tc.nodes, tc.trouble)
-		set := s.a.set
-		set.Roots, set.Me, set.Subscribe, set.ListMaxAge = tc.roots, tc.me, true, 60*sec
-		set.Cold = Cold{Start: 0.2, WarmWithin: 18 * sec, Multiple: 2.5, Window: 1500 * ms}
+		set := s.a.settings
+		set.Coordinators, set.Ordinal, set.Subscribe, set.ListMaxAge = tc.roots, tc.me, true, 60*sec
+		set.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}
 		configure := func() {
 			if err := s.a.Configure(set); err != nil {
 				t.Fatal(err)
@@ -156,7 +157,7 @@
 		}
 		configure()
 		c := newChurn(tc.nodes, tc.layers)
-		s.step(tc.trouble, ListReceived{Scope: ListFull, Replicas: c.list})
+		s.step(tc.trouble, EndpointUpdate{Kind: FullUpdate, Replicas: c.list})
 		for i := range 2000 {
 			s.query(tc.nodes, tc.trouble)
 			if i%9 == 0 {
@@ -164,19 +165,19 @@
 			}
 			switch i % 1000 {
 			case 400:
-				set.Roots += 40
+				set.Coordinators += 40
 				configure()
 			case 600:
-				set.Classes = append(set.Classes[:1:1], Class{Name: "new", Aim: sec, Deadline: 2 * sec, Need: 1, Floor: 1}, set.Classes[1])
+				set.Classes = append(set.Classes[:1:1], Class{Name: "new", LatencyObjective: sec, Deadline: 2 * sec, CompleteFraction: 1, MinFraction: 1}, set.Classes[1])
 				configure()
 			case 700:
 				set.Classes = append(set.Classes[:1:1], set.Classes[2])
 				configure()
 			case 800:
-				s.a.Remember(s.a.Recall())
+				s.a.Restore(s.a.Checkpoint())
 			}
 		}
-		memory, err := json.Marshal(s.a.Recall())
+		memory, err := json.Marshal(s.a.Checkpoint())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -189,40 +190,41 @@
 }
 
 // New settings and a memory that is handed over right after them, with no step between, go together.
-func TestMemoryAfterNewSettings(t *testing.T) {
+func TestCheckpointAfterNewSettings(t *testing.T) {
 	t.Parallel()
 	const nodes = 12
 	s := fleetMember(t, nodes, true)
-	s.step(false, ListReceived{Scope: ListChanges, Replicas: []Replica{{ID: "r3", Cell: 3, State: Draining}}})
-	set := s.a.set
-	set.Classes = append(set.Classes[:2:2], Class{Name: "new", Aim: sec, Deadline: 2 * sec, Need: 1, Floor: 1})
+	s.step(false, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "r3", RingPosition: 3, State: Draining}}})
+	set := s.a.settings
+	set.Classes = append(set.Classes[:2:2], Class{Name: "new", LatencyObjective: sec, Deadline: 2 * sec, CompleteFraction: 1, MinFraction: 1})
 	if err := s.a.Configure(set); err != nil {
 		t.Fatal(err)
 	}
-	before := s.a.Recall()
-	s.a.Remember(before)
-	if after := s.a.Recall(); fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
+	before := s.a.Checkpoint()
+	s.a.Restore(before)
+	if after := s.a.Checkpoint(); fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
 		t.Errorf("the memory changed from %v to %v", before, after)
 	}
 	s.query(nodes, false)
 }
 
-// A changed entry has as many replicas and shards looked at in a list of 700 as in one of 70, however many shards are in use.
+// A changed entry has as many replicas and shards looked at in a list of 700 as in one of 70, however many shards
+// are in use.
 func TestChangeCostsWhatItConcerns(t *testing.T) {
 	t.Parallel()
 	for _, inUse := range []bool{false, true} {
-		var least work
+		var least examined
 		for _, nodes := range []int{70, 700} {
 			s := fleetMember(t, nodes, inUse)
-			s.a.Step(s.now, []Event{ListReceived{Scope: ListChanges}}) // all that was due before
-			s.a.work = work{}
+			s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate}}) // all that was due before
+			s.a.examined = examined{}
 			for i := range 20 {
 				s.change(i, nodes)
 			}
 			if nodes == 70 {
-				least = s.a.work
-			} else if s.a.work != least {
-				t.Errorf("in use %t: %+v looked at among %d nodes, %+v among 70", inUse, s.a.work, nodes, least)
+				least = s.a.examined
+			} else if s.a.examined != least {
+				t.Errorf("in use %t: %+v looked at among %d nodes, %+v among 70", inUse, s.a.examined, nodes, least)
 			}
 		}
 		if least.replicas == 0 || least.replicas > 20*20 {
@@ -231,8 +233,8 @@
 	}
 }
 
-// BenchmarkWideQuery is a query to 120 shards of a fleet of 1,500 coordinators, 180 a second; each part is served after 20 ms,
-// and each outcome is a step of its own.
+// BenchmarkWideQuery is a query to 120 shards of a fleet of 1,500 coordinators, 180 a second; each part is served
+// after 20 ms, and each outcome is a step of its own.
 func BenchmarkWideQuery(b *testing.B) {
 	const parts = 120
 	for _, nodes := range []int{600, 1800, 7000} {
@@ -248,7 +250,7 @@
 				s.now = next
 				s.n++
 				id := fmt.Sprint("w", s.n)
-				events := []Event{QueryArrived{ID: id, Number: s.n, Class: "c", ValidUntil: s.now + 5*sec, Parts: parts}}
+				events := []Event{QueryArrived{ID: id, Number: s.n, Class: "c", Expires: s.now + 5*sec, Parts: parts}}
 				for i := range parts {
 					events = append(events, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: (int(s.n)*7 + i) % nodes, Weight: 1.0 / parts})
 				}
@@ -270,7 +272,7 @@
 func (s *steady) served(events ...Event) {
 	for _, act := range s.a.Step(s.now, events) {
 		if x, ok := act.(Send); ok {
-			heap.Push(&s.out, due{s.now + 20*ms, AttemptEnded{Part: x.Part, Replica: x.Replica, Took: 20 * ms}})
+			heap.Push(&s.out, due{s.now + 20*ms, AttemptEnded{Part: x.Part, Replica: x.Replica, Latency: 20 * ms}})
 		}
 	}
 }
--- /dev/null
+++ b/internal/decide/scatter/endpoints.go
@@ -0,0 +1,106 @@
+package scatter
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// forgetAfter is how long a removed replica is remembered after it was last used.
+	forgetAfter = time.Minute
+	// minSubscribeBackoff is the first pause after a failed subscription, before it is spread; each failure doubles it.
+	minSubscribeBackoff = rebalanceInterval / 2
+	// subscribeBackoffShare bounds that pause, as a share of the time for which the endpoint list holds.
+	subscribeBackoffShare = 4
+)
+
+// endpointList is the subscription to the endpoint list.
+type endpointList struct {
+	updates       int // so many were received
+	subscribed    bool
+	nextSubscribe time.Duration // when to subscribe next, unless subscribed
+	backoff       time.Duration // the last pause after a failure; 0 after a success
+}
+
+// onEndpointUpdate takes a list of replicas, changes of it, or a failure to get it.
+func (m *Machine) onEndpointUpdate(e EndpointUpdate) {
+	l := &m.endpoints
+	if e.Kind == FailedUpdate {
+		longest := max(m.settings.ListMaxAge/subscribeBackoffShare, minSubscribeBackoff)
+		l.subscribed = false
+		l.backoff = min(max(2*l.backoff, minSubscribeBackoff), longest)
+		l.nextSubscribe = m.now + scale(l.backoff, 0.5+m.random.Float64())
+		return
+	}
+	if e.Kind != CachedUpdate {
+		l.subscribed, l.backoff = true, 0
+	}
+	m.shares.dirty = true
+	l.updates++
+	for _, entry := range e.Replicas {
+		m.updateReplica(entry)
+	}
+	if e.Kind != IncrementalUpdate {
+		m.removeUnlisted()
+	}
+}
+
+// updateReplica takes over one entry. A later start under the same id is a new process: it is in slow start, and
+// whatever its predecessor was ejected for is over.
+func (m *Machine) updateReplica(e Replica) {
+	r := m.replicas.byID[e.ID]
+	switch {
+	case r == nil:
+		r = m.replicas.add(e, len(m.classes.list))
+		r.adoptSiblingRatio()
+		m.startSlowStart(r, e.StartedAt)
+	case e.StartedAt > r.StartedAt:
+		m.startSlowStart(r, e.StartedAt)
+		m.replicas.setEjected(r, false)
+		r.health.failsFast, r.health.mayHaveRestarted, r.health.consecutiveErrors = false, false, 0
+		r.adoptSiblingRatio()
+	}
+	m.setEntry(r, e)
+	r.listedBy = m.endpoints.updates
+}
+
+// setEntry enters what the list says of a replica.
+func (m *Machine) setEntry(r *replica, e Replica) {
+	m.examined.replicas++
+	m.replicas.update(r, e)
+	m.replicas.markRemoved(r, m.now)
+}
+
+// removeUnlisted marks the replicas as removed that a complete list did not name.
+func (m *Machine) removeUnlisted() {
+	for _, r := range m.replicas.all {
+		if r.listedBy != m.endpoints.updates {
+			e := r.Replica
+			e.State = Removed
+			m.setEntry(r, e)
+		}
+	}
+}
+
+// pruneRemoved forgets replicas that were removed long ago, for a long life brings ever new ones.
+func (m *Machine) pruneRemoved() {
+	m.replicas.removed = slices.DeleteFunc(m.replicas.removed, func(r *replica) bool {
+		idle := len(r.attempts) == 0 && m.now-max(r.removedAt, r.lastUsed) > forgetAfter
+		expired := r.State == Removed && idle
+		if expired {
+			m.replicas.forget(r)
+		}
+		r.removalPending = r.State == Removed && !expired
+		return !r.removalPending
+	})
+}
+
+// subscribe asks for the endpoint list where it has to be asked for, and again should no answer come at all.
+func (m *Machine) subscribe() {
+	l := &m.endpoints
+	if !m.settings.Subscribe || l.subscribed || m.now < l.nextSubscribe {
+		return
+	}
+	l.nextSubscribe = m.now + max(m.settings.ListMaxAge, rebalanceInterval)
+	m.do(Subscribe{})
+}
--- /dev/null
+++ b/internal/decide/scatter/endpoints_test.go
@@ -0,0 +1,140 @@
+package scatter
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+func TestJoiningReplicaAdoptsSiblingRatio(t *testing.T) {
+	b := start(t, base(), names("a", "b")...)
+	if got := b.a.replicas.byID["a"].latencyRatio * b.a.classes.list[0].meanLatency; math.Abs(got-0.4) > 1e-9 {
+		t.Errorf("starting mean %.3f, want a fifth of the aim", got)
+	}
+	b.a.replicas.byID["a"].latencyRatio, b.a.replicas.byID["b"].latencyRatio = 0.5, 1
+	b.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("c")})
+	if got := b.a.replicas.byID["c"].latencyRatio; math.Abs(got-0.75) > 1e-9 {
+		t.Errorf("joiner's ratio %.3f, want 0.75", got)
+	}
+}
+
+// Rule 3: nothing new to a replica from the step in which the news is in.
+func TestNothingIsSentToDrainingReplica(t *testing.T) {
+	for _, state := range []ReplicaState{Draining, Removed} {
+		b := start(t, base(), names("a", "b")...)
+		b.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: state}}})
+		for range 50 {
+			for _, x := range of[Send](b.query("c", 0)) {
+				if x.Replica == "a" {
+					t.Fatalf("sent to a replica in state %d", state)
+				}
+			}
+		}
+	}
+	b := start(t, base(), names("a", "b")...)
+	b.step(ms, EndpointUpdate{Kind: FullUpdate, Replicas: names("b")})
+	if got := of[Send](b.query("c", 0))[0].Replica; got != "b" {
+		t.Errorf("sent to %s, which the full list no longer has", got)
+	}
+}
+
+// Rule 3 where every other holder is sick, where the news comes in the same step as queries, before or after them, and
+// after a list that was refused.
+func TestNothingIsSentToDrainingReplicaEvenIfOthersFail(t *testing.T) {
+	for _, late := range []bool{false, true} {
+		b := start(t, base(), names("a", "b")...)
+		b.a.eject(b.a.replicas.byID["b"], nil)
+		news := EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: Draining}}}
+		evs := []Event{QueryArrived{ID: "q", Number: 9, Class: "c", Expires: b.now + 6*sec},
+			PartArrived{ID: "p", Number: 9, Weight: 1}}
+		if late {
+			evs = append(evs, news)
+		} else {
+			evs = append([]Event{news, EndpointUpdate{Kind: FailedUpdate}}, evs...)
+		}
+		acts := b.step(ms, evs...)
+		for range 100 {
+			for _, x := range of[Send](acts) {
+				if x.Replica == "a" {
+					t.Fatalf("sent to a draining replica, news last %v", late)
+				}
+			}
+			acts = append(b.step(5*ms, EndpointUpdate{Kind: FailedUpdate}), b.query("c", 0)...)
+		}
+	}
+}
+
+func TestSubscriptionIsRenewedWithBackoff(t *testing.T) {
+	s := base()
+	s.Subscribe, s.ListMaxAge = true, 10*sec
+	a, _ := New(1, s)
+	now := sec
+	if len(of[Subscribe](a.Step(now, []Event{EndpointUpdate{Kind: CachedUpdate, Replicas: names("a")}}))) != 1 {
+		t.Fatal("does not subscribe at its start")
+	}
+	var gaps []time.Duration
+	for range 4 {
+		asked := now
+		acts := a.Step(now, []Event{EndpointUpdate{Kind: FailedUpdate}})
+		for len(of[Subscribe](acts)) == 0 {
+			now += 5 * ms
+			if now-asked > 10*sec {
+				t.Fatal("does not ask again")
+			}
+			acts = a.Step(now, nil)
+		}
+		gaps = append(gaps, now-asked)
+	}
+	if gaps[0] < 250*ms || gaps[3] <= gaps[0] {
+		t.Errorf("pauses %v do not grow", gaps)
+	}
+	a.Step(now, []Event{EndpointUpdate{Kind: IncrementalUpdate}})
+	for range 4000 {
+		now += 5 * ms
+		if len(of[Subscribe](a.Step(now, nil))) > 0 {
+			t.Fatal("asks again while subscribed")
+		}
+	}
+}
+
+// A long life of ever-new replicas and shards' holders leaves nothing behind, but what comes back
+// within a minute is what it was.
+func TestRemovedReplicasAreForgotten(t *testing.T) {
+	b := start(t, base(), names("a", "b")...)
+	for i := range 100 {
+		id := fmt.Sprint("n", i)
+		b.step(sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names(id)})
+		sent := of[Send](b.query("c", 0))[0]
+		b.step(ms, ended(sent.Part, 0, sent.Replica, Succeeded, ms))
+		b.step(sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: id, State: Removed}}})
+	}
+	if n := len(b.a.replicas.all); n > 2+31 || len(b.a.replicas.byID) != n || len(b.a.replicas.byID["a"].siblings) != n-1 {
+		t.Errorf("%d replicas, %d by id, %d siblings", n, len(b.a.replicas.byID), len(b.a.replicas.byID["a"].siblings))
+	}
+	last := b.a.replicas.byID["n99"]
+	b.step(30*sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("n99")})
+	b.step(90 * sec)
+	if b.a.replicas.byID["n99"] != last || len(b.a.replicas.all) != 3 {
+		t.Errorf("%d replicas after a minute and a half", len(b.a.replicas.all))
+	}
+}
+
+// A remembered list names replicas that are long gone; a root that has nothing else still answers.
+func TestAnswersFromAnOldCachedList(t *testing.T) {
+	a, err := New(1, base())
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &replicaFleet{harness: &harness{t: t, a: a, now: 100 * sec}, fails: map[string]Outcome{}, tries: map[string]int{},
+		takes: map[string]time.Duration{"gone1": 250 * ms, "gone2": 250 * ms, "b": 100 * ms}}
+	f.fails["gone1"], f.fails["gone2"] = ConnectFailed, ConnectFailed
+	f.clear()
+	f.step(0, EndpointUpdate{Kind: CachedUpdate, Replicas: names("gone1", "gone2", "b")})
+	f.run(3*sec, 100*ms)
+	f.clear()
+	f.run(5*sec, 100*ms)
+	if f.ends["answered"] < 48 || f.share("b") < 0.7 {
+		t.Errorf("answers %v, sends %v", f.ends, f.sent)
+	}
+}
--- /dev/null
+++ b/internal/decide/scatter/harness_test.go
@@ -0,0 +1,93 @@
+package scatter
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const (
+	ms  = time.Millisecond
+	sec = time.Second
+)
+
+// base is a small replicaFleet's settings: one cell, so that every replica holds every shard.
+func base() Settings {
+	return Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3,
+		Hedging: true, Cancellation: true,
+		Classes: []Class{{Name: "c", LatencyObjective: 2 * sec, Deadline: 6 * sec, PriorityWeight: 1, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1}}}
+}
+
+// harness drives one Aggregator by hand.
+type harness struct {
+	t   *testing.T
+	a   *Machine
+	now time.Duration
+	n   int64
+}
+
+func start(t *testing.T, s Settings, replicas ...Replica) *harness {
+	t.Helper()
+	a, err := New(1, s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &harness{t: t, a: a, now: 100 * sec}
+	b.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: replicas})
+	return b
+}
+
+// startNonIdempotent has two replicas, no copies, and a second class, once, whose parts may not run twice.
+func startNonIdempotent(t *testing.T) *harness {
+	s := base()
+	s.Hedging = false
+	once := s.Classes[0]
+	once.Name, once.Idempotency = "once", NonIdempotent
+	s.Classes = append(s.Classes, once)
+	return start(t, s, names("r1", "r2")...)
+}
+
+func names(ids ...string) (list []Replica) {
+	for _, id := range ids {
+		list = append(list, Replica{ID: id})
+	}
+	return list
+}
+
+func (b *harness) step(later time.Duration, events ...Event) []Action {
+	b.now += later
+	return b.a.Step(b.now, events)
+}
+
+// query opens a query of class c with a part for each shard; parts are named q<n>.<i>.
+func (b *harness) query(class string, shards ...int) []Action {
+	b.n++
+	id := fmt.Sprintf("q%d", b.n)
+	evs := []Event{QueryArrived{ID: id, Number: b.n, Class: class, Parts: len(shards), Expires: b.now + 6*sec}}
+	for i, s := range shards {
+		evs = append(evs, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: b.n, Shard: s,
+			Weight: 1 / float64(len(shards))})
+	}
+	return b.step(0, evs...)
+}
+
+func of[T Action](acts []Action) (list []T) {
+	for _, a := range acts {
+		if x, ok := a.(T); ok {
+			list = append(list, x)
+		}
+	}
+	return list
+}
+
+func ended(part string, no int, replica string, o Outcome, took time.Duration) AttemptEnded {
+	return AttemptEnded{Part: part, Attempt: no, Replica: replica, Outcome: o, Latency: took}
+}
+
+// toInt is 1 for true.
+func toInt(b bool) time.Duration {
+	if b {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/decide/scatter/outliers_test.go
@@ -0,0 +1,294 @@
+package scatter
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// One of four replicas falls ill; the others carry the randomTraffic, and it returns when it is well again.
+func TestFaultyReplicaIsEjectedAndReinstated(t *testing.T) {
+	for name, fall := range map[string]func(*replicaFleet){
+		"silent":           func(f *replicaFleet) { f.takes["a"] = -1 },
+		"ten times slower": func(f *replicaFleet) { f.takes["a"] = 1000 * ms },
+		"refuses connections": func(f *replicaFleet) {
+			f.takes["a"], f.fails["a"] = ms, ConnectFailed
+		},
+		"unreachable":    func(f *replicaFleet) { f.takes["a"], f.fails["a"] = 250*ms, ConnectFailed },
+		"answers errors": func(f *replicaFleet) { f.takes["a"], f.fails["a"] = ms, Errored },
+		"resets":         func(f *replicaFleet) { f.takes["a"], f.fails["a"] = ms, ConnectionReset },
+		"is always full": func(f *replicaFleet) { f.takes["a"], f.fails["a"] = ms, Rejected },
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newReplicaFleet(t, base(), "a", "b", "c", "d")
+			f.run(5*sec, 50*ms)
+			fall(f)
+			f.run(2*sec, 50*ms) // time to find out
+			f.clear()
+			f.run(10*sec, 50*ms)
+			if got := f.share("a"); got > 0.15 { // an equal share is 0.25
+				t.Errorf("it still gets %.2f of the sends", got)
+			}
+			if n := f.ends["answered"]; n < 190 {
+				t.Errorf("%d of 200 queries answered: %v", n, f.ends)
+			}
+			f.takes["a"], f.fails["a"] = 100*ms, Succeeded
+			f.run(15*sec, 50*ms)
+			f.clear()
+			f.run(10*sec, 50*ms)
+			if got := f.share("a"); got < 0.1 {
+				t.Errorf("well again, it gets %.2f of the sends", got)
+			}
+		})
+	}
+}
+
+// A replica that is well for half a second in every two gets no more than trial parts.
+func TestFlappingReplicaStaysEjected(t *testing.T) {
+	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
+	f.run(5*sec, 50*ms)
+	f.clear()
+	for range 6 {
+		f.takes["a"], f.fails["a"] = ms, ConnectionReset
+		f.run(1500*ms, 50*ms)
+		f.takes["a"], f.fails["a"] = 100*ms, Succeeded
+		f.run(500*ms, 50*ms)
+	}
+	if got := f.share("a"); got > 0.15 {
+		t.Errorf("it gets %.2f of the sends", got)
+	}
+	if f.ends["answered"] < 230 {
+		t.Errorf("answers: %v", f.ends)
+	}
+}
+
+// All slow at once is load: nobody leaves, and further attempts stay within their share.
+func TestCommonSlownessIsLoad(t *testing.T) {
+	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
+	f.run(5*sec, 50*ms)
+	for id := range f.takes {
+		f.takes[id] = 1200 * ms
+	}
+	f.clear()
+	f.run(10*sec, 50*ms)
+	for _, r := range f.a.replicas.all {
+		if r.health.ejected {
+			t.Errorf("%s is taken as ill", r.ID)
+		}
+	}
+	first, all := 0, 0
+	for _, n := range f.sent {
+		all += n
+	}
+	for range f.tries {
+		first++
+	}
+	if limit := float64(first)*(1+hedgeShare) + maxSavedHedges; float64(all) > limit {
+		t.Errorf("%d sends for %d parts", all, first)
+	}
+}
+
+// A stall of one replica for 300 ms moves nobody out.
+func TestBriefStallEjectsNobody(t *testing.T) {
+	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
+	f.run(5*sec, 50*ms)
+	f.takes["a"] = 400 * ms
+	f.run(300*ms, 50*ms)
+	f.takes["a"] = 100 * ms
+	f.run(sec, 50*ms)
+	if f.a.replicas.byID["a"].health.ejected {
+		t.Error("taken as ill")
+	}
+}
+
+// Every holder looks ill at once, as in a cut or a restart of the replicaFleet: they are still tried, and when
+// they answer again so does the root.
+func TestEjectionNeverEmptiesTheChoice(t *testing.T) {
+	for name, o := range map[string]Outcome{"no connection": ConnectFailed, "errors": Errored, "resets": ConnectionReset} {
+		f := newReplicaFleet(t, base(), "a", "b")
+		for _, id := range []string{"a", "b"} {
+			f.takes[id], f.fails[id] = ms, o
+		}
+		f.run(5*sec, 100*ms)
+		f.clear()
+		f.run(5*sec, 100*ms)
+		if f.sent["a"] == 0 || f.sent["b"] == 0 {
+			t.Errorf("%s: not tried any more: %v", name, f.sent)
+		}
+		for _, id := range []string{"a", "b"} {
+			f.takes[id], f.fails[id] = 100*ms, Succeeded
+		}
+		f.run(5*sec, 100*ms)
+		f.clear()
+		f.run(5*sec, 100*ms)
+		if f.ends["answered"] < 48 {
+			t.Errorf("%s: after its end %v", name, f.ends)
+		}
+	}
+}
+
+// The root stands still for two seconds: what then arrives late says nothing of the replicas.
+func TestStalledCoordinatorEjectsNobody(t *testing.T) {
+	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
+	f.run(5*sec, 20*ms)
+	before := fmt.Sprint(f.a.replicas.byID["a"].health.ejected)
+	f.now += 1900 * ms
+	f.clear()
+	f.run(2*sec, 20*ms)
+	for _, r := range f.a.replicas.all {
+		if r.health.ejected || r.latencyRatio > 3 {
+			t.Errorf("%s: suspect %v (%s before), ratio %.2f", r.ID, r.health.ejected, before, r.latencyRatio)
+		}
+	}
+	if f.ends["refused"] > 5 {
+		t.Errorf("refused %d queries", f.ends["refused"])
+	}
+}
+
+// One class fails at a replica that serves the other: it is kept from there for a while and tried again later,
+// and the other class keeps the replica.
+func TestFailingClassIsExcludedAlone(t *testing.T) {
+	s := base()
+	s.Classes = append(s.Classes, Class{Name: "d", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1})
+	for name, o := range map[string]Outcome{"silence": TimedOut, "errors": Errored} {
+		b := start(t, s, names("a", "b")...)
+		a, c, d := b.a.replicas.byID["a"], b.a.classes.list[0], b.a.classes.list[1]
+		for range 2 { // each time the other class is served while the failing part is out
+			at := &attempt{part: &part{query: &query{class: d}}, replica: a, sentAt: b.now}
+			b.step(sec, TimerFired{})
+			b.a.recordOutcome(a, c, &attempt{part: &part{query: &query{class: c}}, replica: a, sentAt: b.now},
+				ended("", 0, "a", Succeeded, 100*ms))
+			b.step(sec, TimerFired{})
+			b.a.recordOutcome(a, d, at, ended("", 0, "a", o, 2*sec))
+		}
+		if a.health.ejected {
+			t.Errorf("%s: the replica is out of use for all", name)
+		}
+		count := func(class string) (n int) {
+			for range 40 {
+				for _, x := range of[Send](b.query(class, 0)) {
+					if x.Replica == "a" {
+						n++
+					}
+					b.step(ms, ended(x.Part, 0, x.Replica, Succeeded, ms))
+				}
+			}
+			return n
+		}
+		if bad, good := count("d"), count("c"); bad > 0 || good < 5 {
+			t.Errorf("%s: it got %d of the failing class and %d of the other", name, bad, good)
+		}
+		b.step(10*sec, TimerFired{})
+		if n := count("d"); n < 5 {
+			t.Errorf("%s: later it got %d of the class", name, n)
+		}
+	}
+}
+
+// A connection dropped for want of use resets the part sent on it, though its replica is well: it is back with the
+// next part, not as a cold one, and later parts go out on fresh connections. A death stays a death.
+func TestIdleConnectionLossIsNoRestart(t *testing.T) {
+	for name, lasts := range map[string]time.Duration{"connection lost": 0, "process died": 3 * sec} {
+		s := base()
+		s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 10 * sec, OverloadFactor: 3, Window: sec}
+		b := start(t, s, names("a")...)
+		serve := func(acts []Action) {
+			for _, x := range of[Send](acts) {
+				b.step(50*ms, ended(x.Part, 0, x.Replica, Succeeded, 50*ms))
+			}
+		}
+		serve(b.query("c", 0))
+		b.now += 2 * sec
+		x := of[Send](b.query("c", 0))[0]
+		acts, no := b.step(5*ms, ended(x.Part, 0, "a", ConnectionReset, 5*ms)), 1
+		for ; lasts > 0 && len(of[Send](acts)) > 0; no++ { // who died refuses the next connection
+			acts = b.step(5*ms, ended(x.Part, no, "a", ConnectFailed, 5*ms))
+		}
+		b.now += lasts
+		for range 60 { // until its part is sent again and served
+			for _, x := range of[Send](acts) {
+				b.step(50*ms, ended(x.Part, no, x.Replica, Succeeded, 50*ms))
+			}
+			acts = b.step(20*ms, TimerFired{})
+		}
+		r := b.a.replicas.byID["a"]
+		if well := r.ready() && b.a.capacityFraction(r, b.a.now) == 1; well != (lasts == 0) {
+			t.Errorf("%s: taken for well and warm: %v", name, well)
+		}
+		b.now += 3 * sec
+		if fresh := len(of[CloseIdleConnections](b.query("c", 0))) == 1; fresh != (lasts == 0) {
+			t.Errorf("%s: a fresh connection after 3 s without use: %v", name, fresh)
+		}
+	}
+}
+
+// A broken connection resets all that was on it, but the process runs on: one such loss makes no suspect and no cold
+// replica, and other queries go on at once. Two without an answer
+// between them are more than bad luck.
+func TestBrokenConnectionIsNoRestart(t *testing.T) {
+	s := base()
+	s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 10 * sec, OverloadFactor: 3, Window: sec}
+	b := start(t, s, names("a", "b")...)
+	first := of[Send](b.query("c", 0, 1, 2, 3))
+	var events []Event
+	for _, x := range first {
+		if x.Replica == "a" {
+			events = append(events, ended(x.Part, 0, "a", ConnectionReset, 5*ms))
+		}
+	}
+	if len(events) < 2 {
+		t.Fatalf("%d parts on one connection", len(events))
+	}
+	b.step(5*ms, events...)
+	a := b.a.replicas.byID["a"]
+	acts := b.query("c", 4, 5)
+	if !a.ready() || len(of[Send](acts)) != 2 {
+		t.Error("one broken connection makes a suspect, or holds other queries up")
+	}
+	resets := 0 // in a row
+	for range 50 {
+		for _, x := range of[Send](acts) {
+			o := Succeeded
+			if resets > 0 && x.Replica == "a" {
+				o = ConnectionReset
+				resets++
+			}
+			b.step(5*ms, ended(x.Part, 0, x.Replica, o, 5*ms))
+		}
+		if resets == 0 && (!a.ready() || b.a.capacityFraction(a, b.a.now) != 1 || a.health.mayHaveRestarted) {
+			t.Error("one broken connection makes a suspect or a cold replica")
+		}
+		if resets = max(resets, 1); resets == 3 {
+			break
+		}
+		acts = b.query("c", 0)
+	}
+	if a.ready() {
+		t.Error("two in a row do not make a suspect")
+	}
+}
+
+// A replica that is full again and again is let be for longer each time, up to an aim; one part served ends that.
+func TestRejectionPauseGrows(t *testing.T) {
+	b := start(t, base(), names("a")...)
+	r := b.a.replicas.byID["a"]
+	one := func(o Outcome) time.Duration {
+		b.a.classes.list[0].meanLatency, r.latencyRatio, b.now = 0.2, 1, max(b.now, r.health.rejectingUntil)+ms // no crowd is predicted
+		x := of[Send](b.query("c", 0))[0]
+		b.step(ms, ended(x.Part, 0, "a", o, ms), QueryCancelled{ID: fmt.Sprint("q", b.n)})
+		return r.health.rejectingUntil - b.now
+	}
+	first, second, third := one(Rejected), one(Rejected), one(Rejected)
+	if second <= first || third <= second {
+		t.Errorf("waits %v, %v, %v do not grow", first, second, third)
+	}
+	for range 20 {
+		if got := one(Rejected); got > 2*sec {
+			t.Fatalf("waits %v", got)
+		}
+	}
+	one(Succeeded)
+	if got := one(Rejected); got != first {
+		t.Errorf("after a served part it waits %v, first %v", got, first)
+	}
+}
--- /dev/null
+++ b/internal/decide/scatter/probes.go
@@ -0,0 +1,60 @@
+package scatter
+
+import (
+	"time"
+
+	"harepass/internal/decide/subsetting"
+)
+
+const (
+	// probeShare is the share of parts that may be probes: ejected replicas may not take over a coordinator's traffic.
+	probeShare = 0.15
+	// maxSavedProbes is how many probes may be saved up.
+	maxSavedProbes = 3
+	// fleetProbeRate is how many first probes a second an ejected replica gets from all coordinators together.
+	fleetProbeRate = 25.0
+	// firstProbeBackoff is the pause before the first probe, in tightest latency objectives.
+	firstProbeBackoff = 0.2
+	// maxProbeBackoff is the longest pause, in the same; each failed probe doubles it.
+	maxProbeBackoff = 2.0
+)
+
+// minProbeBackoff is the pause before the first probe of an ejected replica.
+func (m *Machine) minProbeBackoff() time.Duration {
+	return scale(m.classes.tightest, firstProbeBackoff)
+}
+
+// dueProbe is an ejected replica that is to be probed with a first attempt of a part; nil where there is none. Classes
+// that may not run twice do not probe. Without hedged requests a probe takes the place of the part's own attempt: so
+// an equal share of the parts probes at most, of classes that may be answered without a part, if there are any.
+func (m *Machine) dueProbe(p *part) *replica {
+	c, holders := p.query.class, m.shardOf(p.Shard).keptHolders()
+	if m.probes.empty() || len(p.attempts) > 0 || c.Idempotency == NonIdempotent {
+		return nil
+	}
+	if !m.settings.Hedging {
+		needsAll := c.MinFraction >= c.CompleteFraction
+		if m.classes.allowsPartial && needsAll || m.random.Float64()*float64(len(holders)) > 1 {
+			return nil
+		}
+	}
+	for _, r := range holders {
+		if r.health.ejected && m.now >= r.health.nextProbe && len(r.attempts) == 0 && m.slowStartAllows(p, r) {
+			return r
+		}
+	}
+	return nil
+}
+
+// nextProbeAfter is when this coordinator may probe an ejected replica next, after a pause. In a fleet whose
+// coordinators know their ordinals, each has a time slot of its own, so that all of them together keep to
+// fleetProbeRate.
+func (m *Machine) nextProbeAfter(r *replica, pause time.Duration) time.Duration {
+	place := m.place()
+	if !place.Known() {
+		return m.now + pause
+	}
+	members := m.placement.subset.Share * float64(place.FleetSize)
+	pause = max(pause, subsetting.SlotPeriod(members, fleetProbeRate))
+	return r.position.NextSlot(m.now, pause, subsetting.Salt(r.ID))
+}
--- /dev/null
+++ b/internal/decide/scatter/query.go
@@ -0,0 +1,165 @@
+package scatter
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// weightSlack is the rounding error in sums of part weights, and the least share or rate that counts.
+	weightSlack = 1e-6
+	// maxWeightRounding is by how much the weights of all parts may miss 1 for the rounding of the wire's decimals.
+	maxWeightRounding = 1e-4
+)
+
+// queryTable holds the queries and parts that are under way.
+type queryTable struct {
+	open     []*query // in order of arrival
+	byID     map[string]*query
+	byNumber map[int64]*query
+	parts    map[string]*part // by id; a part stays until its last attempt has ended
+}
+
+func newQueryTable() queryTable {
+	return queryTable{byID: map[string]*query{}, byNumber: map[int64]*query{}, parts: map[string]*part{}}
+}
+
+func (t *queryTable) add(q *query) {
+	t.open = append(t.open, q)
+	t.byID[q.ID], t.byNumber[q.Number] = q, q
+}
+
+func (t *queryTable) remove(q *query) {
+	delete(t.byID, q.ID)
+	delete(t.byNumber, q.Number)
+}
+
+// query is one that is open.
+type query struct {
+	QueryArrived
+	class     *class
+	objective time.Duration // instant by which the answer is wanted
+	deadline  time.Duration // instant by which the query has to end
+	minWeight float64       // least served weight for any answer
+	parts     []*part       // of the present round
+	admitted  bool
+	closed    bool
+
+	round              int     // 0, or 1 for the parts of a second round
+	firstRoundComplete bool    // the answer to the first round was complete
+	servedWeight       float64 // of the parts of this round that have been served
+	pastObjective      bool    // whether to go on past the objective has been decided
+
+	draws          draws // random numbers drawn for replicas by the picker
+	slowStartDraws draws // and for replicas in slow start
+
+	idleRebalance int           // the rebalance since which nothing has happened to it; negative where something has
+	idleUntil     time.Duration // until then advancing it changes nothing
+}
+
+// draws are the random numbers that a query has drawn, one for each replica, so that its parts meet where they can.
+type draws map[*replica]float64
+
+// get is the number drawn for a replica; a first one comes from the given source.
+func (d draws) get(r *replica, source func() float64) float64 {
+	v, drawn := d[r]
+	if !drawn {
+		v = source()
+		d[r] = v
+	}
+	return v
+}
+
+// part is the share of a query that one shard answers.
+type part struct {
+	PartArrived
+	query            *query
+	attempts         []*attempt
+	outstandingCount int           // attempts that have not ended
+	selected         bool          // it is asked for
+	skipped          bool          // it is not asked for: an answer without it will do
+	served           bool          // its value is in
+	mayHaveRun       bool          // some attempt may have run, or may run yet
+	firstSent        time.Duration // when the first attempt that may have run was sent
+	notBefore        time.Duration // no attempt until then
+}
+
+// attempt is one send of a part to a replica.
+type attempt struct {
+	part           *part
+	number         int
+	replica        *replica
+	call           *call
+	sentAt         time.Duration
+	connectionIdle time.Duration // how long its connection had been unused when it was sent
+	ended          bool
+	cancelled      bool // its cancellation has been asked for
+	probe          bool // sent to an ejected replica to learn whether it has recovered; not cancelled with its query
+	neverRan       bool // proven not to have run
+	excused        bool // the coordinator itself was stalled while it was out: its time says nothing of its replica
+	hedged         bool // a hedged request or a spare part has been sent for its lateness
+}
+
+// call is one message to a replica; the parts of one step to the same replica share it.
+type call struct {
+	step        int
+	outstanding int // parts whose attempt has not ended
+	size        int // parts that it carries
+}
+
+// normalizeWeights corrects the rounding of the parts' weights, so that a query with all parts served is complete.
+// 48 weights of 0.020833 sum to 0.999984. Sums that are further off are no rounding and stay as they are.
+func (q *query) normalizeWeights() {
+	sum := 0.0
+	for _, p := range q.parts {
+		sum += p.Weight
+	}
+	if sum == 1 || math.Abs(sum-1) > maxWeightRounding {
+		return
+	}
+	for _, p := range q.parts {
+		p.Weight /= sum
+	}
+}
+
+// markDirty notes that something has happened to a query: advancing it may change something again.
+func (q *query) markDirty() { q.idleRebalance = -1 }
+
+// isIdle reports whether advancing a query would change nothing.
+func (m *Machine) isIdle(q *query) bool {
+	return q.idleRebalance == m.shares.rebalances && m.now < q.idleUntil
+}
+
+// updateIdle finds until when advancing a query changes nothing, as long as nothing happens to it and no rebalance
+// comes: all parts that it waits for are out, and none is overdue.
+func (m *Machine) updateIdle(q *query) {
+	q.idleRebalance = m.shares.rebalances
+	q.idleUntil = min(q.deadline, m.answerBy(q), q.objective-m.settings.TickInterval)
+	for _, p := range q.parts {
+		if !p.selected || p.served || p.Deferred {
+			continue
+		}
+		if !p.outstanding() {
+			q.markDirty()
+			return
+		}
+		q.idleUntil = min(q.idleUntil, p.lastAttempt().sentAt+q.class.overdueAfter)
+	}
+}
+
+// outstanding reports whether an attempt of the part has not ended.
+func (p *part) outstanding() bool { return p.outstandingCount > 0 }
+
+// lastAttempt is the latest attempt of the part; nil if there was none.
+func (p *part) lastAttempt() *attempt {
+	if n := len(p.attempts); n > 0 {
+		return p.attempts[n-1]
+	}
+	return nil
+}
+
+// triedAt reports whether an attempt of the part was ever sent to a replica.
+func (p *part) triedAt(r *replica) bool {
+	return slices.ContainsFunc(p.attempts, func(at *attempt) bool { return at.replica == r })
+}
--- /dev/null
+++ b/internal/decide/scatter/reconfigure.go
@@ -0,0 +1,145 @@
+package scatter
+
+import (
+	"slices"
+	"time"
+)
+
+// reconfigureRing makes the ring that of the settings.
+func (m *Machine) reconfigureRing() {
+	t, s := &m.replicas, m.settings
+	if t.ring.size == s.RingSize && t.ring.replicationFactor == s.ReplicationFactor {
+		return
+	}
+	t.ring, t.siblingsStale = newRing(s.RingSize, s.ReplicationFactor), true
+	for _, r := range t.all {
+		t.ring.add(r)
+	}
+	for _, s := range m.shards.inUse {
+		t.ring.addShard(s)
+	}
+}
+
+// reconfigureClasses makes classes and siblings those of the settings. A class that is as it was goes on; one that
+// is altered is a new one that knows what the old one learned. One that is no longer named stays for the queries
+// under way, which keep their class, and is left out at the next change after them.
+func (m *Machine) reconfigureClasses() {
+	s, before := m.settings, m.classes
+	used := m.classesInUse()
+	m.classes = classTable{byName: map[string]*class{}}
+	var from []int // the index that each class had; negative for none
+	for _, c := range s.Classes {
+		k, was := before.byName[c.Name].with(c, s.MaxAttempts)
+		m.classes.list, from = append(m.classes.list, k), append(from, was)
+		m.classes.byName[c.Name] = k
+	}
+	for _, k := range before.list {
+		if used[k] && !slices.Contains(m.classes.list, k) {
+			m.classes.list, from = append(m.classes.list, k), append(from, k.index)
+		}
+	}
+	for i, k := range m.classes.list { // a lower limit on attempts holds for all
+		k.index, k.maxAttempts = i, min(k.maxAttempts, s.MaxAttempts)
+	}
+	if !inPlace(from, len(before.list)) {
+		m.reorderByClass(from)
+	}
+	if m.replicas.siblingsStale {
+		m.replicas.relateAll()
+	}
+	m.classes.allowsPartial = slices.ContainsFunc(s.Classes, func(c Class) bool {
+		return c.MinFraction < c.CompleteFraction
+	})
+	m.classes.tightest = slices.MinFunc(s.Classes, func(x, y Class) int {
+		return int(x.LatencyObjective - y.LatencyObjective)
+	}).LatencyObjective
+}
+
+// classesInUse are the classes of queries and parts under way.
+func (m *Machine) classesInUse() map[*class]bool {
+	used := map[*class]bool{}
+	for _, q := range m.queries.open {
+		used[q.class] = true
+	}
+	for _, p := range m.queries.parts {
+		used[p.query.class] = true
+	}
+	return used
+}
+
+// with is a class under other settings, and the index that it had, negative if there was none. A nil class is new.
+// A higher limit on attempts is not for what is under way.
+func (c *class) with(settings Class, maxAttempts int) (_ *class, was int) {
+	if c == nil {
+		return newClass(settings, maxAttempts), -1
+	}
+	if c.Class == settings && maxAttempts <= c.maxAttempts {
+		return c, c.index
+	}
+	next := newClass(settings, maxAttempts)
+	next.samples, next.meanLatency, next.minService = c.samples, c.meanLatency, c.minService
+	return next, c.index
+}
+
+// inPlace reports whether each of n entries stays where it was and none is new.
+func inPlace(from []int, n int) bool {
+	for i, was := range from {
+		if was != i {
+			return false
+		}
+	}
+	return len(from) == n
+}
+
+// reorderByClass gives all lists by class a new order.
+func (m *Machine) reorderByClass(from []int) {
+	for _, r := range m.replicas.all {
+		r.classHealth = reorder(r.classHealth, from)
+	}
+	for _, s := range m.shards.byNumber {
+		s.arrived, s.rates, s.shares = reorder(s.arrived, from), reorder(s.rates, from), reorder(s.shares, from)
+	}
+}
+
+// reorder gives a list a new order: from has the index that each entry had, negative for a new one.
+func reorder[T any](list []T, from []int) []T {
+	next := make([]T, len(from))
+	for i, j := range from {
+		if j >= 0 {
+			next[i] = list[j]
+		}
+	}
+	return next
+}
+
+// reconfigureQuotas makes the quotas those of the settings' tenants, this coordinator's part of each.
+func (m *Machine) reconfigureQuotas() {
+	quotas := map[string]*quota{}
+	for _, t := range m.settings.Tenants {
+		quotas[t.Name] = m.quotas[t.Name].withRate(t.Quota / float64(m.settings.Coordinators))
+	}
+	m.quotas = quotas
+}
+
+// byClass lists a figure of a replica's health by class.
+func byClass[T any](list []classHealth, of func(classHealth) T) []T {
+	figures := make([]T, 0, len(list))
+	for _, h := range list {
+		figures = append(figures, of(h))
+	}
+	return figures
+}
+
+// fromLists is a replica's health by class from lists of its figures.
+func fromLists(faults []int, excludedUntil, lastSuccess, lastUnanswered []time.Duration) []classHealth {
+	list := make([]classHealth, len(faults))
+	for i := range list {
+		list[i] = classHealth{
+			consecutiveFaults: faults[i],
+			excludedUntil:     excludedUntil[i],
+			lastSuccess:       lastSuccess[i],
+			lastUnanswered:    lastUnanswered[i],
+		}
+	}
+	return list
+}
--- a/settings_test.go
+++ b/internal/decide/scatter/reconfigure_test.go
@@ -1,4 +1,4 @@
-package harepass
+package scatter
 
 import (
 	"fmt"
@@ -17,18 +17,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Step(sec, []Event{ListReceived{Scope: ListFull, Replicas: []Replica{{ID: "r1"}, {ID: "r2"}}}})
-	a.Step(sec, []Event{QueryArrived{ID: "q", Number: 1, Class: "d", Parts: 1, ValidUntil: 5 * sec}, PartArrived{ID: "q.0", Number: 1, Weight: 1}})
-	a.byClass["e"].base, a.byID["r1"].faults[2], a.shards[0].rates[2] = 0.123, 7, 5
+	a.Step(sec, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1"}, {ID: "r2"}}}})
+	a.Step(sec, []Event{QueryArrived{ID: "q", Number: 1, Class: "d", Parts: 1, Expires: 5 * sec}, PartArrived{ID: "q.0", Number: 1, Weight: 1}})
+	a.classes.byName["e"].meanLatency, a.replicas.byID["r1"].classHealth[2].consecutiveFaults, a.shards.byNumber[0].rates[2] = 0.123, 7, 5
 	next := s
-	next.Classes = []Class{s.Classes[2], {Name: "f", Aim: sec, Deadline: sec, Need: 1}, s.Classes[0]}
+	next.Classes = []Class{s.Classes[2], {Name: "f", LatencyObjective: sec, Deadline: sec, CompleteFraction: 1}, s.Classes[0]}
 	if err := a.Configure(next); err != nil {
 		t.Fatal(err)
 	}
 	names := func() (list []string) {
-		for i, k := range a.classes {
-			if k.idx != i {
-				t.Errorf("%s has place %d, want %d", k.Name, k.idx, i)
+		for i, k := range a.classes.list {
+			if k.index != i {
+				t.Errorf("%s has place %d, want %d", k.Name, k.index, i)
 			}
 			list = append(list, k.Name)
 		}
@@ -37,12 +37,12 @@
 	if got := fmt.Sprint(names()); got != "[e f c d]" { // d has a part out
 		t.Errorf("classes %s", got)
 	}
-	if e := a.byClass["e"]; e.base != 0.123 || a.byID["r1"].faults[0] != 7 || a.shards[0].rates[0] != 5 || a.byClass["d"] != nil {
-		t.Errorf("e: base %v, faults %v, rates %v", e.base, a.byID["r1"].faults, a.shards[0].rates)
+	if e := a.classes.byName["e"]; e.meanLatency != 0.123 || a.replicas.byID["r1"].classHealth[0].consecutiveFaults != 7 || a.shards.byNumber[0].rates[0] != 5 || a.classes.byName["d"] != nil {
+		t.Errorf("e: base %v, faults %v, rates %v", e.meanLatency, a.replicas.byID["r1"].classHealth, a.shards.byNumber[0].rates)
 	}
 	a.Step(sec+1, nil)
-	a.Step(2*sec, []Event{AttemptEnded{Part: "q.0", Replica: a.parts["q.0"].attempts[0].r.ID, Took: sec / 10}})
-	if err := a.Configure(next); err != nil || fmt.Sprint(names()) != "[e f c]" || len(a.byID["r1"].faults) != 3 {
+	a.Step(2*sec, []Event{AttemptEnded{Part: "q.0", Replica: a.queries.parts["q.0"].attempts[0].replica.ID, Latency: sec / 10}})
+	if err := a.Configure(next); err != nil || fmt.Sprint(names()) != "[e f c]" || len(a.replicas.byID["r1"].classHealth) != 3 {
 		t.Errorf("%v, classes %v", err, names())
 	}
 }
@@ -54,21 +54,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Step(sec, []Event{ListReceived{Scope: ListFull, Replicas: []Replica{{ID: "r1"}, {ID: "r2", Cell: 1}}}})
-	old := a.byClass["c"]
-	old.base, old.seenN = 0.4, 30
+	a.Step(sec, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1"}, {ID: "r2", RingPosition: 1}}}})
+	old := a.classes.byName["c"]
+	old.meanLatency, old.samples.count = 0.4, 30
 	next := s
 	next.MaxAttempts++ // a higher limit is not for what is under way
-	next.Cells, next.Reach = 2, 2
+	next.RingSize, next.ReplicationFactor = 2, 2
 	if err := a.Configure(next); err != nil {
 		t.Fatal(err)
 	}
-	k := a.byClass["c"]
-	if k == old || k.base != 0.4 || k.seenN != 30 || k.most != next.MaxAttempts || old.most != s.MaxAttempts || len(a.byID["r1"].siblings) != 1 {
-		t.Errorf("%+v, %d siblings", k, len(a.byID["r1"].siblings))
+	k := a.classes.byName["c"]
+	if k == old || k.meanLatency != 0.4 || k.samples.count != 30 || k.maxAttempts != next.MaxAttempts || old.maxAttempts != s.MaxAttempts || len(a.replicas.byID["r1"].siblings) != 1 {
+		t.Errorf("%+v, %d siblings", k, len(a.replicas.byID["r1"].siblings))
 	}
 	next.MaxAttempts = 1
-	if err := a.Configure(next); err != nil || a.byClass["c"] != k || k.most != 1 {
+	if err := a.Configure(next); err != nil || a.classes.byName["c"] != k || k.maxAttempts != 1 {
 		t.Errorf("%v; a lower limit holds for all, and the class goes on", err)
 	}
 }
@@ -80,12 +80,12 @@
 	s := newSteady(t, 5, cells, false)
 	var list []Replica
 	for i := range nodes {
-		list = append(list, Replica{ID: fmt.Sprint("more", i), Cell: i % cells})
+		list = append(list, Replica{ID: fmt.Sprint("more", i), RingPosition: i % cells})
 	}
-	s.a.Step(s.now, []Event{ListReceived{Scope: ListChanges, Replicas: list}})
-	set := s.a.set
+	s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: list}})
+	set := s.a.settings
 	configure := func() {
-		set.RetryAdvice += time.Microsecond
+		set.RetryAfter += time.Microsecond
 		if err := s.a.Configure(set); err != nil {
 			t.Fatal(err)
 		}
@@ -96,25 +96,23 @@
 	if remade := countRemade(before, listsOf(s.a)); remade > 0 {
 		t.Errorf("the same settings again make %d of %d lists of replicas anew", remade, len(before))
 	}
-	moved := s.a.byID["more1"]
-	s.a.Step(s.now, []Event{ListReceived{Scope: ListChanges, Replicas: []Replica{{ID: "more1", Cell: 6}}}})
+	moved := s.a.replicas.byID["more1"]
+	s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "more1", RingPosition: 6}}}})
 	configure()
-	if want := s.a.ring.neighbours(moved); !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.a.byID["more7"]) {
+	if want := s.a.replicas.ring.siblings(moved); !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.a.replicas.byID["more7"]) {
 		t.Errorf("of %d nodes one that moved has %d siblings, want %d", nodes, len(moved.siblings), len(want))
 	}
 }
 
 // replicaLists are where a replica's lists begin in memory.
 type replicaLists struct {
-	siblings     **replica
-	faults       *int
-	barred       *time.Duration
-	okAt, lostAt *time.Duration
+	siblings    **replica
+	classHealth *classHealth
 }
 
-func listsOf(a *Aggregator) (all []replicaLists) {
-	for _, r := range a.replicas {
-		all = append(all, replicaLists{&r.siblings[0], &r.faults[0], &r.barred[0], &r.okAt[0], &r.lostAt[0]})
+func listsOf(a *Machine) (all []replicaLists) {
+	for _, r := range a.replicas.all {
+		all = append(all, replicaLists{&r.siblings[0], &r.classHealth[0]})
 	}
 	return all
 }
--- a/scale_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -1,4 +1,4 @@
-package harepass
+package scatter
 
 import (
 	"container/heap"
@@ -31,7 +31,7 @@
 // err or are never answered, and every arrival and outcome is a step of its own, as sockets bring them. digest sums
 // up all actions.
 type steady struct {
-	a       *Aggregator
+	a       *Machine
 	now     time.Duration
 	every   time.Duration
 	out     dues
@@ -45,9 +45,9 @@
 var WireForm func([]Action) []byte
 
 func newSteady(t testing.TB, open, nodes int, trouble bool) *steady {
-	s := Settings{Roots: 1, Cells: nodes, Reach: 3, CallBatch: 1, Turn: 5 * ms, MaxAttempts: 4, Cancel: true, RetryAdvice: sec,
-		Classes: []Class{{Name: "c", Aim: 1500 * ms, Deadline: 5 * sec, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 0.7},
-			{Name: "once", Aim: 1500 * ms, Deadline: 5 * sec, Worth: 2, LateWorth: 0.1, Need: 1, Floor: 1, Repeat: SingleShot}}}
+	s := Settings{Coordinators: 1, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
+		Classes: []Class{{Name: "c", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7},
+			{Name: "once", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 2, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1, Idempotency: NonIdempotent}}}
 	a, err := New(1, s)
 	if err != nil {
 		t.Fatal(err)
@@ -55,9 +55,9 @@
 	st := &steady{a: a, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{}}
 	var list []Replica
 	for i := range nodes {
-		list = append(list, Replica{ID: fmt.Sprint("r", i), Cell: i})
+		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 	}
-	st.step(trouble, ListReceived{Scope: ListFull, Replicas: list})
+	st.step(trouble, EndpointUpdate{Kind: FullUpdate, Replicas: list})
 	return st
 }
 
@@ -70,13 +70,13 @@
 		if x, ok := act.(Send); ok {
 			no := s.sent[x.Part]
 			s.sent[x.Part]++
-			o, after := Served, 100*ms
+			o, after := Succeeded, 100*ms
 			if k := len(s.sent) + int(x.Replica[1])*7; trouble && k%11 == 0 {
 				o, after = Errored, 20*ms
 			} else if trouble && k%13 == 0 {
 				o, after = TimedOut, x.Timeout
 			}
-			heap.Push(&s.out, due{s.now + after, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: o, Took: after}})
+			heap.Push(&s.out, due{s.now + after, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: o, Latency: after}})
 		}
 	}
 	s.digest = s.digest*31 + h.Sum64()
@@ -100,7 +100,7 @@
 		class, parts = "once", 1
 	}
 	id := fmt.Sprint("q", s.n)
-	evs := []Event{QueryArrived{ID: id, Number: s.n, Class: class, ValidUntil: s.now + 5*sec, Parts: parts}}
+	evs := []Event{QueryArrived{ID: id, Number: s.n, Class: class, Expires: s.now + 5*sec, Parts: parts}}
 	for i := range parts {
 		evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: (int(s.n)*7 + i) % nodes, Weight: 1 / float64(parts)})
 	}
--- /dev/null
+++ b/internal/decide/scatter/replica_fleet_test.go
@@ -0,0 +1,99 @@
+package scatter
+
+import (
+	"testing"
+	"time"
+)
+
+// replicaFleet is a harness whose replicas serve each part after a time of their own; a negative time means
+// that they never answer, an outcome other than Served that they fail so after that time.
+type replicaFleet struct {
+	*harness
+	takes map[string]time.Duration
+	fails map[string]Outcome
+	out   []struct {
+		Send
+		no   int
+		sent time.Duration
+	}
+	tries map[string]int
+	sent  map[string]int // by replica, since the last clear
+	ends  map[string]int // answered, refused, failed
+}
+
+func newReplicaFleet(t *testing.T, s Settings, ids ...string) *replicaFleet {
+	f := &replicaFleet{harness: start(t, s, names(ids...)...), takes: map[string]time.Duration{}, fails: map[string]Outcome{},
+		tries: map[string]int{}}
+	for _, id := range ids {
+		f.takes[id] = 100 * ms
+	}
+	f.clear()
+	return f
+}
+
+func (f *replicaFleet) clear() { f.sent, f.ends = map[string]int{}, map[string]int{} }
+
+func (f *replicaFleet) take(acts []Action) {
+	for _, act := range acts {
+		switch x := act.(type) {
+		case Send:
+			f.sent[x.Replica]++
+			f.out = append(f.out, struct {
+				Send
+				no   int
+				sent time.Duration
+			}{x, f.tries[x.Part], f.now})
+			f.tries[x.Part]++
+		case Answer:
+			f.ends["answered"]++
+		case Reject:
+			f.ends["refused"]++
+		case Fail:
+			f.ends["failed"]++
+		case CancelAttempt:
+			for i := range f.out {
+				if f.out[i].Part == x.Part && f.out[i].no == x.Attempt {
+					f.out[i].Timeout = 0 // its end comes with the next turn, as cancelled
+				}
+			}
+		}
+	}
+}
+
+// run plays a span of time with a query of one part each gap.
+func (f *replicaFleet) run(span, gap time.Duration) {
+	next := f.now
+	for until := f.now + span; f.now < until; {
+		var evs []Event
+		rest := f.out[:0]
+		for _, o := range f.out {
+			age, takes := f.now-o.sent, f.takes[o.Replica]
+			switch {
+			case o.Timeout == 0:
+				evs = append(evs, ended(o.Part, o.no, o.Replica, Cancelled, age))
+			case takes >= 0 && age >= takes:
+				evs = append(evs, ended(o.Part, o.no, o.Replica, f.fails[o.Replica], age))
+			case age >= o.Timeout:
+				evs = append(evs, ended(o.Part, o.no, o.Replica, TimedOut, age))
+			default:
+				rest = append(rest, o)
+			}
+		}
+		f.out = rest
+		f.take(f.step(0, append(evs, TimerFired{})...))
+		if f.now >= next {
+			next += gap
+			f.take(f.query("c", 0))
+		}
+		f.now += 5 * ms
+	}
+}
+
+// share is the part of all sends that a replica got.
+func (f *replicaFleet) share(id string) float64 {
+	total := 0
+	for _, n := range f.sent {
+		total += n
+	}
+	return float64(f.sent[id]) / float64(max(total, 1))
+}
--- /dev/null
+++ b/internal/decide/scatter/settings.go
@@ -0,0 +1,154 @@
+package scatter
+
+import (
+	"fmt"
+	"time"
+
+	"harepass/internal/decide/retry"
+)
+
+// Settings is what a coordinator knows before its first query. Instants and spans are both time.Duration; an instant is
+// a reading of any clock that only advances, with an origin of the caller's choosing.
+type Settings struct {
+	Coordinators int // coordinators that share the fleet of replicas, this one included; at least 1
+	Ordinal      int // this coordinator's number among them, from 1; 0 where it is not known
+	Classes      []Class
+	Tenants      []Tenant // none where traffic has no quotas
+
+	// RingSize is the number of positions on the ring. Shard s is held by the replicas of the positions s, s+1, up to
+	// s+ReplicationFactor-1, modulo RingSize.
+	RingSize          int
+	ReplicationFactor int // from 1 to RingSize
+
+	PartsPerCall int           // parts that one call can carry; at least 1
+	TickInterval time.Duration // shortest time between two steps; 0 where they may follow at once
+
+	MaxAttempts  int           // for each part, the first included; at least 1
+	Hedging      bool          // two attempts of a part may be outstanding at once
+	Cancellation bool          // attempts can be cancelled
+	RetryAfter   time.Duration // how long rejected clients may be asked to stay away; 0 where they are told nothing
+
+	// OverQuotaWeight is the priority weight of traffic beyond a tenant's quota, as a share of the usual one; 1 where
+	// quotas do not matter.
+	OverQuotaWeight float64
+
+	Subscribe  bool          // the endpoint list has to be asked for
+	ListMaxAge time.Duration // how long the endpoint list holds without a subscription
+	DrainGrace time.Duration // how long a replica may be sent to after the notice that it drains or is removed
+
+	SlowStart   SlowStart
+	RetryBudget *RetryBudget // nil where retries are not bounded
+}
+
+// Class is one class of query.
+type Class struct {
+	Name             string
+	LatencyObjective time.Duration // answers within this earn their full priority weight
+	Deadline         time.Duration // how long a client waits over all of its own retries; at least LatencyObjective
+	PriorityWeight   float64
+	LateWeight       float64 // share of the priority weight that is left between LatencyObjective and Deadline
+	Idempotency      Idempotency
+	DedupWindow      time.Duration // Keyed: how long repeats are dropped, from the first attempt on
+	CompleteFraction float64       // share of the parts' weight that makes a complete answer; in (0, 1]
+	MinFraction      float64       // least share of the weight for any answer; in [0, 1]
+	SecondRoundParts int           // parts of a second round, which follow the answer to the first; 0 for none
+}
+
+// RetryPolicy is what bounds retries of a part, and gives them their idempotency key.
+func (c Class) RetryPolicy() retry.Policy {
+	return retry.Policy{Idempotency: c.Idempotency, DedupWindow: c.DedupWindow}
+}
+
+// Idempotency tells how a class bears parts that run more than once.
+type Idempotency = retry.Idempotency
+
+// The kinds of class.
+const (
+	Idempotent    = retry.Idempotent
+	Keyed         = retry.Keyed
+	NonIdempotent = retry.NonIdempotent
+)
+
+// Tenant is a customer with a share of the traffic.
+type Tenant struct {
+	Name  string
+	Quota float64 // queries a second over all coordinators
+}
+
+// SlowStart is the rule for replicas whose process has just started. One that is sent more than OverloadFactor
+// times its present capacity for the time of Window falls over.
+type SlowStart struct {
+	InitialCapacity float64       // share of its capacity that a starting replica has at least; in [0, 1]
+	Duration        time.Duration // after this it has all of it; 0 for no slow start
+	OverloadFactor  float64       // 0 for no slow start
+	Window          time.Duration
+}
+
+// RetryBudget bounds the attempts beyond the first of each part, over any Window: MinRetries, and Ratio of the queries
+// and parts that arrived.
+type RetryBudget struct {
+	MinRetries int
+	Ratio      float64
+	Window     time.Duration
+}
+
+// SettingError says which setting no coordinator could have.
+type SettingError struct {
+	Field string // its path in Settings
+	Value any
+}
+
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("scatter: impossible setting %s: %v", e.Field, e.Value)
+}
+
+// validate returns a *SettingError for the first setting that no coordinator could have.
+func (s Settings) validate() error {
+	impossible := func(field string, v any) error { return &SettingError{field, v} }
+	switch {
+	case s.Coordinators < 1:
+		return impossible("Coordinators", s.Coordinators)
+	case s.RingSize < 1:
+		return impossible("RingSize", s.RingSize)
+	case s.ReplicationFactor < 1 || s.ReplicationFactor > s.RingSize:
+		return impossible("ReplicationFactor", s.ReplicationFactor)
+	case s.PartsPerCall < 1:
+		return impossible("PartsPerCall", s.PartsPerCall)
+	case s.MaxAttempts < 1:
+		return impossible("MaxAttempts", s.MaxAttempts)
+	case len(s.Classes) == 0:
+		return impossible("Classes", "none")
+	case s.SlowStart.InitialCapacity < 0 || s.SlowStart.InitialCapacity > 1:
+		return impossible("SlowStart.InitialCapacity", s.SlowStart.InitialCapacity)
+	case s.TickInterval < 0:
+		return impossible("TickInterval", s.TickInterval)
+	}
+	if b := s.RetryBudget; b != nil && (b.Ratio < 0 || b.MinRetries < 0 || b.Window <= 0) {
+		return impossible("RetryBudget", *b)
+	}
+	for i, c := range s.Classes {
+		if field, v, ok := c.impossible(); !ok {
+			return impossible(fmt.Sprintf("Classes[%d].%s", i, field), v)
+		}
+	}
+	return nil
+}
+
+// impossible names the first field of a class that no class could have; ok is true where there is none.
+func (c Class) impossible() (field string, value any, ok bool) {
+	switch {
+	case c.LatencyObjective <= 0:
+		return "LatencyObjective", c.LatencyObjective, false
+	case c.Deadline < c.LatencyObjective:
+		return "Deadline", c.Deadline, false
+	case c.CompleteFraction <= 0 || c.CompleteFraction > 1:
+		return "CompleteFraction", c.CompleteFraction, false
+	case c.MinFraction < 0 || c.MinFraction > 1:
+		return "MinFraction", c.MinFraction, false
+	case c.SecondRoundParts < 0:
+		return "SecondRoundParts", c.SecondRoundParts, false
+	case c.Idempotency == Keyed && c.DedupWindow < 0:
+		return "DedupWindow", c.DedupWindow, false
+	}
+	return "", nil, true
+}
--- /dev/null
+++ b/internal/decide/scatter/slow_start_test.go
@@ -0,0 +1,88 @@
+package scatter
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Rule 4: whatever the demand, the rule's figures and the number of roots, all together send a cold replica no more
+// than the fall rule bears. Ten fleets of roots even out the random start of each root's budget.
+func TestSlowStartKeepsItsBudget(t *testing.T) {
+	t.Parallel()
+	for name, before := range map[string]func(*harness){
+		"announced": func(*harness) {},
+		"restarted under its id": func(b *harness) {
+			b.a.replicas.byID["cold"].slowStart.from = 0
+			b.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100*sec + 1}}})
+		},
+		"restarted again and again": func(b *harness) {
+			for i := range time.Duration(5) {
+				b.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100*sec + 1 + i*ms}}})
+			}
+		},
+		"returned without notice": func(b *harness) {
+			r := b.a.replicas.byID["cold"]
+			r.slowStart.from, r.health.mayHaveRestarted = 0, true
+			b.a.reinstate(r)
+		},
+	} {
+		for _, cold := range []SlowStart{
+			{InitialCapacity: 0.15, Duration: 16 * sec, OverloadFactor: 4, Window: sec},
+			{InitialCapacity: 0.15, Duration: 18 * sec, OverloadFactor: 2, Window: 2 * sec},
+			{InitialCapacity: 0.25, Duration: 14 * sec, OverloadFactor: 2.5, Window: sec},
+		} {
+			t.Run(fmt.Sprintf("%s, multiple %.1f", name, cold.OverloadFactor), func(t *testing.T) {
+				t.Parallel()
+				const fleets = 10
+				roots := map[float64]int{4: 90, 2: 40, 2.5: 14}[cold.OverloadFactor]
+				if name == "announced" {
+					roots = map[float64]int{4: 30, 2: 76, 2.5: 1}[cold.OverloadFactor]
+				}
+				s := base()
+				s.Coordinators, s.SlowStart = roots, cold
+				sent := 0
+				for seed := range uint64(fleets * roots) {
+					a, err := New(seed, s)
+					if err != nil {
+						t.Fatal(err)
+					}
+					b := &harness{t: t, a: a, now: 100 * sec}
+					b.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100 * sec}}})
+					before(b)
+					for range int(cold.Window / (50 * ms)) { // a window of demand far beyond any capacity
+						sent += len(of[Send](b.query("c", 0, 1, 2, 3)))
+						sent += len(of[Send](b.step(50*ms, TimerFired{})))
+					}
+				}
+				// One core at the starting work of 0.4 s and at the ramp that the window ends with.
+				ramp := cold.InitialCapacity + (1-cold.InitialCapacity)*cold.Window.Seconds()/cold.Duration.Seconds()
+				if most := fleets * cold.OverloadFactor * ramp * cold.Window.Seconds() / 0.4; sent < fleets || float64(sent) > most {
+					t.Errorf("%s, %d roots, multiple %.1f: %d parts in the first window of %d starts, at most %.0f",
+						name, roots, cold.OverloadFactor, sent, fleets, most)
+				}
+			})
+		}
+	}
+}
+
+// A class too rare to have been measured does not hold cold replicas back: the measured ones tell what parts cost.
+func TestRareClassDoesNotSetTheSlowStartBudget(t *testing.T) {
+	sent := map[bool]int{}
+	for _, rare := range []bool{false, true} {
+		s := base()
+		s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 100 * sec, OverloadFactor: 3, Window: sec}
+		if rare {
+			s.Classes = append(s.Classes, Class{Name: "rare", LatencyObjective: 20 * sec, Deadline: 60 * sec, CompleteFraction: 1, MinFraction: 1})
+		}
+		f := newReplicaFleet(t, s, "a")
+		f.run(5*sec, 50*ms) // parts of the common class take 0.1 s
+		f.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", StartedAt: f.now}}})
+		f.clear()
+		f.run(5*sec, 50*ms)
+		sent[rare] = f.sent["a"]
+	}
+	if sent[true] < sent[false]*3/4 || sent[true] == 0 {
+		t.Errorf("parts to the cold replica with a rare class beside: %d, without: %d", sent[true], sent[false])
+	}
+}
--- a/wire_form_test.go
+++ b/internal/decide/scatter/wire_form_test.go
@@ -1,17 +1,17 @@
-package harepass_test
+package scatter_test
 
 import (
 	"bytes"
 	"fmt"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/wire"
 )
 
 // The digests of recorded actions go by their lines on the wire, which no Go name is part of. Tests inside the package
 // cannot import the wire's encoder, which imports the package.
 func init() {
-	harepass.WireForm = func(actions []harepass.Action) []byte {
+	scatter.WireForm = func(actions []scatter.Action) []byte {
 		var lines bytes.Buffer
 		encoder := wire.NewEncoder(&lines)
 		encoder.Actions("n0", actions)
@@ -20,12 +20,12 @@
 		}
 		for _, action := range actions { // the lines have microseconds
 			switch a := action.(type) {
-			case harepass.Send:
+			case scatter.Send:
 				fmt.Fprintf(&lines, "%d ns\n", a.Timeout.Nanoseconds())
-			case harepass.Refuse:
-				fmt.Fprintf(&lines, "%d ns\n", a.RetryIn.Nanoseconds())
-			case harepass.WakeIn:
-				fmt.Fprintf(&lines, "%d ns\n", a.In.Nanoseconds())
+			case scatter.Reject:
+				fmt.Fprintf(&lines, "%d ns\n", a.RetryAfter.Nanoseconds())
+			case scatter.SetTimer:
+				fmt.Fprintf(&lines, "%d ns\n", a.After.Nanoseconds())
 			}
 		}
 		return lines.Bytes()
--- a/internal/decide/reload/reload.go
+++ b/internal/decide/settingsdiff/reload.go
@@ -1,6 +1,6 @@
-// Package reload compares the settings in force with those of a file that is to replace them: what a broken file lacks,
+// Package settingsdiff compares the settings in force with those of a file that is to replace them: what a broken file lacks,
 // and what a good one changes. Settings are given as paths with their values, as internal/wire flattens them.
-package reload
+package settingsdiff
 
 import (
 	"fmt"
--- a/internal/decide/reload/reload_test.go
+++ b/internal/decide/settingsdiff/reload_test.go
@@ -1,4 +1,4 @@
-package reload
+package settingsdiff
 
 import (
 	"fmt"
--- a/internal/decide/subsetting/member.go
+++ b/internal/decide/subsetting/member.go
@@ -9,7 +9,7 @@
 import "math"
 
 // Place is a coordinator's in its fleet: the Me-th, from 0, of Of.
-type Place struct{ Me, Of int }
+type Place struct{ Index, FleetSize int }
 
 // View tells a place: settings do, and so may a view of a membership. Version changes with it.
 type View interface {
@@ -36,7 +36,7 @@
 }
 
 // Known tells whether the place says anything: a fleet of one, or a member that does not know which it is, is not spread.
-func (p Place) Known() bool { return p.Of > 1 && p.Me >= 0 && p.Me < p.Of }
+func (p Place) Known() bool { return p.FleetSize > 1 && p.Index >= 0 && p.Index < p.FleetSize }
 
 // at is where the place lies on a circle of length 1. The places of a fleet lie at equal distances, so any arc of length a
 // holds a times their number of them, rounded up or down.
@@ -44,7 +44,7 @@
 	if !p.Known() {
 		return 0
 	}
-	return (float64(p.Me) + 0.5) / float64(p.Of)
+	return (float64(p.Index) + 0.5) / float64(p.FleetSize)
 }
 
 // Position is a coordinator's among those that have to do with one thing, in [0, 1): theirs lie at equal distances. Of the
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -4,8 +4,8 @@
 
 // Ring is how sections lie on nodes: section s is held by the nodes of the cells s, s+1 .. s+Reach-1, modulo Cells.
 type Ring struct {
-	Cells, Reach int
-	Nodes        int // in all cells together
+	Size, ReplicationFactor int
+	Replicas                int // in all cells together
 }
 
 // Subset tells which nodes a coordinator keeps: those that it sends to, holds connections with and learns about.
@@ -35,15 +35,15 @@
 // NewSubset is the subset of a place that leaves each section least holders, where it has so many. A small fleet keeps all.
 func NewSubset(p Place, r Ring, least int) Subset {
 	s := Subset{Share: 1}
-	if !p.Known() || r.Cells < 1 {
+	if !p.Known() || r.Size < 1 {
 		return s
 	}
-	holders := r.Reach * max(1, r.Nodes/r.Cells)
-	fair := 1 / (1 + uneven*uneven/(spread*spread)*float64(p.Of))
+	holders := r.ReplicationFactor * max(1, r.Replicas/r.Size)
+	fair := 1 / (1 + uneven*uneven/(spread*spread)*float64(p.FleetSize))
 	kept := max(least, int(math.Ceil(fair*float64(holders))))
 	// Whole turns of the circle round the ring, so that its end joins its beginning.
-	if steps := (kept*r.Cells + holders - 1) / holders; steps < r.Cells {
-		s.Share, s.at = float64(steps)/float64(r.Cells), p.at()
+	if steps := (kept*r.Size + holders - 1) / holders; steps < r.Size {
+		s.Share, s.at = float64(steps)/float64(r.Size), p.at()
 	}
 	return s
 }
--- a/internal/decide/subsetting/subsetting_test.go
+++ b/internal/decide/subsetting/subsetting_test.go
@@ -20,7 +20,7 @@
 
 func fleet(m int) (all []Place) {
 	for i := range m {
-		all = append(all, Place{Me: i, Of: m})
+		all = append(all, Place{Index: i, FleetSize: m})
 	}
 	return all
 }
@@ -31,26 +31,26 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := rapid.IntRange(1, 1000).Draw(t, "coordinators")
 		layers := rapid.IntRange(1, 3).Draw(t, "nodes a cell")
-		r := Ring{Cells: rapid.IntRange(3, 210).Draw(t, "cells"), Reach: 3}
-		r.Nodes = layers * r.Cells
+		r := Ring{Size: rapid.IntRange(3, 210).Draw(t, "cells"), ReplicationFactor: 3}
+		r.Replicas = layers * r.Size
 		least := rapid.IntRange(1, 4).Draw(t, "least")
-		s0 := NewSubset(Place{Me: 0, Of: m}, r, least)
-		if m > 100 && layers == 2 && least == 2 && r.Cells > 20 && s0.Share > 0.75 {
-			t.Fatalf("%d coordinators of %d nodes keep %.2f of them each", m, r.Nodes, s0.Share)
+		s0 := NewSubset(Place{Index: 0, FleetSize: m}, r, least)
+		if m > 100 && layers == 2 && least == 2 && r.Size > 20 && s0.Share > 0.75 {
+			t.Fatalf("%d coordinators of %d nodes keep %.2f of them each", m, r.Replicas, s0.Share)
 		}
-		kept := make([]int, r.Nodes)
+		kept := make([]int, r.Replicas)
 		for _, p := range fleet(m) {
 			s := NewSubset(p, r, least)
-			holds := make([]int, r.Cells)
+			holds := make([]int, r.Size)
 			for i := range kept {
 				if s.Keeps(s.Key(i/layers, i%layers)) {
 					kept[i]++
 					holds[i/layers]++
 				}
 			}
-			for c := range r.Cells {
-				has := holds[c] + holds[(c+1)%r.Cells] + holds[(c+2)%r.Cells]
-				want := s.Share * float64(r.Reach*layers)
+			for c := range r.Size {
+				has := holds[c] + holds[(c+1)%r.Size] + holds[(c+2)%r.Size]
+				want := s.Share * float64(r.ReplicationFactor*layers)
 				if has < min(least, 3*layers)-(layers-1) || float64(has) > want+float64(layers)+1e-6 {
 					t.Fatalf("place %v, share %.3f: section %d has %d of %d holders", p, s.Share, c, has, 3*layers)
 				}
@@ -64,17 +64,17 @@
 
 // A coordinator more moves only what lies near the bounds, and a node that replaces another of its cell nothing.
 func TestSubsetsStay(t *testing.T) {
-	r := Ring{Cells: 200, Reach: 3, Nodes: 200}
+	r := Ring{Size: 200, ReplicationFactor: 3, Replicas: 200}
 	for _, m := range []int{150, 300, 600} {
 		moved, all := 0, 0
 		for i := range m {
 			s, next := NewSubset(Place{i, m}, r, 2), NewSubset(Place{i, m + 1}, r, 2)
-			for c := range r.Cells {
+			for c := range r.Size {
 				if s.Keeps(s.Key(c, 0)) != next.Keeps(next.Key(c, 0)) {
 					moved++
 				}
 			}
-			all += int(s.Share * float64(r.Cells))
+			all += int(s.Share * float64(r.Size))
 		}
 		// The new one's nodes, for which others give theirs up, are least; both kinds of change are counted.
 		if least := all / m; moved > 3*least {
@@ -104,13 +104,13 @@
 		old := rapid.IntRange(150, 400).Draw(t, "old") // a threshold of the share lies below
 		now := old + rapid.IntRange(-20, 20).Draw(t, "more")
 		told := rapid.IntRange(0, min(old, now)).Draw(t, "so many have heard")
-		r := Ring{Cells: 60, Reach: 3, Nodes: 60}
-		kept := make([]int, r.Cells)
+		r := Ring{Size: 60, ReplicationFactor: 3, Replicas: 60}
+		kept := make([]int, r.Size)
 		share, members := 0.0, min(old, now)
 		for i := range members {
 			p := Place{i, old}
 			if i < told {
-				p.Of = now
+				p.FleetSize = now
 			}
 			s := NewSubset(p, r, 2)
 			share = s.Share
@@ -186,8 +186,8 @@
 // Those who keep a node sit at equal distances, whichever arc of the fleet they are.
 func TestPositionsOfKeepers(t *testing.T) {
 	for _, m := range []int{150, 301, 1000} {
-		r := Ring{Cells: 179, Reach: 3, Nodes: 179}
-		for c := range r.Cells {
+		r := Ring{Size: 179, ReplicationFactor: 3, Replicas: 179}
+		for c := range r.Size {
 			var positions []float64
 			for _, p := range fleet(m) {
 				s := NewSubset(p, r, 2)
--- a/internal/decide/twophase/twophase.go
+++ b/internal/decide/twophase/twophase.go
@@ -27,29 +27,29 @@
 // Topic is what costs are learned by.
 type Topic struct{ Index, Class string }
 
-// Ask is a query at its arrival.
-type Ask struct {
+// Request is a query at its arrival.
+type Request struct {
 	Topic
-	Text     string         // all that a section's value depends on, besides its data
-	Sections []int          // in the order of its parts
-	Able     func(int) bool // whether every holder of a section can be asked cheaply
-	Now, Aim time.Duration  // when the answer is wanted
+	Body           string         // all that a section's value depends on, besides its data
+	Shards         []int          // in the order of its parts
+	Capable        func(int) bool // whether every holder of a section can be asked cheaply
+	Now, Objective time.Duration  // when the answer is wanted
 }
 
-// Step is how a section is asked.
-type Step int
+// Mode is how a section is asked.
+type Mode int
 
 // The ways to ask.
 const (
-	Full   Step = iota // at once, as without two phases
-	Signed             // at once, with the version of what it returns, so that it can be retained
-	First              // cheaply first
+	Full            Mode = iota // at once, as without two phases
+	FullWithVersion             // at once, with the version of what it returns, so that it can be retained
+	FirstPhase                  // cheaply first
 )
 
 // Plan is what becomes of a query's sections. Hold is how long those asked First wait at most, 0 where none is.
 type Plan struct {
-	Steps []Step
-	Hold  time.Duration
+	Modes       []Mode
+	MaxDeferral time.Duration
 }
 
 // Planner learns what two phases are worth and retains values. Use New.
@@ -82,24 +82,24 @@
 
 // Plan decides how a query is asked. Where two phases would not pay, each section is asked in full at once; a
 // little is spent all the same, out of credit, to notice when they would.
-func (p *Planner) Plan(a Ask) Plan {
+func (p *Planner) Plan(a Request) Plan {
 	t := p.topic(a.Topic)
-	plan := Plan{Steps: make([]Step, len(a.Sections))}
-	if n := len(a.Sections); n > t.most { // room to try a whole query of this size once
+	plan := Plan{Modes: make([]Mode, len(a.Shards))}
+	if n := len(a.Shards); n > t.most { // room to try a whole query of this size once
 		t.credit += float64(n-t.most) * 2 * firstRatio
 		t.most = n
 	}
-	hold := t.hold(a.Aim - a.Now)
+	hold := t.hold(a.Objective - a.Now)
 	begin := t.next
-	for i := range a.Sections {
-		i = (i + begin) % len(a.Sections)
-		no := a.Sections[i]
-		if a.Able != nil && !a.Able(no) {
+	for i := range a.Shards {
+		i = (i + begin) % len(a.Shards)
+		no := a.Shards[i]
+		if a.Capable != nil && !a.Capable(no) {
 			continue
 		}
 		s := p.store.section(a.Index, no)
-		known, has := s.known(a.Text)
-		p.store.note(s, a.Text)
+		known, has := s.known(a.Body)
+		p.store.note(s, a.Body)
 		ratio := t.ratio(s)
 		worth := 2 * ratio / (1 + ratio) // chance from which a first answer, and a version with the full one, pay
 		chance := s.empty
@@ -108,16 +108,16 @@
 		}
 		switch {
 		case chance > worth && hold > 0:
-			plan.Steps[i] = First
+			plan.Modes[i] = FirstPhase
 		case known && !has && s.signed && s.same > worth: // asked before, and what is retained tends to stand
-			plan.Steps[i] = Signed
+			plan.Modes[i] = FullWithVersion
 		case hold > 0 && t.credit >= 2*ratio:
 			t.credit -= 2 * ratio
-			t.next = (i + 1) % len(a.Sections)
-			plan.Steps[i] = First
+			t.next = (i + 1) % len(a.Shards)
+			plan.Modes[i] = FirstPhase
 		}
-		if plan.Steps[i] == First {
-			plan.Hold = hold
+		if plan.Modes[i] == FirstPhase {
+			plan.MaxDeferral = hold
 		}
 	}
 	return plan
@@ -154,14 +154,14 @@
 	return min(spare, time.Duration(slackFactor*float64(t.first.quantile(slow))))
 }
 
-// Asked books a full part that goes out: a share of the work may be spent on trying two phases.
-func (p *Planner) Asked(k Topic) {
+// FullSent books a full part that goes out: a share of the work may be spent on trying two phases.
+func (p *Planner) FullSent(k Topic) {
 	t := p.topic(k)
 	t.credit = min(t.credit+creditRate, max(mostCredit, 2*firstRatio*float64(t.most)))
 }
 
-// Took books the latency of a section's served part, of its first phase or in full.
-func (p *Planner) Took(k Topic, no int, first bool, took time.Duration) {
+// ObserveLatency books the latency of a section's served part, of its first phase or in full.
+func (p *Planner) ObserveLatency(k Topic, no int, first bool, took time.Duration) {
 	t, s := p.topic(k), p.store.section(k.Index, no)
 	if first {
 		t.first.add(took)
@@ -179,10 +179,10 @@
 
 // The verdicts.
 const (
-	Nothing   Verdict = iota // it failed, could not be read, or its replica is behind: as if not asked
-	MustAsk                  // the section may add something that is not at hand
-	Empty                    // the section has no hit
-	Unchanged                // the retained value is what the section would answer
+	Inconclusive Verdict = iota // it failed, could not be read, or its replica is behind: as if not asked
+	NeedsFull                   // the section may add something that is not at hand
+	Empty                       // the section has no hit
+	Unchanged                   // the retained value is what the section would answer
 )
 
 func (v Verdict) String() string {
@@ -192,9 +192,9 @@
 // Proves tells whether a verdict stands for the section's value.
 func (v Verdict) Proves() bool { return v == Empty || v == Unchanged }
 
-// Found judges a section's first answer. Value is the retained one where it is Unchanged. Held tells that the
+// ObserveFirstPhase judges a section's first answer. Value is the retained one where it is Unchanged. Held tells that the
 // full question has not gone out: only then has the first one saved anything.
-func (p *Planner) Found(k Topic, no int, text string, ev Evidence, held bool, now time.Duration) (v Verdict, value []byte) {
+func (p *Planner) ObserveFirstPhase(k Topic, no int, text string, ev Evidence, held bool, now time.Duration) (v Verdict, value []byte) {
 	s := p.store.section(k.Index, no)
 	_, had := s.known(text)
 	v, value = p.judge(s, text, ev, now)
@@ -211,33 +211,33 @@
 }
 
 func (p *Planner) judge(s *section, text string, ev Evidence, now time.Duration) (Verdict, []byte) {
-	if !ev.Read {
-		return Nothing, nil
+	if !ev.Readable {
+		return Inconclusive, nil
 	}
-	s.signed = ev.Signed
-	if ev.Signed {
+	s.signed = ev.Versioned
+	if ev.Versioned {
 		if !p.store.see(s, ev.Version, now) {
-			return Nothing, nil
+			return Inconclusive, nil
 		}
 	} else if s.marked { // this replica does not say how far it is, though others do
-		return Nothing, nil
+		return Inconclusive, nil
 	}
 	if ev.Matches == 0 {
 		return Empty, nil
 	}
-	if e := p.store.get(s, text); ev.Signed && e != nil {
+	if e := p.store.get(s, text); ev.Versioned && e != nil {
 		return Unchanged, e.data
 	}
-	return MustAsk, nil
+	return NeedsFull, nil
 }
 
-// Signs tells whether a full question should bring the section's version with it, after a first answer.
-func (p *Planner) Signs(k Topic, no int) bool { return p.store.section(k.Index, no).signed }
+// WantsVersion tells whether a full question should bring the section's version with it, after a first answer.
+func (p *Planner) WantsVersion(k Topic, no int) bool { return p.store.section(k.Index, no).signed }
 
-// Fetched retains a full answer that came with its version, unless it is of a replica that is behind.
-func (p *Planner) Fetched(k Topic, no int, text string, ev Evidence, value []byte, now time.Duration) {
+// ObserveFull retains a full answer that came with its version, unless it is of a replica that is behind.
+func (p *Planner) ObserveFull(k Topic, no int, text string, ev Evidence, value []byte, now time.Duration) {
 	s := p.store.section(k.Index, no)
-	if s.signed = ev.Read && ev.Signed; !s.signed { // versions went away: a first answer has to bring them back
+	if s.signed = ev.Readable && ev.Versioned; !s.signed { // versions went away: a first answer has to bring them back
 		return
 	}
 	if p.store.see(s, ev.Version, now) {
@@ -245,11 +245,11 @@
 	}
 }
 
-// Limit changes how many bytes may be retained, and lets go what is over it.
-func (p *Planner) Limit(bytes int) {
+// SetLimit changes how many bytes may be retained, and lets go what is over it.
+func (p *Planner) SetLimit(bytes int) {
 	p.store.limit = bytes
 	p.store.trim()
 }
 
-// Retained tells how many values are retained and what all of it takes.
-func (p *Planner) Retained() (values, bytes int) { return p.store.values, p.store.bytes }
+// Cached tells how many values are retained and what all of it takes.
+func (p *Planner) Cached() (values, bytes int) { return p.store.values, p.store.bytes }
--- a/internal/decide/versionlog/log_test.go
+++ b/internal/decide/versionlog/log_test.go
@@ -111,7 +111,7 @@
 		read := func(r *reader, from *Log, bytes int) {
 			if !from.Empty() && !from.Behind(r.cursor) {
 				r.take(t, overWire(t, from.Read(r.cursor, bytes)))
-				if want := published[r.cursor.Version]; r.cursor.Whole() && fmt.Sprint(r.state()) != want {
+				if want := published[r.cursor.Version]; r.cursor.Complete() && fmt.Sprint(r.state()) != want {
 					t.Fatalf("at %+v the reader has %v, the authority had %s", r.cursor, r.state(), want)
 				}
 			}
@@ -160,7 +160,7 @@
 			}
 		}
 		for i, r := range readers {
-			for r.cursor.Version != logs[0].Head() || !r.cursor.Whole() {
+			for r.cursor.Version != logs[0].Head() || !r.cursor.Complete() {
 				read(r, logs[2-i], 100)
 			}
 			if got, want := fmt.Sprint(r.state()), fmt.Sprint(state(logs[0])); got != want {
--- a/internal/decide/versionlog/version.go
+++ b/internal/decide/versionlog/version.go
@@ -45,8 +45,8 @@
 	return next
 }
 
-// Whole tells whether the reader has all that it was told of.
-func (c Cursor) Whole() bool { return c.Base == 0 && c.Index > 0 && c.Index >= c.Head }
+// Complete tells whether the reader has all that it was told of.
+func (c Cursor) Complete() bool { return c.Base == 0 && c.Index > 0 && c.Index >= c.Head }
 
 // Slice is one answer: entries in the order of their indexes, which all are over the cursor's.
 type Slice struct {
--- a/internal/distribution/call.go
+++ b/internal/distribution/call.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"harepass/internal/decide/replica"
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
+	"harepass/internal/decide/follower"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/http1"
 )
@@ -40,18 +40,18 @@
 type result struct{ err error }
 
 // reason is why a source with this result is left.
-func (r result) reason() sources.Reason {
+func (r result) reason() failover.Reason {
 	var protocol *http1.Error
 	var timeout net.Error
 	switch {
-	case errors.Is(r.err, replica.ErrBehind):
-		return sources.Behind
-	case errors.Is(r.err, replica.ErrInvalid), errors.Is(r.err, ErrInvalid), errors.As(r.err, &protocol):
-		return sources.Spoilt
+	case errors.Is(r.err, follower.ErrBehind):
+		return failover.Behind
+	case errors.Is(r.err, follower.ErrInvalid), errors.Is(r.err, ErrInvalid), errors.As(r.err, &protocol):
+		return failover.Spoilt
 	case errors.Is(r.err, context.DeadlineExceeded), errors.As(r.err, &timeout) && timeout.Timeout():
-		return sources.Silent
+		return failover.Silent
 	}
-	return sources.Failed
+	return failover.Failed
 }
 
 // call asks the source in use for what is new and takes the answer.
@@ -68,7 +68,7 @@
 
 // ask makes a call for what is newer than a cursor.
 func (f *Follower) ask(ctx context.Context, c *http1.Client, cursor versionlog.Cursor, known bool, hold time.Duration) (*http1.Message, error) {
-	limited, cancel := context.WithTimeout(ctx, f.cfg.Hold+f.cfg.Allowance)
+	limited, cancel := context.WithTimeout(ctx, f.cfg.Heartbeat+f.cfg.Allowance)
 	defer cancel()
 	f.calls.Add(1)
 	answer, _, err := c.Do(limited, &http1.Message{Method: "GET", Target: target(f.cfg.Resource, cursor, known, hold),
@@ -91,7 +91,7 @@
 	case 503:
 		return versionlog.Slice{}, busyError{retryAfter(m)}
 	case 409:
-		return versionlog.Slice{}, fmt.Errorf("%w: it says so", replica.ErrBehind)
+		return versionlog.Slice{}, fmt.Errorf("%w: it says so", follower.ErrBehind)
 	}
 	return versionlog.Slice{}, fmt.Errorf("%w: status %d", errStatus, m.Status)
 }
@@ -111,7 +111,7 @@
 		return err
 	}
 	before, _ := f.state.Cursor()
-	change, err := f.state.Take(slice)
+	change, err := f.state.Apply(slice)
 	if err != nil {
 		f.refused.Add(1)
 		return err
@@ -121,15 +121,15 @@
 	f.sourceAge = ageOf(m)
 	f.note(slice, change, news, f.sourceAge)
 	if news {
-		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Gone: change.Gone,
-			Completed: change.Completed, Whole: change.Whole, Source: source})
+		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Removed: change.Removed,
+			Completed: change.Completed, Complete: change.Complete, Source: source})
 	}
 	return nil
 }
 
 // note keeps the status and the counters. age is that of what the source has.
-func (f *Follower) note(slice versionlog.Slice, change replica.Change, news bool, age time.Duration) {
-	f.entries.Add(int64(len(change.Entries) + len(change.Gone)))
+func (f *Follower) note(slice versionlog.Slice, change follower.Change, news bool, age time.Duration) {
+	f.entries.Add(int64(len(change.Entries) + len(change.Removed)))
 	if news {
 		f.versions.Add(1)
 	}
@@ -138,14 +138,14 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.status.Version, f.status.Known, f.status.Whole, f.status.Entries = slice.Version, true, change.Whole, f.state.Len()
-	if change.Whole && !slice.More() {
+	f.status.Version, f.status.Known, f.status.Complete, f.status.Entries = slice.Version, true, change.Complete, f.state.Len()
+	if change.Complete && !slice.More() {
 		f.confirmed = time.Now().Add(-age)
 	}
 }
 
 // judge tells the selector what came of a call and tells whether the source is to be followed on.
-func (f *Follower) judge(ctx context.Context, source sources.Source, r result) (stay bool) {
+func (f *Follower) judge(ctx context.Context, source failover.Source, r result) (stay bool) {
 	if r.err == nil {
 		f.behindSince = time.Time{}
 		if !f.following {
@@ -176,11 +176,11 @@
 
 // needsSnapshot tells whether a busy source is worth waiting for: the reader has no list yet, or one so old that no other
 // source is likely to have all that changed since. One with a fresh list goes on at the next source.
-func (f *Follower) needsSnapshot() bool { return !f.state.Whole() || f.Status().Age > oldAfter }
+func (f *Follower) needsSnapshot() bool { return !f.state.Complete() || f.Status().Age > oldAfter }
 
 // bearBehind waits a moment where the source is behind, and has not been so for long.
 func (f *Follower) bearBehind(ctx context.Context, r result) bool {
-	if r.reason() != sources.Behind {
+	if r.reason() != failover.Behind {
 		return false
 	}
 	if f.behindSince.IsZero() {
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -32,7 +32,7 @@
 
 const (
 	// DefaultHold is the heartbeat: how long a watch is held where there is no news.
-	DefaultHold = 500 * time.Millisecond
+	DefaultHeartbeat = 500 * time.Millisecond
 	// DefaultAllowance is how much later an answer may come before the source counts as silent.
 	DefaultAllowance = 300 * time.Millisecond
 	// DefaultMaxBody is the most bytes of a relay's answer.
@@ -48,20 +48,20 @@
 	// those that keep entries.
 	Slice     versionlog.Slice
 	Entries   []versionlog.Entry // changed or removed, in the order of their indexes
-	Gone      []string           // with the last slice of a snapshot: names that it did not hold
+	Removed   []string           // with the last slice of a snapshot: names that it did not hold
 	Completed bool               // it was the last slice of a snapshot
-	Whole     bool               // the replica is the log's state at the slice's version
+	Complete  bool               // the replica is the log's state at the slice's version
 	Source    string             // the address that it came from
 }
 
 // Status is where a Follower stands.
 type Status struct {
-	Version versionlog.Version
-	Known   bool          // false: it has nothing yet, and Version means nothing
-	Whole   bool          // the replica is the log's state at Version
-	Entries int           // held
-	Age     time.Duration // since Version was last known to be the authority's newest; since the start before that
-	Source  string        // the address that is followed; empty where none answers
+	Version  versionlog.Version
+	Known    bool          // false: it has nothing yet, and Version means nothing
+	Complete bool          // the replica is the log's state at Version
+	Entries  int           // held
+	Age      time.Duration // since Version was last known to be the authority's newest; since the start before that
+	Source   string        // the address that is followed; empty where none answers
 }
 
 // Counters count since the start.
@@ -74,5 +74,5 @@
 	Entries      int64 // changed or removed
 	Snapshots    int64 // completed
 	Switches     int64 // sources followed, the first one included
-	Refused      int64 // answers that were not taken: behind or spoilt
+	Rejected     int64 // answers that were not taken: behind or spoilt
 }
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"harepass/internal/decide/replica"
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
+	"harepass/internal/decide/follower"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/http1"
 )
@@ -17,15 +17,15 @@
 // Config says what a Follower follows and who takes it.
 type Config struct {
 	Resource Resource
-	Own      sources.Place
-	Sources  []sources.Source // one at least
+	Place    failover.Place
+	Sources  []failover.Source // one at least
 
 	// Check finds what is wrong with an answer's entries before anything of it counts. nil finds nothing.
 	Check func([]versionlog.Entry) error
 	// Apply takes what has changed. It is called by Run's goroutine, one update after the other.
 	Apply func(Update)
 
-	Hold      time.Duration // the heartbeat; DefaultHold where it is 0
+	Heartbeat time.Duration // the heartbeat; DefaultHold where it is 0
 	Allowance time.Duration // DefaultAllowance where it is 0
 	// StaleAfter is the age of what a source has from which on a fresher one is looked for; where it is 0,
 	// sources.DefaultStaleAfter, or three heartbeats if that is more.
@@ -38,7 +38,7 @@
 
 	// AnySnapshot takes every snapshot over, whatever its index is: for the one source of an authority, which is the
 	// discovery service and counts by an index of its own.
-	AnySnapshot bool
+	AcceptAnySnapshot bool
 
 	Dial http1.Dialer // nil for plain TCP
 	Rand *rand.Rand   // nil for one of its own
@@ -47,8 +47,8 @@
 // Follower keeps a replica of one resource. Use New, then Run.
 type Follower struct {
 	cfg       Config
-	selector  *sources.Selector // of Run alone, as state is
-	state     replica.State
+	selector  *failover.Selector // of Run alone, as state is
+	state     follower.State
 	began     time.Time
 	dial      http1.Dialer // counts bytes
 	more      bool         // the last answer brought news and told of more
@@ -71,14 +71,14 @@
 
 // New returns a Follower that does nothing before Run.
 func New(cfg Config) *Follower {
-	if cfg.Hold == 0 {
-		cfg.Hold = DefaultHold
+	if cfg.Heartbeat == 0 {
+		cfg.Heartbeat = DefaultHeartbeat
 	}
 	if cfg.Allowance == 0 {
 		cfg.Allowance = DefaultAllowance
 	}
 	if cfg.StaleAfter == 0 {
-		cfg.StaleAfter = max(sources.DefaultStaleAfter, 3*cfg.Hold)
+		cfg.StaleAfter = max(failover.DefaultStaleAfter, 3*cfg.Heartbeat)
 	}
 	if cfg.MaxBody == 0 {
 		cfg.MaxBody = DefaultMaxBody
@@ -90,9 +90,9 @@
 	if cfg.Confirmed.IsZero() {
 		cfg.Confirmed = now
 	}
-	f := &Follower{cfg: cfg, selector: sources.New(cfg.Own, cfg.Sources, cfg.Rand), began: now, confirmed: cfg.Confirmed, trials: make(chan trial, 1)}
+	f := &Follower{cfg: cfg, selector: failover.New(cfg.Place, cfg.Sources, cfg.Rand), began: now, confirmed: cfg.Confirmed, trials: make(chan trial, 1)}
 	f.selector.StaleAfter(cfg.StaleAfter)
-	f.state.AnySnapshot = cfg.AnySnapshot
+	f.state.AcceptAnySnapshot = cfg.AcceptAnySnapshot
 	f.state.Seed(cfg.Known)
 	f.dial = f.countBytes(cfg.Dial)
 	return f
@@ -112,7 +112,7 @@
 	return Counters{Calls: f.calls.Load(), Failures: f.failures.Load(),
 		BytesRead: f.bytesRead.Load(), BytesWritten: f.bytesWritten.Load(),
 		Versions: f.versions.Load(), Entries: f.entries.Load(), Snapshots: f.snapshots.Load(),
-		Switches: f.switches.Load(), Refused: f.refused.Load()}
+		Switches: f.switches.Load(), Rejected: f.refused.Load()}
 }
 
 // now is the time on the selector's clock.
@@ -133,7 +133,7 @@
 }
 
 // follow follows a source, and better ones that it changes to, until one is to be left.
-func (f *Follower) follow(ctx context.Context, source sources.Source) {
+func (f *Follower) follow(ctx context.Context, source failover.Source) {
 	c := f.client(source)
 	defer func() { c.Close() }()
 	defer f.left()
@@ -161,15 +161,15 @@
 		return noHold
 	}
 	if !f.selector.Stale() {
-		return f.cfg.Hold
+		return f.cfg.Heartbeat
 	}
 	if f.trying {
-		return min(f.cfg.Hold, trialHold)
+		return min(f.cfg.Heartbeat, trialHold)
 	}
 	if wait := f.selector.LookIn(f.now()); wait > 0 {
-		return min(f.cfg.Hold, max(wait, noHold))
+		return min(f.cfg.Heartbeat, max(wait, noHold))
 	}
-	return f.cfg.Hold
+	return f.cfg.Heartbeat
 }
 
 // trialHold is the hold of calls to a stale source while another one is tried: its answer is not to wait for a heartbeat.
@@ -178,13 +178,13 @@
 // noHold is the hold of a call that does not wait for news.
 const noHold = time.Millisecond
 
-func (f *Follower) client(source sources.Source) *http1.Client {
+func (f *Follower) client(source failover.Source) *http1.Client {
 	return &http1.Client{Address: source.Address, Dial: f.dial,
 		Limits: http1.Limits{Head: http1.DefaultLimits.Head, Body: f.cfg.MaxBody}}
 }
 
 // answered notes the first good answer of a source that has been chosen.
-func (f *Follower) answered(source sources.Source) {
+func (f *Follower) answered(source failover.Source) {
 	f.following = true
 	f.switches.Add(1)
 	f.mu.Lock()
--- a/internal/distribution/follower_test.go
+++ b/internal/distribution/follower_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // member is a consumer of a follower: what it has, and the versions in the order in which it was told.
@@ -28,20 +28,20 @@
 }
 
 var (
-	inZone    = sources.Place{Zone: "r1-a", Region: "r1"}
-	inRegion  = sources.Place{Zone: "r1-b", Region: "r1"}
-	elsewhere = sources.Place{Zone: "r2-a", Region: "r2"}
+	inZone    = failover.Place{Zone: "r1-a", Region: "r1"}
+	inRegion  = failover.Place{Zone: "r1-b", Region: "r1"}
+	elsewhere = failover.Place{Zone: "r2-a", Region: "r2"}
 )
 
-func at(s *source, p sources.Place) sources.Source {
-	return sources.Source{Address: s.address, Place: p}
+func at(s *source, p failover.Place) failover.Source {
+	return failover.Source{Address: s.address, Place: p}
 }
 
 // allowance is long enough for a source that answers on a busy machine.
 const allowance = 2 * time.Second
 
 // follow starts a member of a zone.
-func follow(t *testing.T, list ...sources.Source) *member {
+func follow(t *testing.T, list ...failover.Source) *member {
 	return followWith(t, Config{Sources: list, Allowance: allowance})
 }
 
@@ -50,7 +50,7 @@
 	for _, name := range cfg.Known {
 		m.held[name] = "known"
 	}
-	cfg.Resource, cfg.Own, cfg.Hold, cfg.Rand = Instances, inZone, 200*time.Millisecond, rand.New(rand.NewPCG(1, 2))
+	cfg.Resource, cfg.Place, cfg.Heartbeat, cfg.Rand = Instances, inZone, 200*time.Millisecond, rand.New(rand.NewPCG(1, 2))
 	cfg.Apply, cfg.Check = m.apply, known
 	m.Follower = New(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -69,10 +69,10 @@
 			delete(m.held, e.Name)
 		}
 	}
-	for _, name := range u.Gone {
+	for _, name := range u.Removed {
 		delete(m.held, name)
 	}
-	if u.Whole {
+	if u.Complete {
 		m.versions = append(m.versions, u.Slice.Version)
 	}
 }
@@ -112,12 +112,12 @@
 // reaches waits until the member is whole at a version.
 func (m *member) reaches(v versionlog.Version) {
 	m.t.Helper()
-	m.eventually(fmt.Sprintf("version %+v", v), func() bool { s := m.Status(); return s.Whole && s.Version == v })
+	m.eventually(fmt.Sprintf("version %+v", v), func() bool { s := m.Status(); return s.Complete && s.Version == v })
 }
 
 func (m *member) eventually(what string, ok func() bool) {
 	m.t.Helper()
-	if err := rig.Wait(what, ok); err != nil {
+	if err := faultinjection.Wait(what, ok); err != nil {
 		m.t.Fatalf("%v; it is at %+v, %+v", err, m.Status(), m.Counters())
 	}
 }
@@ -196,7 +196,7 @@
 	t.Parallel()
 	l := newLog(1, "a")
 	zone, far := newSource(t, l), newSource(t, l)
-	m := followWith(t, Config{Sources: []sources.Source{at(far, elsewhere), at(zone, inZone)}, Allowance: 5 * time.Minute}) // silence lasts longer than the test waits
+	m := followWith(t, Config{Sources: []failover.Source{at(far, elsewhere), at(zone, inZone)}, Allowance: 5 * time.Minute}) // silence lasts longer than the test waits
 	m.reaches(l.head())
 	zone.stop()
 	m.eventually("the far source", func() bool { return m.Status().Source == far.address })
@@ -235,7 +235,7 @@
 	if m.names() != "[a b]" || m.Status().Version != newer.head() {
 		t.Errorf("it holds %s at %+v", m.names(), m.Status())
 	}
-	if m.Counters().Refused < 16 {
+	if m.Counters().Rejected < 16 {
 		t.Errorf("%+v", m.Counters())
 	}
 	late.put("b", "in_service")
@@ -277,7 +277,7 @@
 			m.reaches(l.head())
 			zone.set(func(s *source) { s.override = func(*http.Request) string { return body } })
 			m.eventually("the far source", func() bool { return m.Status().Source == far.address })
-			if m.statusOf("a") != "in_service" || m.names() != "[a b]" || m.Status().Version != l.head() || !m.Status().Whole {
+			if m.statusOf("a") != "in_service" || m.names() != "[a b]" || m.Status().Version != l.head() || !m.Status().Complete {
 				t.Errorf("it holds %s, a is %s, at %+v", m.names(), m.statusOf("a"), m.Status())
 			}
 			l.put("a", "terminating")
@@ -334,10 +334,10 @@
 		}
 	})
 	far.set(func(s *source) { s.bytes, s.silent = 1200, true })
-	m := followWith(t, Config{Sources: []sources.Source{at(zone, inZone), at(far, elsewhere)}, Known: []string{"n39", "n01", "gone"},
+	m := followWith(t, Config{Sources: []failover.Source{at(zone, inZone), at(far, elsewhere)}, Known: []string{"n39", "n01", "gone"},
 		Allowance: allowance})
 	m.eventually("calls to both", func() bool { return zone.called() > 1 && far.called() > 0 })
-	if m.statusOf("n01") != "in_service" || m.statusOf("gone") != "known" || m.Status().Whole {
+	if m.statusOf("n01") != "in_service" || m.statusOf("gone") != "known" || m.Status().Complete {
 		t.Errorf("half: it holds %s", m.names())
 	}
 	far.set(func(s *source) { s.silent = false })
@@ -375,7 +375,7 @@
 	zone.stop()
 	far.stop()
 	m.eventually("failed calls", func() bool { return m.Counters().Failures > 6 })
-	if s := m.Status(); !s.Whole || m.names() != "[a]" || s.Age < 500*time.Millisecond {
+	if s := m.Status(); !s.Complete || m.names() != "[a]" || s.Age < 500*time.Millisecond {
 		t.Errorf("it has %s, %+v", m.names(), s)
 	}
 	l.put("b", "in_service")
--- a/internal/distribution/trial.go
+++ b/internal/distribution/trial.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
-	"harepass/internal/decide/replica"
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
+	"harepass/internal/decide/follower"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/http1"
 )
@@ -14,7 +14,7 @@
 // trial is what came of a call to a nearer or fresher source, beside the one in use: it may be silent, and changes are not to wait for
 // it. Nothing of its answer counts; the calls that follow bring what it has.
 type trial struct {
-	source sources.Source
+	source failover.Source
 	client *http1.Client
 	result result
 	age    time.Duration // of what the source has, when it answered
@@ -22,10 +22,10 @@
 }
 
 // returnTo returns a better source with its client where one has answered a trial, and begins a trial where it is time.
-func (f *Follower) returnTo(ctx context.Context) (sources.Source, *http1.Client) {
+func (f *Follower) returnTo(ctx context.Context) (failover.Source, *http1.Client) {
 	if !f.trying {
 		f.beginTrial(ctx)
-		return sources.Source{}, nil
+		return failover.Source{}, nil
 	}
 	select {
 	case t := <-f.trials:
@@ -38,7 +38,7 @@
 		t.client.Close()
 	default:
 	}
-	return sources.Source{}, nil
+	return failover.Source{}, nil
 }
 
 // isBetter tells whether the source of a trial that was answered is to be followed.
@@ -49,7 +49,7 @@
 		return false
 	}
 	if stale {
-		slog.Info("source left", "resource", f.cfg.Resource.Name(), "source", left.Address, "reason", sources.Stale.String(),
+		slog.Info("source left", "resource", f.cfg.Resource.Name(), "source", left.Address, "reason", failover.Stale.String(),
 			"age", f.sourceAge.Round(time.Millisecond))
 	}
 	return true
@@ -57,7 +57,7 @@
 
 // beginTrial calls a nearer source, or where the current one is stale any other one, where there is one to try.
 func (f *Follower) beginTrial(ctx context.Context) {
-	if !f.state.Whole() {
+	if !f.state.Complete() {
 		return
 	}
 	better := f.selector.Nearer
@@ -100,7 +100,7 @@
 	head := slice.Version
 	head.Index = max(head.Index, slice.Base)
 	if head.Before(cursor.Version) {
-		return replica.ErrBehind
+		return follower.ErrBehind
 	}
 	return nil
 }
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -123,7 +123,7 @@
 		},
 		"too many idle": func(t *testing.T, s *Server, dial func() (net.Conn, *held), _ net.Listener) {
 			s.mu.Lock()
-			s.Idle = 1
+			s.MaxIdle = 1
 			s.mu.Unlock()
 			c, h := dial()
 			use(t, c, h)
@@ -131,7 +131,7 @@
 		},
 		"making way": func(t *testing.T, s *Server, dial func() (net.Conn, *held), _ net.Listener) {
 			s.mu.Lock()
-			s.Conns = 1
+			s.MaxConns = 1
 			s.mu.Unlock()
 			dial()
 			parts(s)
@@ -409,7 +409,7 @@
 
 // However many connections make way at once, those that are read out count as held, so the bound on descriptors stands.
 func TestPartingConnectionsCount(t *testing.T) {
-	s := &Server{Limits: small, Conns: 8, Handler: func(*Message, <-chan struct{}) *Message { return &Message{Status: 200} }}
+	s := &Server{Limits: small, MaxConns: 8, Handler: func(*Message, <-chan struct{}) *Message { return &Message{Status: 200} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -431,8 +431,8 @@
 		most = max(most, len(s.conns)+len(s.parting))
 		s.mu.Unlock()
 	}
-	if most > s.Conns+1 {
-		t.Errorf("%d connections are held, %d may be", most, s.Conns)
+	if most > s.MaxConns+1 {
+		t.Errorf("%d connections are held, %d may be", most, s.MaxConns)
 	}
 	l.Close()
 	s.Shutdown()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -38,12 +38,12 @@
 
 // Server serves one listener.
 type Server struct {
-	Handler Handler
-	Limits  Limits
-	Fault   func(*Error) *Message // words what is wrong with a request, in place of plain text
-	Conns   int                   // connections held at once; one without a whole request makes room for the next
-	Room    func() int            // so many at present, if fewer; must not block. nil for Conns
-	Idle    int                   // those of them that have been used and are idle; the longest idle one goes first
+	Handler  Handler
+	Limits   Limits
+	Fault    func(*Error) *Message // words what is wrong with a request, in place of plain text
+	MaxConns int                   // connections held at once; one without a whole request makes room for the next
+	Room     func() int            // so many at present, if fewer; must not block. nil for Conns
+	MaxIdle  int                   // those of them that have been used and are idle; the longest idle one goes first
 
 	mu       sync.Mutex
 	conns    map[*conn]struct{}
@@ -87,9 +87,9 @@
 	}
 }
 
-// Finish has Serve take the connections that wait already, and close the listener then: to close it first would reset them,
+// CloseListener has Serve take the connections that wait already, and close the listener then: to close it first would reset them,
 // with the requests that they have brought.
-func (s *Server) Finish(l net.Listener) {
+func (s *Server) CloseListener(l net.Listener) {
 	if !setDeadline(l, 0) {
 		l.Close()
 	}
@@ -140,8 +140,8 @@
 	s.wg.Go(c.serve)
 }
 
-// Fit closes at once what is held beyond the room that there is now, as far as it can make way.
-func (s *Server) Fit() {
+// TrimIdle closes at once what is held beyond the room that there is now, as far as it can make way.
+func (s *Server) TrimIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.held()-len(s.parting) > s.room() {
@@ -171,12 +171,12 @@
 
 func (s *Server) room() int {
 	switch {
-	case s.Conns == 0:
+	case s.MaxConns == 0:
 		return math.MaxInt
 	case s.Room == nil:
-		return s.Conns
+		return s.MaxConns
 	}
-	return min(s.Conns, s.Room())
+	return min(s.MaxConns, s.Room())
 }
 
 func (s *Server) held() int { return len(s.conns) + len(s.parting) }
@@ -210,8 +210,8 @@
 	return s.full() && len(s.parting) == 0 && s.least() == nil
 }
 
-// Busy is how many connections have a request under way.
-func (s *Server) Busy() int {
+// OpenConns is how many connections have a request under way.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.busy
@@ -267,7 +267,7 @@
 // trim closes, under the lock, the longest idle connection where too many are kept. Clients that ask once and
 // stay would else hold so many that none is left for those who come next.
 func (s *Server) trim() {
-	if s.Idle > 0 && s.idle.Len() > s.Idle {
+	if s.MaxIdle > 0 && s.idle.Len() > s.MaxIdle {
 		s.part(s.idle.Front().Value.(*conn), closedSurplus)
 	}
 }
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // FuzzServer plays one client's connection step by step against a model of its states: idle, reading a
@@ -34,7 +34,7 @@
 }
 
 func playServer(t *testing.T, steps []byte) {
-	var memory standin.Net
+	var memory fake.Net
 	l := memory.Listen("s")
 	finish, left := make(chan struct{}), 0
 	s := &Server{Limits: small, Handler: func(req *Message, gone <-chan struct{}) *Message {
@@ -223,9 +223,9 @@
 // When the server is full, the longest idle connection makes room, and busy ones stay.
 func TestFullServerShedsIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		l := memory.Listen("s")
-		s := &Server{Limits: small, Conns: 2, Handler: func(_ *Message, gone <-chan struct{}) *Message {
+		s := &Server{Limits: small, MaxConns: 2, Handler: func(_ *Message, gone <-chan struct{}) *Message {
 			<-gone
 			return &Message{Status: 200}
 		}}
@@ -266,9 +266,9 @@
 // being answered, nor what has only just begun.
 func TestFloodDisplacesItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		l := memory.Listen("s")
-		s := &Server{Limits: small, Conns: 12, Handler: func(req *Message, _ <-chan struct{}) *Message {
+		s := &Server{Limits: small, MaxConns: 12, Handler: func(req *Message, _ <-chan struct{}) *Message {
 			if req.Target == "/slow" {
 				time.Sleep(1900 * time.Millisecond)
 			}
@@ -315,9 +315,9 @@
 // has been used and is idle, though it has asked before.
 func TestNewcomersAreNotDisplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		l := memory.Listen("s")
-		s := &Server{Limits: small, Conns: 3, Handler: func(*Message, <-chan struct{}) *Message { return &Message{Status: 200} }}
+		s := &Server{Limits: small, MaxConns: 3, Handler: func(*Message, <-chan struct{}) *Message { return &Message{Status: 200} }}
 		go s.Serve(l)
 		var answered atomic.Int32
 		var wg sync.WaitGroup
@@ -356,9 +356,9 @@
 // Clients that ask once and stay do not pile up: the longest idle connection goes, no busy one and none that is new.
 func TestIdleConnectionsAreFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		l := memory.Listen("s")
-		s := &Server{Limits: small, Conns: 100, Idle: 3, Handler: func(req *Message, gone <-chan struct{}) *Message {
+		s := &Server{Limits: small, MaxConns: 100, MaxIdle: 3, Handler: func(req *Message, gone <-chan struct{}) *Message {
 			if req.Target == "/slow" {
 				<-gone
 			}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -20,12 +20,12 @@
 
 // Host is one map node.
 type Host struct {
-	Name    string
-	Address string // host:port
-	Cell    int
-	Zone    string
-	API     string // one of APIs
-	line    int
+	Name         string
+	Address      string // host:port
+	RingPosition int
+	Zone         string
+	API          string // one of APIs
+	line         int
 }
 
 // APIs are what a map node may speak.
@@ -92,7 +92,7 @@
 		vals["address"] = name
 	}
 	h.Address = net.JoinHostPort(vals["address"], strconv.Itoa(port))
-	if h.Cell, err = strconv.Atoi(vals["cell"]); err != nil || h.Cell < 0 || h.Cell >= f.cells {
+	if h.RingPosition, err = strconv.Atoi(vals["cell"]); err != nil || h.RingPosition < 0 || h.RingPosition >= f.cells {
 		return f.bad(line, "host %s: cell %q is not a number from 0 to %d", name, vals["cell"], f.cells-1)
 	}
 	if h.API == "" {
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -44,8 +44,8 @@
 `
 
 func TestBothFormsGiveTheSameHosts(t *testing.T) {
-	want := []Host{{Name: "node01", Address: "127.0.0.11:9200", Cell: 0, API: "opensearch"},
-		{Name: "node02", Address: "127.0.0.12:8080", Cell: 1, API: "frame"}}
+	want := []Host{{Name: "node01", Address: "127.0.0.11:9200", RingPosition: 0, API: "opensearch"},
+		{Name: "node02", Address: "127.0.0.12:8080", RingPosition: 1, API: "frame"}}
 	for _, tc := range []struct{ name, text string }{{"nodes.csv", csvText}, {"nodes.yml", yamlText}} {
 		got, err := load(t, tc.name, tc.text, "map_nodes")
 		if err != nil || len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
--- a/internal/inventory/keeper.go
+++ b/internal/inventory/keeper.go
@@ -6,48 +6,48 @@
 	"strings"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 )
 
 // Source names the inventory as a source of nodes.
 const Source = "inventory"
 
-// Keeper follows an inventory file from one reading to the next.
-type Keeper struct {
-	Path  string
-	Group string
-	Cells int
+// Reader follows an inventory file from one reading to the next.
+type Reader struct {
+	Path     string
+	Group    string
+	RingSize int
 
-	nodes map[string]core.Node
+	nodes map[string]core.Endpoint
 }
 
 // Read reads the file and returns all nodes in it, and as draining those that the reading before had and this
 // one has not; after that they are forgotten. A host that a later reading brings, or brings back, may just have
 // been started, so it counts as started now. After an error the list is what it was.
-func (k *Keeper) Read(now time.Duration) ([]core.Node, error) {
-	hosts, err := Load(k.Path, k.Group, k.Cells)
+func (k *Reader) Read(now time.Duration) ([]core.Endpoint, error) {
+	hosts, err := Load(k.Path, k.Group, k.RingSize)
 	if err != nil {
 		return nil, err
 	}
-	next := map[string]core.Node{}
+	next := map[string]core.Endpoint{}
 	for id, n := range k.nodes {
-		if n.State == harepass.Ready {
-			n.State = harepass.Draining
+		if n.State == scatter.Ready {
+			n.State = scatter.Draining
 			next[id] = n
 		}
 	}
 	for _, h := range hosts {
-		n := core.Node{Replica: harepass.Replica{ID: h.Name, Cell: h.Cell, Zone: h.Zone}, Address: h.Address, Scheme: h.API}
+		n := core.Endpoint{Replica: scatter.Replica{ID: h.Name, RingPosition: h.RingPosition, Zone: h.Zone}, Address: h.Address, Scheme: h.API}
 		old, known := k.nodes[h.Name]
-		switch same := known && old.State == harepass.Ready && old.Address == n.Address && old.Scheme == n.Scheme; {
+		switch same := known && old.State == scatter.Ready && old.Address == n.Address && old.Scheme == n.Scheme; {
 		case same:
-			n.Since = old.Since
+			n.StartedAt = old.StartedAt
 		case k.nodes != nil:
-			n.Since = now
+			n.StartedAt = now
 		}
 		next[h.Name] = n
 	}
 	k.nodes = next
-	return slices.SortedFunc(maps.Values(next), func(x, y core.Node) int { return strings.Compare(x.ID, y.ID) }), nil
+	return slices.SortedFunc(maps.Values(next), func(x, y core.Endpoint) int { return strings.Compare(x.ID, y.ID) }), nil
 }
--- a/internal/inventory/keeper_test.go
+++ b/internal/inventory/keeper_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // A host that leaves the file drains, one that comes later is taken for freshly started, and a file that
 // cannot be read changes nothing.
 func TestReload(t *testing.T) {
-	k := &Keeper{Path: filepath.Join(t.TempDir(), "nodes.csv"), Cells: 4}
+	k := &Reader{Path: filepath.Join(t.TempDir(), "nodes.csv"), RingSize: 4}
 	read := func(rows string) (string, error) {
 		if err := os.WriteFile(k.Path, []byte("name,port,cell\n"+rows), 0o600); err != nil {
 			t.Fatal(err)
@@ -20,8 +20,8 @@
 		nodes, err := k.Read(time.Hour)
 		text := ""
 		for _, n := range nodes {
-			text += n.ID + map[harepass.ReplicaState]string{harepass.Ready: "+", harepass.Draining: "-"}[n.State]
-			if n.Since > 0 {
+			text += n.ID + map[scatter.ReplicaState]string{scatter.Ready: "+", scatter.Draining: "-"}[n.State]
+			if n.StartedAt > 0 {
 				text += "new"
 			}
 			text += " "
--- a/internal/guard/guard_test.go
+++ b/internal/loadshed/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package loadshed
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 )
 
 func config() overload.Config {
-	return overload.Config{Target: 10 * time.Millisecond, Cores: 1, Memory: 1 << 30, Rand: func() float64 { return 0.5 },
-		Classes: []overload.Class{{Name: "c", Worth: 1, Parts: 1}}}
+	return overload.Config{WaitTarget: 10 * time.Millisecond, Cores: 1, MemoryBytes: 1 << 30, Rand: func() float64 { return 0.5 },
+		Classes: []overload.Class{{Name: "c", PriorityWeight: 1, TypicalParts: 1}}}
 }
 
 // Signals become levels, one line in the log for each change and none for a query; memory is passed on, and its
@@ -24,13 +24,13 @@
 func TestGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
-		var squeezed []overload.Memory
+		var squeezed []overload.MemoryLevel
 		var live, turning atomic.Int64
 		g := New(config(), core.SystemClock())
 		g.Log = slog.New(slog.NewTextHandler(&log, nil))
-		g.Probe = func() Usage { return Usage{Live: live.Load()} }
-		g.Turning = func() time.Duration { return time.Duration(turning.Load()) }
-		g.Squeeze = func(m overload.Memory, _ int64) { squeezed = append(squeezed, m) }
+		g.Measure = func() Usage { return Usage{Live: live.Load()} }
+		g.TickElapsed = func() time.Duration { return time.Duration(turning.Load()) }
+		g.RelieveMemory = func(m overload.MemoryLevel, _ int64) { squeezed = append(squeezed, m) }
 		ctx, cancel := context.WithCancel(t.Context())
 		go g.Run(ctx)
 		second := func() (refused int) {
@@ -38,7 +38,7 @@
 				if ok, _ := g.Admit(overload.Arrival{Class: "c"}); !ok {
 					refused++
 				}
-				g.Done(1)
+				g.QueryDone(1)
 				time.Sleep(time.Millisecond)
 			}
 			return refused
@@ -61,7 +61,7 @@
 		second()
 		cancel()
 		synctest.Wait()
-		if len(squeezed) < 2 || squeezed[0] != overload.EndSome || squeezed[len(squeezed)-1] != overload.Fine {
+		if len(squeezed) < 2 || squeezed[0] != overload.EndQueries || squeezed[len(squeezed)-1] != overload.MemoryNormal {
 			t.Errorf("squeezed %v", squeezed)
 		}
 		lines := strings.Split(strings.TrimSpace(log.String()), "\n")
--- a/internal/guard/usage.go
+++ b/internal/loadshed/usage.go
@@ -1,4 +1,4 @@
-package guard
+package loadshed
 
 import (
 	"math"
--- a/internal/opensearch/begin_test.go
+++ b/internal/opensearch/begin_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/opensearch"
 	"harepass/internal/platform"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // slow holds up connections to nodes on real sockets until each is let through.
@@ -40,32 +40,32 @@
 func TestHeldUpAttemptsDoNotBegin(t *testing.T) {
 	type play struct {
 		*testing.T
-		owner *core.Owner
-		nodes []core.Node
+		owner *core.Coordinator
+		nodes []core.Endpoint
 		first int // the node whose connection is held up
 		gone  chan struct{}
 		done  chan core.Answer
 	}
 	for name, tc := range map[string]struct {
 		class  string
-		reply  standin.Reply // of a node whose connection comes up
+		reply  fake.Reply // of a node whose connection comes up
 		happen func(p *play)
 		served bool // elsewhere
 	}{
 		"nothing happens": {class: "free", happen: func(*play) {}, served: true},
 		"the node leaves": {class: "free", served: true, happen: func(p *play) {
 			n := p.nodes[p.first]
-			n.State = harepass.Draining
-			p.owner.Listed("test", harepass.ListChanges, []core.Node{n})
-			if a := <-p.done; a.Verdict != core.Served {
+			n.State = scatter.Draining
+			p.owner.UpdateEndpoints("test", scatter.IncrementalUpdate, []core.Endpoint{n})
+			if a := <-p.done; a.Status != core.Served {
 				p.Errorf("the answer is %+v", a)
 			}
 		}},
 		"a report's node leaves": {class: "once", served: true, happen: func(p *play) {
 			n := p.nodes[p.first]
-			n.State = harepass.Gone
-			p.owner.Listed("test", harepass.ListChanges, []core.Node{n})
-			if a := <-p.done; a.Verdict != core.Served {
+			n.State = scatter.Removed
+			p.owner.UpdateEndpoints("test", scatter.IncrementalUpdate, []core.Endpoint{n})
+			if a := <-p.done; a.Status != core.Served {
 				p.Errorf("the answer is %+v", a)
 			}
 		}},
@@ -79,11 +79,11 @@
 			t.Run(name+", "+scheme, func(t *testing.T) {
 				t.Parallel()
 				s := settings()
-				s.Cells, s.Reach = 1, 1
-				s.Classes = []harepass.Class{
-					{Name: "free", Aim: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Need: 1, Floor: 1},
-					{Name: "once", Aim: 5 * time.Second, Deadline: 9 * time.Second, Worth: 1, Need: 1, Floor: 1, Repeat: harepass.SingleShot},
-					{Name: "short", Aim: 100 * ms, Deadline: 200 * ms, Worth: 1, Need: 1, Floor: 1},
+				s.RingSize, s.ReplicationFactor = 1, 1
+				s.Classes = []scatter.Class{
+					{Name: "free", LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1},
+					{Name: "once", LatencyObjective: 5 * time.Second, Deadline: 9 * time.Second, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1, Idempotency: scatter.NonIdempotent},
+					{Name: "short", LatencyObjective: 100 * ms, Deadline: 200 * ms, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1},
 				}
 				c := &opensearch.Config{Listen: "front", SectionField: "section", All: "a", Indices: map[string]*opensearch.Index{
 					"a": {Class: "free"}, "b": {Class: "short"}, "c": {Class: "once", Reports: true}}}
@@ -91,18 +91,18 @@
 					t.Fatal(err)
 				}
 				sl := &slow{held: map[string]chan struct{}{}, came: make(chan string, 100)}
-				frames := &platform.Nodes{Streams: 32, ConnectTimeout: 20 * time.Second, Quiet: time.Second, KeepAlive: 30 * time.Second, Dial: sl.dial}
-				api := &opensearch.Nodes{Config: c, ConnectTimeout: 20 * time.Second, KeepAlive: 30 * time.Second, Dial: sl.dial}
+				frames := &platform.Caller{CallsPerConn: 32, ConnectTimeout: 20 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second, Dial: sl.dial}
+				api := &opensearch.Caller{Config: c, ConnectTimeout: 20 * time.Second, KeepAlive: 30 * time.Second, Dial: sl.dial}
 				p := &play{T: t, gone: make(chan struct{}), done: make(chan core.Answer, 1)}
 				clock := core.SystemClock()
 				var err error
 				p.owner, err = core.New(core.Config{Seed: 1, Settings: s, Clock: clock, Callers: map[string]core.Caller{platform.Scheme: frames,
-					opensearch.Scheme: api}, Subscribe: func() {}, Asked: "test"})
+					opensearch.Scheme: api}, Subscribe: func() {}, PolledSource: "test"})
 				if err != nil {
 					t.Fatal(err)
 				}
-				frames.Owner, api.Owner = p.owner, p.owner
-				var fleets []*standin.Fleet
+				frames.Reporter, api.Reporter = p.owner, p.owner
+				var fleets []*fake.Fleet
 				let := make(chan struct{})
 				for i := range 2 {
 					l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,30 +110,30 @@
 						t.Fatal(err)
 					}
 					defer l.Close()
-					f := &standin.Fleet{}
+					f := &fake.Fleet{}
 					if fleets = append(fleets, f); scheme == platform.Scheme {
 						go f.Frames(l)
 					} else {
 						go f.API(l)
 					}
 					sl.held[l.Addr().String()] = let // whichever is drawn first; the other one is let through below
-					p.nodes = append(p.nodes, core.Node{Replica: harepass.Replica{ID: string(rune('a' + i))}, Address: l.Addr().String(), Scheme: scheme})
+					p.nodes = append(p.nodes, core.Endpoint{Replica: scatter.Replica{ID: string(rune('a' + i))}, Address: l.Addr().String(), Scheme: scheme})
 				}
 				go p.owner.Run()
-				p.owner.Listed("test", harepass.ListFull, p.nodes)
+				p.owner.UpdateEndpoints("test", scatter.FullUpdate, p.nodes)
 				go func() {
-					p.done <- p.owner.Ask(&core.Query{ID: "q", Class: tc.class, Until: clock() + 9*time.Second, Text: []byte("t"),
+					p.done <- p.owner.Ask(&core.Query{ID: "q", Class: tc.class, Deadline: clock() + 9*time.Second, Body: []byte("t"),
 						Parts: []core.Part{{Shard: 0, Weight: 1}}}, p.gone)
 				}()
 				address := <-sl.came
-				p.first = slices.IndexFunc(p.nodes, func(n core.Node) bool { return n.Address == address })
+				p.first = slices.IndexFunc(p.nodes, func(n core.Endpoint) bool { return n.Address == address })
 				sl.mu.Lock()
 				delete(sl.held, p.nodes[1-p.first].Address)
 				sl.mu.Unlock()
 				tc.happen(p)
 				close(let)
 				if name == "nothing happens" {
-					if a := <-p.done; a.Verdict != core.Served {
+					if a := <-p.done; a.Status != core.Served {
 						t.Errorf("the answer is %+v", a)
 					}
 				}
--- a/internal/opensearch/config.go
+++ b/internal/opensearch/config.go
@@ -15,7 +15,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // Config is the front's file.
@@ -71,7 +71,7 @@
 }
 
 // Check holds the file against the settings; shards is how many sections there are.
-func (c *Config) Check(s harepass.Settings, shards int) error {
+func (c *Config) Check(s scatter.Settings, shards int) error {
 	if c.Listen == "" {
 		return errors.New("no listen address")
 	}
@@ -82,19 +82,19 @@
 		if ix == nil || name == "" || strings.ContainsAny(name, "/,*?\"<>| ") || strings.HasPrefix(name, "_") {
 			return fmt.Errorf("index %q: bad name or nothing said of it", name)
 		}
-		i := slices.IndexFunc(s.Classes, func(k harepass.Class) bool { return k.Name == ix.Class })
+		i := slices.IndexFunc(s.Classes, func(k scatter.Class) bool { return k.Name == ix.Class })
 		if i < 0 {
 			return fmt.Errorf("index %s: no class %q in the settings", name, ix.Class)
 		}
 		ix.name, ix.deadline = name, s.Classes[i].Deadline
-		if s.Classes[i].Repeat == harepass.SingleShot && !ix.Reports {
+		if s.Classes[i].Idempotency == scatter.NonIdempotent && !ix.Reports {
 			return fmt.Errorf("index %s: class %s may not run twice, so the index has to take reports", name, ix.Class)
 		}
 		if t := ix.TwoPhase; t != nil {
 			switch {
 			case ix.Reports:
 				return fmt.Errorf("index %s: two_phase is for searches, and this index takes reports", name)
-			case s.Classes[i].Repeat != harepass.Free:
+			case s.Classes[i].Idempotency != scatter.Idempotent:
 				return fmt.Errorf("index %s: two_phase asks a section twice, which class %s does not bear", name, ix.Class)
 			case t.Version == "":
 				return fmt.Errorf("index %s: two_phase has to name the field that holds a document's version: version: NAME", name)
@@ -118,15 +118,15 @@
 		return fmt.Errorf("all: %q is no index to search", c.All)
 	}
 	for caller, tenant := range c.Callers {
-		if !slices.ContainsFunc(s.Tenants, func(t harepass.Tenant) bool { return t.Name == tenant }) {
+		if !slices.ContainsFunc(s.Tenants, func(t scatter.Tenant) bool { return t.Name == tenant }) {
 			return fmt.Errorf("caller %s: no tenant %q in the settings", caller, tenant)
 		}
 	}
 	return nil
 }
 
-// Firsts lists the classes of which some index has a first phase.
-func (c *Config) Firsts() (classes []string) {
+// TwoPhaseClasses lists the classes of which some index has a first phase.
+func (c *Config) TwoPhaseClasses() (classes []string) {
 	for _, ix := range c.Indices {
 		if ix.TwoPhase != nil && !slices.Contains(classes, ix.Class) {
 			classes = append(classes, ix.Class)
--- a/internal/opensearch/envelope.go
+++ b/internal/opensearch/envelope.go
@@ -55,8 +55,8 @@
 		Header: textproto.MIMEHeader{"Content-Type": {"application/json; charset=UTF-8"}}}
 }
 
-// Fault words what is wrong with a request that is not even HTTP, or is too large.
-func Fault(e *http1.Error) *http1.Message {
+// ErrorResponse words what is wrong with a request that is not even HTTP, or is too large.
+func ErrorResponse(e *http1.Error) *http1.Message {
 	kind := "illegal_argument_exception"
 	if e.Status == 413 {
 		kind = "content_too_long_exception"
@@ -113,7 +113,7 @@
 // searchReply merges the sections' values. The answer is marked whole, by timed_out false and no failed
 // shards, only if the core says that it is.
 func searchReply(s *search, q *core.Query, a core.Answer, took time.Duration) *http1.Message {
-	ans := searchAnswer{Took: took.Milliseconds(), TimedOut: !a.Whole, Shards: shards{Total: len(q.Parts)}}
+	ans := searchAnswer{Took: took.Milliseconds(), TimedOut: !a.Complete, Shards: shards{Total: len(q.Parts)}}
 	for _, v := range a.Values {
 		if m := faultOf(v); m != nil {
 			return m
@@ -129,7 +129,7 @@
 				ans.Shards.Skipped++
 			}
 			merged = append(merged, ans.Hits.add(s, p.Shard, q.ID, a.Values[i])...)
-		case a.Whole: // the class calls an answer whole without it
+		case a.Complete: // the class calls an answer whole without it
 			ans.Shards.Skipped++
 		default:
 			ans.Shards.Failed++
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -14,16 +14,16 @@
 
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
-	"harepass/internal/decide/resend"
+	"harepass/internal/decide/retry"
 	"harepass/internal/http1"
 )
 
 // Front takes the API's requests.
 type Front struct {
-	Config  *Config
-	Owner   *core.Owner
-	Clock   core.Clock
-	Version string
+	Config      *Config
+	Coordinator *core.Coordinator
+	Clock       core.Clock
+	Version     string
 }
 
 // report is a hazard report as understood.
@@ -94,7 +94,7 @@
 	if m := allow(req, "GET", "HEAD"); m != nil {
 		return m, nil
 	}
-	phase := f.Owner.Phase()
+	phase := f.Coordinator.Phase()
 	if phase == core.Ready {
 		return reply(200, map[string]any{"cluster_name": "harepass", "status": "green", "timed_out": false}), nil
 	}
@@ -158,8 +158,8 @@
 	if timeout == 0 || timeout > ix.deadline {
 		timeout = ix.deadline
 	}
-	return &core.Query{ID: fmt.Sprintf("%016x", rand.Uint64()), Class: ix.Class, Tenant: tenant, Until: f.Clock() - req.Waited() + timeout,
-		Keys: req.Header[resend.Header], Admitted: true, ClientLeft: req.ClientLeft}
+	return &core.Query{ID: fmt.Sprintf("%016x", rand.Uint64()), Class: ix.Class, Tenant: tenant, Deadline: f.Clock() - req.Waited() + timeout,
+		IdempotencyKeys: req.Header[retry.IdempotencyKeyHeader], Admitted: true, ClientLeft: req.ClientLeft}
 }
 
 func (f *Front) search(req *http1.Message, name string, params url.Values, gone <-chan struct{}) (*http1.Message, *apiError) {
@@ -176,7 +176,7 @@
 	if err := checkParams(req, params, searchParams); err != nil {
 		return nil, err
 	}
-	if ok, retryIn := f.Owner.Admit(overload.Arrival{Class: ix.Class, Tenant: tenant}); !ok {
+	if ok, retryIn := f.Coordinator.Admit(overload.Arrival{Class: ix.Class, Tenant: tenant}); !ok {
 		return refusal(retryIn), nil
 	}
 	s, err := f.Config.parseSearch(ix, params, req.Body)
@@ -185,9 +185,9 @@
 	}
 	began := f.Clock()
 	q := f.query(req, ix, tenant, s.timeout)
-	q.Whole, q.Text, q.Origin = !s.partial, s.body, s
+	q.RequireComplete, q.Body, q.Origin = !s.partial, s.body, s
 	if ix.TwoPhase != nil {
-		q.Index, q.None = ix.name, noHits
+		q.Index, q.EmptyValue = ix.name, noHits
 	}
 	sum := 0.0
 	for _, n := range s.sections {
@@ -197,11 +197,11 @@
 		q.Parts = append(q.Parts, core.Part{Shard: n, Weight: ix.weight(n) / sum})
 	}
 	if len(q.Parts) == 0 { // nothing can match
-		return searchReply(s, q, core.Answer{Whole: true}, 0), nil
+		return searchReply(s, q, core.Answer{Complete: true}, 0), nil
 	}
-	switch a := f.Owner.Ask(q, gone); a.Verdict {
-	case core.Refused:
-		return refusal(a.RetryIn), nil
+	switch a := f.Coordinator.Ask(q, gone); a.Status {
+	case core.Rejected:
+		return refusal(a.RetryAfter), nil
 	case core.Invalid:
 		return nil, bad("illegal_argument_exception", "%s", a.Reason)
 	case core.Failed:
@@ -231,7 +231,7 @@
 	if err := checkParams(req, params, reportParams); err != nil {
 		return nil, err
 	}
-	if ok, retryIn := f.Owner.Admit(overload.Arrival{Class: ix.Class, Tenant: tenant, Parts: 1}); !ok {
+	if ok, retryIn := f.Coordinator.Admit(overload.Arrival{Class: ix.Class, Tenant: tenant, Parts: 1}); !ok {
 		return refusal(retryIn), nil
 	}
 	r, err := f.parseReport(ix, words, params, req.Body)
@@ -242,10 +242,10 @@
 	if r.id == "" {
 		r.id = q.ID
 	}
-	q.Text, q.Origin, q.Parts = r.doc, r, []core.Part{{Shard: r.section, Weight: 1}}
-	switch a := f.Owner.Ask(q, gone); a.Verdict {
-	case core.Refused:
-		return refusal(a.RetryIn), nil
+	q.Body, q.Origin, q.Parts = r.doc, r, []core.Part{{Shard: r.section, Weight: 1}}
+	switch a := f.Coordinator.Ask(q, gone); a.Status {
+	case core.Rejected:
+		return refusal(a.RetryAfter), nil
 	case core.Invalid:
 		return nil, bad("illegal_argument_exception", "%s", a.Reason)
 	case core.Failed:
--- a/internal/opensearch/front_test.go
+++ b/internal/opensearch/front_test.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"harepass/internal/opensearch"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // inWorld runs a test before the API front and nodes that offer the API.
-func inWorld(t *testing.T, script func(shard, try int) standin.Reply, run func(w *world)) {
+func inWorld(t *testing.T, script func(shard, try int) fake.Reply, run func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, true, script, 0)
@@ -158,7 +158,7 @@
 		{"none lost where none may be", 1, "false", nil, 200},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			inWorld(t, first(99, standin.Fail, tc.lost...), func(w *world) {
+			inWorld(t, first(99, fake.Fail, tc.lost...), func(w *world) {
 				w.weigh("conditions", 0, tc.heavy)
 				status, h, data := w.do("GET", "/conditions/_search?allow_partial_search_results="+tc.partial, "", nil)
 				if status != tc.status {
@@ -240,7 +240,7 @@
 
 // A client that leaves takes its query with it: the nodes' connections are closed.
 func TestClientLeaves(t *testing.T) {
-	inWorld(t, first(9, standin.Silent, all()...), func(w *world) {
+	inWorld(t, first(9, fake.Silent, all()...), func(w *world) {
 		w.client.Timeout = 100 * ms
 		req, _ := http.NewRequest("GET", "http://front/trails/_search", nil)
 		if _, err := w.client.Do(req); err == nil {
--- a/internal/opensearch/keys_test.go
+++ b/internal/opensearch/keys_test.go
@@ -12,13 +12,13 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/decide/resend"
+	"harepass/internal/decide/retry"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 	"harepass/internal/opensearch"
 	"harepass/internal/platform"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 const key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -27,9 +27,9 @@
 // are one of each kind: free, keyed and once.
 type keyedWorld struct {
 	*testing.T
-	owner *core.Owner
-	fleet *standin.Fleet
-	nodes []core.Node
+	owner *core.Coordinator
+	fleet *fake.Fleet
+	nodes []core.Endpoint
 	slow  *slow
 	front map[string]string                                                    // addresses, by the protocol's Scheme
 	dial  func(ctx context.Context, network, address string) (net.Conn, error) // of the clients; nil for plain TCP
@@ -59,30 +59,30 @@
 	return !w.heard[id] && time.Since(began) >= frontIdle
 }
 
-func newKeyedWorld(t *testing.T, scheme string, script func(shard, try int) standin.Reply) *keyedWorld {
-	class := func(name string, repeat harepass.Repeat) harepass.Class {
-		return harepass.Class{Name: name, Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, LateWorth: 0.3,
-			Need: 1, Floor: 1, Repeat: repeat, Window: 4 * time.Second}
+func newKeyedWorld(t *testing.T, scheme string, script func(shard, try int) fake.Reply) *keyedWorld {
+	class := func(name string, repeat scatter.Idempotency) scatter.Class {
+		return scatter.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, LateWeight: 0.3,
+			CompleteFraction: 1, MinFraction: 1, Idempotency: repeat, DedupWindow: 4 * time.Second}
 	}
-	s := harepass.Settings{Roots: 1, Cells: 1, Reach: 1, CallBatch: 1, Turn: 5 * ms, MaxAttempts: 3, Cancel: true, SecondCopies: true,
-		RetryAdvice: time.Second, Classes: []harepass.Class{class("free", harepass.Free), class("keyed", harepass.Guarded), class("once", harepass.SingleShot)}}
+	s := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3, Cancellation: true, Hedging: true,
+		RetryAfter: time.Second, Classes: []scatter.Class{class("free", scatter.Idempotent), class("keyed", scatter.Keyed), class("once", scatter.NonIdempotent)}}
 	c := &opensearch.Config{Listen: "front", SectionField: "section", All: "free", Indices: map[string]*opensearch.Index{
 		"free": {Class: "free"}, "keyed": {Class: "keyed", Reports: true}, "lookup": {Class: "keyed"}, "once": {Class: "once", Reports: true}}}
 	if err := c.Check(s, shards); err != nil {
 		t.Fatal(err)
 	}
-	w := &keyedWorld{T: t, fleet: &standin.Fleet{Script: script}, front: map[string]string{}, heard: map[string]bool{},
+	w := &keyedWorld{T: t, fleet: &fake.Fleet{Script: script}, front: map[string]string{}, heard: map[string]bool{},
 		slow: &slow{held: map[string]chan struct{}{}, came: make(chan string, 100)}}
-	frames := &platform.Nodes{Streams: 32, ConnectTimeout: 20 * time.Second, Quiet: time.Second, KeepAlive: 30 * time.Second, Dial: w.slow.dial}
-	calls := &opensearch.Nodes{Config: c, ConnectTimeout: 20 * time.Second, KeepAlive: 30 * time.Second, Dial: w.slow.dial}
+	frames := &platform.Caller{CallsPerConn: 32, ConnectTimeout: 20 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second, Dial: w.slow.dial}
+	calls := &opensearch.Caller{Config: c, ConnectTimeout: 20 * time.Second, KeepAlive: 30 * time.Second, Dial: w.slow.dial}
 	clock := core.SystemClock()
 	var err error
-	w.owner, err = core.New(core.Config{Seed: 1, Settings: s, Clock: clock, Subscribe: func() {}, Asked: "test",
+	w.owner, err = core.New(core.Config{Seed: 1, Settings: s, Clock: clock, Subscribe: func() {}, PolledSource: "test",
 		Callers: map[string]core.Caller{platform.Scheme: frames, opensearch.Scheme: calls}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	frames.Owner, calls.Owner = w.owner, w.owner
+	frames.Reporter, calls.Reporter = w.owner, w.owner
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -98,11 +98,11 @@
 		} else {
 			go w.fleet.API(l)
 		}
-		w.nodes = append(w.nodes, core.Node{Replica: harepass.Replica{ID: fmt.Sprint("n", i)}, Address: l.Addr().String(), Scheme: scheme})
+		w.nodes = append(w.nodes, core.Endpoint{Replica: scatter.Replica{ID: fmt.Sprint("n", i)}, Address: l.Addr().String(), Scheme: scheme})
 	}
 	for front, server := range map[string]*http1.Server{
-		platform.Scheme:   {Handler: w.hear((&platform.Front{Owner: w.owner, Clock: clock}).Handle), Limits: http1.DefaultLimits},
-		opensearch.Scheme: {Handler: w.hear((&opensearch.Front{Config: c, Owner: w.owner, Clock: clock}).Handle), Fault: opensearch.Fault, Limits: http1.DefaultLimits},
+		platform.Scheme:   {Handler: w.hear((&platform.Front{Coordinator: w.owner, Clock: clock}).Handle), Limits: http1.DefaultLimits},
+		opensearch.Scheme: {Handler: w.hear((&opensearch.Front{Config: c, Coordinator: w.owner, Clock: clock}).Handle), Fault: opensearch.ErrorResponse, Limits: http1.DefaultLimits},
 	} {
 		l := listen()
 		w.front[front] = l.Addr().String()
@@ -110,7 +110,7 @@
 		t.Cleanup(func() { server.Shutdown() })
 	}
 	go w.owner.Run()
-	w.owner.Listed("test", harepass.ListFull, w.nodes)
+	w.owner.UpdateEndpoints("test", scatter.FullUpdate, w.nodes)
 	t.Cleanup(func() {
 		w.owner.Stop()
 		frames.Close()
@@ -164,7 +164,7 @@
 	req.Close = true
 	req.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {class}, "X-Budget": {"3900m"}}
 	if keys != nil {
-		req.Header[resend.Header] = keys
+		req.Header[retry.IdempotencyKeyHeader] = keys
 	}
 	client := &http.Client{Transport: &http.Transport{DialContext: w.dial}, Timeout: 20 * time.Second}
 	return client.Do(req)
@@ -201,24 +201,24 @@
 // to.
 func TestKeyComesWithEveryAttempt(t *testing.T) {
 	for name, tc := range map[string]struct {
-		first    standin.Reply
+		first    fake.Reply
 		attempts int
 	}{
-		"served":      {standin.Reply{}, 1},
-		"reset":       {standin.Reply{Kind: standin.Break}, 2},
-		"error":       {standin.Reply{Kind: standin.Fail}, 2},
-		"turned away": {standin.Reply{Kind: standin.Reject}, 2},
-		"spoilt":      {standin.Reply{Kind: standin.Spoil}, 2},
-		"silent":      {standin.Reply{Kind: standin.Silent}, 2},
+		"served":      {fake.Reply{}, 1},
+		"reset":       {fake.Reply{Kind: fake.Break}, 2},
+		"error":       {fake.Reply{Kind: fake.Fail}, 2},
+		"turned away": {fake.Reply{Kind: fake.Reject}, 2},
+		"spoilt":      {fake.Reply{Kind: fake.Spoil}, 2},
+		"silent":      {fake.Reply{Kind: fake.Silent}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			eachWay(t, func(t *testing.T, front, scheme string) {
-				w := newKeyedWorld(t, scheme, func(_, try int) standin.Reply {
+				w := newKeyedWorld(t, scheme, func(_, try int) fake.Reply {
 					if try == 0 {
 						return tc.first
 					}
-					return standin.Reply{}
+					return fake.Reply{}
 				})
 				if status, answer := w.ask(front, "keyed", key); !good(status) {
 					t.Errorf("%d %s", status, answer)
@@ -248,13 +248,13 @@
 			done <- status
 		}()
 		address := <-w.slow.came
-		leaving := slices.IndexFunc(w.nodes, func(n core.Node) bool { return n.Address == address })
+		leaving := slices.IndexFunc(w.nodes, func(n core.Endpoint) bool { return n.Address == address })
 		w.slow.mu.Lock()
 		delete(w.slow.held, w.nodes[1-leaving].Address)
 		w.slow.mu.Unlock()
 		n := w.nodes[leaving]
-		n.State = harepass.Draining
-		w.owner.Listed("test", harepass.ListChanges, []core.Node{n})
+		n.State = scatter.Draining
+		w.owner.UpdateEndpoints("test", scatter.IncrementalUpdate, []core.Endpoint{n})
 		if status := <-done; !good(status) {
 			t.Errorf("status %d", status)
 		}
@@ -290,12 +290,12 @@
 		for name, keys := range map[string][]string{"none": nil, "empty": {""}, "blank": {"  "}, "two": {key, key}, "two in a line": {key + ", " + key},
 			"too long": {strings.Repeat("k", 129)}, "far too long": {strings.Repeat("k", 9000)}, "a list's comma": {"a,d=1"}, "a space": {"a b"},
 			"quoted": {`"` + key + `"`}, "a tab": {"a\tb"}, "no ASCII": {"schlüssel"}, "no UTF-8": {"a\xff"}} {
-			if status, answer := w.ask(front, "keyed", keys...); status != 400 || !strings.Contains(answer, resend.Header) {
+			if status, answer := w.ask(front, "keyed", keys...); status != 400 || !strings.Contains(answer, retry.IdempotencyKeyHeader) {
 				t.Errorf("%s: %d %s", name, status, answer)
 			}
 		}
 		if front == opensearch.Scheme {
-			if status, answer := w.ask(front, "lookup"); status != 400 || !strings.Contains(answer, resend.Header) {
+			if status, answer := w.ask(front, "lookup"); status != 400 || !strings.Contains(answer, retry.IdempotencyKeyHeader) {
 				t.Errorf("a search in a keyed class without a key: %d %s", status, answer)
 			}
 		}
