--- a/internal/opensearch/nodes.go
+++ b/internal/opensearch/nodes.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/decide/resend"
+	"harepass/internal/decide/retry"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 )
 
@@ -26,11 +26,11 @@
 	idleShare = 0.8     // of the time after which nodes close idle connections: later ones are not trusted
 )
 
-// Nodes calls map nodes that offer the API. It is a core.Caller.
-type Nodes struct {
-	Owner          core.Reporter
+// Caller calls map nodes that offer the API. It is a core.Caller.
+type Caller struct {
+	Reporter       core.AttemptReporter
 	Config         *Config
-	Most           int // connections held at once; 0 for no limit
+	MaxConns       int // connections held at once; 0 for no limit
 	ConnectTimeout time.Duration
 	KeepAlive      time.Duration
 	Dial           http1.Dialer // nil for plain TCP
@@ -53,13 +53,13 @@
 }
 
 // Call implements core.Caller. The API has no call of several parts: each has a request of its own.
-func (n *Nodes) Call(to core.Node, attempts []*core.Attempt) {
+func (n *Caller) Call(to core.Endpoint, attempts []*core.Attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.nodes == nil {
 		n.nodes, n.sends = map[string]*node{}, map[*core.Attempt]context.CancelFunc{}
-		if n.Most > 0 {
-			n.slots = make(chan struct{}, max(1, n.Most/2))
+		if n.MaxConns > 0 {
+			n.slots = make(chan struct{}, max(1, n.MaxConns/2))
 		}
 	}
 	nd := n.nodes[to.ID]
@@ -76,13 +76,13 @@
 			delete(n.sends, at)
 			n.mu.Unlock()
 			cancel()
-			n.Owner.Ended(at, outcome, value)
+			n.Reporter.AttemptEnded(at, outcome, value)
 		}()
 	}
 }
 
-// Abandon implements core.Caller. The API cannot take a request back: its connection is closed.
-func (n *Nodes) Abandon(at *core.Attempt) {
+// Cancel implements core.Caller. The API cannot take a request back: its connection is closed.
+func (n *Caller) Cancel(at *core.Attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if cancel := n.sends[at]; cancel != nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Disconnect implements core.Caller. The node is forgotten: it may be gone.
-func (n *Nodes) Disconnect(id string) {
+// CloseIdleConnections implements core.Caller. The node is forgotten: it may be gone.
+func (n *Caller) CloseIdleConnections(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if nd := n.nodes[id]; nd != nil {
@@ -105,7 +105,7 @@
 }
 
 // keep holds a connection for the next request, unless its node is forgotten or there are enough.
-func (n *Nodes) keep(nd *node, id string, c *http1.Client) {
+func (n *Caller) keep(nd *node, id string, c *http1.Client) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.nodes[id] != nd || n.slots != nil && n.idle >= cap(n.slots) {
@@ -117,7 +117,7 @@
 }
 
 // Close ends all idle connections.
-func (n *Nodes) Close() {
+func (n *Caller) Close() {
 	n.mu.Lock()
 	var ids []string
 	for id := range n.nodes {
@@ -125,12 +125,12 @@
 	}
 	n.mu.Unlock()
 	for _, id := range ids {
-		n.Disconnect(id)
+		n.CloseIdleConnections(id)
 	}
 }
 
 // send makes one request and tells how it ended.
-func (n *Nodes) send(ctx context.Context, nd *node, to core.Node, at *core.Attempt) (harepass.Outcome, []byte) {
+func (n *Caller) send(ctx context.Context, nd *node, to core.Endpoint, at *core.Attempt) (scatter.Outcome, []byte) {
 	for _, slots := range []chan struct{}{nd.slots, n.slots} {
 		if slots == nil {
 			continue
@@ -139,50 +139,50 @@
 		case slots <- struct{}{}:
 			defer func() { <-slots }()
 		case <-ctx.Done():
-			return harepass.Moot, nil
+			return scatter.NotSent, nil
 		}
 	}
 	c, err := n.connect(ctx, nd, to.Address)
 	if err != nil {
 		if ctx.Err() != nil || errors.Is(err, syscall.EMFILE) { // which tells of us, not of the node
-			return harepass.Moot, nil
+			return scatter.NotSent, nil
 		}
-		return harepass.ConnectFailed, nil
+		return scatter.ConnectFailed, nil
 	}
 	req, ok := n.request(at) // only now, for it tells the time that is left
 	if !ok || !at.Begin() {
 		n.keep(nd, to.ID, c)
-		return harepass.Moot, nil
+		return scatter.NotSent, nil
 	}
 	req.Header.Set("Host", to.Address)
-	if at.Key != "" {
-		req.Header.Set(resend.Header, at.Key)
+	if at.IdempotencyKey != "" {
+		req.Header.Set(retry.IdempotencyKeyHeader, at.IdempotencyKey)
 	}
 	m, written, err := c.Do(ctx, req)
 	var spoilt *http1.Error
 	switch {
 	case err != nil && ctx.Err() != nil:
-		return harepass.Cancelled, nil
+		return scatter.Cancelled, nil
 	case errors.As(err, &spoilt): // the node runs and has answered, if not to be read: no broken connection
-		return harepass.Errored, nil
+		return scatter.Errored, nil
 	case err != nil && !written:
-		return harepass.ConnectFailed, nil
+		return scatter.ConnectFailed, nil
 	case err != nil:
-		return harepass.Reset, nil
+		return scatter.ConnectionReset, nil
 	}
 	n.keep(nd, to.ID, c)
-	if !at.First && !at.Signed {
+	if !at.FirstPhase && !at.WithVersion {
 		return outcome(m, at.Origin != nil)
 	}
-	at.Found = evidence(m)
-	if at.First && m.Status == 400 { // what is wrong with the request, if the client's, its full form will tell
-		return harepass.Served, nil
+	at.Evidence = evidence(m)
+	if at.FirstPhase && m.Status == 400 { // what is wrong with the request, if the client's, its full form will tell
+		return scatter.Succeeded, nil
 	}
 	return outcome(m, false)
 }
 
 // connect takes an idle connection that still stands, or opens one.
-func (n *Nodes) connect(ctx context.Context, nd *node, address string) (*http1.Client, error) {
+func (n *Caller) connect(ctx context.Context, nd *node, address string) (*http1.Client, error) {
 	for {
 		n.mu.Lock()
 		last := len(nd.idle) - 1
@@ -207,13 +207,13 @@
 }
 
 // request words an attempt; a query of another front goes to the index of its class.
-func (n *Nodes) request(at *core.Attempt) (*http1.Message, bool) {
+func (n *Caller) request(at *core.Attempt) (*http1.Message, bool) {
 	switch q := at.Origin.(type) {
 	case *search:
 		switch {
-		case at.First:
+		case at.FirstPhase:
 			return searchRequest(q.index, at, q.first), true
-		case at.Signed:
+		case at.WithVersion:
 			return searchRequest(q.index, at, q.signed), true
 		}
 		return searchRequest(q.index, at, q.body), true
@@ -225,10 +225,10 @@
 		return nil, false
 	}
 	if ix.Reports {
-		doc, _ := json.Marshal(map[string]any{n.Config.SectionField: at.Shard, "filter": string(at.Text)}) // cannot fail
-		return reportRequest(&report{index: ix, section: at.Shard, id: at.Query, create: true, doc: doc}, at), true
+		doc, _ := json.Marshal(map[string]any{n.Config.SectionField: at.Shard, "filter": string(at.Body)}) // cannot fail
+		return reportRequest(&report{index: ix, section: at.Shard, id: at.QueryID, create: true, doc: doc}, at), true
 	}
-	body, _ := json.Marshal(map[string]any{"query": map[string]any{"term": map[string]string{"filter": string(at.Text)}}}) // cannot fail
+	body, _ := json.Marshal(map[string]any{"query": map[string]any{"term": map[string]string{"filter": string(at.Body)}}}) // cannot fail
 	return searchRequest(ix, at, body), true
 }
 
@@ -258,7 +258,7 @@
 
 // outcome reads a node's answer. A search answer that the node itself does not call whole is none. What a
 // node finds wrong with a client's own request is its final word: other nodes would find the same.
-func outcome(m *http1.Message, own bool) (harepass.Outcome, []byte) {
+func outcome(m *http1.Message, own bool) (scatter.Outcome, []byte) {
 	var body struct {
 		Error struct {
 			Type string `json:"type"`
@@ -272,15 +272,15 @@
 	switch {
 	case bad:
 	case m.Status == 429 && rejections[body.Error.Type]:
-		return harepass.Full, nil
+		return scatter.Rejected, nil
 	case m.Status == 409 && body.Error.Type == "version_conflict_engine_exception":
-		return harepass.Served, m.Body // the document is there
+		return scatter.Succeeded, m.Body // the document is there
 	case own && m.Status == 400 && body.Error.Type != "":
-		return harepass.Served, m.Body
+		return scatter.Succeeded, m.Body
 	case (m.Status == 200 || m.Status == 201) && body.Result != "":
-		return harepass.Served, m.Body
+		return scatter.Succeeded, m.Body
 	case m.Status == 200 && len(body.Hits) > 0 && !body.TimedOut && body.Shards != nil && body.Shards.Failed == 0:
-		return harepass.Served, body.Hits
+		return scatter.Succeeded, body.Hits
 	}
-	return harepass.Errored, nil
+	return scatter.Errored, nil
 }
--- a/internal/opensearch/nodes_test.go
+++ b/internal/opensearch/nodes_test.go
@@ -8,15 +8,15 @@
 	"testing/synctest"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 )
 
 // outcomes takes the one outcome of each attempt.
 type outcomes chan string
 
-func (o outcomes) Ended(_ *core.Attempt, outcome harepass.Outcome, value []byte) {
+func (o outcomes) AttemptEnded(_ *core.Attempt, outcome scatter.Outcome, value []byte) {
 	o <- string(rune('0'+int(outcome))) + " " + string(value)
 }
 
@@ -39,7 +39,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ended, conns := make(outcomes, 2), 0
-			n := &Nodes{Owner: ended, Config: &Config{SectionField: "section"}, Most: 4, ConnectTimeout: time.Second, KeepAlive: time.Minute}
+			n := &Caller{Reporter: ended, Config: &Config{SectionField: "section"}, MaxConns: 4, ConnectTimeout: time.Second, KeepAlive: time.Minute}
 			n.Dial = func(context.Context, string) (net.Conn, error) {
 				here, there := net.Pipe()
 				conns++
@@ -55,8 +55,8 @@
 				return here, nil
 			}
 			ask := func() string {
-				n.Call(core.Node{Replica: harepass.Replica{ID: "n"}, Address: "n"},
-					[]*core.Attempt{{Node: "n", Timeout: time.Second, Origin: &search{index: &Index{name: "i"}}}})
+				n.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"},
+					[]*core.Attempt{{Endpoint: "n", Timeout: time.Second, Origin: &search{index: &Index{name: "i"}}}})
 				return <-ended
 			}
 			if got := ask(); got != tc.want {
@@ -65,7 +65,7 @@
 			if got := ask(); got != `0 {"n":2}` || conns != 2 {
 				t.Errorf("%.60q: the next answer is %q on connection %d", tc.answer, got, conns)
 			}
-			n.Disconnect("n")
+			n.CloseIdleConnections("n")
 			synctest.Wait()
 			if len(n.nodes) > 0 || len(n.sends) > 0 || n.idle > 0 || len(n.slots) > 0 {
 				t.Errorf("%d nodes, %d sends, %d idle and %d slots remain", len(n.nodes), len(n.sends), n.idle, len(n.slots))
@@ -80,21 +80,21 @@
 	for _, tc := range []struct {
 		status int
 		body   string
-		want   harepass.Outcome
+		want   scatter.Outcome
 	}{
-		{200, `{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"hits":[]}}`, harepass.Served},
-		{200, `{"timed_out":true,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"hits":[]}}`, harepass.Errored},
-		{200, `{"timed_out":false,"_shards":{"total":1,"successful":0,"failed":1},"hits":{"hits":[]}}`, harepass.Errored},
-		{200, `{"timed_out":false,"hits":{"hits":[]}}`, harepass.Errored},
-		{200, `{"timed_out":false,`, harepass.Errored},
-		{201, `{"_id":"a","result":"created"}`, harepass.Served},
-		{409, `{"error":{"type":"version_conflict_engine_exception"},"status":409}`, harepass.Served},
-		{429, `{"error":{"type":"rejected_execution_exception"},"status":429}`, harepass.Full},
-		{429, `{"error":{"type":"circuit_breaking_exception"},"status":429}`, harepass.Errored},
-		{429, `too many`, harepass.Errored},
-		{503, `{"error":{"type":"rejected_execution_exception"},"status":503}`, harepass.Errored},
-		{500, `{"error":{"type":"exception"},"status":500}`, harepass.Errored},
-		{400, `{"error":{"type":"parsing_exception"},"status":400}`, harepass.Errored},
+		{200, `{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"hits":[]}}`, scatter.Succeeded},
+		{200, `{"timed_out":true,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"hits":[]}}`, scatter.Errored},
+		{200, `{"timed_out":false,"_shards":{"total":1,"successful":0,"failed":1},"hits":{"hits":[]}}`, scatter.Errored},
+		{200, `{"timed_out":false,"hits":{"hits":[]}}`, scatter.Errored},
+		{200, `{"timed_out":false,`, scatter.Errored},
+		{201, `{"_id":"a","result":"created"}`, scatter.Succeeded},
+		{409, `{"error":{"type":"version_conflict_engine_exception"},"status":409}`, scatter.Succeeded},
+		{429, `{"error":{"type":"rejected_execution_exception"},"status":429}`, scatter.Rejected},
+		{429, `{"error":{"type":"circuit_breaking_exception"},"status":429}`, scatter.Errored},
+		{429, `too many`, scatter.Errored},
+		{503, `{"error":{"type":"rejected_execution_exception"},"status":503}`, scatter.Errored},
+		{500, `{"error":{"type":"exception"},"status":500}`, scatter.Errored},
+		{400, `{"error":{"type":"parsing_exception"},"status":400}`, scatter.Errored},
 	} {
 		if got, _ := outcome(&http1.Message{Status: tc.status, Body: []byte(tc.body)}, false); got != tc.want {
 			t.Errorf("%d %s: outcome %d, want %d", tc.status, tc.body, got, tc.want)
--- a/internal/opensearch/parity_test.go
+++ b/internal/opensearch/parity_test.go
@@ -15,12 +15,12 @@
 	"testing/synctest"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 	"harepass/internal/opensearch"
 	"harepass/internal/platform"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 const (
@@ -29,12 +29,12 @@
 	shards = 10
 )
 
-func settings() harepass.Settings {
-	return harepass.Settings{Roots: 1, Cells: cells, Reach: cells, CallBatch: 1, Turn: 5 * ms, MaxAttempts: 4, Cancel: true,
-		RetryAdvice: time.Second, Classes: []harepass.Class{
-			{Name: "route-lookup", Aim: 1500 * ms, Deadline: 3000 * ms, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 1},
-			{Name: "hazard-report", Aim: 1500 * ms, Deadline: 5000 * ms, Worth: 2, LateWorth: 0.1, Repeat: harepass.SingleShot, Need: 1, Floor: 1},
-			{Name: "conditions-summary", Aim: 1500 * ms, Deadline: 5000 * ms, Worth: 3, LateWorth: 0.3, Need: 1, Floor: 0.7},
+func settings() scatter.Settings {
+	return scatter.Settings{Coordinators: 1, RingSize: cells, ReplicationFactor: cells, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 4, Cancellation: true,
+		RetryAfter: time.Second, Classes: []scatter.Class{
+			{Name: "route-lookup", LatencyObjective: 1500 * ms, Deadline: 3000 * ms, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1},
+			{Name: "hazard-report", LatencyObjective: 1500 * ms, Deadline: 5000 * ms, PriorityWeight: 2, LateWeight: 0.1, Idempotency: scatter.NonIdempotent, CompleteFraction: 1, MinFraction: 1},
+			{Name: "conditions-summary", LatencyObjective: 1500 * ms, Deadline: 5000 * ms, PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7},
 		}}
 }
 
@@ -50,32 +50,32 @@
 // world is a coordinator with one front before nodes of one kind, on a clock and a network of the test's.
 type world struct {
 	t      *testing.T
-	net    standin.Net
-	fleet  *standin.Fleet
-	owner  *core.Owner
+	net    fake.Net
+	fleet  *fake.Fleet
+	owner  *core.Coordinator
 	config *opensearch.Config
 	client *http.Client
 	ends   []func()
 }
 
-func newWorld(t *testing.T, api bool, script func(shard, try int) standin.Reply, down int) *world {
-	w := &world{t: t, net: standin.Net{HalfClose: true}, fleet: &standin.Fleet{Script: script}}
+func newWorld(t *testing.T, api bool, script func(shard, try int) fake.Reply, down int) *world {
+	w := &world{t: t, net: fake.Net{HalfClose: true}, fleet: &fake.Fleet{Script: script}}
 	clock := core.SystemClock()
 	c := config(t)
-	frames := &platform.Nodes{Streams: 32, ConnectTimeout: 250 * ms, Quiet: 300 * ms, KeepAlive: 30 * time.Second, Dial: w.net.Dial}
-	calls := &opensearch.Nodes{Config: c, ConnectTimeout: 250 * ms, KeepAlive: 30 * time.Second, Dial: w.net.Dial}
-	owner, err := core.New(core.Config{Seed: 1, Settings: settings(), Limits: core.Limits{Open: 200}, Clock: clock,
-		Callers: map[string]core.Caller{platform.Scheme: frames, opensearch.Scheme: calls}, Subscribe: func() {}, Asked: "test"})
+	frames := &platform.Caller{CallsPerConn: 32, ConnectTimeout: 250 * ms, ResponseTimeout: 300 * ms, KeepAlive: 30 * time.Second, Dial: w.net.Dial}
+	calls := &opensearch.Caller{Config: c, ConnectTimeout: 250 * ms, KeepAlive: 30 * time.Second, Dial: w.net.Dial}
+	owner, err := core.New(core.Config{Seed: 1, Settings: settings(), Limits: core.Limits{MaxOpen: 200}, Clock: clock,
+		Callers: map[string]core.Caller{platform.Scheme: frames, opensearch.Scheme: calls}, Subscribe: func() {}, PolledSource: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.config = c
-	w.owner, frames.Owner, calls.Owner = owner, owner, owner
+	w.owner, frames.Reporter, calls.Reporter = owner, owner, owner
 	go owner.Run()
-	var nodes []core.Node
+	var nodes []core.Endpoint
 	for i := range cells {
 		address := "node" + strconv.Itoa(i)
-		n := core.Node{Replica: harepass.Replica{ID: address, Cell: i}, Address: address, Scheme: platform.Scheme}
+		n := core.Endpoint{Replica: scatter.Replica{ID: address, RingPosition: i}, Address: address, Scheme: platform.Scheme}
 		if api {
 			n.Scheme = opensearch.Scheme
 		}
@@ -91,10 +91,10 @@
 			go w.fleet.Frames(l)
 		}
 	}
-	owner.Listed("test", harepass.ListFull, nodes)
-	s := &http1.Server{Handler: (&platform.Front{Owner: owner, Clock: clock}).Handle, Limits: http1.DefaultLimits}
+	owner.UpdateEndpoints("test", scatter.FullUpdate, nodes)
+	s := &http1.Server{Handler: (&platform.Front{Coordinator: owner, Clock: clock}).Handle, Limits: http1.DefaultLimits}
 	if api {
-		s = &http1.Server{Handler: (&opensearch.Front{Config: c, Owner: owner, Clock: clock}).Handle, Fault: opensearch.Fault,
+		s = &http1.Server{Handler: (&opensearch.Front{Config: c, Coordinator: owner, Clock: clock}).Handle, Fault: opensearch.ErrorResponse,
 			Limits: http1.DefaultLimits}
 	}
 	l := w.net.Listen("front")
@@ -277,13 +277,13 @@
 // after staggers the nodes' replies, so that no two come at once and both paths see the same order.
 func after(shard int) time.Duration { return 150*ms + time.Duration(shard)*ms }
 
-func serve(shard int) standin.Reply { return standin.Reply{Kind: standin.Serve, After: after(shard)} }
+func serve(shard int) fake.Reply { return fake.Reply{Kind: fake.Serve, After: after(shard)} }
 
 // first has the given shards go another way at their first tries.
-func first(tries int, kind standin.Kind, odd ...int) func(shard, try int) standin.Reply {
-	return func(shard, try int) standin.Reply {
+func first(tries int, kind fake.Kind, odd ...int) func(shard, try int) fake.Reply {
+	return func(shard, try int) fake.Reply {
 		if slices.Contains(odd, shard) && try < tries {
-			return standin.Reply{Kind: kind, After: after(shard)}
+			return fake.Reply{Kind: kind, After: after(shard)}
 		}
 		return serve(shard)
 	}
@@ -297,7 +297,7 @@
 		class    string
 		sections []int
 		budget   time.Duration
-		script   func(shard, try int) standin.Reply
+		script   func(shard, try int) fake.Reply
 		down     int // nodes that refuse connections
 		want     string
 		least    int // sections in the answer
@@ -305,23 +305,23 @@
 		runs     int // of the first section, -1 for any
 	}{
 		{"route served", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(0, 0), 0, "whole", 3, 200 * ms, 1},
-		{"route after an error", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(1, standin.Fail, 1), 0, "whole", 3, 500 * ms, 2},
-		{"route after a rejection", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(1, standin.Reject, 1), 0, "whole", 3, 600 * ms, 1},
-		{"route after a reset", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(1, standin.Break, 1), 0, "whole", 3, time.Second, 2},
-		{"route never whole", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(9, standin.Fail, 1), 0, "refused", 0, 3 * time.Second, -1},
+		{"route after an error", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(1, fake.Fail, 1), 0, "whole", 3, 500 * ms, 2},
+		{"route after a rejection", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(1, fake.Reject, 1), 0, "whole", 3, 600 * ms, 1},
+		{"route after a reset", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(1, fake.Break, 1), 0, "whole", 3, time.Second, 2},
+		{"route never whole", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(9, fake.Fail, 1), 0, "refused", 0, 3 * time.Second, -1},
 		{"route out of time", "route-lookup", []int{1, 2, 3}, 120 * ms, first(0, 0), 0, "refused", 0, 120 * ms, -1},
-		{"route with a silent node", "route-lookup", []int{1, 2}, 3 * time.Second, first(9, standin.Silent, 1), 0, "refused", 0, 3 * time.Second, -1},
+		{"route with a silent node", "route-lookup", []int{1, 2}, 3 * time.Second, first(9, fake.Silent, 1), 0, "refused", 0, 3 * time.Second, -1},
 		{"route with a node down", "route-lookup", []int{1, 2, 3}, 3 * time.Second, first(0, 0), 1, "whole", 3, 600 * ms, 1},
 		{"all nodes down", "route-lookup", []int{1}, 3 * time.Second, first(0, 0), 3, "refused", 0, 3 * time.Second, 0},
 		{"conditions whole", "conditions-summary", all(), 5 * time.Second, first(0, 0), 0, "whole", shards, 200 * ms, 1},
-		{"conditions of eight in ten", "conditions-summary", all(), 5 * time.Second, first(9, standin.Silent, 0, 5), 0, "part", 8, 1500 * ms, -1},
-		{"conditions of seven in ten", "conditions-summary", all(), 5 * time.Second, first(9, standin.Fail, 0, 4, 5), 0, "part", 7, 1500 * ms, -1},
-		{"conditions of six in ten", "conditions-summary", all(), 5 * time.Second, first(9, standin.Fail, 0, 4, 5, 6), 0, "refused", 0, 5 * time.Second, -1},
+		{"conditions of eight in ten", "conditions-summary", all(), 5 * time.Second, first(9, fake.Silent, 0, 5), 0, "part", 8, 1500 * ms, -1},
+		{"conditions of seven in ten", "conditions-summary", all(), 5 * time.Second, first(9, fake.Fail, 0, 4, 5), 0, "part", 7, 1500 * ms, -1},
+		{"conditions of six in ten", "conditions-summary", all(), 5 * time.Second, first(9, fake.Fail, 0, 4, 5, 6), 0, "refused", 0, 5 * time.Second, -1},
 		{"hazard stored", "hazard-report", []int{4}, 5 * time.Second, first(0, 0), 0, "whole", 1, 200 * ms, 1},
-		{"hazard after rejections", "hazard-report", []int{4}, 5 * time.Second, first(2, standin.Reject, 4), 0, "whole", 1, 1500 * ms, 1},
-		{"hazard after an error", "hazard-report", []int{4}, 5 * time.Second, first(1, standin.Fail, 4), 0, "failed", 0, 5 * time.Second, 1},
-		{"hazard after a reset", "hazard-report", []int{4}, 5 * time.Second, first(1, standin.Break, 4), 0, "failed", 0, 5 * time.Second, 1},
-		{"hazard never answered", "hazard-report", []int{4}, 5 * time.Second, first(1, standin.Silent, 4), 0, "failed", 0, 5 * time.Second, 1},
+		{"hazard after rejections", "hazard-report", []int{4}, 5 * time.Second, first(2, fake.Reject, 4), 0, "whole", 1, 1500 * ms, 1},
+		{"hazard after an error", "hazard-report", []int{4}, 5 * time.Second, first(1, fake.Fail, 4), 0, "failed", 0, 5 * time.Second, 1},
+		{"hazard after a reset", "hazard-report", []int{4}, 5 * time.Second, first(1, fake.Break, 4), 0, "failed", 0, 5 * time.Second, 1},
+		{"hazard never answered", "hazard-report", []int{4}, 5 * time.Second, first(1, fake.Silent, 4), 0, "failed", 0, 5 * time.Second, 1},
 		{"hazard with all nodes down", "hazard-report", []int{4}, 5 * time.Second, first(0, 0), 3, "refused", 0, 5 * time.Second, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/opensearch/phases.go
+++ b/internal/opensearch/phases.go
@@ -51,7 +51,7 @@
 		body.Shards == nil || body.Shards.Failed > 0 || body.Shards.Total != body.Shards.Successful || body.Shards.Total == 0 || body.Hits == nil {
 		return ev
 	}
-	ev.Read, ev.Matches = true, -1
+	ev.Readable, ev.Matches = true, -1
 	if t := body.Hits.Total; t != nil && t.Relation == "eq" {
 		ev.Matches = t.Value
 	}
@@ -67,14 +67,14 @@
 	}
 	v := every.Version
 	if *every.Docs == 0 {
-		ev.Signed = true
+		ev.Versioned = true
 		return ev
 	}
 	if v.Min == nil || v.Max == nil || v.Sum == nil {
 		return ev
 	}
-	if version := (twophase.Version{Docs: *every.Docs, Max: *v.Max, Least: *v.Min, Sum: *v.Sum}); version.Sound() {
-		ev.Signed, ev.Version = true, version
+	if version := (twophase.Version{Docs: *every.Docs, Max: *v.Max, Min: *v.Min, Sum: *v.Sum}); version.Valid() {
+		ev.Versioned, ev.Version = true, version
 	}
 	return ev
 }
--- a/internal/opensearch/phases_test.go
+++ b/internal/opensearch/phases_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/twophase"
 	"harepass/internal/http1"
 )
@@ -19,15 +19,15 @@
 	const good = `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":3,"relation":"eq"},"max_score":null,"hits":[]},` +
 		`"aggregations":{"harepass_all":{"doc_count":5,"harepass_version":{"count":5,"min":1.0,"max":9.0,"avg":4.0,"sum":20.0}}}}`
-	whole := twophase.Evidence{Read: true, Matches: 3, Signed: true, Version: twophase.Version{Docs: 5, Max: 9, Least: 1, Sum: 20}}
-	unsigned := twophase.Evidence{Read: true, Matches: 3}
+	whole := twophase.Evidence{Readable: true, Matches: 3, Versioned: true, Version: twophase.Version{Docs: 5, Max: 9, Min: 1, Sum: 20}}
+	unsigned := twophase.Evidence{Readable: true, Matches: 3}
 	for _, tc := range []struct {
 		name, from, to string
 		want           twophase.Evidence
 	}{
 		{"all there", "", "", whole},
-		{"a count that may be higher", `"eq"`, `"gte"`, twophase.Evidence{Read: true, Matches: -1, Signed: true, Version: whole.Version}},
-		{"no count", `"total":{"value":3,"relation":"eq"},"max`, `"max`, twophase.Evidence{Read: true, Matches: -1, Signed: true, Version: whole.Version}},
+		{"a count that may be higher", `"eq"`, `"gte"`, twophase.Evidence{Readable: true, Matches: -1, Versioned: true, Version: whole.Version}},
+		{"no count", `"total":{"value":3,"relation":"eq"},"max`, `"max`, twophase.Evidence{Readable: true, Matches: -1, Versioned: true, Version: whole.Version}},
 		{"timed out", `"timed_out":false`, `"timed_out":true`, twophase.Evidence{}},
 		{"ended early", `"timed_out":false`, `"timed_out":false,"terminated_early":true`, twophase.Evidence{}},
 		{"a copy failed", `"failed":0`, `"failed":1`, twophase.Evidence{}},
@@ -43,7 +43,7 @@
 		{"the least above the most", `"min":1.0`, `"min":10.0`, unsigned},
 		{"no aggregation", `"harepass_all"`, `"other"`, unsigned},
 		{"an empty section", `"doc_count":5,"harepass_version":{"count":5,"min":1.0,"max":9.0,"avg":4.0,"sum":20.0}`,
-			`"doc_count":0,"harepass_version":{"count":0,"min":null,"max":null,"avg":null,"sum":0}`, twophase.Evidence{Read: true, Matches: 3, Signed: true}},
+			`"doc_count":0,"harepass_version":{"count":0,"min":null,"max":null,"avg":null,"sum":0}`, twophase.Evidence{Readable: true, Matches: 3, Versioned: true}},
 	} {
 		body := good
 		if tc.from != "" {
@@ -55,11 +55,11 @@
 			t.Errorf("%s: %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
-	if got := evidence(&http1.Message{Status: 500, Body: []byte(good)}); got.Read {
+	if got := evidence(&http1.Message{Status: 500, Body: []byte(good)}); got.Readable {
 		t.Error("an error is read for evidence")
 	}
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1 << 54} {
-		if (twophase.Version{Docs: 1, Max: v, Least: v, Sum: v}).Sound() {
+		if (twophase.Version{Docs: 1, Max: v, Min: v, Sum: v}).Valid() {
 			t.Errorf("version %g is taken to be exact", v)
 		}
 	}
@@ -92,11 +92,11 @@
 }
 
 func TestTwoPhaseConfig(t *testing.T) {
-	class := harepass.Class{Name: "free", Deadline: time.Second}
+	class := scatter.Class{Name: "free", Deadline: time.Second}
 	guarded, once := class, class
-	guarded.Name, guarded.Repeat = "guarded", harepass.Guarded
-	once.Name, once.Repeat = "once", harepass.SingleShot
-	set := harepass.Settings{Classes: []harepass.Class{class, guarded, once}}
+	guarded.Name, guarded.Idempotency = "guarded", scatter.Keyed
+	once.Name, once.Idempotency = "once", scatter.NonIdempotent
+	set := scatter.Settings{Classes: []scatter.Class{class, guarded, once}}
 	for _, tc := range []struct {
 		ix   Index
 		want string
@@ -112,7 +112,7 @@
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%+v: %v, want %q", tc.ix, err, tc.want)
 		}
-		if firsts := c.Firsts(); err == nil && (len(firsts) != 1 || firsts[0] != "free") {
+		if firsts := c.TwoPhaseClasses(); err == nil && (len(firsts) != 1 || firsts[0] != "free") {
 			t.Errorf("classes with a first phase: %q", firsts)
 		}
 	}
--- a/internal/operator/door.go
+++ b/internal/operator/door.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Conns is how many connections a Door holds at once.
-const Conns = 16
+// MaxConns is how many connections a Door holds at once.
+const MaxConns = 16
 
 const (
 	longestLine = 256                    // bytes; a call is a word and a node's id
@@ -26,16 +26,16 @@
 	acceptPause = 5 * time.Millisecond   // before another look for room
 )
 
-// Desk does what calls ask for. The error says why not.
-type Desk interface {
+// Handler does what calls ask for. The error says why not.
+type Handler interface {
 	Status() error
 	Out(id, by string) error
 	Back(id, by string) error
 }
 
-// Door takes calls.
-type Door struct {
-	Desk Desk
+// AdminServer takes calls.
+type AdminServer struct {
+	Handler Handler
 
 	mu     sync.Mutex
 	conns  []*caller // in order of coming
@@ -49,7 +49,7 @@
 }
 
 // Serve accepts until the listener is closed.
-func (d *Door) Serve(l net.Listener) {
+func (d *AdminServer) Serve(l net.Listener) {
 	for {
 		for !d.room() {
 			time.Sleep(acceptPause)
@@ -67,10 +67,10 @@
 }
 
 // room makes room for a caller, where it can: the one that has been here longest goes.
-func (d *Door) room() bool {
+func (d *AdminServer) room() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.conns) < Conns {
+	if len(d.conns) < MaxConns {
 		return true
 	}
 	if time.Since(d.conns[0].came) < freshTime {
@@ -81,7 +81,7 @@
 	return true
 }
 
-func (d *Door) start(c *caller) {
+func (d *AdminServer) start(c *caller) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
@@ -104,7 +104,7 @@
 }
 
 // Close ends all connections; the listener has to be closed before.
-func (d *Door) Close() {
+func (d *AdminServer) Close() {
 	d.mu.Lock()
 	d.closed = true
 	for _, c := range d.conns {
@@ -115,7 +115,7 @@
 }
 
 // serve answers one call.
-func (d *Door) serve(c *caller) {
+func (d *AdminServer) serve(c *caller) {
 	c.SetReadDeadline(c.came.Add(lineTime))
 	line, err := bufio.NewReaderSize(c, longestLine).ReadSlice('\n')
 	switch {
@@ -143,17 +143,17 @@
 }
 
 // call does what a line asks for.
-func (d *Door) call(line, by string) error {
+func (d *AdminServer) call(line, by string) error {
 	word, id, err := parse(line)
 	switch {
 	case err != nil:
 		return err
 	case word == "status":
-		return d.Desk.Status()
+		return d.Handler.Status()
 	case word == "maint-on":
-		return d.Desk.Out(id, by)
+		return d.Handler.Out(id, by)
 	default:
-		return d.Desk.Back(id, by)
+		return d.Handler.Back(id, by)
 	}
 }
 
--- a/internal/operator/door_test.go
+++ b/internal/operator/door_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	d := &desk{}
-	door := &Door{Desk: d}
+	door := &AdminServer{Handler: d}
 	served := make(chan struct{})
 	go func() { door.Serve(l); close(served) }()
 	t.Cleanup(func() { l.Close(); <-served; door.Close() })
@@ -91,7 +91,7 @@
 func TestSilentCallers(t *testing.T) {
 	d, address := openDoor(t)
 	var silent []net.Conn
-	for i := range 20 * Conns {
+	for i := range 20 * MaxConns {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/operator/list_test.go
+++ b/internal/operator/list_test.go
@@ -22,8 +22,8 @@
 		defer os.RemoveAll(dir)
 		for name, c := range map[string]struct{ bytes, made int }{"short": {7_000, 21}, "long": {700_000, 4}} {
 			var version, made atomic.Int64
-			p := NewRegister(name, open(t, dir), func() time.Duration { return time.Duration(time.Now().UnixNano()) })
-			p.Owner = &owner{}
+			p := NewStore(name, open(t, dir), func() time.Duration { return time.Duration(time.Now().UnixNano()) })
+			p.Coordinator = &owner{}
 			p.List = func() (string, json.RawMessage, error) {
 				made.Add(1)
 				return "d:1", json.RawMessage(`"` + string(bytes.Repeat([]byte{byte('a' + version.Load()%26)}, c.bytes)) + `"`), nil
@@ -43,7 +43,7 @@
 			before := made.Load()
 			next := begin(t, dir, name)
 			next.end()
-			if list, from := next.Found(); from != "d:1" || len(list) != c.bytes+2 || list[1] != byte('a'+version.Load()%26) {
+			if list, from := next.FoundList(); from != "d:1" || len(list) != c.bytes+2 || list[1] != byte('a'+version.Load()%26) {
 				t.Errorf("%s: found %d bytes from %s", name, len(list), from)
 			}
 			if time.Sleep(5 * time.Second); made.Load() != before {
--- a/internal/operator/register.go
+++ b/internal/operator/register.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 const (
@@ -32,20 +32,20 @@
 	sharedFor = 2500 * time.Millisecond
 )
 
-// Owner is what the register tells; none of it blocks.
-type Owner interface {
-	Maintenance(maintenance.Book)
-	Knows(id string) bool
-	Serving() error // why it does not
-	Shared(bool)    // whether another process of the coordinator serves beside it, so that limits hold for both
+// Coordinator is what the register tells; none of it blocks.
+type Coordinator interface {
+	SetMaintenance(maintenance.Register)
+	HasEndpoint(id string) bool
+	CheckReady() error // why it does not
+	SetShared(bool)    // whether another process of the coordinator serves beside it, so that limits hold for both
 }
 
-// Register keeps what operators have said, and shares it with the coordinator's other processes. It is the Door's Desk.
-type Register struct {
-	Name  string
-	Owner Owner
-	Clock func() time.Duration
-	Files *Files // nil keeps nothing beyond this process
+// Store keeps what operators have said, and shares it with the coordinator's other processes. It is the Door's Desk.
+type Store struct {
+	Name        string
+	Coordinator Coordinator
+	Clock       func() time.Duration
+	Files       *Files // nil keeps nothing beyond this process
 
 	// List is asked for the whole list, and the address that it came from, when files are written after ListChanged; nil
 	// where Listed alone brings lists. It is called by Run's goroutine.
@@ -63,10 +63,10 @@
 	failed    time.Duration // when a failed write was logged last; of Run alone
 }
 
-// NewRegister reads what other processes have left; Found tells what that was. Run has to be started for the rest.
-func NewRegister(name string, files *Files, clock func() time.Duration) *Register {
-	r := &Register{Name: name, Files: files, Clock: clock, visits: make(chan chan struct{}),
-		mine: Snapshot{Name: name, Book: maintenance.Book{}}}
+// NewStore reads what other processes have left; Found tells what that was. Run has to be started for the rest.
+func NewStore(name string, files *Files, clock func() time.Duration) *Store {
+	r := &Store{Name: name, Files: files, Clock: clock, visits: make(chan chan struct{}),
+		mine: Snapshot{Name: name, Maintenance: maintenance.Register{}}}
 	if files != nil {
 		files.Prune()
 		r.take(files.Others())
@@ -75,21 +75,21 @@
 	return r
 }
 
-// Found is the latest list that another process left and where it came from; nil where there is none.
-func (r *Register) Found() (list json.RawMessage, discovery string) {
+// FoundList is the latest list that another process left and where it came from; nil where there is none.
+func (r *Store) FoundList() (list json.RawMessage, discovery string) {
 	return r.mine.List, r.mine.Discovery
 }
 
 // take merges what others have written; under the lock, or before Run. It tells whether the book has changed.
-func (r *Register) take(list []Snapshot) (changed bool) {
+func (r *Store) take(list []Snapshot) (changed bool) {
 	for _, s := range list {
 		if s.Name != r.Name {
 			slog.Warn("state not used", "coordinator", s.Name, "err", "it is another coordinator's")
 			continue
 		}
-		changed = r.mine.Book.Merge(s.Book) || changed
-		if l := s.Learned; l != nil && (r.mine.Learned == nil || l.At > r.mine.Learned.At) {
-			r.mine.Learned = l
+		changed = r.mine.Maintenance.Merge(s.Maintenance) || changed
+		if l := s.Checkpoint; l != nil && (r.mine.Checkpoint == nil || l.At > r.mine.Checkpoint.At) {
+			r.mine.Checkpoint = l
 		}
 		if len(s.List) > 0 && s.At > r.mine.At {
 			r.mine.At, r.mine.List, r.mine.Discovery = s.At, s.List, s.Discovery
@@ -98,22 +98,22 @@
 	return changed
 }
 
-// Listed keeps the list for processes to come.
-func (r *Register) Listed(discovery string, list json.RawMessage) {
+// SetList keeps the list for processes to come.
+func (r *Store) SetList(discovery string, list json.RawMessage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mine.At, r.mine.List, r.mine.Discovery, r.dirty = r.Clock(), list, discovery, true
 }
 
 // ListChanged has List asked for the list before files are written next, or soon after: see listCost.
-func (r *Register) ListChanged() {
+func (r *Store) ListChanged() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stale = true
 }
 
 // readList asks for the list where it has changed and may be asked for again.
-func (r *Register) readList() {
+func (r *Store) readList() {
 	now := r.Clock()
 	r.mu.Lock()
 	due := r.stale && r.List != nil && now >= r.listAfter
@@ -128,19 +128,19 @@
 		slog.Error("list not kept", "err", err)
 		return
 	}
-	r.Listed(discovery, list)
+	r.SetList(discovery, list)
 }
 
-// Recalled keeps what was learned of nodes for processes to come.
-func (r *Register) Recalled(m harepass.Memory) {
+// SetCheckpoint keeps what was learned of nodes for processes to come.
+func (r *Store) SetCheckpoint(m scatter.Checkpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.mine.Learned, r.dirty = &m, true
+	r.mine.Checkpoint, r.dirty = &m, true
 }
 
-// Learned is what another process had learned last, unless that is too old to hold still.
-func (r *Register) Learned() (m harepass.Memory, ok bool) {
-	if l := r.mine.Learned; l != nil && r.Clock()-l.At < keepLearned {
+// Checkpoint is what another process had learned last, unless that is too old to hold still.
+func (r *Store) Checkpoint() (m scatter.Checkpoint, ok bool) {
+	if l := r.mine.Checkpoint; l != nil && r.Clock()-l.At < keepLearned {
 		return *l, true
 	}
 	return m, false
@@ -148,7 +148,7 @@
 
 // Run reads and writes files until ctx ends. Nothing else does, so a disk that hangs holds up no caller for long, and
 // the owner never.
-func (r *Register) Run(ctx context.Context) {
+func (r *Store) Run(ctx context.Context) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for {
@@ -166,7 +166,7 @@
 	}
 }
 
-func (r *Register) round() {
+func (r *Store) round() {
 	if r.Files == nil {
 		return
 	}
@@ -179,7 +179,7 @@
 		r.tell()
 	}
 	mine, dirty := r.mine, r.dirty
-	mine.Book, r.dirty = maps.Clone(mine.Book), false
+	mine.Maintenance, r.dirty = maps.Clone(mine.Maintenance), false
 	r.mu.Unlock()
 	if !dirty {
 		return
@@ -196,21 +196,21 @@
 }
 
 // share tells the owner when another process begins to serve beside this one, and when it has ended.
-func (r *Register) share(others []Snapshot) {
+func (r *Store) share(others []Snapshot) {
 	now := r.Clock()
 	for _, s := range others {
-		if s.Name == r.Name && s.Learned != nil && now-s.Learned.At < sharedFor {
-			r.heard = max(r.heard, s.Learned.At)
+		if s.Name == r.Name && s.Checkpoint != nil && now-s.Checkpoint.At < sharedFor {
+			r.heard = max(r.heard, s.Checkpoint.At)
 		}
 	}
 	if shared := r.heard > 0 && now-r.heard < sharedFor; shared != r.shared {
 		r.shared = shared
-		r.Owner.Shared(shared)
+		r.Coordinator.SetShared(shared)
 	}
 }
 
 // visit has files read and written now, and waits for that a while.
-func (r *Register) visit() error {
+func (r *Store) visit() error {
 	done, late := make(chan struct{}), time.After(visitTime)
 	for in := r.visits; ; {
 		select {
@@ -225,38 +225,38 @@
 }
 
 // Publish tells the owner of what other processes have left, before it runs.
-func (r *Register) Publish() {
+func (r *Store) Publish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tell()
 }
 
 // tell is called under the lock, so that the owner hears of the book's states in order.
-func (r *Register) tell() { r.Owner.Maintenance(maps.Clone(r.mine.Book)) }
+func (r *Store) tell() { r.Coordinator.SetMaintenance(maps.Clone(r.mine.Maintenance)) }
 
 // Status implements Desk.
-func (r *Register) Status() error { return r.Owner.Serving() }
+func (r *Store) Status() error { return r.Coordinator.CheckReady() }
 
 // Out implements Desk: the node is to be left out.
-func (r *Register) Out(id, by string) error { return r.call(id, true, by) }
+func (r *Store) Out(id, by string) error { return r.call(id, true, by) }
 
 // Back implements Desk: the node may serve again.
-func (r *Register) Back(id, by string) error { return r.call(id, false, by) }
+func (r *Store) Back(id, by string) error { return r.call(id, false, by) }
 
 // call binds at once. It first hears what other processes were told, for that came before.
-func (r *Register) call(id string, out bool, by string) error {
+func (r *Store) call(id string, out bool, by string) error {
 	if err := r.visit(); err != nil {
 		slog.Warn("call without a look at other processes", "node", id, "err", err)
 	}
 	r.mu.Lock()
-	_, known := r.mine.Book[id]
-	if !known && !r.Owner.Knows(id) {
+	_, known := r.mine.Maintenance[id]
+	if !known && !r.Coordinator.HasEndpoint(id) {
 		r.mu.Unlock()
 		return fmt.Errorf("no node %.40q is listed", id)
 	}
 	now := r.Clock()
-	r.mine.Book.Forget(now - keepBack)
-	changed := r.mine.Book.Call(id, maintenance.Entry{Out: out, At: now, By: by})
+	r.mine.Maintenance.Prune(now - keepBack)
+	changed := r.mine.Maintenance.Apply(id, maintenance.Entry{Out: out, At: now, By: by})
 	if changed {
 		r.dirty = true
 		r.tell()
--- a/internal/operator/register_test.go
+++ b/internal/operator/register_test.go
@@ -17,25 +17,25 @@
 	"testing/synctest"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 // owner knows the nodes a and b and keeps the book that it was told last.
 type owner struct {
 	mu     sync.Mutex
-	book   maintenance.Book
+	book   maintenance.Register
 	shared []bool
 }
 
-func (o *owner) Maintenance(b maintenance.Book) {
+func (o *owner) SetMaintenance(b maintenance.Register) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.book = b
 }
-func (o *owner) Knows(id string) bool { return id == "a" || id == "b" }
-func (o *owner) Serving() error       { return errors.New("draining") }
-func (o *owner) Shared(yes bool) {
+func (o *owner) HasEndpoint(id string) bool { return id == "a" || id == "b" }
+func (o *owner) CheckReady() error          { return errors.New("draining") }
+func (o *owner) SetShared(yes bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.shared = append(o.shared, yes)
@@ -54,7 +54,7 @@
 }
 
 type process struct {
-	*Register
+	*Store
 	owner *owner
 	end   context.CancelFunc
 }
@@ -65,9 +65,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := NewRegister(name, files, func() time.Duration { return time.Duration(time.Now().UnixNano()) })
-	p := process{Register: r, owner: &owner{}}
-	r.Owner = p.owner
+	r := NewStore(name, files, func() time.Duration { return time.Duration(time.Now().UnixNano()) })
+	p := process{Store: r, owner: &owner{}}
+	r.Coordinator = p.owner
 	r.Publish()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -92,15 +92,15 @@
 		call(old.Out, "a", true)
 		call(old.Out, "a", true)
 		call(old.Out, "nobody", false)
-		old.Listed("d:1", json.RawMessage(`{"index":7}`))
-		old.Recalled(harepass.Memory{At: old.Clock(), Warm: 3})
+		old.SetList("d:1", json.RawMessage(`{"index":7}`))
+		old.SetCheckpoint(scatter.Checkpoint{At: old.Clock(), WarmRate: 3})
 		time.Sleep(2 * lookEvery)
 
 		fresh := begin(t, dir, "n1")
-		if list, from := fresh.Found(); string(list) != `{"index":7}` || from != "d:1" {
+		if list, from := fresh.FoundList(); string(list) != `{"index":7}` || from != "d:1" {
 			t.Errorf("found %s from %s", list, from)
 		}
-		if m, ok := fresh.Learned(); !ok || m.Warm != 3 {
+		if m, ok := fresh.Checkpoint(); !ok || m.WarmRate != 3 {
 			t.Errorf("learned %+v, %t", m, ok)
 		}
 		synctest.Wait()
@@ -123,7 +123,7 @@
 		fresh.end()
 		time.Sleep(keepLearned)
 		stranger, third := begin(t, dir, "n2"), begin(t, dir, "n1")
-		if _, ok := third.Learned(); ok {
+		if _, ok := third.Checkpoint(); ok {
 			t.Error("what was learned long ago passes for new")
 		}
 		synctest.Wait()
@@ -141,7 +141,7 @@
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		beat := func(p process) {
-			p.Recalled(harepass.Memory{At: p.Clock()})
+			p.SetCheckpoint(scatter.Checkpoint{At: p.Clock()})
 			time.Sleep(time.Second)
 		}
 		gone := begin(t, dir, "n1")
@@ -170,7 +170,7 @@
 // Files that are torn, foreign, of another version or too long are left out, and the rest is used.
 func TestSpoiltFiles(t *testing.T) {
 	dir := t.TempDir()
-	good, err := Encode(Snapshot{Name: "n1", Book: maintenance.Book{"a": {Out: true, At: time.Hour}}})
+	good, err := Encode(Snapshot{Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,8 +211,8 @@
 
 // Each cut, each other byte and each other version of a snapshot is refused.
 func TestTornSnapshots(t *testing.T) {
-	s := Snapshot{Name: "n1", At: time.Second, Book: maintenance.Book{"a": {Out: true, At: time.Hour, By: "x"}}, Discovery: "d", List: json.RawMessage(`{"index":1}`),
-		Learned: &harepass.Memory{At: 1, Replicas: []harepass.ReplicaMemory{{ID: "a", Ratio: 2}}}}
+	s := Snapshot{Name: "n1", At: time.Second, Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour, By: "x"}}, Discovery: "d", List: json.RawMessage(`{"index":1}`),
+		Checkpoint: &scatter.Checkpoint{At: 1, Replicas: []scatter.ReplicaCheckpoint{{ID: "a", LatencyRatio: 2}}}}
 	good, err := Encode(s)
 	if err != nil {
 		t.Fatal(err)
@@ -239,7 +239,7 @@
 
 // Whatever a file holds, it is refused or is a snapshot that can be written again.
 func FuzzSnapshot(f *testing.F) {
-	good, _ := Encode(Snapshot{Name: "n1", Book: maintenance.Book{"a": {Out: true, At: 1}}, List: json.RawMessage(`{}`)})
+	good, _ := Encode(Snapshot{Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: 1}}, List: json.RawMessage(`{}`)})
 	f.Add(good)
 	f.Add([]byte("harepass-state 2 0 00000000\n"))
 	f.Add([]byte("harepass-state 1 0 00000000\n{}"))
@@ -256,7 +256,7 @@
 		if err != nil {
 			t.Fatalf("%+v: %v", s, err)
 		}
-		if got, err := Decode(again); err != nil || got.Name != s.Name || got.At != s.At || len(got.Book) != len(s.Book) {
+		if got, err := Decode(again); err != nil || got.Name != s.Name || got.At != s.At || len(got.Maintenance) != len(s.Maintenance) {
 			t.Errorf("%+v became %+v: %v", s, got, err)
 		}
 	})
--- a/internal/operator/snapshot.go
+++ b/internal/operator/snapshot.go
@@ -8,18 +8,18 @@
 	"hash/crc32"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 // Snapshot is what one process of a coordinator leaves to the others. Times are since the Unix epoch.
 type Snapshot struct {
-	Name      string           `json:"name"` // of the coordinator
-	At        time.Duration    `json:"at"`   // when the list was had last
-	Book      maintenance.Book `json:"book"`
-	Discovery string           `json:"discovery,omitempty"` // the address that the list came from
-	List      json.RawMessage  `json:"list,omitempty"`      // in discovery's form
-	Learned   *harepass.Memory `json:"learned,omitempty"`   // of nodes; its time is its own
+	Name        string               `json:"name"` // of the coordinator
+	At          time.Duration        `json:"at"`   // when the list was had last
+	Maintenance maintenance.Register `json:"book"`
+	Discovery   string               `json:"discovery,omitempty"` // the address that the list came from
+	List        json.RawMessage      `json:"list,omitempty"`      // in discovery's form
+	Checkpoint  *scatter.Checkpoint  `json:"learned,omitempty"`   // of nodes; its time is its own
 }
 
 const (
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
 )
 
 // storedState is a snapshot that the program wrote at 51e85a9, the last version before Go names were changed.
@@ -20,23 +20,23 @@
 	return Snapshot{
 		Name: "n3",
 		At:   1_764_700_000_123_456_789,
-		Book: maintenance.Book{
+		Maintenance: maintenance.Register{
 			"a1": {Out: true, At: 1_764_700_000_000_000_001, By: "127.0.0.1:5001", Reason: "disk"},
-			"a2": {Out: false, At: 1_764_700_000_000_000_002, From: 1_764_690_000_000_000_003, By: "127.0.0.1:5002"},
+			"a2": {Out: false, At: 1_764_700_000_000_000_002, OutSince: 1_764_690_000_000_000_003, By: "127.0.0.1:5002"},
 		},
 		Discovery: "127.0.0.1:8500",
 		List: json.RawMessage(`{"index":41,"snapshot":true,"endpoints":[` +
 			`{"name":"a1","address":"127.0.0.1:7001","zone":"z1","group":3,"status":"ready","since_ms":1764700000001}]}`),
-		Learned: &harepass.Memory{
-			At: 1_764_700_000_000_000_004, Warm: 1.5, Asked: 2.5, Refills: 3, Strain: 4.5, IdleLimit: 5 * time.Second,
-			Classes: []harepass.ClassMemory{{Name: "route-lookup", Base: 0.25, Work: 0.125, Seen: []float64{0.5, 0.75}}},
-			Replicas: []harepass.ReplicaMemory{{
-				ID: "a1", Since: 6, Ratio: 1.25, ColdFrom: 7, Suspect: true, Failing: true, Restarted: true,
-				Good: 8, Errors: 9, Fulls: 10, Pause: 11, SuspectAt: 12, TrialAt: 13, LastOK: 14, FullUntil: 15,
-				ShunUntil: 16, FailedAt: 17, ResetAt: 18, ErrorAt: 19, Faults: []int{20}, Barred: []time.Duration{21},
-				OKAt: []time.Duration{22}, LostAt: []time.Duration{23},
-			}, {ID: "a2", Ratio: 1}},
-			Shards: []harepass.ShardMemory{{No: 24, Rates: []float64{25.5}}},
+		Checkpoint: &scatter.Checkpoint{
+			At: 1_764_700_000_000_000_004, WarmRate: 1.5, DemandRate: 2.5, Windows: 3, LoadFactor: 4.5, IdleLimit: 5 * time.Second,
+			Classes: []scatter.ClassCheckpoint{{Name: "route-lookup", MeanLatency: 0.25, MinService: 0.125, Latencies: []float64{0.5, 0.75}}},
+			Replicas: []scatter.ReplicaCheckpoint{{
+				ID: "a1", StartedAt: 6, LatencyRatio: 1.25, SlowStartFrom: 7, Ejected: true, FailsFast: true, MayHaveRestarted: true,
+				ProbeSuccesses: 8, ConsecutiveErrors: 9, ConsecutiveRejections: 10, ProbeBackoff: 11, EjectedAt: 12, NextProbe: 13, LastSuccess: 14, RejectingUntil: 15,
+				AvoidUntil: 16, LastFailure: 17, LastReset: 18, LastError: 19, ConsecutiveFaults: []int{20}, ExcludedUntil: []time.Duration{21},
+				ClassLastSuccess: []time.Duration{22}, ClassLastUnanswered: []time.Duration{23},
+			}, {ID: "a2", LatencyRatio: 1}},
+			Shards: []scatter.ShardCheckpoint{{Number: 24, Rates: []float64{25.5}}},
 		},
 	}
 }
--- a/internal/platform/agent_test.go
+++ b/internal/platform/agent_test.go
@@ -12,10 +12,10 @@
 	"testing/synctest"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
 	"harepass/internal/decide/backoff"
-	"harepass/internal/standin"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/test/fake"
 )
 
 // agent is what pushed lists come to: it answers at once with what it has, and says nothing while discovery is down, not to
@@ -53,16 +53,16 @@
 		for _, holds := range []bool{true, false} {
 			for i := range 20 {
 				synctest.Test(t, func(t *testing.T) {
-					var memory standin.Net
+					var memory fake.Net
 					a := &agent{holds: holds}
 					served := &http.Server{Handler: a}
 					go served.Serve(memory.Listen("d"))
 					d := NewDiscovery("d", List{Index: 7, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Status: "in_service"}}})
 					d.Dial = memory.Dial
-					d.Schedule = &backoff.Schedule{Fleet: 3, Pushed: true, Rand: rand.New(rand.NewPCG(1, 1))}
+					d.Schedule = &backoff.Schedule{FleetSize: 3, Pushed: true, Rand: rand.New(rand.NewPCG(1, 1))}
 					told := make(chan time.Time, 1)
-					d.Listed = func(_ harepass.ListScope, nodes []core.Node) {
-						if len(nodes) == 1 && nodes[0].State == harepass.Draining {
+					d.Listed = func(_ scatter.UpdateKind, nodes []core.Endpoint) {
+						if len(nodes) == 1 && nodes[0].State == scatter.Draining {
 							told <- time.Now()
 						}
 					}
@@ -81,7 +81,7 @@
 					a.changed.Store(true)
 					a.down.Store(false)
 					held := time.Now()
-					if took := (<-told).Sub(held); took > backoff.AgentTold {
+					if took := (<-told).Sub(held); took > backoff.AgentNotifiedAfter {
 						t.Errorf("down for %v, holds watches: %t, %d: the drain was heard of after %v", down, holds, i, took)
 					}
 					cancel()
--- a/internal/platform/cost_test.go
+++ b/internal/platform/cost_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/standin"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/test/fake"
 )
 
 // A query over every section of 60 nodes, as a coordinator of a large fleet gets one every few seconds: what it costs
@@ -17,30 +17,30 @@
 func BenchmarkWideQuery(b *testing.B) {
 	const nodes, sections = 60, 120
 	clock := core.SystemClock()
-	caller := &Nodes{Streams: 32, ConnectTimeout: time.Second, Quiet: time.Second, KeepAlive: 30 * time.Second}
-	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Subscribe: func() {}, Asked: Source,
-		Callers: map[string]core.Caller{Scheme: caller}, Settings: harepass.Settings{Roots: 80, Cells: nodes, Reach: 3, CallBatch: 1,
-			Turn: time.Millisecond, MaxAttempts: 4, Cancel: true, Subscribe: true, Classes: []harepass.Class{
-				{Name: "summary", Aim: 380 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3, LateWorth: 0.3, Need: 1, Floor: 0.7}}}})
+	caller := &Caller{CallsPerConn: 32, ConnectTimeout: time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second}
+	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Subscribe: func() {}, PolledSource: Source,
+		Callers: map[string]core.Caller{Scheme: caller}, Settings: scatter.Settings{Coordinators: 80, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1,
+			TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, Subscribe: true, Classes: []scatter.Class{
+				{Name: "summary", LatencyObjective: 380 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}}}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	caller.Owner = owner
-	var list []core.Node
+	caller.Reporter = owner
+	var list []core.Endpoint
 	for i := range nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer l.Close()
-		go (&standin.Fleet{Script: func(shard, _ int) standin.Reply { // apart from each other, as nodes answer
-			return standin.Reply{After: time.Duration(5+shard*37%50) * time.Millisecond}
+		go (&fake.Fleet{Script: func(shard, _ int) fake.Reply { // apart from each other, as nodes answer
+			return fake.Reply{After: time.Duration(5+shard*37%50) * time.Millisecond}
 		}}).Frames(l)
-		list = append(list, core.Node{Replica: harepass.Replica{ID: fmt.Sprint("n", i), Cell: i}, Address: l.Addr().String(), Scheme: Scheme})
+		list = append(list, core.Endpoint{Replica: scatter.Replica{ID: fmt.Sprint("n", i), RingPosition: i}, Address: l.Addr().String(), Scheme: Scheme})
 	}
 	go owner.Run()
 	defer caller.Close()
-	owner.Listed(Source, harepass.ListFull, list)
+	owner.UpdateEndpoints(Source, scatter.FullUpdate, list)
 	var parts []core.Part
 	for i := range sections {
 		parts = append(parts, core.Part{Shard: i, Weight: 1.0 / sections})
@@ -49,9 +49,9 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	for b.Loop() {
 		id := fmt.Sprint("q", clock().Nanoseconds())
-		a := owner.Ask(&core.Query{ID: id, Class: "summary", Until: clock() + 2*time.Second, Text: []byte("c41e77d0"), Parts: parts}, nil)
-		if a.Verdict != core.Served {
-			b.Fatalf("%+v", a.Verdict)
+		a := owner.Ask(&core.Query{ID: id, Class: "summary", Deadline: clock() + 2*time.Second, Body: []byte("c41e77d0"), Parts: parts}, nil)
+		if a.Status != core.Served {
+			b.Fatalf("%+v", a.Status)
 		}
 	}
 	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -10,11 +10,12 @@
 	"sync/atomic"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
 	"harepass/internal/decide/backoff"
 	"harepass/internal/decide/lease"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
+	"harepass/internal/logmsg"
 )
 
 const listBody = 4 << 20
@@ -25,7 +26,7 @@
 // Discovery keeps the owner's list as long as it is asked to.
 type Discovery struct {
 	Dial     http1.Dialer // nil for plain TCP
-	Listed   func(harepass.ListScope, []core.Node)
+	Listed   func(scatter.UpdateKind, []core.Endpoint)
 	Leased   func(expires time.Duration) // told until when the list holds, on Clock; nil for nobody
 	Clock    core.Clock                  // the owner's
 	Grace    time.Duration               // that the rule on draining nodes leaves
@@ -49,15 +50,15 @@
 // have been given the known list, if there is one.
 func NewDiscovery(address string, known List) *Discovery {
 	d := &Discovery{Clock: core.SystemClock(), address: address, index: noIndex, known: known, asked: make(chan struct{}, 1), moved: make(chan string, 1),
-		Schedule: &backoff.Schedule{Fleet: 1, Rand: rand.New(rand.NewPCG(rand.Uint64(), 0))}}
+		Schedule: &backoff.Schedule{FleetSize: 1, Rand: rand.New(rand.NewPCG(rand.Uint64(), 0))}}
 	if len(known.Endpoints) > 0 {
 		d.index = known.Index
 	}
 	return d
 }
 
-// Keep keeps the whole list for a process that takes over, and tells when it has changed. It is to be called before Run.
-func (d *Discovery) Keep(changed func()) *ListCopy {
+// KeepCopy keeps the whole list for a process that takes over, and tells when it has changed. It is to be called before Run.
+func (d *Discovery) KeepCopy(changed func()) *ListCopy {
 	d.kept, d.changed = NewListCopy(d.address, d.known), changed
 	d.known = List{}
 	return d.kept
@@ -70,14 +71,14 @@
 	Grace      time.Duration // that the rule on draining nodes leaves
 }
 
-// Tune has other settings count from the next call on.
-func (d *Discovery) Tune(t Tuning) { d.changes.Store(&t) }
+// Configure has other settings count from the next call on.
+func (d *Discovery) Configure(t Tuning) { d.changes.Store(&t) }
 
 // takeTuning takes over what Tune has brought.
 func (d *Discovery) takeTuning() {
 	if t := d.changes.Swap(nil); t != nil {
-		d.Schedule.Fleet, d.Schedule.ListMaxAge = t.Fleet, t.ListMaxAge
-		d.lease.Regrace(t.Grace)
+		d.Schedule.FleetSize, d.Schedule.ListMaxAge = t.Fleet, t.ListMaxAge
+		d.lease.SetGrace(t.Grace)
 	}
 }
 
@@ -89,8 +90,8 @@
 	}
 }
 
-// Move takes the subscription to the service at another address. It is for one goroutine.
-func (d *Discovery) Move(address string) {
+// SetAddress takes the subscription to the service at another address. It is for one goroutine.
+func (d *Discovery) SetAddress(address string) {
 	select { // a move that Run has not seen is overtaken
 	case <-d.moved:
 	default:
@@ -107,13 +108,13 @@
 // the owner: what it missed is about to count as told. All the while the owner hears until when its list holds.
 func (d *Discovery) Run(ctx context.Context) {
 	d.known, d.outage.answered = List{}, time.Now()
-	d.lease = lease.Start(d.Clock(), d.Schedule.ListMaxAge, d.Grace)
+	d.lease = lease.New(d.Clock(), d.Schedule.ListMaxAge, d.Grace)
 	d.tellLease()
 	var pause time.Duration
 	select {
 	case <-d.asked:
 		if d.index != noIndex {
-			pause = d.Schedule.First()
+			pause = d.Schedule.FirstDelay()
 		}
 	case d.address = <-d.moved:
 		d.move()
@@ -152,10 +153,10 @@
 	}
 	d.tellLease()
 	if f.watch {
-		return d.Schedule.Lost()
+		return d.Schedule.WatchLostDelay()
 	}
-	d.Listed(harepass.ListRefused, nil)
-	return d.Schedule.FailedBefore(f.took, d.lease.Expires()-d.Clock())
+	d.Listed(scatter.FailedUpdate, nil)
+	return d.Schedule.FailureDelayBeforeExpiry(f.took, d.lease.Expires()-d.Clock())
 }
 
 // tellLease tells the owner until when its list holds. What an agent of its own has not heard binds nobody.
@@ -168,8 +169,8 @@
 // move begins anew with the service at another address.
 func (d *Discovery) move() {
 	d.index = noIndex
-	d.Schedule.Move()
-	d.lease.Moved(d.Clock())
+	d.Schedule.ServiceChanged()
+	d.lease.ServiceChanged(d.Clock())
 	d.tellLease()
 	slog.Info("discovery moved", "to", d.address)
 }
@@ -200,8 +201,8 @@
 func (d *Discovery) follow(ctx context.Context, c *http1.Client) *listFailure {
 	for watch := false; ; watch = true {
 		d.takeTuning()
-		target, limit := "/registry/instances", d.Schedule.Answer()
-		hold, silence := d.Schedule.Watch()
+		target, limit := "/registry/instances", d.Schedule.CallTimeout()
+		hold, silence := d.Schedule.WatchTimeouts()
 		switch {
 		case d.index == noIndex:
 		case watch: // renewed in time it costs no turn
@@ -220,11 +221,11 @@
 			d.index = noIndex
 			return &listFailure{false, began, 0, err}
 		}
-		d.Schedule.Served()
+		d.Schedule.Succeeded()
 		d.outage.served(list.Index)
-		scope := harepass.ListChanges
+		scope := scatter.IncrementalUpdate
 		if list.Snapshot {
-			scope = harepass.ListFull
+			scope = scatter.FullUpdate
 		}
 		changed := list.Index != d.index || list.Snapshot
 		d.index = list.Index
@@ -241,7 +242,7 @@
 		d.lease.Confirmed(began)
 		d.tellLease()
 		if watch && !changed {
-			if err := rest(ctx, d.Schedule.Renew(took)); err != nil {
+			if err := rest(ctx, d.Schedule.RenewDelay(took)); err != nil {
 				return &listFailure{watch, d.Clock(), 0, err}
 			}
 		}
@@ -267,14 +268,14 @@
 }
 
 // read checks an answer before anything of it counts.
-func (d *Discovery) read(data []byte) (list List, nodes []core.Node, err error) {
+func (d *Discovery) read(data []byte) (list List, nodes []core.Endpoint, err error) {
 	if err = json.Unmarshal(data, &list); err != nil {
 		return list, nil, fmt.Errorf("platform: unreadable list: %w", err)
 	}
 	if !list.Snapshot && list.Index < d.index {
 		return list, nil, fmt.Errorf("platform: the list went back from version %d to %d", d.index, list.Index)
 	}
-	nodes, err = list.Nodes()
+	nodes, err = list.CoreEndpoints()
 	return list, nodes, err
 }
 
@@ -284,7 +285,7 @@
 	began := time.Now()
 	m, _, err := c.Do(ctx, &http1.Message{Method: "GET", Target: target,
 		Header: textproto.MIMEHeader{"Host": {c.Address}}})
-	slog.Debug("list call", "target", target, "took", time.Since(began), "err", err)
+	slog.Debug(logmsg.DiscoveryPolled, "target", target, logmsg.KeyLatency, time.Since(began), logmsg.KeyError, err)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -14,17 +14,17 @@
 	"testing/synctest"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
 	"harepass/internal/decide/backoff"
-	"harepass/internal/standin"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/test/fake"
 )
 
 // A subscription begins with the whole list and goes on with watches, each begun as soon as the one before has been
 // answered; its end is told once for each call that fails, and the next one begins by itself, with what is new.
 func TestSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		l := memory.Listen("d")
 		var down, silent atomic.Bool
 		var mu sync.Mutex // calls go on while the test looks
@@ -53,7 +53,7 @@
 		go served.Serve(l)
 		d := NewDiscovery("d", List{})
 		d.Dial = memory.Dial
-		d.Listed = func(scope harepass.ListScope, nodes []core.Node) {
+		d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) {
 			mu.Lock()
 			defer mu.Unlock()
 			told = append(told, fmt.Sprintf("%d:%d", scope, len(nodes)))
@@ -106,7 +106,7 @@
 		}
 		silent.Store(true)
 		before := len(told)
-		pass(2*backoff.Hold + backoff.Silence + backoff.Answer/2) // the watch that stands is answered, the next one is silent
+		pass(2*backoff.WatchHold + backoff.WatchSilence + backoff.CallTimeout/2) // the watch that stands is answered, the next one is silent
 		if last := calls[len(calls)-1]; !strings.HasSuffix(last, "&hold_ms=1") || len(told) > before+1 {
 			t.Errorf("a silent watch was followed by %s, told %v", last, told[before:])
 		}
@@ -121,7 +121,7 @@
 // index is another's. A new service that cannot be had is told like any other failure.
 func TestMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		var calls, told []string
 		for _, name := range []string{"old", "new"} {
 			served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -136,7 +136,7 @@
 		}
 		d := NewDiscovery("old", List{})
 		d.Dial = memory.Dial
-		d.Listed = func(scope harepass.ListScope, nodes []core.Node) {
+		d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) {
 			told = append(told, fmt.Sprint(scope))
 			for _, n := range nodes {
 				told = append(told, n.ID)
@@ -148,8 +148,8 @@
 		d.Subscribe()
 		synctest.Wait()
 		began := time.Now()
-		d.Move("nowhere") // overtaken before it is seen, or not: the last address counts
-		d.Move("new")
+		d.SetAddress("nowhere") // overtaken before it is seen, or not: the last address counts
+		d.SetAddress("new")
 		synctest.Wait()
 		if d.Subscribe(); time.Since(began) > 0 {
 			t.Error("the move took its time")
@@ -159,7 +159,7 @@
 			t.Errorf("calls %v, told %v", calls, told)
 		}
 		told = nil
-		d.Move("nowhere")
+		d.SetAddress("nowhere")
 		synctest.Wait()
 		if fmt.Sprint(told) != "[3]" {
 			t.Errorf("no service there: told %v", told)
@@ -172,7 +172,7 @@
 // The list's body may be larger than a client's request.
 func TestLongList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		l := memory.Listen("d")
 		served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Has("from") {
@@ -189,7 +189,7 @@
 		d := NewDiscovery("d", List{})
 		got := 0
 		d.Dial = func(ctx context.Context, a string) (net.Conn, error) { return memory.Dial(ctx, a) }
-		d.Listed = func(_ harepass.ListScope, nodes []core.Node) { got = len(nodes) }
+		d.Listed = func(_ scatter.UpdateKind, nodes []core.Endpoint) { got = len(nodes) }
 		ctx, cancel := context.WithCancel(context.Background())
 		go d.Run(ctx)
 		d.Subscribe()
@@ -207,7 +207,7 @@
 // discovery little; only what cannot be used is followed by a call for the whole list, and none of it is taken over.
 func TestWatchFromKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory standin.Net
+		var memory fake.Net
 		var calls []string
 		answers := make(chan string, 8)
 		served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -223,7 +223,7 @@
 		d := NewDiscovery("d", List{Index: 7, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Status: "in_service"}}})
 		d.Dial = memory.Dial
 		var told []string
-		d.Listed = func(scope harepass.ListScope, nodes []core.Node) {
+		d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) {
 			told = append(told, fmt.Sprintf("%d:%d", scope, len(nodes)))
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -232,7 +232,7 @@
 		one := `"endpoints":[{"name":"b","address":"b:1","status":"in_service"}]}`
 		from := func(index int) string { return fmt.Sprintf("/registry/instances?from=%d&hold_ms=1000", index) }
 		renew := func() { // the calls that fail are made again by themselves, after a pause
-			time.Sleep(backoff.Spread)
+			time.Sleep(backoff.MaxSpread)
 			synctest.Wait()
 		}
 		for _, c := range []struct{ answer, next, told string }{
@@ -267,7 +267,7 @@
 		again := &http.Server{Handler: served.Handler}
 		go again.Serve(memory.Listen("elsewhere"))
 		defer again.Close()
-		d.Move("elsewhere")
+		d.SetAddress("elsewhere")
 		synctest.Wait()
 		if fmt.Sprint(calls) != "[/registry/instances]" {
 			t.Errorf("moved without a subscription: calls %v", calls)
@@ -278,7 +278,7 @@
 }
 
 // held is how long watches ask to be held.
-var held = fmt.Sprint(backoff.Hold.Milliseconds())
+var held = fmt.Sprint(backoff.WatchHold.Milliseconds())
 
 // Whatever fails, a change is heard of before it counts as told: 6 s after discovery had it and could be reached. Each
 // trouble begins with the change; the coordinator is one of a fleet that can be heard in the time. Seen on days of six
@@ -316,13 +316,13 @@
 	} {
 		for seed := range uint64(30) {
 			synctest.Test(t, func(t *testing.T) {
-				var memory standin.Net
+				var memory fake.Net
 				var changed, over atomic.Bool
 				served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					watch := r.URL.Query().Get("hold_ms") == held
 					switch {
 					case watch && !changed.Load():
-						if time.Sleep(backoff.Hold); !changed.Load() {
+						if time.Sleep(backoff.WatchHold); !changed.Load() {
 							io.WriteString(w, `{"index":7,"endpoints":[]}`)
 							return
 						}
@@ -340,10 +340,10 @@
 				defer served.Close()
 				d := NewDiscovery("d", List{Index: 7, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Status: "in_service"}}})
 				d.Dial = memory.Dial
-				d.Schedule = &backoff.Schedule{Fleet: 6 + int(seed%3)*8, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(seed, 1))}
+				d.Schedule = &backoff.Schedule{FleetSize: 6 + int(seed%3)*8, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(seed, 1))}
 				told := make(chan time.Time, 1)
-				d.Listed = func(scope harepass.ListScope, nodes []core.Node) {
-					if len(nodes) == 1 && nodes[0].State == harepass.Draining {
+				d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) {
+					if len(nodes) == 1 && nodes[0].State == scatter.Draining {
 						told <- time.Now()
 					}
 				}
@@ -359,7 +359,7 @@
 					over.Store(true)
 					reachable = time.Now()
 				}
-				if took := (<-told).Sub(reachable); took >= backoff.Binds {
+				if took := (<-told).Sub(reachable); took >= backoff.NotifiedAfter {
 					t.Errorf("%s, seed %d: the drain was heard of %v after discovery had it and could be reached", tc.name, seed, took)
 				}
 				cancel()
@@ -384,11 +384,11 @@
 	} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
-				var memory standin.Net
+				var memory fake.Net
 				var calls atomic.Int32
 				old := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if r.URL.Query().Get("hold_ms") == held {
-						time.Sleep(backoff.Hold)
+						time.Sleep(backoff.WatchHold)
 					}
 					io.WriteString(w, `{"index":7,"endpoints":[]}`)
 				})}
@@ -407,9 +407,9 @@
 				go next.Serve(memory.Listen("new"))
 				d := NewDiscovery("old", List{Index: 7, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Status: "in_service"}}})
 				d.Dial = memory.Dial
-				d.Schedule = &backoff.Schedule{Fleet: 6 + int(seed%3)*8, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(seed, 1))}
+				d.Schedule = &backoff.Schedule{FleetSize: 6 + int(seed%3)*8, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(seed, 1))}
 				told := make(chan time.Time, 9)
-				d.Listed = func(_ harepass.ListScope, nodes []core.Node) {
+				d.Listed = func(_ scatter.UpdateKind, nodes []core.Endpoint) {
 					if len(nodes) > 0 {
 						told <- time.Now()
 					}
@@ -420,8 +420,8 @@
 				d.Subscribe()
 				time.Sleep(5*time.Second + time.Duration(seed)*53*time.Millisecond)
 				began := time.Now()
-				d.Move("new")
-				if took := (<-told).Sub(began); took >= backoff.Moved {
+				d.SetAddress("new")
+				if took := (<-told).Sub(began); took >= backoff.NotifiedAfterReload {
 					t.Errorf("%s, seed %d: heard of %v after the move", name, seed, took)
 				}
 				cancel()
--- a/internal/platform/distributed.go
+++ b/internal/platform/distributed.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"github.com/go-json-experiment/json"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 )
@@ -14,11 +14,11 @@
 // nobody takes the list's version for one of discovery's.
 const DistributedSource = "distribution"
 
-// Distributed brings the owner the node list that relays give out, in Discovery's place: Check and Apply are for a
+// RelayedList brings the owner the node list that relays give out, in Discovery's place: Check and Apply are for a
 // distribution.Follower.
-type Distributed struct {
-	Listed func(harepass.ListScope, []core.Node) // changes, and the last slice of the first snapshot
-	Part   func([]core.Node)                     // slices of the first snapshot before its last one
+type RelayedList struct {
+	Listed func(scatter.UpdateKind, []core.Endpoint) // changes, and the last slice of the first snapshot
+	Part   func([]core.Endpoint)                     // slices of the first snapshot before its last one
 
 	complete bool       // the first snapshot is in
 	checked  []Endpoint // of the latest answer, in the order of its entries
@@ -27,11 +27,11 @@
 	changed  func()    // told when kept has changed
 }
 
-// NewDistributed returns a Distributed for an owner that has been given the known list.
-func NewDistributed(known List) *Distributed { return &Distributed{known: known} }
+// NewRelayedList returns a Distributed for an owner that has been given the known list.
+func NewRelayedList(known List) *RelayedList { return &RelayedList{known: known} }
 
 // Known are the names that the owner has been given.
-func (d *Distributed) Known() []string {
+func (d *RelayedList) Known() []string {
 	names := make([]string, 0, len(d.known.Endpoints))
 	for _, e := range d.known.Endpoints {
 		names = append(names, e.Name)
@@ -39,15 +39,15 @@
 	return names
 }
 
-// Keep keeps the whole list for a process that takes over, and tells when it has changed. It is to be called before the
+// KeepCopy keeps the whole list for a process that takes over, and tells when it has changed. It is to be called before the
 // follower runs.
-func (d *Distributed) Keep(changed func()) *ListCopy {
+func (d *RelayedList) KeepCopy(changed func()) *ListCopy {
 	d.kept, d.changed = NewListCopy(DistributedSource, d.known), changed
 	return d.kept
 }
 
 // Check finds entries that are no nodes, and keeps the others for the Apply that follows.
-func (d *Distributed) Check(entries []versionlog.Entry) error {
+func (d *RelayedList) Check(entries []versionlog.Entry) error {
 	d.checked = d.checked[:0]
 	for _, entry := range entries {
 		var endpoint Endpoint
@@ -66,12 +66,12 @@
 }
 
 // Apply brings the owner what has changed. Entries count at once, also before the list is whole.
-func (d *Distributed) Apply(u distribution.Update) {
+func (d *RelayedList) Apply(u distribution.Update) {
 	list := List{Index: u.Slice.Version.Index, Endpoints: d.endpoints(u.Entries)}
-	for _, name := range u.Gone {
+	for _, name := range u.Removed {
 		list.Endpoints = append(list.Endpoints, Endpoint{Name: name, Status: statusGone})
 	}
-	nodes, err := list.Nodes()
+	nodes, err := list.CoreEndpoints()
 	if err != nil {
 		return // Check lets none pass
 	}
@@ -81,14 +81,14 @@
 	}
 	d.complete = d.complete || u.Completed
 	if d.complete {
-		d.Listed(harepass.ListChanges, nodes)
+		d.Listed(scatter.IncrementalUpdate, nodes)
 	} else {
 		d.Part(nodes)
 	}
 }
 
 // endpoints gives some entries of the answer that was checked last, in its order, in discovery's form.
-func (d *Distributed) endpoints(entries []versionlog.Entry) []Endpoint {
+func (d *RelayedList) endpoints(entries []versionlog.Entry) []Endpoint {
 	list := make([]Endpoint, 0, len(entries))
 	next := 0
 	for _, entry := range entries {
--- a/internal/platform/distributed_bench_test.go
+++ b/internal/platform/distributed_bench_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 )
@@ -39,9 +39,9 @@
 	bodies := snapshotBodies(b, 7000)
 	b.ReportAllocs()
 	for b.Loop() {
-		d := NewDistributed(List{})
-		d.Listed = func(harepass.ListScope, []core.Node) {}
-		d.Part = func([]core.Node) {}
+		d := NewRelayedList(List{})
+		d.Listed = func(scatter.UpdateKind, []core.Endpoint) {}
+		d.Part = func([]core.Endpoint) {}
 		for _, body := range bodies {
 			slice, err := versionlog.ParseSlice(body)
 			if err != nil {
--- a/internal/platform/distributed_test.go
+++ b/internal/platform/distributed_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 )
@@ -20,23 +20,23 @@
 // A drain in an early slice of the first snapshot reaches the owner with that slice. Names are gone with the last one, and
 // only that brings the list as such; the copy for a process that takes over has all of it.
 func TestDistributedList(t *testing.T) {
-	d := NewDistributed(List{Endpoints: []Endpoint{{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"}}})
+	d := NewRelayedList(List{Endpoints: []Endpoint{{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"}}})
 	if got := d.Known(); !slices.Equal(got, []string{"known", "old"}) {
 		t.Errorf("known %v", got)
 	}
 	changes := 0
-	kept := d.Keep(func() { changes++ })
+	kept := d.KeepCopy(func() { changes++ })
 	var told []string
-	tell := func(what string) func([]core.Node) {
-		return func(nodes []core.Node) {
+	tell := func(what string) func([]core.Endpoint) {
+		return func(nodes []core.Endpoint) {
 			for _, n := range nodes {
 				what += fmt.Sprintf(" %s:%d", n.ID, n.State)
 			}
 			told = append(told, what)
 		}
 	}
-	d.Part = func(nodes []core.Node) { tell("part")(nodes) }
-	d.Listed = func(scope harepass.ListScope, nodes []core.Node) { tell(fmt.Sprint("list ", scope))(nodes) }
+	d.Part = func(nodes []core.Endpoint) { tell("part")(nodes) }
+	d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) { tell(fmt.Sprint("list ", scope))(nodes) }
 	update := func(u distribution.Update, entries ...versionlog.Entry) {
 		if err := d.Check(entries); err != nil {
 			t.Fatal(err)
@@ -46,15 +46,15 @@
 		d.Apply(u)
 	}
 	update(distribution.Update{}, distributedEntry("known", "terminating"), distributedEntry("a", "in_service"))
-	update(distribution.Update{Completed: true, Gone: []string{"old"}}, distributedEntry("b", "in_service"))
-	update(distribution.Update{Whole: true}, distributedEntry("a", "terminated"))
+	update(distribution.Update{Completed: true, Removed: []string{"old"}}, distributedEntry("b", "in_service"))
+	update(distribution.Update{Complete: true}, distributedEntry("a", "terminated"))
 	update(distribution.Update{}, distributedEntry("c", "in_service")) // a later snapshot's first slice
-	want := fmt.Sprintf("part known:%d a:%d, list %d b:%d old:%d, list %d a:%d, list %d c:%d", harepass.Draining, harepass.Ready,
-		harepass.ListChanges, harepass.Ready, harepass.Gone, harepass.ListChanges, harepass.Gone, harepass.ListChanges, harepass.Ready)
+	want := fmt.Sprintf("part known:%d a:%d, list %d b:%d old:%d, list %d a:%d, list %d c:%d", scatter.Draining, scatter.Ready,
+		scatter.IncrementalUpdate, scatter.Ready, scatter.Removed, scatter.IncrementalUpdate, scatter.Removed, scatter.IncrementalUpdate, scatter.Ready)
 	if got := strings.Join(told, ", "); got != want {
 		t.Errorf("told %s\nwant %s", got, want)
 	}
-	address, whole := kept.Whole()
+	address, whole := kept.Snapshot()
 	var names []string
 	for _, e := range whole.Endpoints {
 		names = append(names, e.Name+" "+e.Status)
@@ -66,7 +66,7 @@
 
 // Entries that are no nodes are found before any of their answer counts.
 func TestDistributedCheck(t *testing.T) {
-	d := NewDistributed(List{})
+	d := NewRelayedList(List{})
 	for _, bad := range []string{`{"name":"a","status":"confused"}`, `{"name":"a","status":"in_service","group":"x"}`, `{"status":"in_service"}`, `7`} {
 		if err := d.Check([]versionlog.Entry{distributedEntry("b", "in_service"), {Name: "a", Body: []byte(bad)}}); err == nil {
 			t.Errorf("%s passes", bad)
--- a/internal/platform/ended_idle_test.go
+++ b/internal/platform/ended_idle_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 )
 
 // lateReader is a connection whose reader has its turns only as the test gives them.
@@ -31,8 +31,8 @@
 	}
 	defer l.Close()
 	turns := make(chan struct{}, 10)
-	p := &player{t: t, ended: map[*core.Attempt][]harepass.Outcome{}}
-	p.nodes = &Nodes{Owner: p, Streams: 4, ConnectTimeout: time.Second, KeepAlive: time.Minute, Quiet: time.Minute,
+	p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
+	p.nodes = &Caller{Reporter: p, CallsPerConn: 4, ConnectTimeout: time.Second, KeepAlive: time.Minute, ResponseTimeout: time.Minute,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 			if err != nil {
@@ -40,8 +40,8 @@
 			}
 			return &lateReader{c.(*net.TCPConn), turns}, nil
 		}}
-	node := core.Node{Replica: harepass.Replica{ID: "n"}, Address: l.Addr().String()}
-	outcome := func(at *core.Attempt) harepass.Outcome {
+	node := core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: l.Addr().String()}
+	outcome := func(at *core.Attempt) scatter.Outcome {
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			p.mu.Lock()
 			got := p.ended[at]
@@ -53,7 +53,7 @@
 		t.Fatal("no outcome")
 		return 0
 	}
-	first, second := &core.Attempt{Query: "first", Node: "n"}, &core.Attempt{Query: "second", Node: "n"}
+	first, second := &core.Attempt{QueryID: "first", Endpoint: "n"}, &core.Attempt{QueryID: "second", Endpoint: "n"}
 	p.nodes.Call(node, []*core.Attempt{first})
 	c, err := l.Accept()
 	if err != nil {
@@ -62,7 +62,7 @@
 	c.Read(make([]byte, 100))
 	turns <- struct{}{}
 	c.Write(appendFrame(nil, frameAnswer, []byte("first.0 S 0 -\nv")))
-	if got := outcome(first); got != harepass.Served {
+	if got := outcome(first); got != scatter.Succeeded {
 		t.Fatalf("the first call ended as %v", got)
 	}
 	c.Close()
@@ -72,7 +72,7 @@
 	for range 5 {
 		turns <- struct{}{}
 	}
-	if got := outcome(second); got != harepass.Moot {
+	if got := outcome(second); got != scatter.NotSent {
 		t.Errorf("the call ended as outcome %v, want one that has never begun", got)
 	}
 }
--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -8,9 +8,9 @@
 	"strings"
 	"unicode/utf8"
 
-	"harepass"
 	"harepass/internal/buffer"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 )
 
 // Frames are a length of four bytes, least significant first, a letter, and the rest.
@@ -48,24 +48,24 @@
 }
 
 // partID names a part on the frames: the query's id, a dot, the shard.
-func partID(at *core.Attempt) string { return at.Query + "." + strconv.Itoa(at.Shard) }
+func partID(at *core.Attempt) string { return at.QueryID + "." + strconv.Itoa(at.Shard) }
 
 // appendPart writes one part of a call.
 func appendPart(b []byte, at *core.Attempt) []byte {
 	b = fmt.Appendf(b, "%s %d d=%d", partID(at), at.Shard, max(1, at.Remaining().Milliseconds()))
-	if at.Key != "" {
-		b = fmt.Appendf(b, ",k=%s", at.Key)
+	if at.IdempotencyKey != "" {
+		b = fmt.Appendf(b, ",k=%s", at.IdempotencyKey)
 	}
-	b = fmt.Appendf(b, " %d\n", len(at.Text))
-	return append(b, at.Text...)
+	b = fmt.Appendf(b, " %d\n", len(at.Body))
+	return append(b, at.Body...)
 }
 
-var ends = map[string]harepass.Outcome{"S": harepass.Served, "E": harepass.Errored, "B": harepass.Full}
+var ends = map[string]scatter.Outcome{"S": scatter.Succeeded, "E": scatter.Errored, "B": scatter.Rejected}
 
 // answer is what a node sent for a part.
 type answer struct {
 	id      string
-	outcome harepass.Outcome
+	outcome scatter.Outcome
 	value   []byte
 }
 
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -12,14 +12,14 @@
 
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
-	"harepass/internal/decide/resend"
+	"harepass/internal/decide/retry"
 	"harepass/internal/http1"
 )
 
 // Front takes clients' queries.
 type Front struct {
-	Owner *core.Owner
-	Clock core.Clock
+	Coordinator *core.Coordinator
+	Clock       core.Clock
 }
 
 type queryBody struct {
@@ -53,7 +53,7 @@
 		if req.Method != "GET" {
 			return notAllowed("GET")
 		}
-		if p := f.Owner.Phase(); path == "/health/ready" && p != core.Ready {
+		if p := f.Coordinator.Phase(); path == "/health/ready" && p != core.Ready {
 			return text(503, p.String())
 		}
 		return text(200, "ok")
@@ -66,23 +66,23 @@
 	if err != nil {
 		return text(400, err.Error())
 	}
-	ok, retryIn := f.Owner.Admit(overload.Arrival{Class: q.Class, Tenant: q.Tenant, Retry: q.Retry})
+	ok, retryIn := f.Coordinator.Admit(overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry})
 	if q.Admitted = ok; !ok {
 		return refusal(retryIn)
 	}
 	if err := parseBody(q, req.Body); err != nil {
 		return text(400, err.Error())
 	}
-	a := f.Owner.Ask(q, gone)
-	switch a.Verdict {
-	case core.Refused:
-		return refusal(a.RetryIn)
+	a := f.Coordinator.Ask(q, gone)
+	switch a.Status {
+	case core.Rejected:
+		return refusal(a.RetryAfter)
 	case core.Failed:
 		return text(500, "failed")
 	case core.Invalid:
 		return text(400, a.Reason)
 	}
-	body := answerBody{Entire: a.Whole, Items: []item{}}
+	body := answerBody{Entire: a.Complete, Items: []item{}}
 	for i, v := range a.Values {
 		if v != nil {
 			body.Items = append(body.Items, item{q.Parts[i].Shard, string(v)})
@@ -114,12 +114,12 @@
 		}
 	}
 	q := &core.Query{ID: req.Header.Get("X-Call-Id"), Class: req.Header.Get("X-Call-Class"),
-		Tenant: req.Header.Get("X-Caller"), Retry: req.Header.Get("X-Again") == "1", Keys: req.Header[resend.Header], ClientLeft: req.ClientLeft}
+		Tenant: req.Header.Get("X-Caller"), IsRetry: req.Header.Get("X-Again") == "1", IdempotencyKeys: req.Header[retry.IdempotencyKeyHeader], ClientLeft: req.ClientLeft}
 	budget, err := parseBudget(req.Header.Get("X-Budget"))
 	if err != nil {
 		return nil, err
 	}
-	q.Until = f.Clock() - req.Waited() + budget
+	q.Deadline = f.Clock() - req.Waited() + budget
 	return q, nil
 }
 
@@ -134,7 +134,7 @@
 	if body.Filter == nil {
 		return fmt.Errorf("no filter")
 	}
-	q.Text = []byte(*body.Filter)
+	q.Body = []byte(*body.Filter)
 	for _, s := range body.Slices {
 		if s.Slice == nil || s.Mass == nil {
 			return fmt.Errorf("a slice without its number or mass")
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 )
 
@@ -20,13 +20,13 @@
 }
 
 func TestRequestsThatAreNone(t *testing.T) {
-	settings := harepass.Settings{Roots: 1, Cells: 1, Reach: 1, CallBatch: 1, MaxAttempts: 1,
-		Classes: []harepass.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Need: 1, Floor: 1}}}
+	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 1,
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, CompleteFraction: 1, MinFraction: 1}}}
 	owner, err := core.New(core.Config{Settings: settings, Clock: core.SystemClock(), Subscribe: func() {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Front{Owner: owner, Clock: core.SystemClock()}
+	f := &Front{Coordinator: owner, Clock: core.SystemClock()}
 	twice := request("POST", "/api", "", "X-Call-Id", "a")
 	twice.Header.Add("X-Call-Id", "b")
 	good := `{"slices":[{"slice":1,"mass":1}],"filter":"f"}`
@@ -70,21 +70,21 @@
 	if err == nil {
 		err = parseBody(q, whole.Body)
 	}
-	if left := q.Until - f.Clock(); err != nil || left <= 0 || left > 250*time.Millisecond || !q.Retry || q.Tenant != "acme" ||
-		q.Class != "c" || string(q.Text) != "f" {
+	if left := q.Deadline - f.Clock(); err != nil || left <= 0 || left > 250*time.Millisecond || !q.IsRetry || q.Tenant != "acme" ||
+		q.Class != "c" || string(q.Body) != "f" {
 		t.Errorf("%+v, %v", q, err)
 	}
 }
 
 func TestListEntries(t *testing.T) {
 	l := List{Endpoints: []Endpoint{{Name: "a", Address: "h:1", Group: 2, Status: "terminating", SinceMS: 5}}}
-	nodes, err := l.Nodes()
-	if err != nil || len(nodes) != 1 || nodes[0].State != harepass.Draining || nodes[0].Since != 5*time.Millisecond ||
-		nodes[0].Cell != 2 || nodes[0].Address != "h:1" {
+	nodes, err := l.CoreEndpoints()
+	if err != nil || len(nodes) != 1 || nodes[0].State != scatter.Draining || nodes[0].StartedAt != 5*time.Millisecond ||
+		nodes[0].RingPosition != 2 || nodes[0].Address != "h:1" {
 		t.Errorf("%+v, %v", nodes, err)
 	}
 	l.Endpoints[0].Status = "asleep"
-	if _, err := l.Nodes(); err == nil {
+	if _, err := l.CoreEndpoints(); err == nil {
 		t.Error("an unknown status is taken")
 	}
 }
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 )
 
 // List is discovery's form of the list of nodes.
@@ -31,18 +31,18 @@
 // statusGone is that of an entry that is listed no more; it stands among changes only.
 const statusGone = "terminated"
 
-var states = map[string]harepass.ReplicaState{
-	"in_service": harepass.Ready, "terminating": harepass.Draining, statusGone: harepass.Gone}
+var states = map[string]scatter.ReplicaState{
+	"in_service": scatter.Ready, "terminating": scatter.Draining, statusGone: scatter.Removed}
 
-// Nodes gives the entries as the owner takes them.
-func (l List) Nodes() ([]core.Node, error) {
-	nodes := make([]core.Node, 0, len(l.Endpoints))
+// CoreEndpoints gives the entries as the owner takes them.
+func (l List) CoreEndpoints() ([]core.Endpoint, error) {
+	nodes := make([]core.Endpoint, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
 		if err := e.check(); err != nil {
 			return nil, err
 		}
-		nodes = append(nodes, core.Node{Replica: harepass.Replica{ID: e.Name, Cell: e.Group, Zone: e.Zone, State: states[e.Status],
-			Since: time.Duration(e.SinceMS) * time.Millisecond}, Address: e.Address, Scheme: Scheme})
+		nodes = append(nodes, core.Endpoint{Replica: scatter.Replica{ID: e.Name, RingPosition: e.Group, Zone: e.Zone, State: states[e.Status],
+			StartedAt: time.Duration(e.SinceMS) * time.Millisecond}, Address: e.Address, Scheme: Scheme})
 	}
 	return nodes, nil
 }
@@ -80,7 +80,7 @@
 		clear(c.entries)
 	}
 	for _, e := range l.Endpoints {
-		if states[e.Status] == harepass.Gone {
+		if states[e.Status] == scatter.Removed {
 			delete(c.entries, e.Name)
 		} else {
 			c.entries[e.Name] = e
@@ -88,8 +88,8 @@
 	}
 }
 
-// Whole is the list and the address of the service that it came from.
-func (c *ListCopy) Whole() (address string, l List) {
+// Snapshot is the list and the address of the service that it came from.
+func (c *ListCopy) Snapshot() (address string, l List) {
 	c.mu.Lock()
 	entries := maps.Clone(c.entries)
 	address, l = c.address, List{Index: c.index, Snapshot: true}
--- a/internal/platform/list_failure.go
+++ b/internal/platform/list_failure.go
@@ -42,7 +42,7 @@
 	if f.watch {
 		return false
 	}
-	return errors.Is(f.err, errUnavailable) || f.took < backoff.AtOnce && turnedAway(f.err)
+	return errors.Is(f.err, errUnavailable) || f.took < backoff.ImmediateFailure && turnedAway(f.err)
 }
 
 // turnedAway tells whether a call ended without any byte of a list.
--- a/internal/platform/node_conn.go
+++ b/internal/platform/node_conn.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 )
 
 // sendState is how far an attempt is on its connection.
@@ -36,7 +36,7 @@
 }
 
 type nodeConn struct {
-	nodes   *Nodes
+	nodes   *Caller
 	node    string
 	address string
 	queue   []*nodeCall
@@ -108,7 +108,7 @@
 func (c *nodeConn) hear(s *sending) {
 	c.heard, c.proof = time.Now(), 0
 	for _, o := range slices.Clone(c.nodes.conns[c.node]) {
-		if q := o.quiet(); o != c && q > c.nodes.Quiet && time.Since(s.sent) < q {
+		if q := o.quiet(); o != c && q > c.nodes.ResponseTimeout && time.Since(s.sent) < q {
 			if o.proof++; o.proof >= quietProof {
 				o.discard()
 			}
@@ -128,7 +128,7 @@
 }
 
 // end settles an attempt that is still out and tells the owner.
-func (c *nodeConn) end(s *sending, outcome harepass.Outcome, value []byte) {
+func (c *nodeConn) end(s *sending, outcome scatter.Outcome, value []byte) {
 	c.nodes.mu.Lock()
 	out := slices.Contains(c.out, s)
 	if out {
@@ -136,7 +136,7 @@
 	}
 	c.nodes.mu.Unlock()
 	if out {
-		c.nodes.Owner.Ended(s.at, outcome, value)
+		c.nodes.Reporter.AttemptEnded(s.at, outcome, value)
 	}
 }
 
--- a/internal/platform/node_writer.go
+++ b/internal/platform/node_writer.go
@@ -9,8 +9,9 @@
 	"syscall"
 	"time"
 
-	"harepass"
 	"harepass/internal/counters"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/logmsg"
 	"harepass/internal/socket"
 )
 
@@ -31,7 +32,7 @@
 	conn, err := c.nodes.Dial.Connect(ctx, c.address)
 	cancel()
 	if err != nil {
-		slog.Debug("connect", "node", c.node, "err", err)
+		slog.Debug("connection failed", logmsg.KeyReplica, c.node, logmsg.KeyError, err)
 		if errors.Is(err, syscall.EMFILE) { // that tells of us, not of the node
 			c.nodes.mu.Lock()
 			c.spoilt = true
@@ -44,7 +45,7 @@
 	c.c = conn
 	closed := c.closed
 	c.nodes.mu.Unlock()
-	slog.Debug("connection", "node", c.node)
+	slog.Debug(logmsg.ConnectionOpened, logmsg.KeyReplica, c.node)
 	if closed {
 		return
 	}
@@ -74,18 +75,18 @@
 	}
 	c.nodes.mu.Unlock()
 	for _, s := range rest {
-		outcome := harepass.ConnectFailed
+		outcome := scatter.ConnectFailed
 		switch {
 		case s == c.guilty:
-			outcome = harepass.Errored
+			outcome = scatter.Errored
 		case c.spoilt && s.state == written:
-			outcome = harepass.Cancelled
+			outcome = scatter.Cancelled
 		case c.spoilt:
-			outcome = harepass.Moot
+			outcome = scatter.NotSent
 		case s.state == written:
-			outcome = harepass.Reset
+			outcome = scatter.ConnectionReset
 		}
-		c.nodes.Owner.Ended(s.at, outcome, nil)
+		c.nodes.Reporter.AttemptEnded(s.at, outcome, nil)
 	}
 }
 
@@ -110,14 +111,14 @@
 		call := c.queue[0]
 		c.queue = c.queue[1:]
 		var done *sending
-		outcome := harepass.Cancelled
+		outcome := scatter.Cancelled
 		var frame []byte
 		var parts, denied []*sending
 		if s := call.giveUp; s != nil {
 			if slices.Contains(c.out, s) {
 				done = s
 				if s.state == queued { // skipped below, should its call still come
-					outcome = harepass.Moot
+					outcome = scatter.NotSent
 				} else {
 					frame = appendFrame(nil, frameGiveUp, []byte(s.id))
 				}
@@ -137,7 +138,7 @@
 		}
 		c.nodes.mu.Unlock()
 		for _, s := range denied {
-			c.end(s, harepass.Moot, nil)
+			c.end(s, scatter.NotSent, nil)
 		}
 		if frame != nil {
 			n, err := conn.Write(frame)
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -25,15 +25,15 @@
 	pastIDs = 256 // settled ids that a connection remembers: a late answer or a second copy is no fault
 )
 
-// Nodes speaks frames to data nodes. It is a core.Caller.
-type Nodes struct {
-	Owner          core.Reporter
-	Streams        int // calls that one connection carries at once
-	Most           int // connections held at once, but for the first to each node; 0 for no limit
-	ConnectTimeout time.Duration
-	Quiet          time.Duration // for an answer to come in whole, and for some answer where any is awaited
-	KeepAlive      time.Duration // idle connections are closed by nodes after this
-	Dial           http1.Dialer  // nil for plain TCP
+// Caller speaks frames to data nodes. It is a core.Caller.
+type Caller struct {
+	Reporter        core.AttemptReporter
+	CallsPerConn    int // calls that one connection carries at once
+	MaxConns        int // connections held at once, but for the first to each node; 0 for no limit
+	ConnectTimeout  time.Duration
+	ResponseTimeout time.Duration // for an answer to come in whole, and for some answer where any is awaited
+	KeepAlive       time.Duration // idle connections are closed by nodes after this
+	Dial            http1.Dialer  // nil for plain TCP
 
 	mu      sync.Mutex // guards all below, connections included; nothing blocks under it
 	conns   map[string][]*nodeConn
@@ -42,15 +42,15 @@
 	opening func()
 }
 
-// Opening has f called before each connection is opened from now on, without the lock.
-func (n *Nodes) Opening(f func()) {
+// OnDial has f called before each connection is opened from now on, without the lock.
+func (n *Caller) OnDial(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.opening = f
 }
 
 // Call implements core.Caller.
-func (n *Nodes) Call(node core.Node, attempts []*core.Attempt) {
+func (n *Caller) Call(node core.Endpoint, attempts []*core.Attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.conn(node)
@@ -66,7 +66,7 @@
 }
 
 // conn finds a connection with room, or opens one. Where no more may be opened, calls wait unread at the node.
-func (n *Nodes) conn(node core.Node) *nodeConn {
+func (n *Caller) conn(node core.Endpoint) *nodeConn {
 	if n.conns == nil {
 		n.conns, n.sends = map[string][]*nodeConn{}, map[*core.Attempt]*sending{}
 	}
@@ -77,7 +77,7 @@
 		case c.calls == 0 && (c.address != node.Address || time.Since(c.used) > n.trusted()):
 			c.shut()
 		case c.address != node.Address:
-		case c.quiet() > n.Quiet:
+		case c.quiet() > n.ResponseTimeout:
 			quiets++
 			if quiet == nil || c.calls < quiet.calls {
 				quiet = c
@@ -89,7 +89,7 @@
 	if least == nil && (quiets >= quietMost || quiets > 0 && n.full()) {
 		least = quiet
 	}
-	if least != nil && (least.calls < max(1, n.Streams) || n.full()) {
+	if least != nil && (least.calls < max(1, n.CallsPerConn) || n.full()) {
 		return least
 	}
 	c := &nodeConn{nodes: n, node: node.ID, address: node.Address, wake: make(chan struct{}, 1), used: time.Now()}
@@ -99,38 +99,38 @@
 	return c
 }
 
-// Tune takes over what other settings say of connections; those that stand go by it too.
-func (n *Nodes) Tune(streams int, connect, quiet, keepAlive time.Duration) {
+// Configure takes over what other settings say of connections; those that stand go by it too.
+func (n *Caller) Configure(streams int, connect, quiet, keepAlive time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.Streams, n.ConnectTimeout, n.Quiet, n.KeepAlive = streams, connect, quiet, keepAlive
+	n.CallsPerConn, n.ConnectTimeout, n.ResponseTimeout, n.KeepAlive = streams, connect, quiet, keepAlive
 }
 
 // times are the ones that a connection goes by; for goroutines without the lock.
-func (n *Nodes) times() (connect, quiet, trusted time.Duration) {
+func (n *Caller) times() (connect, quiet, trusted time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ConnectTimeout, n.Quiet, n.trusted()
+	return n.ConnectTimeout, n.ResponseTimeout, n.trusted()
 }
 
 // trusted is how long an idle connection is used again, and kept; under the lock.
-func (n *Nodes) trusted() time.Duration {
+func (n *Caller) trusted() time.Duration {
 	if n.KeepAlive <= 0 {
 		return keepAlive
 	}
 	return time.Duration(float64(n.KeepAlive) * idleShare)
 }
 
-// Held is how many connections there are, those that come up included.
-func (n *Nodes) Held() int {
+// OpenConns is how many connections there are, those that come up included.
+func (n *Caller) OpenConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.held
 }
 
 // full tells, under the lock, that no connection may be opened; the idle ones make way before that.
-func (n *Nodes) full() bool {
-	if n.Most == 0 || n.held < n.Most {
+func (n *Caller) full() bool {
+	if n.MaxConns == 0 || n.held < n.MaxConns {
 		return false
 	}
 	for _, list := range n.conns {
@@ -144,8 +144,8 @@
 	return true
 }
 
-// Abandon implements core.Caller.
-func (n *Nodes) Abandon(at *core.Attempt) {
+// Cancel implements core.Caller.
+func (n *Caller) Cancel(at *core.Attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.sends[at]
@@ -154,10 +154,10 @@
 	}
 	again := s.givenUp
 	s.givenUp = true
-	for _, c := range slices.Clone(n.conns[at.Node]) {
+	for _, c := range slices.Clone(n.conns[at.Endpoint]) {
 		switch {
 		case !slices.Contains(c.out, s):
-		case again, s.state == written && c.heard.Before(s.sent) && time.Since(s.sent) > n.Quiet:
+		case again, s.state == written && c.heard.Before(s.sent) && time.Since(s.sent) > n.ResponseTimeout:
 			c.discard() // the word might never be read, and the part run twice at once
 		default:
 			c.enqueue(&nodeCall{giveUp: s})
@@ -165,8 +165,8 @@
 	}
 }
 
-// Disconnect implements core.Caller.
-func (n *Nodes) Disconnect(node string) {
+// CloseIdleConnections implements core.Caller.
+func (n *Caller) CloseIdleConnections(node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range slices.Clone(n.conns[node]) {
@@ -177,7 +177,7 @@
 }
 
 // Close ends all connections.
-func (n *Nodes) Close() {
+func (n *Caller) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, list := range n.conns {
--- a/internal/platform/nodes_test.go
+++ b/internal/platform/nodes_test.go
@@ -15,9 +15,9 @@
 	"testing/synctest"
 	"time"
 
-	"harepass"
 	"harepass/internal/buffer"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 )
 
 // gate is our end of a connection to a node; while it is shut, writes wait, and fail if it breaks then.
@@ -45,9 +45,9 @@
 // player is the model: a node that does as the steps say, and what each attempt has to come to.
 type player struct {
 	t      *testing.T
-	nodes  *Nodes
+	nodes  *Caller
 	mu     sync.Mutex
-	ended  map[*core.Attempt][]harepass.Outcome
+	ended  map[*core.Attempt][]scatter.Outcome
 	frames []string // what the node was sent, by the letter and the id
 	node   net.Conn // the node's end, nil if there is none
 	gate   *gate
@@ -56,7 +56,7 @@
 	peers  []net.Conn // the node's ends, in order
 }
 
-func (p *player) Ended(at *core.Attempt, o harepass.Outcome, _ []byte) {
+func (p *player) AttemptEnded(at *core.Attempt, o scatter.Outcome, _ []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ended[at] = append(p.ended[at], o)
@@ -112,8 +112,8 @@
 	written bool
 	begun   bool
 	givenUp bool
-	conn    int                // the connection it went on, by number
-	outcome []harepass.Outcome // empty while it is out
+	conn    int               // the connection it went on, by number
+	outcome []scatter.Outcome // empty while it is out
 }
 
 // FuzzNodes plays calls, abandonings, answers, breaks, refused connections and a node that stops reading,
@@ -132,9 +132,9 @@
 }
 
 func play(t *testing.T, steps []byte) {
-	p := &player{t: t, ended: map[*core.Attempt][]harepass.Outcome{}}
-	p.nodes = &Nodes{Owner: p, Streams: 4, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, Quiet: time.Second / 10, Dial: p.dial}
-	node := core.Node{Replica: harepass.Replica{ID: "n"}, Address: "n"}
+	p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
+	p.nodes = &Caller{Reporter: p, CallsPerConn: 4, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
+	node := core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}
 	var all []*want
 	shut, blocked, fresh := false, false, true // blocked: a write waits; fresh: the next call needs a connection
 	out := func() (list []*want) {
@@ -145,9 +145,9 @@
 		}
 		return list
 	}
-	broken := func(never, may harepass.Outcome) { // all that is out ends
+	broken := func(never, may scatter.Outcome) { // all that is out ends
 		for _, w := range out() {
-			w.outcome = []harepass.Outcome{never}
+			w.outcome = []scatter.Outcome{never}
 			if w.written {
 				w.outcome[0] = may
 			}
@@ -165,9 +165,9 @@
 			guilty = begun[0]
 		}
 		if guilty != nil {
-			guilty.outcome = []harepass.Outcome{harepass.Errored}
+			guilty.outcome = []scatter.Outcome{scatter.Errored}
 		}
-		broken(harepass.Moot, harepass.Cancelled)
+		broken(scatter.NotSent, scatter.Cancelled)
 	}
 	for i := 0; i+1 < len(steps); i += 2 {
 		arg := int(steps[i+1])
@@ -181,11 +181,11 @@
 			if len(live) == 4 {
 				continue // a second connection is TestCallsPerConnection's
 			}
-			w = &want{at: &core.Attempt{Query: fmt.Sprintf("q%d", len(all)), Shard: arg, Text: []byte("t"),
-				Timeout: time.Second, Node: "n"}, written: !shut, begun: !blocked}
+			w = &want{at: &core.Attempt{QueryID: fmt.Sprintf("q%d", len(all)), Shard: arg, Body: []byte("t"),
+				Timeout: time.Second, Endpoint: "n"}, written: !shut, begun: !blocked}
 			all = append(all, w)
 			if p.refuse && fresh {
-				w.outcome = []harepass.Outcome{harepass.ConnectFailed}
+				w.outcome = []scatter.Outcome{scatter.ConnectFailed}
 			} else {
 				fresh, blocked = false, shut
 			}
@@ -196,21 +196,21 @@
 			if w == nil {
 				continue
 			}
-			p.nodes.Abandon(w.at)
+			p.nodes.Cancel(w.at)
 			if w.givenUp { // the word waits: the connection is closed instead
-				broken(harepass.Moot, harepass.Cancelled)
+				broken(scatter.NotSent, scatter.Cancelled)
 				break
 			}
 			w.givenUp = true
 			if blocked = shut; !shut {
-				w.outcome = []harepass.Outcome{harepass.Cancelled}
+				w.outcome = []scatter.Outcome{scatter.Cancelled}
 			}
 		case 2: // answered, whatever the report says, and perhaps with more than belongs to it
 			if w == nil || !w.written {
 				continue
 			}
-			o := []harepass.Outcome{harepass.Served, harepass.Errored, harepass.Full}[arg%3]
-			w.outcome = []harepass.Outcome{o}
+			o := []scatter.Outcome{scatter.Succeeded, scatter.Errored, scatter.Rejected}[arg%3]
+			w.outcome = []scatter.Outcome{o}
 			frame := appendFrame(nil, frameAnswer, fmt.Appendf(nil, "%s %c 7 %s\nvalue", partID(w.at), "SEB"[arg%3], []string{"-", "", "\xff = ,"}[arg/3%3]))
 			behind := [][]byte{nil, {0, 0, 0, 0}, frame}[arg/9%3]
 			if behind == nil {
@@ -249,7 +249,7 @@
 				p.send(appendFrame(nil, frameAnswer, []byte("nobody.1 S 0 -\nvalue")), size)
 			case 6: // the node tells that it closes the connection
 				p.send(appendFrame(nil, frameFault, []byte("bad")), size)
-				broken(harepass.ConnectFailed, harepass.Reset)
+				broken(scatter.ConnectFailed, scatter.ConnectionReset)
 			case 7: // a value of 3 GB
 				p.send(append([]byte{0, 94, 208, 178, '5'}, id+" S 7 -\nvvvv"...), 1<<20)
 				spoilt(w)
@@ -274,7 +274,7 @@
 			}
 			p.send([]byte{9, 0, 0, 0, '5', 'x'}[:arg%7], 1)
 			p.node.Close()
-			broken(harepass.ConnectFailed, harepass.Reset)
+			broken(scatter.ConnectFailed, scatter.ConnectionReset)
 		case 5: // a second copy of what was settled on this connection
 			for _, w := range all {
 				if len(w.outcome) > 0 && w.conn == p.conns && !fresh {
@@ -295,9 +295,9 @@
 				for _, w := range out() {
 					switch {
 					case w.givenUp && w.begun:
-						w.outcome = []harepass.Outcome{harepass.Cancelled}
+						w.outcome = []scatter.Outcome{scatter.Cancelled}
 					case w.givenUp:
-						w.outcome = []harepass.Outcome{harepass.Moot}
+						w.outcome = []scatter.Outcome{scatter.NotSent}
 					default:
 						w.written, w.begun = true, true
 					}
@@ -332,11 +332,11 @@
 // A connection carries only so many calls at once, and the frames are as the protocol words them.
 func TestCallsPerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &player{t: t, ended: map[*core.Attempt][]harepass.Outcome{}}
-		p.nodes = &Nodes{Owner: p, Streams: 2, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, Quiet: time.Second / 10, Dial: p.dial}
+		p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
+		p.nodes = &Caller{Reporter: p, CallsPerConn: 2, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
 		for i := range 5 {
-			p.nodes.Call(core.Node{Replica: harepass.Replica{ID: "n"}, Address: "n"},
-				[]*core.Attempt{{Query: fmt.Sprint(i), Node: "n"}, {Query: fmt.Sprint(i), Shard: 1, Node: "n"}})
+			p.nodes.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"},
+				[]*core.Attempt{{QueryID: fmt.Sprint(i), Endpoint: "n"}, {QueryID: fmt.Sprint(i), Shard: 1, Endpoint: "n"}})
 			synctest.Wait()
 		}
 		if p.conns != 3 || len(p.frames) != 5 {
@@ -344,7 +344,7 @@
 		}
 		p.nodes.Close()
 	})
-	at := &core.Attempt{Query: "9b1f", Shard: 3, Timeout: 240 * time.Millisecond, Text: []byte("c41e77d0")}
+	at := &core.Attempt{QueryID: "9b1f", Shard: 3, Timeout: 240 * time.Millisecond, Body: []byte("c41e77d0")}
 	got := callFrame([]*sending{{at: at}})
 	if want := append([]byte{26, 0, 0, 0, '1'}, "9b1f.3 3 d=240 8\nc41e77d0"...); !bytes.Equal(got, want) {
 		t.Errorf("frame %q, want %q", got, want)
@@ -410,20 +410,20 @@
 		}, "1 connections, frames [1q0.0 1q1.0 1q2.0 2q0.0 2q2.0 1q3.0], ended [[6] [0] [6] []]"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := &player{t: t, ended: map[*core.Attempt][]harepass.Outcome{}}
-			p.nodes = &Nodes{Owner: p, Streams: 32, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, Quiet: time.Second / 10, Dial: p.dial}
+			p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
+			p.nodes = &Caller{Reporter: p, CallsPerConn: 32, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
 			var all []*core.Attempt
 			tc.play(p, func() {
-				all = append(all, &core.Attempt{Query: fmt.Sprint("q", len(all)), Node: "n"})
-				p.nodes.Call(core.Node{Replica: harepass.Replica{ID: "n"}, Address: "n"}, all[len(all)-1:])
+				all = append(all, &core.Attempt{QueryID: fmt.Sprint("q", len(all)), Endpoint: "n"})
+				p.nodes.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}, all[len(all)-1:])
 				synctest.Wait()
 			}, func(i int) {
 				p.send(appendFrame(nil, frameAnswer, fmt.Appendf(nil, "q%d.0 S 7 -\nv", i)), 99)
 			}, func(i int) {
-				p.nodes.Abandon(all[i])
+				p.nodes.Cancel(all[i])
 				synctest.Wait()
 			})
-			var ended [][]harepass.Outcome
+			var ended [][]scatter.Outcome
 			for _, at := range all {
 				ended = append(ended, p.ended[at])
 			}
@@ -440,11 +440,11 @@
 // that has one already. What nobody uses any more closes by itself, so that nodes long gone leave nothing.
 func TestConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &player{t: t, ended: map[*core.Attempt][]harepass.Outcome{}}
-		p.nodes = &Nodes{Owner: p, Streams: 1, Most: 2, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, Quiet: time.Second / 10, Dial: p.dial}
+		p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
+		p.nodes = &Caller{Reporter: p, CallsPerConn: 1, MaxConns: 2, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
 		call := func(node string) {
-			p.nodes.Call(core.Node{Replica: harepass.Replica{ID: node}, Address: node},
-				[]*core.Attempt{{Query: fmt.Sprint(p.conns, len(p.frames)), Node: node}})
+			p.nodes.Call(core.Endpoint{Replica: scatter.Replica{ID: node}, Address: node},
+				[]*core.Attempt{{QueryID: fmt.Sprint(p.conns, len(p.frames)), Endpoint: node}})
 			synctest.Wait()
 		}
 		held := func() (n int) {
@@ -483,15 +483,15 @@
 // whose giving up waits to be written.
 func TestAnswerOfARepeatedPart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &player{t: t, ended: map[*core.Attempt][]harepass.Outcome{}}
-		p.nodes = &Nodes{Owner: p, Streams: 4, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, Quiet: time.Second / 10, Dial: p.dial}
-		first, second := &core.Attempt{Query: "q", Node: "n"}, &core.Attempt{Query: "q", Node: "n"}
-		node := core.Node{Replica: harepass.Replica{ID: "n"}, Address: "n"}
+		p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
+		p.nodes = &Caller{Reporter: p, CallsPerConn: 4, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
+		first, second := &core.Attempt{QueryID: "q", Endpoint: "n"}, &core.Attempt{QueryID: "q", Endpoint: "n"}
+		node := core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}
 		p.nodes.Call(node, []*core.Attempt{first})
 		p.nodes.Call(node, []*core.Attempt{second})
 		synctest.Wait()
 		p.gate.open = make(chan struct{})
-		p.nodes.Abandon(first)
+		p.nodes.Cancel(first)
 		synctest.Wait()
 		p.send(appendFrame(nil, frameAnswer, []byte("q.0 S 1 -\nv")), 99)
 		if len(p.ended[first]) != 0 || len(p.ended[second]) != 1 {
@@ -539,16 +539,16 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := &player{t: t, ended: map[*core.Attempt][]harepass.Outcome{}}
-	p.nodes = &Nodes{Owner: p, Streams: 1, ConnectTimeout: time.Second, KeepAlive: time.Minute, Quiet: time.Minute}
-	node := core.Node{Replica: harepass.Replica{ID: "n"}, Address: l.Addr().String()}
-	ended := func(at *core.Attempt) []harepass.Outcome {
+	p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
+	p.nodes = &Caller{Reporter: p, CallsPerConn: 1, ConnectTimeout: time.Second, KeepAlive: time.Minute, ResponseTimeout: time.Minute}
+	node := core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: l.Addr().String()}
+	ended := func(at *core.Attempt) []scatter.Outcome {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.ended[at]
 	}
 	const soon = 20 * time.Millisecond // for a goroutine to come to wait
-	first, second := &core.Attempt{Query: "first", Node: "n"}, &core.Attempt{Query: "second", Node: "n"}
+	first, second := &core.Attempt{QueryID: "first", Endpoint: "n"}, &core.Attempt{QueryID: "second", Endpoint: "n"}
 	p.nodes.Call(node, []*core.Attempt{first})
 	c, err := l.Accept()
 	if err != nil {
--- a/internal/platform/onechange_test.go
+++ b/internal/platform/onechange_test.go
@@ -5,24 +5,24 @@
 	"math"
 	"testing"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/decide/replica"
+	"harepass/internal/decide/follower"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 )
 
 // reader is what a coordinator does with answers up to where the owner has them, with a list of so many nodes.
 type reader struct {
-	state replica.State
-	list  *Distributed
+	state follower.State
+	list  *RelayedList
 	index int64
 }
 
 func newReader(tb testing.TB, nodes int) *reader {
-	r := &reader{list: NewDistributed(List{}), index: 10_000} // of as many digits for each list
-	r.list.Keep(func() {})
-	r.list.Listed = func(harepass.ListScope, []core.Node) {}
+	r := &reader{list: NewRelayedList(List{}), index: 10_000} // of as many digits for each list
+	r.list.KeepCopy(func() {})
+	r.list.Listed = func(scatter.UpdateKind, []core.Endpoint) {}
 	whole := versionlog.Slice{Version: versionlog.Version{Epoch: 1, Index: r.index}, Head: r.index, Snapshot: true}
 	for i := range nodes {
 		whole.Entries = append(whole.Entries, oneEntry(i, int64(i+1)))
@@ -41,11 +41,11 @@
 	if err := r.list.Check(slice.Entries); err != nil {
 		tb.Fatal(err)
 	}
-	c, err := r.state.Take(slice)
+	c, err := r.state.Apply(slice)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, Gone: c.Gone, Completed: c.Completed, Whole: c.Whole})
+	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, Removed: c.Removed, Completed: c.Completed, Complete: c.Complete})
 }
 
 // change takes the next change of one entry.
--- a/internal/platform/refusal_test.go
+++ b/internal/platform/refusal_test.go
@@ -5,46 +5,46 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
+	"harepass/internal/decide/scatter"
 )
 
 // noGate refuses all.
 type noGate struct{ refuse bool }
 
 func (g noGate) Admit(overload.Arrival) (bool, time.Duration) { return !g.refuse, time.Second }
-func (noGate) Turn(core.Turn)                                 {}
-func (noGate) Done(int)                                       {}
+func (noGate) ObserveTick(core.Tick)                          {}
+func (noGate) QueryDone(int)                                  {}
 
 // echo is a Caller that serves everything at once.
-type echo struct{ o *core.Owner }
+type echo struct{ o *core.Coordinator }
 
-func (e *echo) Call(_ core.Node, list []*core.Attempt) {
+func (e *echo) Call(_ core.Endpoint, list []*core.Attempt) {
 	go func() { // the owner must not be called from within
 		for _, at := range list {
-			e.o.Ended(at, harepass.Served, []byte("5be2a07c19f04d63"))
+			e.o.AttemptEnded(at, scatter.Succeeded, []byte("5be2a07c19f04d63"))
 		}
 	}()
 }
-func (*echo) Abandon(*core.Attempt) {}
-func (*echo) Disconnect(string)     {}
+func (*echo) Cancel(*core.Attempt)        {}
+func (*echo) CloseIdleConnections(string) {}
 
 func front(b testing.TB, refuse bool) *Front {
 	e := &echo{}
 	clock := core.SystemClock()
-	o, err := core.New(core.Config{Seed: 1, Asked: "test", Clock: clock, Callers: map[string]core.Caller{"echo": e}, Subscribe: func() {}, Gate: noGate{refuse},
-		Settings: harepass.Settings{Roots: 1, Cells: 1, Reach: 1, CallBatch: 1, MaxAttempts: 3, Cancel: true, Turn: time.Millisecond, RetryAdvice: time.Second,
-			Classes: []harepass.Class{{Name: "c", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.5, Need: 1, Floor: 1}}}})
+	o, err := core.New(core.Config{Seed: 1, PolledSource: "test", Clock: clock, Callers: map[string]core.Caller{"echo": e}, Subscribe: func() {}, Admitter: noGate{refuse},
+		Settings: scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 3, Cancellation: true, TickInterval: time.Millisecond, RetryAfter: time.Second,
+			Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateWeight: 0.5, CompleteFraction: 1, MinFraction: 1}}}})
 	if err != nil {
 		b.Fatal(err)
 	}
 	e.o = o
 	go o.Run()
 	b.Cleanup(o.Stop)
-	o.Listed("test", harepass.ListFull, []core.Node{{Replica: harepass.Replica{ID: "a"}, Address: "a", Scheme: "echo"}, {Replica: harepass.Replica{ID: "b"}, Address: "b", Scheme: "echo"}})
+	o.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{{Replica: scatter.Replica{ID: "a"}, Address: "a", Scheme: "echo"}, {Replica: scatter.Replica{ID: "b"}, Address: "b", Scheme: "echo"}})
 	<-o.Started()
-	return &Front{Owner: o, Clock: clock}
+	return &Front{Coordinator: o, Clock: clock}
 }
 
 func handle(f *Front, i int) int {
--- a/internal/platform/told_deadline_test.go
+++ b/internal/platform/told_deadline_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // toldSlack is by how much the deadline that a node is told may be over what its client has left.
@@ -27,33 +27,33 @@
 		at   time.Time
 	}
 	parts := make(chan heard, 8)
-	fleet := &standin.Fleet{Heard: func(p standin.Part, _ standin.Kind) { parts <- heard{p.List, time.Now()} }}
+	fleet := &fake.Fleet{Heard: func(p fake.Part, _ fake.Kind) { parts <- heard{p.List, time.Now()} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	go fleet.Frames(l)
-	nodes := &Nodes{Streams: 32, ConnectTimeout: 5 * time.Second, Quiet: time.Second, KeepAlive: 30 * time.Second,
+	nodes := &Caller{CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			time.Sleep(late)
 			return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		}}
 	defer nodes.Close()
 	clock := core.SystemClock()
-	settings := harepass.Settings{Roots: 1, Cells: 1, Reach: 1, CallBatch: 1, Turn: time.Millisecond, MaxAttempts: 4, Cancel: true, RetryAdvice: time.Second,
-		Classes: []harepass.Class{{Name: "c", Aim: 1500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
-	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Callers: map[string]core.Caller{Scheme: nodes}, Subscribe: func() {}, Asked: "test"})
+	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}}}
+	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Callers: map[string]core.Caller{Scheme: nodes}, Subscribe: func() {}, PolledSource: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes.Owner = owner
+	nodes.Reporter = owner
 	go owner.Run()
 	defer owner.Stop()
-	owner.Listed("test", harepass.ListFull, []core.Node{{Replica: harepass.Replica{ID: "n0", State: harepass.Ready}, Address: l.Addr().String(), Scheme: Scheme}})
+	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{{Replica: scatter.Replica{ID: "n0", State: scatter.Ready}, Address: l.Addr().String(), Scheme: Scheme}})
 	until := time.Now().Add(budget)
-	a := owner.Ask(&core.Query{ID: "q", Class: "c", Until: clock() + budget, Parts: []core.Part{{Shard: 0, Weight: 1}}}, nil)
-	if a.Verdict != core.Served {
+	a := owner.Ask(&core.Query{ID: "q", Class: "c", Deadline: clock() + budget, Parts: []core.Part{{Shard: 0, Weight: 1}}}, nil)
+	if a.Status != core.Served {
 		t.Fatalf("the answer is %+v", a)
 	}
 	part := <-parts
@@ -66,10 +66,10 @@
 // The time of a request that is pipelined behind another runs from its coming, not from its turn.
 func TestPipelinedRequestHasWhatIsLeftOfItsTime(t *testing.T) {
 	const budget, first = 1400 * time.Millisecond, 600 * time.Millisecond
-	parts := make(chan standin.Part, 8)
-	fleet := &standin.Fleet{Heard: func(p standin.Part, _ standin.Kind) { parts <- p },
-		Script: func(shard, _ int) standin.Reply {
-			return standin.Reply{After: time.Duration(1-shard) * first} // the first request asks for shard 0
+	parts := make(chan fake.Part, 8)
+	fleet := &fake.Fleet{Heard: func(p fake.Part, _ fake.Kind) { parts <- p },
+		Script: func(shard, _ int) fake.Reply {
+			return fake.Reply{After: time.Duration(1-shard) * first} // the first request asks for shard 0
 		}}
 	address := serveBehindOwner(t, fleet)
 	c, err := net.Dial("tcp", address)
@@ -92,23 +92,23 @@
 }
 
 // serveBehindOwner serves the platform's protocol before one node, and returns the address.
-func serveBehindOwner(t *testing.T, fleet *standin.Fleet) string {
+func serveBehindOwner(t *testing.T, fleet *fake.Fleet) string {
 	node, clients := listenLocal(t), listenLocal(t)
 	go fleet.Frames(node)
-	nodes := &Nodes{Streams: 32, ConnectTimeout: 5 * time.Second, Quiet: time.Second, KeepAlive: 30 * time.Second}
+	nodes := &Caller{CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second}
 	t.Cleanup(nodes.Close)
 	clock := core.SystemClock()
-	settings := harepass.Settings{Roots: 1, Cells: 1, Reach: 1, CallBatch: 1, Turn: time.Millisecond, MaxAttempts: 4, Cancel: true, RetryAdvice: time.Second,
-		Classes: []harepass.Class{{Name: "c", Aim: 1500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1, Need: 1, Floor: 1}}}
-	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Callers: map[string]core.Caller{Scheme: nodes}, Subscribe: func() {}, Asked: "test"})
+	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}}}
+	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Callers: map[string]core.Caller{Scheme: nodes}, Subscribe: func() {}, PolledSource: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes.Owner = owner
-	owner.Listed("test", harepass.ListFull, []core.Node{{Replica: harepass.Replica{ID: "n0", State: harepass.Ready}, Address: node.Addr().String(), Scheme: Scheme}})
+	nodes.Reporter = owner
+	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{{Replica: scatter.Replica{ID: "n0", State: scatter.Ready}, Address: node.Addr().String(), Scheme: Scheme}})
 	go owner.Run()
 	t.Cleanup(owner.Stop)
-	server := &http1.Server{Handler: (&Front{Owner: owner, Clock: clock}).Handle, Limits: http1.DefaultLimits}
+	server := &http1.Server{Handler: (&Front{Coordinator: owner, Clock: clock}).Handle, Limits: http1.DefaultLimits}
 	go server.Serve(clients)
 	return clients.Addr().String()
 }
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -11,7 +11,7 @@
 	"os"
 	"time"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 	"harepass/internal/platform"
@@ -84,8 +84,8 @@
 		return
 	}
 	changes := make(chan []versionlog.Change)
-	follower := distribution.New(distribution.Config{Resource: distribution.Instances, AnySnapshot: true, MaxBody: longestList,
-		Sources: []sources.Source{{Address: a.Discovery}}, Check: checkNodes,
+	follower := distribution.New(distribution.Config{Resource: distribution.Instances, AcceptAnySnapshot: true, MaxBody: longestList,
+		Sources: []failover.Source{{Address: a.Discovery}}, Check: checkNodes,
 		Apply: func(update distribution.Update) {
 			select {
 			case changes <- nodeChanges(update):
@@ -125,7 +125,7 @@
 	for _, entry := range update.Entries {
 		changes = append(changes, change(entry))
 	}
-	for _, name := range update.Gone {
+	for _, name := range update.Removed {
 		changes = append(changes, versionlog.Change{Name: name, Removed: true})
 	}
 	return changes
@@ -174,7 +174,7 @@
 	if n.Version != nil {
 		return errors.New("it has a version, which only an authority gives")
 	}
-	if _, err := (platform.List{Endpoints: []platform.Endpoint{n.Endpoint}}).Nodes(); err != nil {
+	if _, err := (platform.List{Endpoints: []platform.Endpoint{n.Endpoint}}).CoreEndpoints(); err != nil {
 		return err
 	}
 	if n.Group < 0 {
--- a/internal/relay/authority_test.go
+++ b/internal/relay/authority_test.go
@@ -12,7 +12,7 @@
 	"sync"
 	"testing"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // fromFiles is an authority with files; settings with the word bad in them do not pass its check.
@@ -106,14 +106,14 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	var registry standin.Registry
+	var registry fake.Registry
 	put := func(i int, status string) {
-		registry.Put(standin.Entry{Name: fmt.Sprintf("node-%05d", i), Type: "m2", Group: i, Status: status, Weight: 1})
+		registry.Put(fake.Entry{Name: fmt.Sprintf("node-%05d", i), Type: "m2", Group: i, Status: status, Weight: 1})
 	}
 	for i := range list {
 		put(i, "in_service")
 	}
-	go registry.Serve(listener, func(string) string { return "127.0.0.1:9" }, func(standin.Listing) {})
+	go registry.Serve(listener, func(string) string { return "127.0.0.1:9" }, func(fake.Listing) {})
 	server := authority(5, wideBudget)
 	address, _ := start(t, server)
 	a := &Authority{Instances: server.Instances, Settings: server.Settings, Discovery: listener.Addr().String()}
--- a/internal/relay/resource.go
+++ b/internal/relay/resource.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"harepass/internal/decide/admission"
+	"harepass/internal/decide/ratelimit"
 	"harepass/internal/decide/versionlog"
 )
 
@@ -23,20 +23,20 @@
 	emptyRetry = 400 * time.Millisecond
 )
 
-// Refusal says why a reader gets no slice.
-type Refusal int
+// Rejection says why a reader gets no slice.
+type Rejection int
 
 // The refusals.
 const (
-	Accepted Refusal = iota
-	Empty            // there is nothing yet
-	Busy             // the budget for snapshots is spent
-	Behind           // the reader knows of newer versions
+	Accepted Rejection = iota
+	Empty              // there is nothing yet
+	Busy               // the budget for snapshots is spent
+	Behind             // the reader knows of newer versions
 )
 
 // Reply is what a reader gets.
 type Reply struct {
-	Refusal    Refusal
+	Rejection  Rejection
 	RetryAfter time.Duration // with Empty and Busy
 	Body       []byte        // else; shared by readers, not to be changed
 	Age        time.Duration // since the resource was last known to be current
@@ -44,16 +44,16 @@
 
 // Counters count the answers of one resource since the start.
 type Counters struct {
-	Calls            int64 `json:"calls"`
-	EntriesSent      int64 `json:"entries_sent"`      // in answers
-	Bytes            int64 `json:"bytes"`             // of the answers' bodies
-	Heartbeats       int64 `json:"heartbeats"`        // answers without news
-	Snapshots        int64 `json:"snapshots"`         // begun
-	SnapshotBytes    int64 `json:"snapshot_bytes"`    // of the entries of snapshots when they began
-	SnapshotsRefused int64 `json:"snapshots_refused"` // for want of budget
-	RefusedEmpty     int64 `json:"refused_empty"`
-	RefusedBehind    int64 `json:"refused_behind"`
-	Encoded          int64 `json:"encoded"` // slices written as JSON; the other answers shared them
+	Calls             int64 `json:"calls"`
+	EntriesSent       int64 `json:"entries_sent"`      // in answers
+	Bytes             int64 `json:"bytes"`             // of the answers' bodies
+	Heartbeats        int64 `json:"heartbeats"`        // answers without news
+	Snapshots         int64 `json:"snapshots"`         // begun
+	SnapshotBytes     int64 `json:"snapshot_bytes"`    // of the entries of snapshots when they began
+	SnapshotsRejected int64 `json:"snapshots_refused"` // for want of budget
+	RejectedEmpty     int64 `json:"refused_empty"`
+	RejectedBehind    int64 `json:"refused_behind"`
+	Encoded           int64 `json:"encoded"` // slices written as JSON; the other answers shared them
 }
 
 // Resource is one list of entries and its readers. Use NewResource.
@@ -172,11 +172,11 @@
 	}
 	switch {
 	case r.log.Empty():
-		r.counters.RefusedEmpty++
-		return Reply{Refusal: Empty, RetryAfter: emptyRetry + time.Duration(rand.Float64()*float64(emptyRetry/2))}, nil
+		r.counters.RejectedEmpty++
+		return Reply{Rejection: Empty, RetryAfter: emptyRetry + time.Duration(rand.Float64()*float64(emptyRetry/2))}, nil
 	case r.log.Behind(from):
-		r.counters.RefusedBehind++
-		return Reply{Refusal: Behind}, nil
+		r.counters.RejectedBehind++
+		return Reply{Rejection: Behind}, nil
 	case !last && from.Version == r.log.Head() && from.Base == 0:
 		r.waiting++
 		return Reply{}, r.changed
@@ -184,8 +184,8 @@
 	if r.log.NeedsSnapshot(from) {
 		_, bytes := r.log.Live()
 		if wait, admitted := r.budget.admit(bytes); !admitted {
-			r.counters.SnapshotsRefused++
-			return Reply{Refusal: Busy, RetryAfter: wait}, nil
+			r.counters.SnapshotsRejected++
+			return Reply{Rejection: Busy, RetryAfter: wait}, nil
 		}
 		r.counters.Snapshots++
 		r.counters.SnapshotBytes += int64(bytes)
@@ -262,12 +262,12 @@
 type Budget struct {
 	mu    sync.Mutex
 	began time.Time
-	bytes *admission.Budget
+	bytes *ratelimit.Budget
 }
 
 // NewBudget returns a budget of so many bytes a second.
 func NewBudget(bytesPerSecond int) *Budget {
-	return &Budget{began: time.Now(), bytes: admission.NewBudget(bytesPerSecond, 0)}
+	return &Budget{began: time.Now(), bytes: ratelimit.NewBudget(bytesPerSecond, 0)}
 }
 
 func (b *Budget) admit(bytes int) (wait time.Duration, admitted bool) {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -53,7 +53,7 @@
 func NewServer(instances, settings *Resource, maxReaders int) *Server {
 	ctx, end := context.WithCancel(context.Background())
 	s := &Server{Instances: instances, Settings: settings, maxReaders: int64(maxReaders), began: time.Now(), ctx: ctx, end: end}
-	s.server = &http1.Server{Handler: s.handle, Conns: maxReaders + spareConns,
+	s.server = &http1.Server{Handler: s.handle, MaxConns: maxReaders + spareConns,
 		Limits: http1.Limits{Head: maxRequestHead, Body: maxRequestBody}}
 	return s
 }
@@ -122,7 +122,7 @@
 
 // message words a reply.
 func message(reply Reply) *http1.Message {
-	switch reply.Refusal {
+	switch reply.Rejection {
 	case Empty, Busy:
 		return unavailable(reply.RetryAfter)
 	case Behind:
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -153,7 +153,7 @@
 // readAll reads until the reader has all there is.
 func (r *reader) readAll(t *testing.T) {
 	t.Helper()
-	for more := true; more; more = !r.cursor.Whole() {
+	for more := true; more; more = !r.cursor.Complete() {
 		if status, err := r.call(0); status != 200 || err != nil {
 			t.Fatalf("status %d, %v", status, err)
 		}
@@ -234,7 +234,7 @@
 	publish(t, server.Instances, append(changes, versionlog.Change{Name: "new", Object: object("new", 2)}))
 	watching.Wait()
 	for _, r := range readers {
-		if r.slices != 1 || len(r.live) != list || r.live["new"] == "" || r.live["node-00000"] != "" || !r.cursor.Whole() {
+		if r.slices != 1 || len(r.live) != list || r.live["new"] == "" || r.live["node-00000"] != "" || !r.cursor.Complete() {
 			t.Fatalf("%d slices, %d entries, at %+v", r.slices, len(r.live), r.cursor)
 		}
 	}
@@ -372,7 +372,7 @@
 	for range fleet {
 		r := newReader(t, address)
 		starting.Go(func() {
-			for !r.cursor.Whole() {
+			for !r.cursor.Complete() {
 				answer, err := r.get(fmt.Sprintf("%s?epoch=%d&from=%d&base=%d", InstancesPath, r.cursor.Epoch, r.cursor.Index, r.cursor.Base))
 				if err != nil || answer.Status != 200 && answer.Status != 503 {
 					t.Errorf("%+v, %v", answer, err)
@@ -395,7 +395,7 @@
 	}
 	starting.Wait()
 	status := server.Instances.Status()
-	if status.Snapshots != fleet || status.SnapshotBytes != int64(fleet*bytes) || status.SnapshotsRefused == 0 || status.SnapshotsRefused > 3*fleet {
+	if status.Snapshots != fleet || status.SnapshotBytes != int64(fleet*bytes) || status.SnapshotsRejected == 0 || status.SnapshotsRejected > 3*fleet {
 		t.Errorf("%+v", status)
 	}
 }
--- a/internal/relay/stale_test.go
+++ b/internal/relay/stale_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 )
@@ -30,10 +30,10 @@
 
 // ofTwo is the configuration of a reader with a relay in its zone and one elsewhere.
 func ofTwo(near, far string) distribution.Config {
-	own := sources.Place{Zone: "a", Region: "north"}
-	return distribution.Config{Resource: distribution.Instances, Own: own, Hold: quickHeartbeat, Allowance: 2 * time.Second,
+	own := failover.Place{Zone: "a", Region: "north"}
+	return distribution.Config{Resource: distribution.Instances, Place: own, Heartbeat: quickHeartbeat, Allowance: 2 * time.Second,
 		StaleAfter: quickStale, Rand: rand.New(rand.NewPCG(1, 2)),
-		Sources: []sources.Source{{Address: near, Place: own}, {Address: far, Place: sources.Place{Zone: "a", Region: "south"}}}}
+		Sources: []failover.Source{{Address: near, Place: own}, {Address: far, Place: failover.Place{Zone: "a", Region: "south"}}}}
 }
 
 // following runs a follower until the test ends.
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -5,27 +5,27 @@
 	"log/slog"
 	"time"
 
-	"harepass/internal/guard"
+	"harepass/internal/loadshed"
 )
 
 // Status is where a process stands, with its counters since the start.
 type Status struct {
-	Uptime         float64        `json:"uptime_seconds"`
-	CPU            float64        `json:"cpu_seconds"`
-	LiveHeap       int64          `json:"live_heap_bytes"`
-	Readers        int64          `json:"readers"` // with a call open
-	RefusedReaders int64          `json:"refused_readers"`
-	BytesIn        int64          `json:"bytes_in"` // of readers' connections, headers included
-	BytesOut       int64          `json:"bytes_out"`
-	Instances      ResourceStatus `json:"instances"`
-	Settings       ResourceStatus `json:"settings"`
+	Uptime          float64        `json:"uptime_seconds"`
+	CPU             float64        `json:"cpu_seconds"`
+	LiveHeap        int64          `json:"live_heap_bytes"`
+	Readers         int64          `json:"readers"` // with a call open
+	RejectedReaders int64          `json:"refused_readers"`
+	BytesIn         int64          `json:"bytes_in"` // of readers' connections, headers included
+	BytesOut        int64          `json:"bytes_out"`
+	Instances       ResourceStatus `json:"instances"`
+	Settings        ResourceStatus `json:"settings"`
 }
 
 // Status tells where the process stands.
 func (s *Server) Status() Status {
-	usage := guard.Self()
+	usage := loadshed.Self()
 	return Status{Uptime: time.Since(s.began).Seconds(), CPU: usage.CPU.Seconds(), LiveHeap: usage.Live,
-		Readers: s.readers.Load(), RefusedReaders: s.refused.Load(), BytesIn: s.bytesIn.Load(), BytesOut: s.bytesOut.Load(),
+		Readers: s.readers.Load(), RejectedReaders: s.refused.Load(), BytesIn: s.bytesIn.Load(), BytesOut: s.bytesOut.Load(),
 		Instances: s.Instances.Status(), Settings: s.Settings.Status()}
 }
 
@@ -45,7 +45,7 @@
 
 func (s *Server) logStatus() {
 	status := s.Status()
-	slog.Info("relay", "readers", status.Readers, "refused_readers", status.RefusedReaders, "bytes_in", status.BytesIn,
+	slog.Info("relay", "readers", status.Readers, "refused_readers", status.RejectedReaders, "bytes_in", status.BytesIn,
 		"bytes_out", status.BytesOut, "cpu_seconds", status.CPU, "live_heap_bytes", status.LiveHeap)
 	status.Instances.log("instances")
 	status.Settings.log("settings")
@@ -54,5 +54,5 @@
 func (r ResourceStatus) log(name string) {
 	slog.Info("resource", "name", name, "epoch", r.Epoch, "index", r.Index, "entries", r.Entries, "age_seconds", r.Age,
 		"waiting", r.Waiting, "calls", r.Calls, "bytes", r.Bytes, "heartbeats", r.Heartbeats, "snapshots", r.Snapshots,
-		"snapshots_refused", r.SnapshotsRefused, "encoded", r.Encoded)
+		"snapshots_refused", r.SnapshotsRejected, "encoded", r.Encoded)
 }
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -35,7 +35,7 @@
 			cancel()
 			return
 		}
-		if update.Whole {
+		if update.Complete {
 			slog.Info("version taken", "resource", config.Resource.Name(), "epoch", update.Slice.Version.Epoch,
 				"index", update.Slice.Version.Index, "entries", len(update.Slice.Entries), "source", update.Source)
 		}
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 	"harepass/internal/http1"
@@ -23,9 +23,9 @@
 	address, stopServer := start(t, server)
 	ctx, cancel := context.WithCancel(context.Background())
 	var following sync.WaitGroup
-	config := distribution.Config{Resource: distribution.Instances, Hold: 100 * time.Millisecond, Allowance: 2 * time.Second}
+	config := distribution.Config{Resource: distribution.Instances, Heartbeat: 100 * time.Millisecond, Allowance: 2 * time.Second}
 	for _, a := range addresses {
-		config.Sources = append(config.Sources, sources.Source{Address: a})
+		config.Sources = append(config.Sources, failover.Source{Address: a})
 	}
 	following.Go(func() { server.Instances.Follow(ctx, config) })
 	stop = sync.OnceFunc(func() { cancel(); stopServer(); following.Wait() })
@@ -63,7 +63,7 @@
 	waitForHead(t, again.Instances, r.cursor.Version)
 	publish(t, top.Instances, nodes(burst, 3))
 	r.client.Address = againAddress
-	if status, err := r.call(longHold); status != 200 || err != nil || r.slices != 1 || !r.cursor.Whole() || again.Instances.Status().Snapshots != 0 {
+	if status, err := r.call(longHold); status != 200 || err != nil || r.slices != 1 || !r.cursor.Complete() || again.Instances.Status().Snapshots != 0 {
 		t.Errorf("status %d, %v, %d slices to %+v, %+v", status, err, r.slices, r.cursor, again.Instances.Status())
 	}
 	if len(r.live) != list || !strings.Contains(r.live["node-00000"], ":10003") {
@@ -91,7 +91,7 @@
 	again := authority(5, wideBudget)
 	publish(t, again.Instances, nodes(2*list, 1))
 	againAddress, _ := startAt(t, again, olderAddress)
-	waitFor(t, "the relay does not ask", func() bool { return again.Instances.Status().RefusedBehind > 0 })
+	waitFor(t, "the relay does not ask", func() bool { return again.Instances.Status().RejectedBehind > 0 })
 	r.client.Address = againAddress
 	r.client.Close()
 	if status, err := r.call(0); status != 409 || err != nil {
--- a/internal/capacity/control.go
+++ b/internal/test/capacity/control.go
@@ -11,16 +11,16 @@
 	"sync/atomic"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/platform"
 )
 
 // control is a coordinator's whole path for its list: discovery's client, the owner, and the module, before a discovery that
 // gives one answer to each call, on a loopback connection. The answering side's writes are counted with it.
 type control struct {
-	owner    *core.Owner
+	owner    *core.Coordinator
 	listener net.Listener
 	cancel   context.CancelFunc
 	answers  chan []byte
@@ -46,18 +46,18 @@
 	c := &control{listener: l, answers: make(chan []byte), asked: make(chan struct{}, 1), turns: make(chan struct{}, 1)}
 	disc := platform.NewDiscovery(l.Addr().String(), platform.List{})
 	c.owner, err = core.New(core.Config{Seed: 1, Clock: core.SystemClock(), Settings: settings(nodes), Subscribe: disc.Subscribe,
-		Asked: platform.Source, Callers: map[string]core.Caller{platform.Scheme: nowhere{}}, Gate: turnGate(c.turns)})
+		PolledSource: platform.Source, Callers: map[string]core.Caller{platform.Scheme: nowhere{}}, Admitter: turnGate(c.turns)})
 	if err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
-	disc.Listed = func(scope harepass.ListScope, nodes []core.Node) {
-		c.owner.Listed(platform.Source, scope, nodes)
+	disc.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) {
+		c.owner.UpdateEndpoints(platform.Source, scope, nodes)
 		c.listed.Add(1)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	go c.serve()
-	c.owner.Listed(platform.Source, harepass.ListRemembered, nil) // its first turn subscribes
+	c.owner.UpdateEndpoints(platform.Source, scatter.CachedUpdate, nil) // its first turn subscribes
 	go c.owner.Run()
 	go disc.Run(ctx)
 	if err := wait(c.asked); err != nil {
@@ -167,7 +167,7 @@
 func (turnGate) Admit(overload.Arrival) (bool, time.Duration) { return true, 0 }
 
 // Turn implements core.Gate.
-func (g turnGate) Turn(core.Turn) {
+func (g turnGate) ObserveTick(core.Tick) {
 	select {
 	case g <- struct{}{}:
 	default:
@@ -175,19 +175,19 @@
 }
 
 // Done implements core.Gate.
-func (turnGate) Done(int) {}
+func (turnGate) QueryDone(int) {}
 
 // nowhere is a caller that nobody calls.
 type nowhere struct{}
 
 // Call implements core.Caller.
-func (nowhere) Call(core.Node, []*core.Attempt) {}
+func (nowhere) Call(core.Endpoint, []*core.Attempt) {}
 
 // Abandon implements core.Caller.
-func (nowhere) Abandon(*core.Attempt) {}
+func (nowhere) Cancel(*core.Attempt) {}
 
 // Disconnect implements core.Caller.
-func (nowhere) Disconnect(string) {}
+func (nowhere) CloseIdleConnections(string) {}
 
 // changePath is one changed entry, from the wire to the module.
 func changePath(nodes int) (*subject, error) { return changesTogether(nodes)(1) }
--- a/internal/capacity/fleet.go
+++ b/internal/test/capacity/fleet.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/platform"
 )
 
@@ -40,20 +40,20 @@
 )
 
 // settings are those of one coordinator of the fleet, before so many nodes, each a cell of its own.
-func settings(nodes int) harepass.Settings {
-	return harepass.Settings{Roots: Coordinators, Me: 1, Cells: nodes, Reach: min(holders, nodes), CallBatch: 1, Turn: time.Millisecond,
-		MaxAttempts: 4, Cancel: true, Subscribe: true, ListMaxAge: 10 * time.Second, RetryAdvice: time.Second,
-		Cold:    harepass.Cold{Start: 0.21, WarmWithin: 18 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond},
-		Classes: []harepass.Class{{Name: "search", Aim: AnswerAim, Deadline: time.Second, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 0.7}}}
+func settings(nodes int) scatter.Settings {
+	return scatter.Settings{Coordinators: Coordinators, Ordinal: 1, RingSize: nodes, ReplicationFactor: min(holders, nodes), PartsPerCall: 1, TickInterval: time.Millisecond,
+		MaxAttempts: 4, Cancellation: true, Subscribe: true, ListMaxAge: 10 * time.Second, RetryAfter: time.Second,
+		SlowStart: scatter.SlowStart{InitialCapacity: 0.21, Duration: 18 * time.Second, OverloadFactor: 2.5, Window: 1500 * time.Millisecond},
+		Classes:   []scatter.Class{{Name: "search", LatencyObjective: AnswerAim, Deadline: time.Second, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}}}
 }
 
 // nodeName is alike for all sizes.
 func nodeName(no int) string { return fmt.Sprintf("s-%08x", no) }
 
 // replicas is the list of so many nodes as the module hears it.
-func replicas(nodes int) (list []harepass.Replica) {
+func replicas(nodes int) (list []scatter.Replica) {
 	for i := range nodes {
-		list = append(list, harepass.Replica{ID: nodeName(i), Cell: i, Zone: zone(i)})
+		list = append(list, scatter.Replica{ID: nodeName(i), RingPosition: i, Zone: zone(i)})
 	}
 	return list
 }
@@ -61,9 +61,9 @@
 func zone(no int) string { return string(rune('a' + no%Zones)) }
 
 // coreNodes is the list of so many nodes as the owner hears it, all at one address.
-func coreNodes(nodes int, address string) (list []core.Node) {
+func coreNodes(nodes int, address string) (list []core.Endpoint) {
 	for _, r := range replicas(nodes) {
-		list = append(list, core.Node{Replica: r, Address: address, Scheme: platform.Scheme})
+		list = append(list, core.Endpoint{Replica: r, Address: address, Scheme: platform.Scheme})
 	}
 	return list
 }
--- a/internal/capacity/helper.go
+++ b/internal/test/capacity/helper.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // Helpers starts the other side of what is measured: data nodes, a relay, or readers of one. In a process of its own its CPU
@@ -123,8 +123,8 @@
 		return err
 	}
 	defer l.Close()
-	go (&standin.Fleet{Heard: func(standin.Part, standin.Kind) {}, Script: func(shard, _ int) standin.Reply {
-		return standin.Reply{After: time.Duration(5+shard*37%15) * time.Millisecond} // apart from each other
+	go (&fake.Fleet{Heard: func(fake.Part, fake.Kind) {}, Script: func(shard, _ int) fake.Reply {
+		return fake.Reply{After: time.Duration(5+shard*37%15) * time.Millisecond} // apart from each other
 	}}).Frames(l)
 	if _, err := fmt.Fprintln(out, l.Addr()); err != nil {
 		return err
--- a/internal/capacity/member.go
+++ b/internal/test/capacity/member.go
@@ -6,16 +6,16 @@
 	"fmt"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/distribution"
 	"harepass/internal/platform"
 )
 
 // member is a coordinator's whole path for its list from a relay, which is a helper: follower, owner, module.
 type member struct {
-	owner    *core.Owner
+	owner    *core.Coordinator
 	follower *distribution.Follower
 	cancel   context.CancelFunc
 	done     chan struct{} // closed when the follower has ended
@@ -28,14 +28,16 @@
 	m := &member{done: make(chan struct{}), turns: make(chan struct{}, 1), whole: make(chan struct{})}
 	var err error
 	m.owner, err = core.New(core.Config{Seed: 1, Clock: core.SystemClock(), Settings: settings(nodes), Subscribe: func() {},
-		Asked: platform.Source, Callers: map[string]core.Caller{platform.Scheme: nowhere{}}, Gate: turnGate(m.turns)})
+		PolledSource: platform.Source, Callers: map[string]core.Caller{platform.Scheme: nowhere{}}, Admitter: turnGate(m.turns)})
 	if err != nil {
 		return nil, err
 	}
-	d := platform.NewDistributed(platform.List{})
-	d.Listed = func(scope harepass.ListScope, nodes []core.Node) { m.owner.Listed(platform.Source, scope, nodes) }
-	d.Part = func(nodes []core.Node) { m.owner.ListedPart(platform.Source, nodes) }
-	m.follower = distribution.New(distribution.Config{Resource: distribution.Instances, Sources: []sources.Source{{Address: address}}, Check: d.Check, Hold: hold,
+	d := platform.NewRelayedList(platform.List{})
+	d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) {
+		m.owner.UpdateEndpoints(platform.Source, scope, nodes)
+	}
+	d.Part = func(nodes []core.Endpoint) { m.owner.UpdateEndpointsPartially(platform.Source, nodes) }
+	m.follower = distribution.New(distribution.Config{Resource: distribution.Instances, Sources: []failover.Source{{Address: address}}, Check: d.Check, Heartbeat: hold,
 		Apply: func(u distribution.Update) {
 			d.Apply(u)
 			if u.Completed {
@@ -44,7 +46,7 @@
 		}})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.owner.Listed(platform.Source, harepass.ListRemembered, nil)
+	m.owner.UpdateEndpoints(platform.Source, scatter.CachedUpdate, nil)
 	go m.owner.Run()
 	go func() { m.follower.Run(ctx); close(m.done) }()
 	if err := wait(m.whole); err != nil {
--- a/internal/capacity/module.go
+++ b/internal/test/capacity/module.go
@@ -5,13 +5,13 @@
 	"strconv"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // module is the decision module alone on a virtual clock: it has a list of nodes, and each part that it sends is served after
 // the same time. Every arrival and outcome is a step of its own, as sockets bring them.
 type module struct {
-	agg      *harepass.Aggregator
+	agg      *scatter.Machine
 	now      time.Duration
 	nodes    int
 	sections int // that queries ask
@@ -26,31 +26,31 @@
 // outcome is on its way.
 type outcome struct {
 	at    time.Duration
-	event harepass.AttemptEnded
+	event scatter.AttemptEnded
 }
 
 // newModule gives a module its list of nodes; its queries ask the first so many sections in turn.
 func newModule(nodes, sections int) (*module, error) {
-	agg, err := harepass.New(1, settings(nodes))
+	agg, err := scatter.New(1, settings(nodes))
 	if err != nil {
 		return nil, err
 	}
 	m := &module{agg: agg, now: started, nodes: nodes, sections: sections, attempts: map[string]int{}}
-	m.step(harepass.ListReceived{Scope: harepass.ListFull, Replicas: replicas(nodes)})
+	m.step(scatter.EndpointUpdate{Kind: scatter.FullUpdate, Replicas: replicas(nodes)})
 	return m, nil
 }
 
-func (m *module) step(events ...harepass.Event) {
+func (m *module) step(events ...scatter.Event) {
 	for _, action := range m.agg.Step(m.now, events) {
 		switch a := action.(type) {
-		case harepass.Send:
+		case scatter.Send:
 			m.sent++
-			m.due = append(m.due, outcome{m.now + served, harepass.AttemptEnded{Part: a.Part, Attempt: m.attempts[a.Part],
-				Replica: a.Replica, Outcome: harepass.Served, Took: served}})
+			m.due = append(m.due, outcome{m.now + served, scatter.AttemptEnded{Part: a.Part, Attempt: m.attempts[a.Part],
+				Replica: a.Replica, Outcome: scatter.Succeeded, Latency: served}})
 			m.attempts[a.Part]++
-		case harepass.Answer:
+		case scatter.Answer:
 			m.answered++
-		case harepass.Refuse, harepass.Fail:
+		case scatter.Reject, scatter.Fail:
 			m.gaveUp++
 		}
 	}
@@ -71,8 +71,8 @@
 // change tells of one node that has restarted.
 func (m *module) change(no int) {
 	m.advance(m.now + interval)
-	m.step(harepass.ListReceived{Scope: harepass.ListChanges, Replicas: []harepass.Replica{
-		{ID: nodeName(no), Cell: no, Zone: zone(no), Since: m.now}}})
+	m.step(scatter.EndpointUpdate{Kind: scatter.IncrementalUpdate, Replicas: []scatter.Replica{
+		{ID: nodeName(no), RingPosition: no, Zone: zone(no), StartedAt: m.now}}})
 }
 
 // query opens a query of so many parts, some time after the last one.
@@ -80,10 +80,10 @@
 	m.advance(m.now + after)
 	m.number++
 	id := strconv.FormatInt(m.number, 10)
-	events := []harepass.Event{harepass.QueryArrived{ID: id, Number: m.number, Class: "search", ValidUntil: m.now + time.Second, Parts: parts}}
+	events := []scatter.Event{scatter.QueryArrived{ID: id, Number: m.number, Class: "search", Expires: m.now + time.Second, Parts: parts}}
 	for i := range parts {
 		section := (int(m.number-1)*parts + i) % m.sections
-		events = append(events, harepass.PartArrived{ID: id + "." + strconv.Itoa(i), Number: m.number, Shard: section, Weight: 1 / float64(parts)})
+		events = append(events, scatter.PartArrived{ID: id + "." + strconv.Itoa(i), Number: m.number, Shard: section, Weight: 1 / float64(parts)})
 	}
 	m.step(events...)
 }
@@ -147,7 +147,7 @@
 	m.touch()
 	return &subject{unit: time.Microsecond, operate: func() error {
 		m.advance(m.now + time.Second)
-		m.step(harepass.Woken{})
+		m.step(scatter.TimerFired{})
 		return nil
 	}, check: func(int) error { return m.settled() }}, nil
 }
@@ -157,7 +157,7 @@
 	m, err := newModule(nodes, 1)
 	return &subject{unit: time.Microsecond, operate: func() error {
 		m.advance(m.now + time.Second)
-		m.step(harepass.Woken{})
+		m.step(scatter.TimerFired{})
 		return nil
 	}}, err
 }
--- a/internal/capacity/page_test.go
+++ b/internal/test/capacity/page_test.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	pageFile  = "../../docs/CAPACITY.md"
-	runFolder = "../../docs/capacity"
+	pageFile  = "../../../docs/CAPACITY.md"
+	runFolder = "../../../docs/capacity"
 )
 
 // The page's tables are those that its runs give: whoever changes one of them by hand, or a run, has to make the page anew.
--- a/internal/capacity/plan.go
+++ b/internal/test/capacity/plan.go
@@ -41,7 +41,7 @@
 }
 
 const (
-	heartbeat   = distribution.DefaultHold
+	heartbeat   = distribution.DefaultHeartbeat
 	zoneEntries = DataNodes / Zones                     // nodes of a zone
 	keptNodes   = (2*DataNodes + holders - 1) / holders // that one coordinator keeps connections with: two holders of each section
 )
--- a/internal/capacity/rows_relay.go
+++ b/internal/test/capacity/rows_relay.go
@@ -23,7 +23,7 @@
 const (
 	byFollower = "`internal/distribution`"
 	byRelay    = "`internal/relay`, `decide/versionlog`"
-	byBudget   = "`decide/admission`: a budget of bytes"
+	byBudget   = "`decide/ratelimit`: a budget of bytes"
 )
 
 // inRun is a figure of the scale run; without a run it is not known.
@@ -70,7 +70,7 @@
 	m.add(DataPath, "run-real-cpu", ordinary, "CPU in the fleet's run of a real one with a client, the one that spent most", "of a core", m.inRun("coordinators, calm", func(s *Scale) float64 { return s.Calm[scaleCoordinator].CPUMost }), dataCores, "a whole `harepass serve`, control path and few queries")
 	m.add(DataPath, "run-real-memory", "all of the run", "memory in the fleet's run, likewise", "MB", m.inRun("coordinators, troubled", func(s *Scale) float64 { return s.Troubled[scaleCoordinator].MemoryMost }), dataMemory, "the same")
 	m.add(ControlPath, "zone-time", zoneLost, "time until all its entries are in force at all", "s", m.inTrouble("zone", "list, last", func(t ScaleTrouble) float64 { return t.List.Last }), window, byRelay)
-	m.add(ControlPath, "relay-lost-time", "relay lost", "time until a change is in force at its readers", "s", m.inTrouble("killed", "list, last", func(t ScaleTrouble) float64 { return t.List.Last }), window, "`decide/sources`: another within 1 s")
+	m.add(ControlPath, "relay-lost-time", "relay lost", "time until a change is in force at its readers", "s", m.inTrouble("killed", "list, last", func(t ScaleTrouble) float64 { return t.List.Last }), window, "`decide/failover`: another within 1 s")
 	m.add(ControlPath, "region-time", regionCut, "time from its return until all there is in force", "s", m.inTrouble("cut off", "after its end, last", func(t ScaleTrouble) float64 { return t.Recovered.Last }), window, byRelay)
 }
 
@@ -88,7 +88,7 @@
 	m.add(Source, "authority-run-cpu", ordinary, "CPU in the fleet's run", "of a core", m.inRun("authority, calm", func(s *Scale) float64 { return s.Calm[scaleAuthority].CPUMost }), 1, "`relay.Authority`")
 	m.add(Source, "authority-lost", "authority lost", "changes that reach anybody", "a second", derived(0, "one process; relays and members go on by what they have, new settings wait"), 0, "")
 
-	m.add(Relays, "relay-readers", ordinary, "state: coordinators at a relay", "readers", derived(readers, "%s coordinators / (%s machines - %d authority)", number(s.Coordinators), number(s.Machines), authorities), 0, "`decide/sources`: own zone, region, any")
+	m.add(Relays, "relay-readers", ordinary, "state: coordinators at a relay", "readers", derived(readers, "%s coordinators / (%s machines - %d authority)", number(s.Coordinators), number(s.Machines), authorities), 0, "`decide/failover`: own zone, region, any")
 	m.add(Relays, "relay-descriptors", ordinary, "descriptors: a connection for each reader and resource", "descriptors", derived(resources*readers, "%d x %s readers", resources, number(readers)), Descriptors, "`relay.Server`: a bound on readers")
 	m.add(Relays, "relay-descriptors-one", "all relays but one lost", "descriptors at the last relay, if it takes all", "descriptors", derived(resources*s.Coordinators, "%d x %s coordinators", resources, number(s.Coordinators)), Descriptors, "`readers: 400` in its file: those beyond are told when to come back")
 	m.add(Relays, "relay-restarts", ordinary, "bytes: lists to coordinators that restart, at all relays", "bytes/s", s.restartBytes(list), 0, byBudget)
@@ -104,5 +104,5 @@
 	m.add(Relays, "relay-run-start-cpu", atStart, "CPU in the fleet's run, the one that spent most", "of a core", m.inRun("relays, starting", func(s *Scale) float64 { return s.Starting[scaleRelay].CPUMost }), 1, byRelay)
 	m.add(Relays, "relay-run-memory", "all of the run", "memory in the fleet's run, the one that had most", "MB", m.inRun("relays, troubled", func(s *Scale) float64 { return s.Troubled[scaleRelay].MemoryMost }), relayMB, byRelay)
 	m.add(Relays, "relay-run-bytes", ordinary, "bytes in the fleet's run, the one that had most", "bytes/s", m.inRun("relays, calm", func(s *Scale) float64 { return 1e3 * s.Calm[scaleRelay].KBPerSMost }), 0, byRelay)
-	m.add(Relays, "relay-lost-readers", "relay lost", "messages: readers that come to each other relay, within 1 s", "a second", derived(resources*readers/(s.relays()-1), "%d x %s readers / %s other relays / 1 s; no whole lists, for versions are the authority's", resources, number(readers), number(s.relays()-1)), 0, "`decide/sources`: drawn at random among equals")
+	m.add(Relays, "relay-lost-readers", "relay lost", "messages: readers that come to each other relay, within 1 s", "a second", derived(resources*readers/(s.relays()-1), "%d x %s readers / %s other relays / 1 s; no whole lists, for versions are the authority's", resources, number(readers), number(s.relays()-1)), 0, "`decide/failover`: drawn at random among equals")
 }
--- a/internal/capacity/service.go
+++ b/internal/test/capacity/service.go
@@ -42,8 +42,8 @@
 	var schedules []*backoff.Schedule
 	var due serviceCalls
 	for i := range coordinators {
-		schedules = append(schedules, &backoff.Schedule{Fleet: coordinators, Rand: rand.New(rand.NewPCG(uint64(i), seed))})
-		heap.Push(&due, serviceCall{schedules[i].First(), i})
+		schedules = append(schedules, &backoff.Schedule{FleetSize: coordinators, Rand: rand.New(rand.NewPCG(uint64(i), seed))})
+		heap.Push(&due, serviceCall{schedules[i].FirstDelay(), i})
 	}
 	free := time.Duration(0)
 	for len(due) > 0 {
@@ -55,11 +55,11 @@
 		begun := max(free, c.at)
 		free = begun + serviceTurn
 		if begun-c.at <= servicePatience {
-			schedules[c.who].Served()
+			schedules[c.who].Succeeded()
 			last = max(last, free)
 			continue
 		}
-		heap.Push(&due, serviceCall{c.at + servicePatience + schedules[c.who].Failed(servicePatience), c.who})
+		heap.Push(&due, serviceCall{c.at + servicePatience + schedules[c.who].FailureDelay(servicePatience), c.who})
 	}
 	return last, calls, nil
 }
--- a/internal/capacity/sockets.go
+++ b/internal/test/capacity/sockets.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
 	"harepass/internal/platform"
 )
@@ -24,33 +24,33 @@
 // client's connection.
 type coordinator struct {
 	front  *platform.Front
-	owner  *core.Owner
-	caller *platform.Nodes
+	owner  *core.Coordinator
+	caller *platform.Caller
 	nodes  func()
 	number int
 }
 
-func newCoordinator(nodes int, helpers Helpers, gate core.Gate) (*coordinator, error) {
+func newCoordinator(nodes int, helpers Helpers, gate core.Admitter) (*coordinator, error) {
 	helper, address, err := startHelper(helpers, helpNodes)
 	if err != nil {
 		return nil, err
 	}
 	clock := core.SystemClock()
-	caller := &platform.Nodes{Streams: 32, ConnectTimeout: time.Second, Quiet: time.Second, KeepAlive: time.Minute}
+	caller := &platform.Caller{CallsPerConn: 32, ConnectTimeout: time.Second, ResponseTimeout: time.Second, KeepAlive: time.Minute}
 	set := settings(nodes)
-	set.Classes[0].Aim = time.Second // no query is refused for a busy machine's sake
+	set.Classes[0].LatencyObjective = time.Second // no query is refused for a busy machine's sake
 	set.Classes[0].Deadline = 10 * time.Second
-	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Settings: set, Subscribe: func() {}, Asked: platform.Source, Gate: gate,
+	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Settings: set, Subscribe: func() {}, PolledSource: platform.Source, Admitter: gate,
 		Callers: map[string]core.Caller{platform.Scheme: caller}})
 	if err != nil {
 		helper.close()
 		return nil, err
 	}
-	caller.Owner = owner
+	caller.Reporter = owner
 	go owner.Run()
-	owner.Listed(platform.Source, harepass.ListFull, coreNodes(nodes, address))
+	owner.UpdateEndpoints(platform.Source, scatter.FullUpdate, coreNodes(nodes, address))
 	<-owner.Started()
-	return &coordinator{front: &platform.Front{Owner: owner, Clock: clock}, owner: owner, caller: caller, nodes: helper.close}, nil
+	return &coordinator{front: &platform.Front{Coordinator: owner, Clock: clock}, owner: owner, caller: caller, nodes: helper.close}, nil
 }
 
 func (c *coordinator) end() {
@@ -141,7 +141,7 @@
 
 // connections are some to nodes, one to each, all idle.
 type connections struct {
-	nodes   *platform.Nodes
+	nodes   *platform.Caller
 	address string // of the nodes
 	end     func()
 	ended   atomic.Int64
@@ -150,8 +150,8 @@
 }
 
 // Ended implements core.Reporter.
-func (c *connections) Ended(_ *core.Attempt, outcome harepass.Outcome, _ []byte) {
-	if outcome == harepass.Served && c.ended.Add(1) == c.most {
+func (c *connections) AttemptEnded(_ *core.Attempt, outcome scatter.Outcome, _ []byte) {
+	if outcome == scatter.Succeeded && c.ended.Add(1) == c.most {
 		close(c.done)
 	}
 }
@@ -165,12 +165,12 @@
 		return nil, err
 	}
 	c := &connections{address: address, end: helper.close, done: make(chan struct{}), most: int64(count),
-		nodes: &platform.Nodes{Streams: 32, ConnectTimeout: answerWait, Quiet: answerWait, KeepAlive: time.Hour}}
-	c.nodes.Owner = c
+		nodes: &platform.Caller{CallsPerConn: 32, ConnectTimeout: answerWait, ResponseTimeout: answerWait, KeepAlive: time.Hour}}
+	c.nodes.Reporter = c
 	for i, node := range coreNodes(count, address) {
-		c.nodes.Call(node, []*core.Attempt{{Query: "q" + strconv.Itoa(i), Shard: i, Node: node.ID, Text: []byte("c41e77d0"), Timeout: answerWait}})
+		c.nodes.Call(node, []*core.Attempt{{QueryID: "q" + strconv.Itoa(i), Shard: i, Endpoint: node.ID, Body: []byte("c41e77d0"), Timeout: answerWait}})
 	}
-	if wait(c.done) != nil || c.nodes.Held() != count {
+	if wait(c.done) != nil || c.nodes.OpenConns() != count {
 		c.close()
 		return nil, errNoConnections
 	}
--- a/internal/lab/coordinator/meter.go
+++ b/internal/test/coordinatorproc/meter.go
@@ -1,4 +1,4 @@
-package coordinator
+package coordinatorproc
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
-	"harepass/internal/guard"
-	"harepass/internal/loadgen"
+	"harepass/internal/loadshed"
+	"harepass/internal/test/loadgen"
 )
 
 // meter is the gate of a process, a guard's or one that admits all, and keeps its figures.
 type meter struct {
-	*guard.Guard // nil admits all
-	began        time.Time
+	*loadshed.Shedder // nil admits all
+	began             time.Time
 
 	mu    sync.Mutex
 	waits *hdrhistogram.Histogram // of the loop, in microseconds
@@ -33,14 +33,14 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stats.Wait99MS = float64(m.waits.ValueAtPercentile(99)) / 1000
-	m.stats.CPU = guard.Self().CPU.Seconds()
+	m.stats.CPU = loadshed.Self().CPU.Seconds()
 	return m.stats
 }
 
 // Admit implements core.Gate.
 func (m *meter) Admit(a overload.Arrival) (ok bool, retryIn time.Duration) {
-	if ok = true; m.Guard != nil {
-		ok, retryIn = m.Guard.Admit(a)
+	if ok = true; m.Shedder != nil {
+		ok, retryIn = m.Shedder.Admit(a)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,25 +53,25 @@
 }
 
 // Done implements core.Gate.
-func (m *meter) Done(parts int) {
-	if m.Guard != nil {
-		m.Guard.Done(parts)
+func (m *meter) QueryDone(parts int) {
+	if m.Shedder != nil {
+		m.Shedder.QueryDone(parts)
 	}
 }
 
 // Turn implements core.Gate.
-func (m *meter) Turn(t core.Turn) {
-	if m.Guard != nil {
-		m.Guard.Turn(t)
+func (m *meter) ObserveTick(t core.Tick) {
+	if m.Shedder != nil {
+		m.Shedder.ObserveTick(t)
 	}
 	if t.Count == 0 {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mean := (t.Wait / time.Duration(t.Count)).Microseconds()
+	mean := (t.TotalWait / time.Duration(t.Count)).Microseconds()
 	m.waits.RecordValues(min(mean, m.waits.HighestTrackableValue()), int64(t.Count))
-	worst := float64(t.Worst) / float64(time.Millisecond)
+	worst := float64(t.MaxWait) / float64(time.Millisecond)
 	m.stats.WaitMaxMS = max(m.stats.WaitMaxMS, worst)
 	at := float64(int(time.Since(m.began).Seconds()*10)) / 10
 	if n := len(m.stats.Waits); n == 0 || m.stats.Waits[n-1].At != at {
@@ -84,7 +84,7 @@
 // watchHeap keeps the most that was live.
 func (m *meter) watchHeap(ctx context.Context) {
 	for ctx.Err() == nil {
-		live := float64(guard.Self().Live) / (1 << 20)
+		live := float64(loadshed.Self().Live) / (1 << 20)
 		m.mu.Lock()
 		m.stats.LiveMB = max(m.stats.LiveMB, live)
 		m.mu.Unlock()
--- a/internal/lab/coordinator/process.go
+++ b/internal/test/coordinatorproc/process.go
@@ -1,5 +1,5 @@
-// Package coordinator runs a coordinator in a process of its own and measures its loop, heap and CPU from inside.
-package coordinator
+// Package coordinatorproc runs a coordinator in a process of its own and measures its loop, heap and CPU from inside.
+package coordinatorproc
 
 import (
 	"bufio"
@@ -10,20 +10,20 @@
 	"os/exec"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/loadgen"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/opensearch"
+	"harepass/internal/test/loadgen"
 )
 
 // Config is what a process is set up for. It does what the program does, before nodes on real sockets, and keeps figures of
 // its loop and heap that the program has no place for.
 type Config struct {
-	Settings harepass.Settings
+	Settings scatter.Settings
 	Sections int
 	Indices  map[string]*opensearch.Index
 	Callers  map[string]string // tenants, by the user that a caller authenticates as
-	Nodes    []core.Node
+	Nodes    []core.Endpoint
 	Cores    int
 	MemoryMB int
 	Target   time.Duration // of overload control; 0 has none: first come, first served
--- a/internal/lab/coordinator/serve.go
+++ b/internal/test/coordinatorproc/serve.go
@@ -1,4 +1,4 @@
-package coordinator
+package coordinatorproc
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"runtime/debug"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/guard"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/http1"
+	"harepass/internal/loadshed"
 	"harepass/internal/opensearch"
 )
 
@@ -59,8 +59,8 @@
 // running is a coordinator that serves.
 type running struct {
 	meter    *meter
-	owner    *core.Owner
-	nodes    *opensearch.Nodes
+	owner    *core.Coordinator
+	nodes    *opensearch.Caller
 	server   *http1.Server
 	listener net.Listener
 }
@@ -73,38 +73,38 @@
 	if err := front.Check(c.Settings, c.Sections); err != nil {
 		return nil, err
 	}
-	r.nodes = &opensearch.Nodes{Config: front, ConnectTimeout: connectTimeout, KeepAlive: keepAlive}
+	r.nodes = &opensearch.Caller{Config: front, ConnectTimeout: connectTimeout, KeepAlive: keepAlive}
 	if c.Target > 0 {
-		r.meter.Guard = c.guard(clock)
-		r.meter.Guard.Log = slog.New(levelLog{r.meter})
+		r.meter.Shedder = c.guard(clock)
+		r.meter.Shedder.Log = slog.New(levelLog{r.meter})
 	}
 	var err error
 	if r.owner, err = core.New(core.Config{Seed: 1, Settings: c.Settings, Limits: core.Limits{Shards: c.Sections}, Clock: clock,
-		Callers: map[string]core.Caller{opensearch.Scheme: r.nodes}, Subscribe: func() {}, Asked: listSource, Gate: r.meter}); err != nil {
+		Callers: map[string]core.Caller{opensearch.Scheme: r.nodes}, Subscribe: func() {}, PolledSource: listSource, Admitter: r.meter}); err != nil {
 		return nil, err
 	}
-	r.nodes.Owner = r.owner
+	r.nodes.Reporter = r.owner
 	go r.owner.Run()
-	if g := r.meter.Guard; g != nil {
-		g.Squeeze, g.Turning = r.owner.Squeeze, r.owner.Turning
+	if g := r.meter.Shedder; g != nil {
+		g.RelieveMemory, g.TickElapsed = r.owner.RelieveMemory, r.owner.TickElapsed
 		go g.Run(ctx)
 	}
 	go r.meter.watchHeap(ctx)
-	r.owner.Listed(listSource, harepass.ListFull, c.Nodes)
+	r.owner.UpdateEndpoints(listSource, scatter.FullUpdate, c.Nodes)
 	<-r.owner.Started()
 	if r.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	r.server = &http1.Server{Handler: (&opensearch.Front{Config: front, Owner: r.owner, Clock: clock}).Handle, Fault: opensearch.Fault, Limits: http1.DefaultLimits}
+	r.server = &http1.Server{Handler: (&opensearch.Front{Config: front, Coordinator: r.owner, Clock: clock}).Handle, Fault: opensearch.ErrorResponse, Limits: http1.DefaultLimits}
 	go r.server.Serve(r.listener)
 	return r, nil
 }
 
 // guard is overload control for the process's own limits.
-func (c Config) guard(clock core.Clock) *guard.Guard {
-	limits := guard.Config(c.Settings)
-	limits.Target, limits.Cores, limits.Memory, limits.MaxRetry = c.Target, float64(c.Cores), c.memoryLimit(), maxRetry
-	return guard.New(limits, clock)
+func (c Config) guard(clock core.Clock) *loadshed.Shedder {
+	limits := loadshed.ControllerConfig(c.Settings)
+	limits.WaitTarget, limits.Cores, limits.MemoryBytes, limits.MaxRetryAfter = c.Target, float64(c.Cores), c.memoryLimit(), maxRetry
+	return loadshed.New(limits, clock)
 }
 
 // drain answers what has been taken and ends the rest.
--- a/internal/testbed/answer.go
+++ b/internal/test/endtoend/answer.go
@@ -1,4 +1,4 @@
-package testbed
+package endtoend
 
 import (
 	"fmt"
--- a/internal/testbed/coordinator.go
+++ b/internal/test/endtoend/coordinator.go
@@ -1,6 +1,6 @@
-// Package testbed has whole coordinators in this process before emulated map nodes, and holds their answers against what the
+// Package endtoend has whole coordinators in this process before emulated map nodes, and holds their answers against what the
 // nodes held. On an injected clock the same events play out the same way every time.
-package testbed
+package endtoend
 
 import (
 	"encoding/json"
@@ -8,18 +8,18 @@
 	"slices"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/twophase"
 	"harepass/internal/http1"
 	"harepass/internal/opensearch"
 	"harepass/internal/platform"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // Node is an emulated map node. Its address on the network in memory is its ID.
 type Node struct {
-	standin.Fleet
+	fake.Fleet
 	ID     string
 	Cell   int
 	Scheme string // that it speaks; the OpenSearch-style API if empty
@@ -27,12 +27,12 @@
 
 // Site is what a coordinator is set up for.
 type Site struct {
-	Settings harepass.Settings
+	Settings scatter.Settings
 	Sections int
 	Indices  map[string]*opensearch.Index
 	Memory   int // bytes for retained values
 	Nodes    []*Node
-	Gate     core.Gate // nil admits all
+	Gate     core.Admitter // nil admits all
 }
 
 // Coordinator is a whole coordinator in this process: the owner, its callers and its front, with sockets in memory
@@ -41,7 +41,7 @@
 	Planner *twophase.Planner // the owner's: not to be touched while it runs
 	Clock   core.Clock
 
-	owner   *core.Owner
+	owner   *core.Coordinator
 	front   *opensearch.Front
 	closers []func()
 }
@@ -61,26 +61,26 @@
 		return nil, err
 	}
 	c := &Coordinator{Clock: core.SystemClock(), Planner: twophase.New(s.Memory)}
-	net := &standin.Net{}
-	frames := &platform.Nodes{Streams: framesStreams, ConnectTimeout: connectTimeout, Quiet: quietTimeout, KeepAlive: keepAlive, Dial: net.Dial}
-	api := &opensearch.Nodes{Config: cfg, ConnectTimeout: connectTimeout, KeepAlive: keepAlive, Dial: net.Dial}
+	net := &fake.Net{}
+	frames := &platform.Caller{CallsPerConn: framesStreams, ConnectTimeout: connectTimeout, ResponseTimeout: quietTimeout, KeepAlive: keepAlive, Dial: net.Dial}
+	api := &opensearch.Caller{Config: cfg, ConnectTimeout: connectTimeout, KeepAlive: keepAlive, Dial: net.Dial}
 	owner, err := core.New(core.Config{Seed: 1, Settings: s.Settings, Limits: core.Limits{Shards: s.Sections}, Clock: c.Clock,
-		Callers: map[string]core.Caller{platform.Scheme: frames, opensearch.Scheme: api}, Subscribe: func() {}, Asked: listSource,
-		Planner: c.Planner, Firsts: cfg.Firsts(), Schemes: map[string]bool{opensearch.Scheme: true}, Retained: s.Memory, Gate: s.Gate})
+		Callers: map[string]core.Caller{platform.Scheme: frames, opensearch.Scheme: api}, Subscribe: func() {}, PolledSource: listSource,
+		Planner: c.Planner, TwoPhaseClasses: cfg.TwoPhaseClasses(), TwoPhaseSchemes: map[string]bool{opensearch.Scheme: true}, CacheBytes: s.Memory, Admitter: s.Gate})
 	if err != nil {
 		return nil, err
 	}
-	c.owner, frames.Owner, api.Owner = owner, owner, owner
-	c.front = &opensearch.Front{Config: cfg, Owner: owner, Clock: c.Clock}
+	c.owner, frames.Reporter, api.Reporter = owner, owner, owner
+	c.front = &opensearch.Front{Config: cfg, Coordinator: owner, Clock: c.Clock}
 	go owner.Run()
-	owner.Listed(listSource, harepass.ListFull, c.serveNodes(net, s.Nodes))
+	owner.UpdateEndpoints(listSource, scatter.FullUpdate, c.serveNodes(net, s.Nodes))
 	<-owner.Started()
 	c.closers = append(c.closers, func() { owner.Stop(); frames.Close(); api.Close() })
 	return c, nil
 }
 
 // serveNodes has the nodes listen on the network in memory, and returns them as lists have them.
-func (c *Coordinator) serveNodes(net *standin.Net, nodes []*Node) (list []core.Node) {
+func (c *Coordinator) serveNodes(net *fake.Net, nodes []*Node) (list []core.Endpoint) {
 	for _, n := range nodes {
 		listener := net.Listen(n.ID)
 		c.closers = append(c.closers, func() { listener.Close() })
@@ -91,7 +91,7 @@
 		} else {
 			go n.API(listener)
 		}
-		list = append(list, core.Node{Replica: harepass.Replica{ID: n.ID, Cell: n.Cell}, Address: n.ID, Scheme: scheme})
+		list = append(list, core.Endpoint{Replica: scatter.Replica{ID: n.ID, RingPosition: n.Cell}, Address: n.ID, Scheme: scheme})
 	}
 	return list
 }
--- a/internal/testbed/drain_test.go
+++ b/internal/test/endtoend/drain_test.go
@@ -1,4 +1,4 @@
-package testbed
+package endtoend
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
-	"harepass/internal/guard"
-	"harepass/internal/mountain"
-	"harepass/internal/standin"
+	"harepass/internal/loadshed"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/fakedata"
 )
 
 // A coordinator that is told to end in the middle of a rush answers every query that it took, once and in time, and refuses
@@ -22,16 +22,16 @@
 		truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
 		for i := range modelNodes {
 			n := &Node{ID: fmt.Sprint("node", i), Cell: i}
-			n.Data, n.Unit, n.Cores = mountain.New(1, modelSections, 5).Data(true), ms, 4
-			n.Script = func(_, try int) standin.Reply { return standin.Reply{Kind: standin.Kind(try % 23 / 21)} } // some errors
+			n.Data, n.Unit, n.Cores = fakedata.New(1, modelSections, 5).Data(true), ms, 4
+			n.Script = func(_, try int) fake.Reply { return fake.Reply{Kind: fake.Kind(try % 23 / 21)} } // some errors
 			truth.Nodes = append(truth.Nodes, n)
 		}
-		cfg := overload.Config{Target: 10 * ms, Cores: 1, Memory: 1 << 30, MaxRetry: 8 * time.Second, Rand: func() float64 { return 0.5 },
-			Classes: []overload.Class{{Name: "conditions-summary", Worth: 3, Parts: modelSections}}}
-		g := guard.New(cfg, core.SystemClock())
-		g.Probe = func() guard.Usage { return guard.Usage{} }
+		cfg := overload.Config{WaitTarget: 10 * ms, Cores: 1, MemoryBytes: 1 << 30, MaxRetryAfter: 8 * time.Second, Rand: func() float64 { return 0.5 },
+			Classes: []overload.Class{{Name: "conditions-summary", PriorityWeight: 3, TypicalParts: modelSections}}}
+		g := loadshed.New(cfg, core.SystemClock())
+		g.Measure = func() loadshed.Usage { return loadshed.Usage{} }
 		began := time.Now()
-		g.Turning = func() time.Duration { // behind from a tenth of a second on
+		g.TickElapsed = func() time.Duration { // behind from a tenth of a second on
 			if time.Since(began) > 100*ms {
 				return 35 * ms
 			}
--- a/internal/testbed/model_test.go
+++ b/internal/test/endtoend/model_test.go
@@ -1,4 +1,4 @@
-package testbed
+package endtoend
 
 import (
 	"flag"
@@ -12,9 +12,9 @@
 
 	"pgregory.net/rapid"
 
-	"harepass/internal/mountain"
 	"harepass/internal/platform"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/fakedata"
 )
 
 const ms = time.Millisecond
@@ -54,7 +54,7 @@
 type trouble struct {
 	node     int
 	from, to time.Duration
-	reply    standin.Reply
+	reply    fake.Reply
 }
 
 type question struct {
@@ -86,7 +86,7 @@
 	for range rapid.IntRange(0, 4).Draw(t, "troubles") {
 		from := span(modelTime, "from")
 		p.troubles = append(p.troubles, trouble{rapid.IntRange(0, modelNodes-1).Draw(t, "node"), from, from + span(modelTime, "for"),
-			standin.Reply{Kind: standin.Kind(rapid.IntRange(int(standin.Serve), int(standin.Spoil)).Draw(t, "trouble")), After: span(400*ms, "after")}})
+			fake.Reply{Kind: fake.Kind(rapid.IntRange(int(fake.Serve), int(fake.Spoil)).Draw(t, "trouble")), After: span(400*ms, "after")}})
 	}
 	for range rapid.IntRange(1, 30).Draw(t, "queries") {
 		p.queries = append(p.queries, question{span(modelTime, "asked"), rapid.IntRange(0, len(texts)-1).Draw(t, "text"), rapid.Bool().Draw(t, "whole")})
@@ -95,17 +95,17 @@
 }
 
 // apply makes a change at a node.
-func (c change) apply(d *standin.Data, version float64) {
+func (c change) apply(d *fake.Data, version float64) {
 	docs := d.Docs(c.section)
 	id := fmt.Sprintf("t%d-%d", c.section, c.doc)
 	fields := map[string]any{"open": int(version)%2 == 0, "snow_cm": float64(int(version*37) % 200)}
 	switch c.kind {
 	case "put":
-		d.Put(c.section, standin.Doc{ID: id, Version: version, Fields: fields})
+		d.Put(c.section, fake.Doc{ID: id, Version: version, Fields: fields})
 	case "delete":
 		d.Delete(c.section, id)
 	case "newest": // a max of the versions would go back
-		newest := standin.Doc{}
+		newest := fake.Doc{}
 		for _, doc := range docs {
 			if v, _ := doc.Version.(float64); v > 0 && (newest.ID == "" || v > newest.Version.(float64)) {
 				newest = doc
@@ -113,11 +113,11 @@
 		}
 		d.Delete(c.section, newest.ID)
 	case "back": // the node was started again with what it first had
-		d.Set(c.section, mountain.New(1, modelSections, 5).Data(false).Docs(c.section))
+		d.Set(c.section, fakedata.New(1, modelSections, 5).Data(false).Docs(c.section))
 	case "unversioned":
-		d.Put(c.section, standin.Doc{ID: id, Version: "", Fields: fields})
+		d.Put(c.section, fake.Doc{ID: id, Version: "", Fields: fields})
 	case "word":
-		d.Put(c.section, standin.Doc{ID: id, Version: "v" + id, Fields: fields})
+		d.Put(c.section, fake.Doc{ID: id, Version: "v" + id, Fields: fields})
 	case "clear":
 		d.Set(c.section, nil)
 	}
@@ -125,21 +125,21 @@
 
 // play runs a script against the whole path, and returns what is wrong with the answers, and what they were.
 func play(p script) (faults []string, seen map[string]int) {
-	trails := mountain.New(1, modelSections, 5)
+	trails := fakedata.New(1, modelSections, 5)
 	began := time.Now()
 	truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
 	for i := range modelNodes {
 		n := &Node{ID: fmt.Sprint("node", i), Cell: i}
 		n.Data = trails.Data(true)
 		n.Unit, n.Cores = ms, 2
-		n.Script = func(int, int) standin.Reply {
+		n.Script = func(int, int) fake.Reply {
 			now := time.Since(began)
 			for _, tr := range p.troubles {
 				if tr.node == i && now >= tr.from && now < tr.to {
 					return tr.reply
 				}
 			}
-			return standin.Reply{}
+			return fake.Reply{}
 		}
 		if p.frames && i == modelNodes-1 {
 			n.Scheme = platform.Scheme
--- a/internal/testbed/settings.go
+++ b/internal/test/endtoend/settings.go
@@ -1,9 +1,9 @@
-package testbed
+package endtoend
 
 import (
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/opensearch"
 )
 
@@ -14,10 +14,10 @@
 
 // SummarySettings are the settings of a site whose nodes form a ring of so many cells: conditions summaries as the
 // Co-operative has them, with a node holding so many sections in a row.
-func SummarySettings(cells, reach int) harepass.Settings {
-	return harepass.Settings{Roots: 1, Cells: cells, Reach: reach, CallBatch: 1, Turn: 5 * time.Millisecond, MaxAttempts: 4, Cancel: true,
-		RetryAdvice: time.Second, Classes: []harepass.Class{{Name: summaryClass, Aim: 1500 * time.Millisecond,
-			Deadline: 5 * time.Second, Worth: 3, LateWorth: 0.3, Need: 1, Floor: 0.7}}}
+func SummarySettings(cells, reach int) scatter.Settings {
+	return scatter.Settings{Coordinators: 1, RingSize: cells, ReplicationFactor: reach, PartsPerCall: 1, TickInterval: 5 * time.Millisecond, MaxAttempts: 4, Cancellation: true,
+		RetryAfter: time.Second, Classes: []scatter.Class{{Name: summaryClass, LatencyObjective: 1500 * time.Millisecond,
+			Deadline: 5 * time.Second, PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}}}
 }
 
 // SummaryIndices has the one index of the summaries; its field "version" tells the versions of documents apart.
--- a/internal/testbed/truth.go
+++ b/internal/test/endtoend/truth.go
@@ -1,4 +1,4 @@
-package testbed
+package endtoend
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // Truth knows what the nodes held at any time, to hold answers against.
@@ -70,13 +70,13 @@
 	for _, n := range t.holders(section) {
 		for _, state := range n.Data.Between(section, from, to) {
 			if n.Scheme != "" {
-				ids, _ := standin.IDs(state.Docs)
+				ids, _ := fake.IDs(state.Docs)
 				had[ids] = true
 				continue
 			}
 			var list []string
 			for _, doc := range state.Docs {
-				if standin.Matches(section, doc, q) {
+				if fake.Matches(section, doc, q) {
 					list = append(list, docText(doc.ID, doc.Version, doc.Fields["snow_cm"]))
 				}
 			}
--- a/internal/lab/report.go
+++ b/internal/test/experiment/report.go
@@ -1,5 +1,5 @@
-// Package lab runs experiments, each of which plays a change and the project's own baseline, and reports what came of them.
-package lab
+// Package experiment runs experiments, each of which plays a change and the project's own baseline, and reports what came of them.
+package experiment
 
 import (
 	"errors"
--- a/internal/lab/experiments/capacity/capacity.go
+++ b/internal/test/experiments/capacity/capacity.go
@@ -5,19 +5,19 @@
 	"errors"
 	"os"
 
-	"harepass/internal/capacity"
-	"harepass/internal/lab"
+	"harepass/internal/test/capacity"
+	"harepass/internal/test/experiment"
 )
 
 // Experiment is what 'lab run' offers.
-var Experiment = lab.Experiment{Name: "capacity", Run: run,
+var Experiment = experiment.Experiment{Name: "capacity", Run: run,
 	Short: "what a coordinator and a relay cost by nodes, coordinators, changes, open queries and connections, fitted; see docs/CAPACITY.md"}
 
 // HelperCommand is the command of this program for the other side of what the experiment measures.
 const HelperCommand = "capacity-helper"
 
 // run measures and fits all costs. Where results are kept, they are the run's JSON and its plot.
-func run(r *lab.Report) error {
+func run(r *experiment.Report) error {
 	result, err := capacity.Measure(capacity.Full(capacity.HelpInProcess(HelperCommand)), os.Stderr)
 	if err != nil {
 		return err
--- a/internal/lab/experiments/choices/choices.go
+++ b/internal/test/experiments/choices/choices.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"harepass/internal/lab"
-	"harepass/internal/virtualfleet"
+	"harepass/internal/test/experiment"
+	"harepass/internal/test/fleetsim"
 )
 
 // Experiment plays the fleets in virtual time.
-var Experiment = lab.Experiment{
+var Experiment = experiment.Experiment{
 	Name:  "choices",
 	Short: "fleets of 30, 300 and 1,000 that know their place, beside the same without: at work, with hung and with cold nodes, with a zone lost; virtual time",
 	Run:   run,
@@ -95,7 +95,7 @@
 	return results, failed
 }
 
-func run(r *lab.Report) error {
+func run(r *experiment.Report) error {
 	results, err := playAll()
 	if err != nil {
 		return err
@@ -130,8 +130,8 @@
 func hundredths(x float64) string { return fmt.Sprintf("%.2f", x) }
 
 // newFleet sets up a fleet of a size.
-func (s fleetSize) newFleet(numbered bool) (*virtualfleet.Fleet, error) {
-	c := virtualfleet.BusyConfig(s.members, s.nodes, nodesPerCell)
+func (s fleetSize) newFleet(numbered bool) (*fleetsim.Fleet, error) {
+	c := fleetsim.BusyConfig(s.members, s.nodes, nodesPerCell)
 	c.Numbered = numbered
-	return virtualfleet.New(c)
+	return fleetsim.New(c)
 }
--- a/internal/lab/experiments/choices/heatmap.go
+++ b/internal/test/experiments/choices/heatmap.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"harepass/internal/lab"
+	"harepass/internal/test/experiment"
 )
 
 // hottest is the load, over the mean of its second, at which the colours end.
@@ -35,7 +35,7 @@
 }
 
 // keepHeatMap draws the load of the nodes by second where results are kept.
-func keepHeatMap(r *lab.Report, name string, nodes int, load [][]int) error {
+func keepHeatMap(r *experiment.Report, name string, nodes int, load [][]int) error {
 	path, kept := r.KeepPath(name + ".svg")
 	if !kept || len(load) < 2 {
 		return nil
--- a/internal/lab/experiments/choices/situations.go
+++ b/internal/test/experiments/choices/situations.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"harepass/internal/virtualfleet"
+	"harepass/internal/test/fleetsim"
 )
 
 // situation plays a fleet of a size, whose members know their numbers or not, through what it meets.
@@ -20,14 +20,14 @@
 	f.Run(3 * time.Second)
 	f.BeginPhase()
 	f.Run(size.work)
-	res.parts, res.jain = virtualfleet.Imbalance(partsOf(f.Nodes))
+	res.parts, res.jain = fleetsim.Imbalance(partsOf(f.Nodes))
 	connections := f.Connections()
-	res.connections, _ = virtualfleet.Imbalance(connections)
+	res.connections, _ = fleetsim.Imbalance(connections)
 	for _, n := range connections {
 		res.open += n
 	}
 	res.worth = f.Worth()
-	var hung []*virtualfleet.Node
+	var hung []*fleetsim.Node
 	for i := 3; i < len(f.Nodes); i += 10 {
 		f.Nodes[i].Hung = true
 		hung = append(hung, f.Nodes[i])
@@ -35,7 +35,7 @@
 	f.Run(8 * time.Second) // by then all have met them
 	f.BeginPhase()
 	f.Run(size.afterFault + 8*time.Second)
-	res.trials, _ = virtualfleet.Imbalance(partsOf(hung))
+	res.trials, _ = fleetsim.Imbalance(partsOf(hung))
 	res.load = f.Load()
 	return res, nil
 }
@@ -83,7 +83,7 @@
 }
 
 // busyFleet is a fleet that has been at work for a while.
-func (s fleetSize) busyFleet(numbered bool) (*virtualfleet.Fleet, error) {
+func (s fleetSize) busyFleet(numbered bool) (*fleetsim.Fleet, error) {
 	f, err := s.newFleet(numbered)
 	if err == nil {
 		f.Run(4 * time.Second)
@@ -92,7 +92,7 @@
 	return f, err
 }
 
-func partsOf(nodes []*virtualfleet.Node) (parts []float64) {
+func partsOf(nodes []*fleetsim.Node) (parts []float64) {
 	for _, n := range nodes {
 		parts = append(parts, float64(n.Parts))
 	}
@@ -100,7 +100,7 @@
 }
 
 // fallen counts the nodes that were sent more than makes them fall.
-func fallen(nodes []*virtualfleet.Node) (count int) {
+func fallen(nodes []*fleetsim.Node) (count int) {
 	for _, n := range nodes {
 		if n.Pressure() > 1 {
 			count++
--- a/internal/lab/experiments/handover/handover.go
+++ b/internal/test/experiments/handover/handover.go
@@ -8,14 +8,14 @@
 	"math/rand/v2"
 	"time"
 
-	"harepass"
-	"harepass/internal/lab"
-	"harepass/internal/standin"
-	"harepass/internal/virtualtime"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/test/experiment"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/virtualtime"
 )
 
 // Experiment plays the upgrade with several seeds.
-var Experiment = lab.Experiment{
+var Experiment = experiment.Experiment{
 	Name:  "hand-over",
 	Short: "a new version takes over while half of the nodes are cold, with what the old one had learned and without; virtual time",
 	Run:   run,
@@ -39,22 +39,22 @@
 	minGain     = 0.05 // of the lookups after an upgrade, to be in time beside a version that learns anew
 )
 
-var cold = harepass.Cold{Start: 0.21, WarmWithin: 18 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond}
+var cold = scatter.SlowStart{InitialCapacity: 0.21, Duration: 18 * time.Second, OverloadFactor: 2.5, Window: 1500 * time.Millisecond}
 
-var settings = harepass.Settings{Roots: 1, Cells: nodeCount, Reach: reach, CallBatch: 1, Turn: time.Millisecond, MaxAttempts: 4, Cancel: true, RetryAdvice: time.Second,
-	Classes: []harepass.Class{{Name: "lookup", Aim: aim, Deadline: deadline, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 1}},
-	Cold:    cold}
+var settings = scatter.Settings{Coordinators: 1, RingSize: nodeCount, ReplicationFactor: reach, PartsPerCall: 1, TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
+	Classes:   []scatter.Class{{Name: "lookup", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}},
+	SlowStart: cold}
 
 // coordinator is one version of it.
 type coordinator struct {
-	module   *harepass.Aggregator
+	module   *scatter.Machine
 	attempts map[string]int // by part
 }
 
 // event is something that a version is to hear.
 type event struct {
 	to   *coordinator
-	what harepass.Event
+	what scatter.Event
 }
 
 // period is before the upgrade or after it.
@@ -77,7 +77,7 @@
 	now     time.Duration
 	rng     *rand.Rand
 	pending virtualtime.Queue[event]
-	nodes   map[string]*standin.Machine
+	nodes   map[string]*fake.Machine
 	serving *coordinator
 	came    map[string]time.Duration // arrivals, by lookup
 	inTime  [2]int
@@ -86,10 +86,10 @@
 
 // newPlay sets the nodes up; nothing serves yet.
 func newPlay(seed uint64) *play {
-	p := &play{now: startAt, rng: rand.New(rand.NewPCG(seed, 0x68616e64)), nodes: map[string]*standin.Machine{}, came: map[string]time.Duration{}}
+	p := &play{now: startAt, rng: rand.New(rand.NewPCG(seed, 0x68616e64)), nodes: map[string]*fake.Machine{}, came: map[string]time.Duration{}}
 	for i := range nodeCount {
-		p.nodes[nodeID(i)] = &standin.Machine{Work: partWork, Cores: nodeCores, Queue: nodeQueue,
-			Start: cold.Start, Warm: cold.WarmWithin, Fall: cold.Multiple, Window: cold.Window}
+		p.nodes[nodeID(i)] = &fake.Machine{Work: partWork, Cores: nodeCores, Queue: nodeQueue,
+			Start: cold.InitialCapacity, Warm: cold.Duration, Fall: cold.OverloadFactor, Window: cold.Window}
 	}
 	return p
 }
@@ -127,7 +127,7 @@
 
 // startVersion has a new version serve from now on. An old one ends what it has.
 func (p *play) startVersion(seed uint64) error {
-	module, err := harepass.New(seed, settings)
+	module, err := scatter.New(seed, settings)
 	if err != nil {
 		return err
 	}
@@ -146,18 +146,18 @@
 
 // upgrade starts a new version; where handOn is set it gets the old one's memory, as the program does it, by way of JSON.
 func (p *play) upgrade(seed uint64, handOn bool) error {
-	data, err := json.Marshal(p.serving.module.Recall())
+	data, err := json.Marshal(p.serving.module.Checkpoint())
 	if err != nil {
 		return err
 	}
 	if err := p.startVersion(seed); err != nil || !handOn {
 		return err
 	}
-	var learned harepass.Memory
+	var learned scatter.Checkpoint
 	if err := json.Unmarshal(data, &learned); err != nil {
 		return err
 	}
-	p.serving.module.Remember(learned)
+	p.serving.module.Restore(learned)
 	return nil
 }
 
@@ -166,35 +166,35 @@
 	id := fmt.Sprint("q", number)
 	p.came[id] = p.now
 	p.asked[periodOf(p.now)]++
-	events := []harepass.Event{harepass.QueryArrived{ID: id, Number: number, Class: "lookup", ValidUntil: p.now + deadline, Parts: lookupParts}}
+	events := []scatter.Event{scatter.QueryArrived{ID: id, Number: number, Class: "lookup", Expires: p.now + deadline, Parts: lookupParts}}
 	first := p.rng.IntN(nodeCount)
 	for i := range lookupParts {
-		events = append(events, harepass.PartArrived{ID: fmt.Sprint(id, ".", i), Number: number, Shard: (first + i) % nodeCount, Weight: 1.0 / lookupParts})
+		events = append(events, scatter.PartArrived{ID: fmt.Sprint(id, ".", i), Number: number, Shard: (first + i) % nodeCount, Weight: 1.0 / lookupParts})
 	}
 	p.step(p.serving, events...)
 }
 
 // list is what both versions are told of the nodes.
-func (p *play) list() (ev harepass.ListReceived) {
-	ev.Scope = harepass.ListFull
+func (p *play) list() (ev scatter.EndpointUpdate) {
+	ev.Kind = scatter.FullUpdate
 	for i := range nodeCount {
 		id := nodeID(i)
-		ev.Replicas = append(ev.Replicas, harepass.Replica{ID: id, Cell: i, Since: p.nodes[id].Since})
+		ev.Replicas = append(ev.Replicas, scatter.Replica{ID: id, RingPosition: i, StartedAt: p.nodes[id].Since})
 	}
 	return ev
 }
 
 // step gives a version events and does what it asks for.
-func (p *play) step(c *coordinator, events ...harepass.Event) {
+func (p *play) step(c *coordinator, events ...scatter.Event) {
 	for _, action := range c.module.Step(p.now, events) {
 		switch a := action.(type) {
-		case harepass.WakeIn:
-			p.pending.Add(p.now+a.In, event{c, harepass.Woken{}})
-		case harepass.CallOff: // its work is done all the same
-			p.pending.Add(p.now, event{c, harepass.AttemptEnded{Part: a.Part, Attempt: a.Attempt, Outcome: harepass.Cancelled, Took: aim}})
-		case harepass.Send:
+		case scatter.SetTimer:
+			p.pending.Add(p.now+a.After, event{c, scatter.TimerFired{}})
+		case scatter.CancelAttempt: // its work is done all the same
+			p.pending.Add(p.now, event{c, scatter.AttemptEnded{Part: a.Part, Attempt: a.Attempt, Outcome: scatter.Cancelled, Latency: aim}})
+		case scatter.Send:
 			p.send(c, a)
-		case harepass.Answer:
+		case scatter.Answer:
 			if came := p.came[a.Query]; p.now-came <= aim {
 				p.inTime[periodOf(came)]++
 			}
@@ -203,17 +203,17 @@
 }
 
 // send begins an attempt.
-func (p *play) send(c *coordinator, a harepass.Send) {
+func (p *play) send(c *coordinator, a scatter.Send) {
 	attempt := c.attempts[a.Part]
 	c.attempts[a.Part]++
 	end, taken := p.nodes[a.Replica].Take(p.now)
-	ended := harepass.AttemptEnded{Part: a.Part, Attempt: attempt, Replica: a.Replica, Took: end - p.now}
+	ended := scatter.AttemptEnded{Part: a.Part, Attempt: attempt, Replica: a.Replica, Latency: end - p.now}
 	if !taken {
-		ended.Outcome = harepass.Full
-	} else if ended.Took > a.Timeout {
-		ended.Outcome, ended.Took = harepass.TimedOut, a.Timeout
+		ended.Outcome = scatter.Rejected
+	} else if ended.Latency > a.Timeout {
+		ended.Outcome, ended.Latency = scatter.TimedOut, a.Timeout
 	}
-	p.pending.Add(p.now+ended.Took, event{c, ended})
+	p.pending.Add(p.now+ended.Latency, event{c, ended})
 }
 
 // shareInTime is the share of a period's lookups that were answered in time.
@@ -227,7 +227,7 @@
 	return worst
 }
 
-func run(r *lab.Report) error {
+func run(r *experiment.Report) error {
 	r.Table("learned", "seed", "asked after", "in time before", "in time after", "worst on a cold node")
 	var after [2]float64
 	for k, handOn := range []bool{false, true} {
--- a/internal/lab/experiments/overload/aims.go
+++ b/internal/test/experiments/overload/aims.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"harepass/internal/lab"
-	"harepass/internal/loadgen"
+	"harepass/internal/test/experiment"
+	"harepass/internal/test/loadgen"
 )
 
 // results are the outcomes of all variants.
@@ -47,7 +47,7 @@
 	return tries, refused
 }
 
-func (e results) checkWorth(r *lab.Report) {
+func (e results) checkWorth(r *experiment.Report) {
 	controlled, firstCome := e.normalTraffic(), e.outcomes[variant{1, false}]
 	r.Aim(e.rush().Wait99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted", e.rush().Wait99MS, maxLoopWaitMS)
 	r.Aim(e.gain() >= minGain, "worth at three times is %.2f of first come's, %.1f wanted", e.gain(), minGain)
@@ -57,7 +57,7 @@
 }
 
 // checkFairness holds the tenants within their shares against the one beyond it.
-func (e results) checkFairness(r *lab.Report) {
+func (e results) checkFairness(r *experiment.Report) {
 	refusedShare := func(t *loadgen.TenantResult) float64 { return float64(t.Refused) / float64(t.Asked) }
 	tenants := e.rush().Tenants
 	unfair := 0.0
@@ -70,7 +70,7 @@
 }
 
 // checkAfterRush tells whether refused clients come back too soon, and the level too late.
-func (e results) checkAfterRush(r *lab.Report) {
+func (e results) checkAfterRush(r *experiment.Report) {
 	tries, refused := e.afterRush()
 	r.Aim(refused*20 <= tries && float64(tries) < 2.5*e.normal, "%d of %d tries refused in a second, two after the rush: who was refused comes back too soon", refused, tries)
 	levels := e.rush().Stats.Levels
@@ -83,7 +83,7 @@
 	r.Aim(normalAt < (rushEnd+normalWithin).Seconds() && last == normalLevel, "levels %v: normal wanted within %v after %v, and at the end", levels, normalWithin, rushEnd)
 }
 
-func (e results) addKeys(r *lab.Report) {
+func (e results) addKeys(r *experiment.Report) {
 	tries, refused := e.afterRush()
 	r.Key("normal", "%.0f/s", e.normal)
 	r.Key("gain_at_3", "%.2f", e.gain())
