--- a/internal/lab/experiments/overload/overload.go
+++ b/internal/test/experiments/overload/overload.go
@@ -7,12 +7,12 @@
 	"fmt"
 	"time"
 
-	"harepass/internal/lab"
-	"harepass/internal/loadgen"
+	"harepass/internal/test/experiment"
+	"harepass/internal/test/loadgen"
 )
 
 // Experiment measures what normal traffic is on this machine and plays the rush.
-var Experiment = lab.Experiment{
+var Experiment = experiment.Experiment{
 	Name:  "overload",
 	Short: "a coordinator on two cores at 1, 2 and 3 times its traffic, and before slow nodes, with control and without",
 	Run:   run,
@@ -41,7 +41,7 @@
 	normalWithin   = 2 * time.Second
 )
 
-func run(r *lab.Report) error {
+func run(r *experiment.Report) error {
 	normal, err := measureNormal()
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 }
 
 // keep writes a play's result where the user wants results kept.
-func keep(r *lab.Report, v variant, res *loadgen.Result) error {
+func keep(r *experiment.Report, v variant, res *loadgen.Result) error {
 	control := "first-come"
 	if v.controlled {
 		control = "controlled"
@@ -119,7 +119,7 @@
 	return res.Write(path)
 }
 
-func addRow(r *lab.Report, v variant, normal float64, o *outcome) {
+func addRow(r *experiment.Report, v variant, normal float64, o *outcome) {
 	sum, hazards := total(o.Result), o.Classes[hazardReport]
 	r.Row(fmt.Sprintf("%.0f x %.0f/s", v.factor, normal), v.controlled, sum.Asked, sum.Served, sum.Refused, sum.Late, fmt.Sprintf("%.3f", o.Worth/o.Most),
 		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
--- a/internal/lab/experiments/overload/site.go
+++ b/internal/test/experiments/overload/site.go
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/lab/coordinator"
-	"harepass/internal/loadgen"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/opensearch"
-	"harepass/internal/standin"
+	"harepass/internal/test/coordinatorproc"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/loadgen"
 )
 
 const (
@@ -41,14 +41,14 @@
 func tenantNames() []string { return slices.Sorted(maps.Keys(trafficShares)) }
 
 // settings are the Co-operative's classes, with quotas a tenth over normal traffic, in queries a second.
-func settings(normal float64) harepass.Settings {
-	s := harepass.Settings{Roots: 1, Cells: nodeCount, Reach: reach, CallBatch: 1, Turn: 5 * time.Millisecond, MaxAttempts: 4, Cancel: true,
-		RetryAdvice: time.Second, OverShareWorth: 0.05, Classes: []harepass.Class{
-			{Name: routeLookup, Aim: 1500 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 1},
-			{Name: hazardReport, Aim: 1500 * time.Millisecond, Deadline: 5 * time.Second, Worth: 2, LateWorth: 0.1, Need: 1, Floor: 1, Repeat: harepass.SingleShot},
-			{Name: conditionsSummary, Aim: 1500 * time.Millisecond, Deadline: 5 * time.Second, Worth: 3, LateWorth: 0.3, Need: 1, Floor: 0.7}}}
+func settings(normal float64) scatter.Settings {
+	s := scatter.Settings{Coordinators: 1, RingSize: nodeCount, ReplicationFactor: reach, PartsPerCall: 1, TickInterval: 5 * time.Millisecond, MaxAttempts: 4, Cancellation: true,
+		RetryAfter: time.Second, OverQuotaWeight: 0.05, Classes: []scatter.Class{
+			{Name: routeLookup, LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1},
+			{Name: hazardReport, LatencyObjective: 1500 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 2, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1, Idempotency: scatter.NonIdempotent},
+			{Name: conditionsSummary, LatencyObjective: 1500 * time.Millisecond, Deadline: 5 * time.Second, PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}}}
 	for _, name := range tenantNames() {
-		s.Tenants = append(s.Tenants, harepass.Tenant{Name: name, Quota: quotaOverUsual * normal * trafficShares[name]})
+		s.Tenants = append(s.Tenants, scatter.Tenant{Name: name, Quota: quotaOverUsual * normal * trafficShares[name]})
 	}
 	return s
 }
@@ -66,8 +66,8 @@
 }
 
 // config is a coordinator with overload control or first come, first served.
-func config(normal float64, memoryMB int, controlled bool) coordinator.Config {
-	c := coordinator.Config{Settings: settings(normal), Cores: cores, MemoryMB: memoryMB}
+func config(normal float64, memoryMB int, controlled bool) coordinatorproc.Config {
+	c := coordinatorproc.Config{Settings: settings(normal), Cores: cores, MemoryMB: memoryMB}
 	if controlled {
 		c.Target = target
 	}
@@ -76,21 +76,21 @@
 
 // nodes are what the emulated nodes of a play do and hold.
 type nodes struct {
-	script func(section, try int) standin.Reply
-	data   *standin.Data
+	script func(section, try int) fake.Reply
+	data   *fake.Data
 }
 
 // soundNodes always keep up and hold nothing.
-var soundNodes = nodes{script: func(int, int) standin.Reply { return standin.Reply{Kind: standin.Serve, After: answerTime} }}
+var soundNodes = nodes{script: func(int, int) fake.Reply { return fake.Reply{Kind: fake.Serve, After: answerTime} }}
 
 // outcome is what came of a play.
 type outcome struct {
 	*loadgen.Result
-	*coordinator.Stats
+	*coordinatorproc.Stats
 }
 
 // play plays a plan, made for the address of the front, against a coordinator before its nodes.
-func play(c coordinator.Config, makePlan func(address string) *loadgen.Plan, n nodes) (*outcome, error) {
+func play(c coordinatorproc.Config, makePlan func(address string) *loadgen.Plan, n nodes) (*outcome, error) {
 	c.Sections = sections
 	c.Indices = map[string]*opensearch.Index{"trails": {Class: routeLookup}, "hazards": {Class: hazardReport, Reports: true}, "conditions": {Class: conditionsSummary}}
 	c.Callers = map[string]string{}
@@ -103,9 +103,9 @@
 			return nil, err
 		}
 		defer l.Close()
-		go (&standin.Fleet{Script: n.script, Data: n.data}).API(l)
+		go (&fake.Fleet{Script: n.script, Data: n.data}).API(l)
 		id := fmt.Sprint("node", i)
-		c.Nodes = append(c.Nodes, core.Node{Replica: harepass.Replica{ID: id, Cell: i}, Address: l.Addr().String(), Scheme: opensearch.Scheme})
+		c.Nodes = append(c.Nodes, core.Endpoint{Replica: scatter.Replica{ID: id, RingPosition: i}, Address: l.Addr().String(), Scheme: opensearch.Scheme})
 	}
 	process, err := c.Start()
 	if err != nil {
--- a/internal/lab/experiments/overload/slownodes.go
+++ b/internal/test/experiments/overload/slownodes.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"harepass/internal/lab"
-	"harepass/internal/lab/coordinator"
-	"harepass/internal/loadgen"
-	"harepass/internal/standin"
+	"harepass/internal/test/coordinatorproc"
+	"harepass/internal/test/experiment"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/loadgen"
 )
 
 const (
@@ -20,19 +20,19 @@
 
 // slowNodes hold large documents; one section answers late only.
 func slowNodes() nodes {
-	data := &standin.Data{}
+	data := &fake.Data{}
 	note := make([]byte, slowAnswerBytes)
 	for i := range note {
 		note[i] = 'a' + byte(i%26)
 	}
 	for s := range sections {
-		data.Put(s, standin.Doc{ID: fmt.Sprint("d", s), Fields: map[string]any{"note": string(note)}})
+		data.Put(s, fake.Doc{ID: fmt.Sprint("d", s), Fields: map[string]any{"note": string(note)}})
 	}
-	return nodes{data: data, script: func(section, _ int) standin.Reply {
+	return nodes{data: data, script: func(section, _ int) fake.Reply {
 		if section == slowSection {
-			return standin.Reply{Kind: standin.Serve, After: slowAnswerTime}
+			return fake.Reply{Kind: fake.Serve, After: slowAnswerTime}
 		}
-		return standin.Reply{Kind: standin.Serve, After: answerTime}
+		return fake.Reply{Kind: fake.Serve, After: answerTime}
 	}}
 }
 
@@ -47,8 +47,8 @@
 
 // playSlowNodes has memory climb from slow nodes rather than from more arrivals: every answer of every section is held until
 // the last one's time is over.
-func playSlowNodes(r *lab.Report) error {
-	const limitMB = slowMemoryMB * coordinator.CollectorShare
+func playSlowNodes(r *experiment.Report) error {
+	const limitMB = slowMemoryMB * coordinatorproc.CollectorShare
 	slow := slowNodes()
 	firstCome, err := play(config(10*slowRate, slowMemoryMB, false), summariesAndReports, slow)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func addSlowRow(r *lab.Report, controlled bool, o *outcome) {
+func addSlowRow(r *experiment.Report, controlled bool, o *outcome) {
 	sum, hazards := total(o.Result), o.Classes[hazardReport]
 	r.Row("slow nodes", controlled, sum.Asked, sum.Served, sum.Refused, o.Lost, fmt.Sprintf("%.3f", o.Worth/o.Most),
 		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
--- a/internal/lab/experiments/twophase/play.go
+++ b/internal/test/experiments/twophase/play.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"harepass/internal/mountain"
-	"harepass/internal/standin"
-	"harepass/internal/testbed"
+	"harepass/internal/test/endtoend"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/fakedata"
 )
 
 const (
@@ -39,31 +39,31 @@
 
 // failure is what a node does at a time since the start: one is silent, one fails at once, one is slow, one answers what cannot
 // be read, one breaks connections.
-func failure(node int, since time.Duration) standin.Reply {
+func failure(node int, since time.Duration) fake.Reply {
 	during := func(from, to float64) bool { return since.Seconds() >= from && since.Seconds() < to }
 	switch {
 	case node == 0 && during(1.5, 3):
-		return standin.Reply{Kind: standin.Silent}
+		return fake.Reply{Kind: fake.Silent}
 	case node == 1 && during(3, 4.5):
-		return standin.Reply{Kind: standin.Fail}
+		return fake.Reply{Kind: fake.Fail}
 	case node == 2 && during(4.5, 6):
-		return standin.Reply{Kind: standin.Serve, After: 80 * time.Millisecond}
+		return fake.Reply{Kind: fake.Serve, After: 80 * time.Millisecond}
 	case node == 3 && during(6, 7):
-		return standin.Reply{Kind: standin.Spoil}
+		return fake.Reply{Kind: fake.Spoil}
 	case node == 4 && during(7, 8):
-		return standin.Reply{Kind: standin.Break}
+		return fake.Reply{Kind: fake.Break}
 	}
-	return standin.Reply{}
+	return fake.Reply{}
 }
 
 // newNodes are the nodes of a morning; failures count from an instant.
-func newNodes(m morning, began time.Time) (nodes []*testbed.Node) {
-	trails := mountain.New(m.seed, sectionCount, trailsPerSection)
+func newNodes(m morning, began time.Time) (nodes []*endtoend.Node) {
+	trails := fakedata.New(m.seed, sectionCount, trailsPerSection)
 	for i := range nodeCount {
-		n := &testbed.Node{ID: fmt.Sprint("node", i), Cell: i}
+		n := &endtoend.Node{ID: fmt.Sprint("node", i), Cell: i}
 		n.Data, n.Unit, n.Cores = trails.Data(true), workUnit, nodeCores
 		if m.failures {
-			n.Script = func(int, int) standin.Reply { return failure(i, time.Since(began)) }
+			n.Script = func(int, int) fake.Reply { return failure(i, time.Since(began)) }
 		}
 		nodes = append(nodes, n)
 	}
@@ -73,8 +73,8 @@
 // play plays the arrivals of a morning's seed.
 func play(m morning, twoPhases bool) (*tally, error) {
 	began := time.Now()
-	truth := testbed.Truth{Nodes: newNodes(m, began), Cells: nodeCount, Reach: reach, Floor: floor}
-	c, err := testbed.Site{Settings: testbed.SummarySettings(nodeCount, reach), Sections: sectionCount, Indices: testbed.SummaryIndices(twoPhases),
+	truth := endtoend.Truth{Nodes: newNodes(m, began), Cells: nodeCount, Reach: reach, Floor: floor}
+	c, err := endtoend.Site{Settings: endtoend.SummarySettings(nodeCount, reach), Sections: sectionCount, Indices: endtoend.SummaryIndices(twoPhases),
 		Memory: retainedBytes, Nodes: truth.Nodes}.Start()
 	if err != nil {
 		return nil, err
@@ -121,9 +121,9 @@
 	faults   []string
 }
 
-func ask(c *testbed.Coordinator, truth testbed.Truth, query map[string]any) (a answer) {
+func ask(c *endtoend.Coordinator, truth endtoend.Truth, query map[string]any) (a answer) {
 	a.from = time.Now()
-	a.status, a.body = c.Search(fmt.Sprintf("/%s/_search?size=1000&timeout=%dms", testbed.SummaryIndex, budget.Milliseconds()), map[string]any{"query": query})
+	a.status, a.body = c.Search(fmt.Sprintf("/%s/_search?size=1000&timeout=%dms", endtoend.SummaryIndex, budget.Milliseconds()), map[string]any{"query": query})
 	a.to = time.Now()
 	if a.status == 200 {
 		a.faults = truth.Check(query, allSections(), a.body, a.from, a.to)
@@ -139,7 +139,7 @@
 }
 
 // unchanged tells whether no holder's value changed between two instants, and all had the same one.
-func unchanged(truth testbed.Truth, query map[string]any, from, to time.Time) bool {
+func unchanged(truth endtoend.Truth, query map[string]any, from, to time.Time) bool {
 	for _, s := range allSections() {
 		if len(truth.Values(query, s, from, to)) != 1 {
 			return false
@@ -160,7 +160,7 @@
 	return string(a.Hits)
 }
 
-func unitsOf(nodes []*testbed.Node) (sum float64) {
+func unitsOf(nodes []*endtoend.Node) (sum float64) {
 	for _, n := range nodes {
 		sum += n.Units()
 	}
@@ -168,7 +168,7 @@
 }
 
 // change alters sections as the morning has it, until ctx is done; with failures, the last node learns of it late.
-func (m morning) change(ctx context.Context, nodes []*testbed.Node) {
+func (m morning) change(ctx context.Context, nodes []*endtoend.Node) {
 	rng := rand.New(rand.NewPCG(m.seed, 0x636861))
 	began, version, next := time.Now(), 1000.0, 0
 	changed := max(1, int(m.share*sectionCount))
@@ -185,7 +185,7 @@
 				next += 5
 			}
 			version++
-			doc := mountain.Trail{ID: fmt.Sprintf("t%d-%d", section, rng.IntN(trailsPerSection)), Open: rng.IntN(2) > 0, SnowCM: float64(rng.IntN(200)), Version: version}.Doc()
+			doc := fakedata.Trail{ID: fmt.Sprintf("t%d-%d", section, rng.IntN(trailsPerSection)), Open: rng.IntN(2) > 0, SnowCM: float64(rng.IntN(200)), Version: version}.Doc()
 			for i, node := range nodes {
 				if m.failures && i == len(nodes)-1 {
 					time.AfterFunc(changeLag, func() { node.Data.Put(section, doc) })
--- a/internal/lab/experiments/twophase/tally.go
+++ b/internal/test/experiments/twophase/tally.go
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"harepass/internal/testbed"
+	"harepass/internal/test/endtoend"
 )
 
 // tally is what came of one run.
@@ -50,7 +50,7 @@
 	}
 	t.answers++
 	t.latencies.RecordValue(took.Microseconds())
-	var a testbed.Answer
+	var a endtoend.Answer
 	if json.Unmarshal(body, &a) == nil {
 		t.pruned += a.Shards.Skipped
 		t.sections += a.Shards.Total
--- a/internal/lab/experiments/twophase/twophase.go
+++ b/internal/test/experiments/twophase/twophase.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"harepass/internal/lab"
+	"harepass/internal/test/experiment"
 )
 
 // Experiment plays six mornings in one phase and in two.
-var Experiment = lab.Experiment{
+var Experiment = experiment.Experiment{
 	Name:  "two-phase",
 	Short: "the same mornings in one phase and in two, without failures and with",
 	Run:   run,
@@ -101,7 +101,7 @@
 	return pairs, nil
 }
 
-func run(r *lab.Report) error {
+func run(r *experiment.Report) error {
 	pairs, err := playAll()
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 }
 
 // addRow adds what came of a run; its work is shown over that of one phase.
-func addRow(r *lab.Report, m morning, phases int, t *tally, unitsInOnePhase float64) {
+func addRow(r *experiment.Report, m morning, phases int, t *tally, unitsInOnePhase float64) {
 	r.Row(m.name, phases, t.queries, t.answers, t.inPart, t.refused, t.late, t.wrong, fmt.Sprintf("%.0f%%", 100*t.prunedShare()),
 		fmt.Sprintf("%.1f", t.units/float64(t.queries)), fmt.Sprintf("%.2f", t.units/unitsInOnePhase), milliseconds(t.latency(50)), milliseconds(t.latency(99)))
 	r.Aim(t.late == 0, "%s, %d phases: %d late", m.name, phases, t.late)
--- a/internal/standin/api.go
+++ b/internal/test/fake/api.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
--- a/internal/standin/standin.go
+++ b/internal/test/fake/standin.go
@@ -1,7 +1,7 @@
-// Package standin has the stand-ins that tests and the laboratory use for outside systems: nodes that speak the
+// Package fake has the stand-ins that tests and the laboratory use for outside systems: nodes that speak the
 // platform's frames, nodes that offer the OpenSearch search and index APIs, and discovery. They are written from
 // the public descriptions of what they stand for, share no code with the program and are no part of it.
-package standin
+package fake
 
 import (
 	"io"
--- a/internal/mountain/mountain.go
+++ b/internal/test/fakedata/mountain.go
@@ -1,5 +1,5 @@
-// Package mountain has the known data of emulated map nodes: the trails of each section.
-package mountain
+// Package fakedata has the known data of emulated map nodes: the trails of each section.
+package fakedata
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // Trail is a document of the emulated nodes: one run of a section.
@@ -74,15 +74,15 @@
 }
 
 // Doc is the trail as nodes hold it.
-func (t Trail) Doc() standin.Doc {
-	return standin.Doc{ID: t.ID, Version: t.Version, Fields: map[string]any{"name": t.Name, "open": t.Open, "snow_cm": t.SnowCM}}
+func (t Trail) Doc() fake.Doc {
+	return fake.Doc{ID: t.ID, Version: t.Version, Fields: map[string]any{"name": t.Name, "open": t.Open, "snow_cm": t.SnowCM}}
 }
 
 // Data is a copy for a node, which records its states over time if asked to.
-func (m Sections) Data(record bool) *standin.Data {
-	d := &standin.Data{Record: record}
+func (m Sections) Data(record bool) *fake.Data {
+	d := &fake.Data{Record: record}
 	for s, trails := range m {
-		var docs []standin.Doc
+		var docs []fake.Doc
 		for _, t := range trails {
 			docs = append(docs, t.Doc())
 		}
--- a/internal/nodeserver/nodeserver.go
+++ b/internal/test/fakeserver/nodeserver.go
@@ -1,5 +1,5 @@
-// Package nodeserver serves the map nodes of an inventory, emulated on real sockets of loopback addresses.
-package nodeserver
+// Package fakeserver serves the map nodes of an inventory, emulated on real sockets of loopback addresses.
+package fakeserver
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"time"
 
 	"harepass/internal/inventory"
-	"harepass/internal/mountain"
 	"harepass/internal/platform"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/fakedata"
 )
 
 // Config is what the nodes hold and do. All have one copy of the data.
@@ -38,10 +38,10 @@
 func (c Config) Serve(ctx context.Context, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	trails := mountain.New(c.Seed, c.Sections, trailsPerSection)
+	trails := fakedata.New(c.Seed, c.Sections, trailsPerSection)
 	if c.Data != "" {
 		var err error
-		if trails, err = mountain.Read(c.Data); err != nil {
+		if trails, err = fakedata.Read(c.Data); err != nil {
 			return err
 		}
 	}
@@ -60,13 +60,13 @@
 			return fmt.Errorf("host %s: %w", h.Name, err)
 		}
 		defer l.Close()
-		f := &standin.Fleet{Data: data, Unit: c.Unit, Cores: nodeCores}
+		f := &fake.Fleet{Data: data, Unit: c.Unit, Cores: nodeCores}
 		if h.API == platform.Scheme {
 			go f.Frames(l)
 		} else {
 			go f.API(l)
 		}
-		fmt.Fprintf(out, "%s on %s, cell %d, speaks %s\n", h.Name, h.Address, h.Cell, h.API)
+		fmt.Fprintf(out, "%s on %s, cell %d, speaks %s\n", h.Name, h.Address, h.RingPosition, h.API)
 	}
 	if c.Change > 0 {
 		go c.changeTrails(ctx, data, trails)
@@ -76,7 +76,7 @@
 }
 
 // changeTrails opens or closes a trail now and then.
-func (c Config) changeTrails(ctx context.Context, data *standin.Data, sections mountain.Sections) {
+func (c Config) changeTrails(ctx context.Context, data *fake.Data, sections fakedata.Sections) {
 	rng := rand.New(rand.NewPCG(c.Seed, 0x736572))
 	for {
 		select {
--- a/internal/rigplay/scenario.go
+++ b/internal/test/faultcli/scenario.go
@@ -1,5 +1,5 @@
-// Package rigplay plays the rig's scenarios and upgrades, of real processes of the program, by hand and says what came of them.
-package rigplay
+// Package faultcli plays the rig's scenarios and upgrades, of real processes of the program, by hand and says what came of them.
+package faultcli
 
 import (
 	"errors"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
-// Scenario is how a scenario of internal/rig is played.
+// Scenario is how a scenario of internal/test/faultinjection is played.
 type Scenario struct {
 	Program  string // the built program
 	Settings string // file of the site's settings, as the platform words them
@@ -23,7 +23,7 @@
 
 // Play plays a file and says what became of the requests. The error tells what did not hold.
 func (p Scenario) Play(file string, out io.Writer) (err error) {
-	s, err := rig.Load(file)
+	s, err := faultinjection.Load(file)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	}
 	defer os.RemoveAll(dir)
 	start := time.Now()
-	f, err := rig.NewFleet(rig.FleetConfig{Dir: dir, Command: []string{program, "serve"}, Settings: settings}, s)
+	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: dir, Command: []string{program, "serve"}, Settings: settings}, s)
 	if err != nil {
 		return err
 	}
--- a/internal/rigplay/soak.go
+++ b/internal/test/faultcli/soak.go
@@ -1,4 +1,4 @@
-package rigplay
+package faultcli
 
 import (
 	"errors"
@@ -8,10 +8,10 @@
 	"path/filepath"
 	"sync"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
-// Soak is a row of soaks of internal/rig, each drawn from a seed of its own.
+// Soak is a row of soaks of internal/test/faultinjection, each drawn from a seed of its own.
 type Soak struct {
 	Program  string // the built program
 	Settings string // file of the site's settings, as the platform words them
@@ -42,7 +42,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			scenario := rig.Soak(seed, s.Only...)
+			scenario := faultinjection.Soak(seed, s.Only...)
 			err := s.playOne(scenario, settings, &lockedWriter{&mu, out})
 			mu.Lock()
 			defer mu.Unlock()
@@ -75,13 +75,13 @@
 	return w.out.Write(p)
 }
 
-func (s Soak) playOne(scenario *rig.Scenario, settings []byte, out io.Writer) error {
+func (s Soak) playOne(scenario *faultinjection.Scenario, settings []byte, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := rig.NewFleet(rig.FleetConfig{Dir: dir, Command: []string{s.Program, "serve"}, Settings: settings}, scenario)
+	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: dir, Command: []string{s.Program, "serve"}, Settings: settings}, scenario)
 	if err != nil {
 		return err
 	}
--- a/internal/rigplay/upgrades.go
+++ b/internal/test/faultcli/upgrades.go
@@ -1,4 +1,4 @@
-package rigplay
+package faultcli
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // Upgrades are real processes of the program, each taking over from the one before under load.
@@ -39,7 +39,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	h, err := rig.NewHost(rig.Config{Dir: dir, Command: []string{u.Program, "serve"}, Settings: settings, Nodes: upgradeNodes, Work: partWork, Slack: drainSlack})
+	h, err := faultinjection.NewHost(faultinjection.Config{Dir: dir, Command: []string{u.Program, "serve"}, Settings: settings, Nodes: upgradeNodes, Work: partWork, Slack: drainSlack})
 	if err != nil {
 		return err
 	}
@@ -61,20 +61,20 @@
 }
 
 // startVersion starts a process and waits until it serves, which takes so long.
-func startVersion(h *rig.Host) (*rig.Process, time.Duration, error) {
+func startVersion(h *faultinjection.Host) (*faultinjection.Process, time.Duration, error) {
 	start := time.Now()
 	p, err := h.Start()
 	if err != nil {
 		return nil, 0, err
 	}
-	if err := rig.Wait("a yes", p.Serves); err != nil {
+	if err := faultinjection.Wait("a yes", p.Serves); err != nil {
 		return nil, 0, fmt.Errorf("%w\n%s", err, p.Log())
 	}
 	return p, time.Since(start), nil
 }
 
 // upgrade has a new process take over from the one that serves, as the i-th of them, with a node out meanwhile.
-func upgrade(h *rig.Host, serving *rig.Process, i int, out io.Writer) (*rig.Process, error) {
+func upgrade(h *faultinjection.Host, serving *faultinjection.Process, i int, out io.Writer) (*faultinjection.Process, error) {
 	node := i % upgradeNodes
 	if err := h.Take(serving, node, true); err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	return next, h.Take(next, node, false)
 }
 
-func printTally(out io.Writer, c *rig.Crowd) {
+func printTally(out io.Writer, c *faultinjection.Crowd) {
 	tally := c.Tally()
 	for _, outcome := range slices.Sorted(maps.Keys(tally)) {
 		fmt.Fprintf(out, "%s: %d\n", outcome, tally[outcome])
--- a/internal/rig/clients.go
+++ b/internal/test/faultinjection/clients.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 // NewCrowd lets so many clients ask a coordinator at an address from now on, by the classes and the first tenant of a site's
 // settings, for some sections of the map; sent tells whether a node was asked for some part of a query.
--- a/internal/rig/fleet.go
+++ b/internal/test/faultinjection/fleet.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 const (
@@ -34,7 +34,7 @@
 	*Timeline
 
 	site     *site
-	registry standin.Registry
+	registry fake.Registry
 	nodes    []*fleetNode
 	members  []*Member
 	size     int // in the configuration of those that start now
--- a/internal/rig/host.go
+++ b/internal/test/faultinjection/host.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // Config says what a Host is made of.
@@ -51,7 +51,7 @@
 
 // Node is a stand-in node behind a link.
 type Node struct {
-	standin.Fleet
+	fake.Fleet
 	Link *Link
 }
 
@@ -69,13 +69,13 @@
 	h.Clients = clients.(*net.TCPListener)
 	for i := range c.Nodes {
 		n := &Node{}
-		n.Script = func(int, int) standin.Reply { return h.script(i) }
+		n.Script = func(int, int) fake.Reply { return h.script(i) }
 		if n.Link, err = h.opened.serveBehindLink(NewLink, n.Frames); err != nil {
 			return nil, errors.Join(err, h.Close())
 		}
 		h.Nodes = append(h.Nodes, n)
 	}
-	h.Discovery, err = h.opened.serveBehindLink(NewLink, func(l net.Listener) { standin.Discovery(l, h.list) })
+	h.Discovery, err = h.opened.serveBehindLink(NewLink, func(l net.Listener) { fake.Discovery(l, h.list) })
 	if err == nil {
 		err = h.Configure(c.Settings)
 	}
@@ -110,13 +110,13 @@
 }
 
 // script is what a node does with a part; it also records what it should not have been sent.
-func (h *Host) script(i int) standin.Reply {
+func (h *Host) script(i int) fake.Reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at, out := h.out[i]; out && time.Since(at) > h.Slack {
 		h.stray = append(h.stray, fmt.Sprintf("node %d %v after the yes", i, time.Since(at)))
 	}
-	return standin.Reply{After: h.Work}
+	return fake.Reply{After: h.Work}
 }
 
 // list is discovery's: whatever operators say, every node is in service.
--- a/internal/rig/link.go
+++ b/internal/test/faultinjection/link.go
@@ -1,6 +1,6 @@
-// Package rig starts real processes of the program on loopback among stand-ins for all that surrounds them, breaks the ways
+// Package faultinjection starts real processes of the program on loopback among stand-ins for all that surrounds them, breaks the ways
 // between them, and holds what the stand-ins have recorded against the rules. It is for tests and the laboratory only.
-package rig
+package faultinjection
 
 import (
 	"bufio"
--- a/internal/rig/member.go
+++ b/internal/test/faultinjection/member.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // Member is a coordinator of a Fleet: its addresses, its links, and its process while one runs.
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	for _, n := range f.nodes {
-		fleet := &standin.Fleet{Script: func(int, int) standin.Reply { return f.reply(n) }, Heard: func(part standin.Part, did standin.Kind) { f.records.part(m, n, part, did) }}
+		fleet := &fake.Fleet{Script: func(int, int) fake.Reply { return f.reply(n) }, Heard: func(part fake.Part, did fake.Kind) { f.records.part(m, n, part, did) }}
 		k, err := f.opened.serveBehindLink(NewFramedLink, fleet.Frames)
 		if err != nil {
 			return nil, err
@@ -51,7 +51,7 @@
 		m.links = append(m.links, k)
 	}
 	m.discovery, err = f.opened.serveBehindLink(NewLink, func(l net.Listener) {
-		f.registry.Serve(l, m.address, func(list standin.Listing) { f.records.listed(m, list) })
+		f.registry.Serve(l, m.address, func(list fake.Listing) { f.records.listed(m, list) })
 	})
 	return m, err
 }
--- a/internal/rig/node.go
+++ b/internal/test/faultinjection/node.go
@@ -1,11 +1,11 @@
-package rig
+package faultinjection
 
 import (
 	"fmt"
 	"sync"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // NodeState is how a node behaves, as a scenario's steps name it.
@@ -30,10 +30,10 @@
 type fleetNode struct {
 	name  string
 	no    int
-	entry standin.Entry
+	entry fake.Entry
 
 	mu      sync.Mutex
-	machine standin.Machine
+	machine fake.Machine
 	state   NodeState
 }
 
@@ -63,30 +63,30 @@
 // newFleetNode is the node of a number, in a cell: sound, warm and listed.
 func newFleetNode(number, cell int, work time.Duration, rules nodeRules) *fleetNode {
 	n := &fleetNode{name: fmt.Sprint("n", number), no: number, state: nodeSound}
-	n.entry = standin.Entry{Name: n.name, Zone: fmt.Sprint("z", number%holdersPerSection), Type: "m", Group: cell, Status: statusInService, Weight: 1}
-	n.machine = standin.Machine{Work: work, Cores: nodeCores, Queue: nodeQueue, Start: rules.Start, Warm: time.Duration(rules.Warm) * time.Microsecond,
+	n.entry = fake.Entry{Name: n.name, Zone: fmt.Sprint("z", number%holdersPerSection), Type: "m", Group: cell, Status: statusInService, Weight: 1}
+	n.machine = fake.Machine{Work: work, Cores: nodeCores, Queue: nodeQueue, Start: rules.Start, Warm: time.Duration(rules.Warm) * time.Microsecond,
 		Fall: rules.Fall, Window: time.Duration(rules.Window) * time.Microsecond}
 	return n
 }
 
 // reply is what a node does with a part that has just come.
-func (f *Fleet) reply(n *fleetNode) standin.Reply {
+func (f *Fleet) reply(n *fleetNode) fake.Reply {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	switch n.state {
 	case nodeHung:
-		return standin.Reply{Kind: standin.Silent}
+		return fake.Reply{Kind: fake.Silent}
 	case nodeFailing:
-		return standin.Reply{Kind: standin.Fail}
+		return fake.Reply{Kind: fake.Fail}
 	case nodeGone:
-		return standin.Reply{Kind: standin.Break}
+		return fake.Reply{Kind: fake.Break}
 	}
 	now := f.at()
 	end, taken := n.machine.Take(now)
 	if !taken || n.state == nodeDrained {
-		return standin.Reply{Kind: standin.Reject}
+		return fake.Reply{Kind: fake.Reject}
 	}
-	return standin.Reply{After: end - now}
+	return fake.Reply{After: end - now}
 }
 
 // setState changes a node, and the registry where the new state is one that discovery knows of.
--- a/internal/rig/play.go
+++ b/internal/test/faultinjection/play.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // Play plays the scenario and returns what did not hold. The timeline tells the rest.
@@ -178,7 +178,7 @@
 // healAll ends all faults: links are whole, nodes sound, and who was paused goes on.
 func (f *Fleet) healAll() {
 	f.Note("rig", "all faults end")
-	if f.registry.Mode() != standin.RegistrySound {
+	if f.registry.Mode() != fake.RegistrySound {
 		f.setDiscovery(discoverySound)
 	}
 	for _, m := range f.members {
--- a/internal/rig/records.go
+++ b/internal/test/faultinjection/records.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // records are what nodes and discovery have seen, held against the rules as it comes in.
@@ -59,7 +59,7 @@
 }
 
 // listed notes what a member has been told; the word counts from when it was written first.
-func (r *records) listed(m *Member, list standin.Listing) {
+func (r *records) listed(m *Member, list fake.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lists++
@@ -73,7 +73,7 @@
 }
 
 // part notes a part that a node was sent, and what it did with it.
-func (r *records) part(m *Member, n *fleetNode, part standin.Part, did standin.Kind) {
+func (r *records) part(m *Member, n *fleetNode, part fake.Part, did fake.Kind) {
 	id, whole, heard := part.ID, m.links[n.no].WholeFor(), m.discovery.WholeFor()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +82,7 @@
 	r.queries[query] = struct{}{}
 	c := r.f.site.class(query)
 	r.classes[c.name] = true
-	if c.repeat == "single_shot" && did != standin.Reject {
+	if c.repeat == "single_shot" && did != fake.Reject {
 		if before, ran := r.runs[id]; ran {
 			r.breach("the report %s ran at %s and at %s", id, before, n.name)
 		}
--- a/internal/rig/restart.go
+++ b/internal/test/faultinjection/restart.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // This file is what happens to coordinators beside the steps that wait: planned restarts with the earliest kill, moments in
@@ -20,16 +20,16 @@
 // The modes of discovery as a scenario names them.
 const discoverySound = "sound"
 
-var discoveryModes = []string{discoverySound, string(standin.RegistryDown), string(standin.RegistryCrowded), string(standin.RegistrySilent)}
+var discoveryModes = []string{discoverySound, string(fake.RegistryDown), string(fake.RegistryCrowded), string(fake.RegistrySilent)}
 
 // setDiscovery changes how discovery treats calls.
 func (f *Fleet) setDiscovery(mode string) {
 	f.Note("rig", "discovery is %s", mode)
 	if mode == discoverySound {
-		mode = string(standin.RegistrySound)
+		mode = string(fake.RegistrySound)
 	}
-	f.registry.SetMode(standin.RegistryMode(mode))
-	f.records.discoveryIs(mode != string(standin.RegistryDown))
+	f.registry.SetMode(fake.RegistryMode(mode))
+	f.records.discoveryIs(mode != string(fake.RegistryDown))
 }
 
 // hold lets the processes that patterns name stand still for a moment, those that end included.
--- a/internal/rig/rig_test.go
+++ b/internal/test/faultinjection/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
 )
 
 // through sends so many messages back through a link with a fault and tells in which order they arrive.
@@ -120,52 +120,52 @@
 	f.records.started(m)
 	f.records.freshSince[m] = time.Now().Add(-time.Hour)
 	breaches := func() int { return len(f.records.breaches) }
-	f.records.part(m, n, standin.Part{ID: "report-1.0", List: "d=9"}, standin.Reject)
-	f.records.part(m, n, standin.Part{ID: "report-1.0", List: "d=9"}, standin.Serve)
+	f.records.part(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Reject)
+	f.records.part(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Serve)
 	if breaches() > 0 {
 		t.Error("a report that was turned away has not run")
 	}
-	f.records.part(m, n, standin.Part{ID: "report-1.0", List: "d=9"}, standin.Silent)
+	f.records.part(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Silent)
 	if breaches() != 1 {
 		t.Error("a report that ran twice passes")
 	}
-	f.records.listed(m, standin.Listing{Endpoints: []standin.Entry{{Name: "n0", Status: "terminating"}}})
-	f.records.part(m, n, standin.Part{ID: "search-1.0", List: "d=9"}, standin.Serve)
+	f.records.listed(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminating"}}})
+	f.records.part(m, n, fake.Part{ID: "search-1.0", List: "d=9"}, fake.Serve)
 	if breaches() != 1 {
 		t.Error("a part within the grace is a breach")
 	}
 	f.records.withdrawn[m]["n0"] = time.Now().Add(-2 * time.Second)
-	f.records.listed(m, standin.Listing{Endpoints: []standin.Entry{{Name: "n0", Status: "terminated"}}}) // told again: the first word counts
-	f.records.part(m, n, standin.Part{ID: "search-2.0", List: "d=9"}, standin.Serve)
+	f.records.listed(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminated"}}}) // told again: the first word counts
+	f.records.part(m, n, fake.Part{ID: "search-2.0", List: "d=9"}, fake.Serve)
 	if breaches() != 2 {
 		t.Error("a part at a node that has drained for 2 s passes")
 	}
 	// Held up on its way, the part or discovery's word; of one that was paused until now; at one that is back.
 	m.links[0] = link(100 * time.Millisecond)
-	f.records.part(m, n, standin.Part{ID: "search-3.0", List: "d=9"}, standin.Serve)
+	f.records.part(m, n, fake.Part{ID: "search-3.0", List: "d=9"}, fake.Serve)
 	m.links[0], m.discovery = link(time.Hour), link(900*time.Millisecond)
-	f.records.part(m, n, standin.Part{ID: "search-4.0", List: "d=9"}, standin.Serve)
+	f.records.part(m, n, fake.Part{ID: "search-4.0", List: "d=9"}, fake.Serve)
 	m.discovery = link(time.Hour)
 	f.records.resumed(m)
-	f.records.part(m, n, standin.Part{ID: "search-5.0", List: "d=9"}, standin.Serve)
+	f.records.part(m, n, fake.Part{ID: "search-5.0", List: "d=9"}, fake.Serve)
 	f.records.freshSince[m] = time.Now().Add(-time.Hour)
-	f.records.listed(m, standin.Listing{Endpoints: []standin.Entry{{Name: "n0", Status: "in_service"}}})
-	f.records.part(m, n, standin.Part{ID: "search-6.0", List: "d=9"}, standin.Serve)
+	f.records.listed(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "in_service"}}})
+	f.records.part(m, n, fake.Part{ID: "search-6.0", List: "d=9"}, fake.Serve)
 	if breaches() != 2 {
 		t.Errorf("what a fault held up is a breach: %v", f.records.breaches)
 	}
-	for i, part := range []standin.Part{
+	for i, part := range []fake.Part{
 		{ID: "update-1.0", List: "d=9"},
 		{ID: "update-1.0", List: "d=9,k=key-update-2"},
 		{ID: "search-7.0", List: "d=9,k=key-search-7"},
 		{ID: "search-8.1", Shard: 1, List: "d=9"}, // n0 holds 0, 2 and 3
 	} {
-		if f.records.part(m, n, part, standin.Serve); breaches() != 3+i {
+		if f.records.part(m, n, part, fake.Serve); breaches() != 3+i {
 			t.Errorf("%+v passes", part)
 		}
 	}
-	f.records.part(m, n, standin.Part{ID: "update-1.0", List: "d=9,k=key-update-1"}, standin.Serve)
-	f.records.part(m, n, standin.Part{ID: "search-8.2", Shard: 2, List: "d=9"}, standin.Serve)
+	f.records.part(m, n, fake.Part{ID: "update-1.0", List: "d=9,k=key-update-1"}, fake.Serve)
+	f.records.part(m, n, fake.Part{ID: "search-8.2", Shard: 2, List: "d=9"}, fake.Serve)
 	if breaches() != 6 {
 		t.Errorf("what is sound is a breach: %v", f.records.breaches)
 	}
--- a/internal/rig/site.go
+++ b/internal/test/faultinjection/site.go
@@ -1,4 +1,4 @@
-package rig
+package faultinjection
 
 import (
 	"encoding/json"
--- a/internal/virtualfleet/config.go
+++ b/internal/test/fleetsim/config.go
@@ -1,12 +1,12 @@
-// Package virtualfleet plays a fleet of coordinators in virtual time: the real module of each of them, before emulated nodes
+// Package fleetsim plays a fleet of coordinators in virtual time: the real module of each of them, before emulated nodes
 // with queues, cold starts and connections. A play is the same for the same seed and faster than real time, so it shows fleets
 // that no machine can hold as processes.
-package virtualfleet
+package fleetsim
 
 import (
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // Config is how a fleet is set up and what it meets.
@@ -21,7 +21,7 @@
 	Skew            float64 // of the members' traffic: the standard deviation of its logarithm
 	Numbered        bool    // whether members know their number in the fleet
 	Seed            uint64
-	Cold            harepass.Cold // how nodes start; DefaultCold if it has no Multiple
+	Cold            scatter.SlowStart // how nodes start; DefaultCold if it has no Multiple
 }
 
 const (
@@ -40,7 +40,7 @@
 )
 
 // DefaultCold is how nodes start where a Config says nothing else.
-var DefaultCold = harepass.Cold{Start: 0.21, WarmWithin: 18 * time.Second, Multiple: 2.5, Window: 1500 * time.Millisecond}
+var DefaultCold = scatter.SlowStart{InitialCapacity: 0.21, Duration: 18 * time.Second, OverloadFactor: 2.5, Window: 1500 * time.Millisecond}
 
 // partsPerNode is the rate, in parts a second, that comes to a node of a BusyConfig: two thirds of what it can do.
 const partsPerNode = 47.0
@@ -56,14 +56,14 @@
 func (c Config) cells() int { return c.Nodes / c.NodesPerCell }
 
 // settings are those of the member of a number, which believes the fleet to have so many.
-func (c Config) settings(number, members int) harepass.Settings {
-	s := harepass.Settings{Roots: members, Cells: c.cells(), Reach: c.Reach, CallBatch: 1, Turn: time.Millisecond, MaxAttempts: 4, Cancel: true, RetryAdvice: time.Second,
-		Classes: []harepass.Class{
-			{Name: "lookup", Aim: aim, Deadline: deadline, Worth: 1, LateWorth: 0.3, Need: 1, Floor: 1},
-			{Name: "summary", Aim: aim, Deadline: deadline, Worth: 3, LateWorth: 0.3, Need: 1, Floor: summaryFloor}},
-		Cold: c.Cold}
+func (c Config) settings(number, members int) scatter.Settings {
+	s := scatter.Settings{Coordinators: members, RingSize: c.cells(), ReplicationFactor: c.Reach, PartsPerCall: 1, TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
+		Classes: []scatter.Class{
+			{Name: "lookup", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1},
+			{Name: "summary", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: summaryFloor}},
+		SlowStart: c.Cold}
 	if c.Numbered {
-		s.Me = number + 1
+		s.Ordinal = number + 1
 	}
 	return s
 }
--- a/internal/virtualfleet/fleet.go
+++ b/internal/test/fleetsim/fleet.go
@@ -1,4 +1,4 @@
-package virtualfleet
+package fleetsim
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"harepass"
-	"harepass/internal/virtualtime"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/test/virtualtime"
 )
 
 // Fleet is one play. Its clock stands still between calls of Run.
@@ -31,7 +31,7 @@
 // member is a coordinator of the fleet.
 type member struct {
 	number      int
-	module      *harepass.Aggregator
+	module      *scatter.Machine
 	attempts    map[string]int           // by part
 	traffic     float64                  // of the members up to this one, in sum
 	startsKnown map[string]time.Duration // when each node started, as the member was told
@@ -48,7 +48,7 @@
 // event is something that a member is to hear.
 type event struct {
 	to   *member
-	what harepass.Event
+	what scatter.Event
 }
 
 // phase is what is counted from one call of BeginPhase to the next.
@@ -59,7 +59,7 @@
 
 // New sets a fleet up: every member has read the list of nodes, and nothing has been asked yet.
 func New(c Config) (*Fleet, error) {
-	if c.Cold.Multiple == 0 {
+	if c.Cold.OverloadFactor == 0 {
 		c.Cold = DefaultCold
 	}
 	f := &Fleet{Config: c, now: startTime, rng: rand.New(rand.NewPCG(c.Seed, 0x666c6565)), nodeByID: map[string]*Node{}, queries: map[string]*query{}}
@@ -105,7 +105,7 @@
 
 // join starts the member of a number, which believes the fleet to have so many. It knows the list, and nothing of what was seen.
 func (f *Fleet) join(number, members int) error {
-	module, err := harepass.New(f.Seed<<16|uint64(number), f.settings(number, members))
+	module, err := scatter.New(f.Seed<<16|uint64(number), f.settings(number, members))
 	if err != nil {
 		return err
 	}
@@ -147,15 +147,15 @@
 }
 
 // list is what discovery says of the nodes.
-func (f *Fleet) list() harepass.ListReceived {
-	ev := harepass.ListReceived{Scope: harepass.ListFull}
+func (f *Fleet) list() scatter.EndpointUpdate {
+	ev := scatter.EndpointUpdate{Kind: scatter.FullUpdate}
 	for _, n := range f.Nodes {
 		ev.Replicas = append(ev.Replicas, n.replica())
 	}
 	return ev
 }
 
-func (f *Fleet) schedule(m *member, at time.Duration, what harepass.Event) {
+func (f *Fleet) schedule(m *member, at time.Duration, what scatter.Event) {
 	f.pending.Add(at, event{m, what})
 }
 
@@ -164,54 +164,54 @@
 	if e.to.number >= len(f.members) || f.members[e.to.number] != e.to {
 		return
 	}
-	if ended, ok := e.what.(harepass.AttemptEnded); ok && ended.Outcome == harepass.Served {
+	if ended, ok := e.what.(scatter.AttemptEnded); ok && ended.Outcome == scatter.Succeeded {
 		f.countServed(ended.Part)
 	}
 	f.step(e.to, e.what)
 }
 
 // step gives a member's module events and does what it asks for.
-func (f *Fleet) step(m *member, events ...harepass.Event) {
+func (f *Fleet) step(m *member, events ...scatter.Event) {
 	for _, e := range events {
-		if list, ok := e.(harepass.ListReceived); ok {
+		if list, ok := e.(scatter.EndpointUpdate); ok {
 			for _, r := range list.Replicas {
-				m.startsKnown[r.ID] = r.Since
+				m.startsKnown[r.ID] = r.StartedAt
 			}
 		}
 	}
 	for _, action := range m.module.Step(f.now, events) {
 		switch a := action.(type) {
-		case harepass.WakeIn:
-			f.schedule(m, f.now+a.In, harepass.Woken{})
-		case harepass.CallOff: // its work is done all the same
-			f.schedule(m, f.now, harepass.AttemptEnded{Part: a.Part, Attempt: a.Attempt, Outcome: harepass.Cancelled, Took: aim})
-		case harepass.Send:
+		case scatter.SetTimer:
+			f.schedule(m, f.now+a.After, scatter.TimerFired{})
+		case scatter.CancelAttempt: // its work is done all the same
+			f.schedule(m, f.now, scatter.AttemptEnded{Part: a.Part, Attempt: a.Attempt, Outcome: scatter.Cancelled, Latency: aim})
+		case scatter.Send:
 			f.send(m, a)
-		case harepass.Answer:
+		case scatter.Answer:
 			f.answered(a)
-		case harepass.Refuse:
+		case scatter.Reject:
 			delete(f.queries, a.Query)
-		case harepass.Fail:
+		case scatter.Fail:
 			delete(f.queries, a.Query)
 		}
 	}
 }
 
 // answered books the worth of an answer that came within its aim.
-func (f *Fleet) answered(a harepass.Answer) {
+func (f *Fleet) answered(a scatter.Answer) {
 	q := f.queries[a.Query]
 	delete(f.queries, a.Query)
 	if q == nil || f.now-q.came > aim {
 		return
 	}
 	f.phase.earned += q.worth
-	if !a.Whole {
+	if !a.Complete {
 		f.phase.earned -= q.worth * (1 - 0.9*float64(q.served)/float64(q.parts))
 	}
 }
 
 // send begins an attempt.
-func (f *Fleet) send(m *member, a harepass.Send) {
+func (f *Fleet) send(m *member, a scatter.Send) {
 	attempt := m.attempts[a.Part]
 	m.attempts[a.Part]++
 	n := f.nodeByID[a.Replica]
@@ -219,7 +219,7 @@
 	f.phase.attempts++
 	f.load[len(f.load)-1][n.number]++
 	outcome, took := n.take(m, f.now, a.Timeout)
-	f.schedule(m, f.now+took, harepass.AttemptEnded{Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Took: took})
+	f.schedule(m, f.now+took, scatter.AttemptEnded{Part: a.Part, Attempt: attempt, Replica: a.Replica, Outcome: outcome, Latency: took})
 }
 
 // countServed counts a served part in for its query.
@@ -243,10 +243,10 @@
 	f.phase.offered += q.worth
 	sections := f.SectionsPerCell * f.cells()
 	first := f.rng.IntN(sections)
-	events := []harepass.Event{harepass.QueryArrived{ID: id, Number: f.asked, Class: class, ValidUntil: f.now + deadline, Parts: q.parts}}
+	events := []scatter.Event{scatter.QueryArrived{ID: id, Number: f.asked, Class: class, Expires: f.now + deadline, Parts: q.parts}}
 	for i := range q.parts {
 		// Sections whose numbers differ by the number of cells lie at the same nodes.
-		events = append(events, harepass.PartArrived{ID: fmt.Sprint(id, ".", i), Number: f.asked, Shard: (first + i) % sections, Weight: 1 / float64(q.parts)})
+		events = append(events, scatter.PartArrived{ID: fmt.Sprint(id, ".", i), Number: f.asked, Shard: (first + i) % sections, Weight: 1 / float64(q.parts)})
 	}
 	f.step(m, events...)
 }
--- a/internal/virtualfleet/fleet_test.go
+++ b/internal/test/fleetsim/fleet_test.go
@@ -1,11 +1,11 @@
-package virtualfleet
+package fleetsim
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 // A virtual fleet is the same for the same seed. While members disagree about its size nodes stay as evenly loaded as they
@@ -69,10 +69,10 @@
 // only just started. No window has more than the budget and what is put down to chance, two thirds of it from those who
 // had been told.
 func TestColdNodesBearTheFleet(t *testing.T) {
-	for _, cold := range []harepass.Cold{DefaultCold,
-		{Start: 0.15, WarmWithin: 16 * time.Second, Multiple: 4, Window: time.Second},
-		{Start: 0.12, WarmWithin: 22 * time.Second, Multiple: 2, Window: 2 * time.Second},
-		{Start: 0.3, WarmWithin: 9 * time.Second, Multiple: 3, Window: 600 * time.Millisecond},
+	for _, cold := range []scatter.SlowStart{DefaultCold,
+		{InitialCapacity: 0.15, Duration: 16 * time.Second, OverloadFactor: 4, Window: time.Second},
+		{InitialCapacity: 0.12, Duration: 22 * time.Second, OverloadFactor: 2, Window: 2 * time.Second},
+		{InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadFactor: 3, Window: 600 * time.Millisecond},
 	} {
 		for members, together := range map[int]bool{20: false, 30: true} {
 			worst := coldPlay(t, cold, members, together)
@@ -85,7 +85,7 @@
 }
 
 // coldPlay is the most of what makes a node fall that any was sent within a window.
-func coldPlay(t *testing.T, cold harepass.Cold, members int, together bool) (worst float64) {
+func coldPlay(t *testing.T, cold scatter.SlowStart, members int, together bool) (worst float64) {
 	c := BusyConfig(members, 12, 1)
 	c.Numbered, c.Cold, c.Seed = true, cold, uint64(members)
 	f, err := New(c)
--- a/internal/virtualfleet/measure.go
+++ b/internal/test/fleetsim/measure.go
@@ -1,4 +1,4 @@
-package virtualfleet
+package fleetsim
 
 import "slices"
 
--- a/internal/virtualfleet/node.go
+++ b/internal/test/fleetsim/node.go
@@ -1,16 +1,16 @@
-package virtualfleet
+package fleetsim
 
 import (
 	"fmt"
 	"time"
 
-	"harepass"
-	"harepass/internal/standin"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/test/fake"
 )
 
 // Node is an emulated node.
 type Node struct {
-	standin.Machine
+	fake.Machine
 	Zone  int
 	Down  bool // nothing is answered, and no connection comes up
 	Hung  bool // takes parts and answers none
@@ -31,31 +31,31 @@
 
 func newNode(number int, c Config) *Node {
 	return &Node{id: fmt.Sprint("n", number), number: number, cell: number / c.NodesPerCell, Zone: number % zones, lastUsed: map[int]time.Duration{},
-		Machine: standin.Machine{Work: partWork, Cores: nodeCores, Queue: nodeQueue,
-			Start: c.Cold.Start, Warm: c.Cold.WarmWithin, Fall: c.Cold.Multiple, Window: c.Cold.Window}}
+		Machine: fake.Machine{Work: partWork, Cores: nodeCores, Queue: nodeQueue,
+			Start: c.Cold.InitialCapacity, Warm: c.Cold.Duration, Fall: c.Cold.OverloadFactor, Window: c.Cold.Window}}
 }
 
 // DropConnections closes all of them.
 func (n *Node) DropConnections() { clear(n.lastUsed) }
 
 // replica is the node as lists have it.
-func (n *Node) replica() harepass.Replica {
-	return harepass.Replica{ID: n.id, Cell: n.cell, Zone: fmt.Sprint("z", n.Zone), Since: n.Since}
+func (n *Node) replica() scatter.Replica {
+	return scatter.Replica{ID: n.id, RingPosition: n.cell, Zone: fmt.Sprint("z", n.Zone), StartedAt: n.Since}
 }
 
 // take is how an attempt ends that a member begins now, and after what time.
-func (n *Node) take(m *member, now, timeout time.Duration) (outcome harepass.Outcome, took time.Duration) {
+func (n *Node) take(m *member, now, timeout time.Duration) (outcome scatter.Outcome, took time.Duration) {
 	began := now
 	if last, open := n.lastUsed[m.number]; !open || now-last > keepAlive {
 		began += connectTime
 	}
 	if n.Down {
 		delete(n.lastUsed, m.number)
-		return harepass.ConnectFailed, min(connectTimeout, timeout)
+		return scatter.ConnectFailed, min(connectTimeout, timeout)
 	}
 	n.lastUsed[m.number] = now
 	if n.Hung {
-		return harepass.TimedOut, timeout
+		return scatter.TimedOut, timeout
 	}
 	if n.Ramp(began) < 1 {
 		n.coldArrivals = append(n.coldArrivals, coldArrival{began, m.startsKnown[n.id] == n.Since})
@@ -63,9 +63,9 @@
 	end, taken := n.Take(began)
 	switch took = end - now; {
 	case !taken:
-		return harepass.Full, took
+		return scatter.Rejected, took
 	case took > timeout:
-		return harepass.TimedOut, timeout
+		return scatter.TimedOut, timeout
 	}
-	return harepass.Served, took
+	return scatter.Succeeded, took
 }
--- a/internal/loadgen/result.go
+++ b/internal/test/loadgen/result.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"harepass/internal/lab"
+	"harepass/internal/test/experiment"
 )
 
 // sliceTime is the span that one Slice of a Result counts.
@@ -58,7 +58,7 @@
 
 // Print writes a result as a table.
 func (r *Result) Print(out io.Writer) error {
-	t := &lab.Report{}
+	t := &experiment.Report{}
 	t.Table("class", "asked", "served", "refused", "failed", "late", "p50 ms", "p99 ms")
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
 		c := r.Classes[name]
--- a/internal/loadgen/run.go
+++ b/internal/test/loadgen/run.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"harepass/internal/worth"
+	"harepass/internal/test/quotaledger"
 )
 
 // lateSlack is what this machine may add before an answer is called late.
@@ -26,14 +26,14 @@
 
 	mu      sync.Mutex
 	result  *Result
-	asked   worth.Ledger
-	served  worth.Ledger // in time
+	asked   quotaledger.Ledger
+	served  quotaledger.Ledger // in time
 	classes []*classCount
 }
 
 // classCount is what a class had so far.
 type classCount struct {
-	asked, served worth.Ledger            // each query with a worth of 1
+	asked, served quotaledger.Ledger      // each query with a worth of 1
 	latencies     *hdrhistogram.Histogram // microseconds
 }
 
@@ -65,12 +65,12 @@
 }
 
 func newPlayer(p *Plan) *player {
-	l := &player{Plan: p, asked: worth.Ledger{}, served: worth.Ledger{}, result: &Result{Classes: map[string]*ClassResult{}, Tenants: map[string]*TenantResult{},
+	l := &player{Plan: p, asked: quotaledger.Ledger{}, served: quotaledger.Ledger{}, result: &Result{Classes: map[string]*ClassResult{}, Tenants: map[string]*TenantResult{},
 		Slices: make([]Slice, int(p.Time/sliceTime)+1)}}
 	l.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
 	for _, c := range p.Classes {
 		l.result.Classes[c.Name] = &ClassResult{}
-		l.classes = append(l.classes, &classCount{worth.Ledger{}, worth.Ledger{}, hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)})
+		l.classes = append(l.classes, &classCount{quotaledger.Ledger{}, quotaledger.Ledger{}, hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)})
 	}
 	for _, t := range p.Tenants {
 		l.result.Tenants[t.Name] = &TenantResult{}
--- a/internal/loadreport/plots.go
+++ b/internal/test/loadreport/plots.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"harepass/internal/loadgen"
+	"harepass/internal/test/loadgen"
 )
 
 var palette = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255}, color.RGBA{44, 160, 44, 255}, color.RGBA{148, 103, 189, 255}}
--- a/internal/loadreport/report.go
+++ b/internal/test/loadreport/report.go
@@ -8,7 +8,7 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"harepass/internal/loadgen"
+	"harepass/internal/test/loadgen"
 )
 
 var page = template.Must(template.New("report").Funcs(template.FuncMap{"share": func(x, of float64) string { return fmt.Sprintf("%.3f", x/max(of, 1e-9)) }}).Parse(`<!doctype html>
--- a/internal/logview/line.go
+++ b/internal/test/logsummary/line.go
@@ -1,5 +1,5 @@
-// Package logview reads the logs that coordinators write under "serve -trace", one file each, and sums a fleet's up.
-package logview
+// Package logsummary reads the logs that coordinators write under "serve -trace", one file each, and sums a fleet's up.
+package logsummary
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	Root  string        // the coordinator, by its file's name
 	At    time.Duration // since the midnight before, or since the start where the log's writer put seconds in front
 	Level string
-	Name  string // what happened: "attempt", "query", "list call", ...
+	Name  string // what happened: see internal/logmsg
 	Attrs map[string]string
 }
 
--- a/internal/logview/logview_test.go
+++ b/internal/test/logsummary/logsummary_test.go
@@ -1,4 +1,4 @@
-package logview
+package logsummary
 
 import (
 	"errors"
@@ -10,16 +10,16 @@
 	"time"
 )
 
-const traced = `[0.01] 2026/12/01 20:50:30 DEBUG settings limits="{Cores:0.3}" settings="{Roots:2 Cold:{Start:0.21 WarmWithin:18s Multiple:2.5}}"
+const traced = `[0.01] 2026/12/01 20:50:30 DEBUG settings read slow_start=18s limits="{Cores:0.3}"
 0.012 2026/12/01 20:50:30 INFO serving listen=127.0.0.1:80
-0.015 2026/12/01 20:50:30 DEBUG listed node=old state=ready age=0s
-3.100 2026/12/01 20:50:33 DEBUG listed node=new state=ready age=600ms
-3.200 2026/12/01 20:50:33 DEBUG list call target="/registry/instances?from=4" took=2.1s err="read tcp: i/o timeout"
-3.300 2026/12/01 20:50:33 DEBUG connection node=new
-3.400 2026/12/01 20:50:33 DEBUG attempt id=a1 shard=3 no=0 node=old outcome=timeout took=380ms
-3.500 2026/12/01 20:50:33 DEBUG attempt id=a1 shard=3 no=1 node=new outcome=served took=20ms
+0.015 2026/12/01 20:50:30 DEBUG endpoint updated replica=old state=ready age=0s
+3.100 2026/12/01 20:50:33 DEBUG endpoint updated replica=new state=ready age=600ms
+3.200 2026/12/01 20:50:33 DEBUG discovery polled target="/registry/instances?from=4" latency=2.1s err="read tcp: i/o timeout"
+3.300 2026/12/01 20:50:33 DEBUG connection opened replica=new
+3.400 2026/12/01 20:50:33 DEBUG attempt ended query_id=a1 shard=3 attempt=0 replica=old outcome=timeout latency=380ms
+3.500 2026/12/01 20:50:33 DEBUG attempt ended query_id=a1 shard=3 attempt=1 replica=new outcome=served latency=20ms
 panic: no line of a log
-3.500 2026/12/01 20:50:33 DEBUG query id=a1 class=route-lookup tenant="" end=served whole=true took=400ms left=600ms attempts=2
+3.500 2026/12/01 20:50:33 DEBUG query ended query_id=a1 class=route-lookup tenant="" status=served complete=true latency=400ms time_left=600ms attempts=2
 `
 
 // The sums of a fleet are those of its lines: calls, connections, attempts, queries, and parts to a node that the list
@@ -27,8 +27,8 @@
 func TestLogsAreSummed(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{"n0.log": traced,
-		"n1.log": "3.900 2026/12/01 20:50:33 DEBUG attempt id=b7 shard=3 no=0 node=new outcome=full took=2ms\n" +
-			"3.950 2026/12/01 20:50:33 INFO query id=b7 class=route-lookup end=refused whole=false attempts=0\n"} {
+		"n1.log": "3.900 2026/12/01 20:50:33 DEBUG attempt ended query_id=b7 shard=3 attempt=0 replica=new outcome=full latency=2ms\n" +
+			"3.950 2026/12/01 20:50:33 INFO query ended query_id=b7 class=route-lookup status=refused complete=false attempts=0\n"} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(lines) != 3 || !strings.Contains(lines[0], "3.400 n0 attempt") || !strings.Contains(lines[0], "outcome=timeout") || !strings.Contains(lines[2], "end=served") {
+	if len(lines) != 3 || !strings.Contains(lines[0], "3.400 n0 attempt ended") || !strings.Contains(lines[0], "outcome=timeout") || !strings.Contains(lines[2], "status=served") {
 		t.Errorf("path %q", lines)
 	}
 	if err := Path(&out, dir, "nobody"); err == nil {
@@ -84,11 +84,11 @@
 
 // Lines without the seconds in front count by their clock; quoted values keep their blanks.
 func TestParseLine(t *testing.T) {
-	l, ok := ParseLine("n0", `2026/12/01 20:50:33 DEBUG list call target="/a b" took=2s err=<nil>`)
-	if want := 20*time.Hour + 50*time.Minute + 33*time.Second; !ok || l.At != want || l.Name != "list call" || l.Attrs["target"] != "/a b" || l.Attrs["err"] != "<nil>" {
+	l, ok := ParseLine("n0", `2026/12/01 20:50:33 DEBUG discovery polled target="/a b" latency=2s err=<nil>`)
+	if want := 20*time.Hour + 50*time.Minute + 33*time.Second; !ok || l.At != want || l.Name != "discovery polled" || l.Attrs["target"] != "/a b" || l.Attrs["err"] != "<nil>" {
 		t.Errorf("%+v, %t", l, ok)
 	}
-	for _, line := range []string{"", "panic: no line", "1.5", `1.5 2026/12/01 20:50:33 DEBUG list call target="/a`} {
+	for _, line := range []string{"", "panic: no line", "1.5", `1.5 2026/12/01 20:50:33 DEBUG discovery polled target="/a`} {
 		if l, ok := ParseLine("n0", line); ok {
 			t.Errorf("%q is read as %+v", line, l)
 		}
--- a/internal/logview/print.go
+++ b/internal/test/logsummary/print.go
@@ -1,4 +1,4 @@
-package logview
+package logsummary
 
 import (
 	"cmp"
@@ -7,13 +7,15 @@
 	"slices"
 	"strings"
 	"text/tabwriter"
+
+	"harepass/internal/logmsg"
 )
 
 // Path prints the lines of one request, from all coordinators, in order of time.
 func Path(w io.Writer, dir, id string) error {
 	var lines []Line
 	if err := ReadDir(dir, func(l Line) {
-		if l.Attrs["id"] == id {
+		if l.Attrs[logmsg.KeyQuery] == id {
 			lines = append(lines, l)
 		}
 	}); err != nil {
@@ -26,7 +28,7 @@
 	for _, l := range lines {
 		fmt.Fprintf(w, "%9.3f %s %s", l.At.Seconds(), l.Root, l.Name)
 		for _, k := range sorted(l.Attrs) {
-			if k != "id" {
+			if k != logmsg.KeyQuery {
 				fmt.Fprintf(w, " %s=%s", k, l.Attrs[k])
 			}
 		}
--- a/internal/logview/summary.go
+++ b/internal/test/logsummary/summary.go
@@ -1,11 +1,12 @@
-package logview
+package logsummary
 
 import (
 	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"time"
+
+	"harepass/internal/logmsg"
 )
 
 // counts is a table of them by row and column.
@@ -52,14 +53,13 @@
 // Learn takes from a line what others are judged by: how long nodes are cold, and when each started; an age of 0 is long.
 func (s *Summary) Learn(l Line) {
 	switch l.Name {
-	case "settings":
-		if _, text, found := strings.Cut(l.Attrs["settings"], "WarmWithin:"); found {
-			text, _, _ = strings.Cut(text, " ")
-			s.warmWithin, _ = time.ParseDuration(text)
-		}
-	case "listed":
-		if age, err := time.ParseDuration(l.Attrs["age"]); err == nil && age > 0 && l.Attrs["state"] == "ready" {
-			s.started[l.Attrs["node"]] = max(s.started[l.Attrs["node"]], l.At-age)
+	case logmsg.SettingsRead:
+		s.warmWithin, _ = time.ParseDuration(l.Attrs[logmsg.KeySlowStart])
+	case logmsg.EndpointUpdated:
+		age, err := time.ParseDuration(l.Attrs[logmsg.KeyAge])
+		if err == nil && age > 0 && l.Attrs[logmsg.KeyState] == "ready" {
+			replica := l.Attrs[logmsg.KeyReplica]
+			s.started[replica] = max(s.started[replica], l.At-age)
 		}
 	}
 }
@@ -67,13 +67,13 @@
 // addPart books a part by whether its node was cold.
 func (s *Summary) addPart(l Line, second int) {
 	which := s.warm
-	if since, known := s.started[l.Attrs["node"]]; known && l.At >= since && l.At-since < s.warmWithin {
+	if since, known := s.started[l.Attrs[logmsg.KeyReplica]]; known && l.At >= since && l.At-since < s.warmWithin {
 		which = s.cold
 	}
 	if which[second] == nil {
 		which[second] = map[string]int{}
 	}
-	which[second][l.Attrs["node"]]++
+	which[second][l.Attrs[logmsg.KeyReplica]]++
 }
 
 // coldNodes is what nodes that had just started got, second by second, beside what a warm one did.
@@ -103,30 +103,30 @@
 	}
 	kinds := s.Seconds[second]
 	switch l.Name {
-	case "list call":
+	case logmsg.DiscoveryPolled:
 		end := "ok"
-		if e := l.Attrs["err"]; e != "<nil>" {
+		if e := l.Attrs[logmsg.KeyError]; e != "<nil>" {
 			end = "failed"
 		}
 		kinds.add("list calls", end)
-	case "connection":
+	case logmsg.ConnectionOpened:
 		kinds.add("connections", "opened")
-		s.Nodes.add(l.Attrs["node"], "connections")
-	case "attempt":
-		kinds.add("attempts", l.Attrs["outcome"])
-		if l.Attrs["no"] != "0" {
+		s.Nodes.add(l.Attrs[logmsg.KeyReplica], "connections")
+	case logmsg.AttemptEnded:
+		kinds.add("attempts", l.Attrs[logmsg.KeyOutcome])
+		if l.Attrs[logmsg.KeyAttempt] != "0" {
 			kinds.add("attempts", "further")
 		}
-		s.Nodes.add(l.Attrs["node"], l.Attrs["outcome"])
+		s.Nodes.add(l.Attrs[logmsg.KeyReplica], l.Attrs[logmsg.KeyOutcome])
 		s.addPart(l, second)
-	case "query":
-		end := l.Attrs["end"]
+	case logmsg.QueryEnded:
+		end := l.Attrs[logmsg.KeyStatus]
 		switch {
-		case end == "served" && l.Attrs["whole"] == "false":
+		case end == "served" && l.Attrs[logmsg.KeyComplete] == "false":
 			end = "in part"
-		case end == "refused" && l.Attrs["attempts"] == "0":
+		case end == "refused" && l.Attrs[logmsg.KeyAttempts] == "0":
 			end = "refused unsent"
 		}
-		kinds.add("queries "+l.Attrs["class"], end)
+		kinds.add("queries "+l.Attrs[logmsg.KeyClass], end)
 	}
 }
--- a/internal/virtualloop/loop.go
+++ b/internal/test/loopsim/loop.go
@@ -1,22 +1,22 @@
-// Package virtualloop emulates a coordinator's loop in virtual time: one server that does queries in the order in which they
+// Package loopsim emulates a coordinator's loop in virtual time: one server that does queries in the order in which they
 // were admitted, before map nodes that always keep up. It shows what a controller does with a rush, the same every time.
-package virtualloop
+package loopsim
 
 import (
 	"math/rand/v2"
 	"time"
 
 	"harepass/internal/decide/overload"
-	"harepass/internal/virtualtime"
-	"harepass/internal/worth"
+	"harepass/internal/test/quotaledger"
+	"harepass/internal/test/virtualtime"
 )
 
 // Gate is what refuses; overload.Controller is one, and FirstCome the baseline.
 type Gate interface {
 	Admit(a overload.Arrival, now time.Duration) overload.Decision
-	Done(parts int)
-	Look(s overload.Signals, now time.Duration) bool
-	Window() time.Duration
+	QueryDone(parts int)
+	Observe(s overload.Signals, now time.Duration) bool
+	Interval() time.Duration
 }
 
 // FirstCome admits all, as long as there is room in the queue.
@@ -24,17 +24,17 @@
 
 // Admit implements Gate.
 func (FirstCome) Admit(overload.Arrival, time.Duration) overload.Decision {
-	return overload.Decision{OK: true}
+	return overload.Decision{Admitted: true}
 }
 
-// Done implements Gate.
-func (FirstCome) Done(int) {}
+// QueryDone implements Gate.
+func (FirstCome) QueryDone(int) {}
 
-// Look implements Gate.
-func (FirstCome) Look(overload.Signals, time.Duration) bool { return false }
+// Observe implements Gate.
+func (FirstCome) Observe(overload.Signals, time.Duration) bool { return false }
 
-// Window implements Gate.
-func (FirstCome) Window() time.Duration { return 100 * time.Millisecond }
+// Interval implements Gate.
+func (FirstCome) Interval() time.Duration { return 100 * time.Millisecond }
 
 // Load is one kind of traffic: what a tenant sends of a class. Rate is in queries a second, at any time.
 type Load struct {
@@ -90,16 +90,16 @@
 	waits   time.Duration // of the tries admitted since then, in sum
 	waiters int           // how many these are
 
-	asked, served worth.Ledger
+	asked, served quotaledger.Ledger
 }
 
 // Play runs a rush against a gate.
 func (r Rush) Play(g Gate) *Result {
-	p := &run{Rush: r, gate: g, result: newResult(r.Time), look: g.Window(), asked: worth.Ledger{}, served: worth.Ledger{}}
+	p := &run{Rush: r, gate: g, result: newResult(r.Time), look: g.Interval(), asked: quotaledger.Ledger{}, served: quotaledger.Ledger{}}
 	p.drawFirstTries()
 	for p.pending.Len() > 0 {
 		_, next := p.pending.Pop()
-		for ; p.look <= next.at; p.look += g.Window() {
+		for ; p.look <= next.at; p.look += g.Interval() {
 			if r.Stall == nil || !r.Stall(p.look) {
 				p.lookAtSignals()
 			}
@@ -134,14 +134,14 @@
 	if len(p.queue) > 0 { // what waits now waits so long at least
 		wait = max(wait, p.look-p.queue[0].at)
 	}
-	p.gate.Look(overload.Signals{Wait: wait, CPU: min(1, p.busy.Seconds()/p.gate.Window().Seconds())}, p.look)
+	p.gate.Observe(overload.Signals{MeanWait: wait, CPU: min(1, p.busy.Seconds()/p.gate.Interval().Seconds())}, p.look)
 	p.waits, p.waiters, p.busy = 0, 0, 0
 }
 
 // finish tells the gate of the jobs that are done by an instant.
 func (p *run) finish(until time.Duration) {
 	for len(p.queue) > 0 && p.queue[0].end <= until {
-		p.gate.Done(p.queue[0].load.Parts)
+		p.gate.QueryDone(p.queue[0].load.Parts)
 		p.queue = p.queue[1:]
 	}
 }
@@ -166,14 +166,14 @@
 		}
 		p.asked.Add(t.load.Tenant, t.at, t.load.Worth)
 	}
-	decision := overload.Decision{RetryIn: noRoomRetry}
+	decision := overload.Decision{RetryAfter: noRoomRetry}
 	if len(p.queue) < p.Queue {
-		decision = p.gate.Admit(overload.Arrival{Class: t.load.Class, Tenant: t.load.Tenant, Retry: t.number > 0, Parts: t.load.Parts}, t.at)
+		decision = p.gate.Admit(overload.Arrival{Class: t.load.Class, Tenant: t.load.Tenant, IsRetry: t.number > 0, Parts: t.load.Parts}, t.at)
 	}
-	if decision.OK {
+	if decision.Admitted {
 		p.admit(t, tallies)
 	} else {
-		p.refuse(t, decision.RetryIn, tallies)
+		p.refuse(t, decision.RetryAfter, tallies)
 	}
 }
 
--- a/internal/virtualloop/result.go
+++ b/internal/test/loopsim/result.go
@@ -1,4 +1,4 @@
-package virtualloop
+package loopsim
 
 import (
 	"slices"
--- a/internal/worth/ledger.go
+++ b/internal/test/quotaledger/ledger.go
@@ -1,5 +1,5 @@
-// Package worth counts what tenants' queries are worth, by the second: what goes beyond a tenant's share is worth little.
-package worth
+// Package quotaledger counts what tenants' queries are worth, by the second: what goes beyond a tenant's share is worth little.
+package quotaledger
 
 import "time"
 
--- a/internal/scale/fleet.go
+++ b/internal/test/scaletest/fleet.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // Config says what a run is made of.
@@ -67,7 +67,7 @@
 	reals     map[string]*process
 	hosts     []*process
 	sources   [][]SourceSpec // by region
-	crowds    []*rig.Crowd
+	crowds    []*faultinjection.Crowd
 	spoiler   *spoiler
 
 	clientsOver  sync.Once
@@ -113,7 +113,7 @@
 	if err := f.writeSettings(false); err != nil {
 		return err
 	}
-	address, err := rig.Reserve()
+	address, err := faultinjection.Reserve()
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	}
 	for i := range f.plan.Relays {
 		r := &server{no: i, zone: i % f.plan.Zones, region: i % f.plan.Zones % f.plan.Regions}
-		if r.address, err = rig.Reserve(); err != nil {
+		if r.address, err = faultinjection.Reserve(); err != nil {
 			return err
 		}
 		f.relays = append(f.relays, r)
--- a/internal/scale/follow.go
+++ b/internal/test/scaletest/follow.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 	"harepass/internal/platform"
@@ -17,25 +17,25 @@
 
 // follower is what a member follows a resource with; apply takes what changes.
 func (m *hollow) follower(resource distribution.Resource, check func([]versionlog.Entry) error, apply func(distribution.Update)) *distribution.Follower {
-	cfg := distribution.Config{Resource: resource, Own: sources.Place{Zone: m.Zone, Region: m.Region}, Check: check, Apply: apply,
-		Hold: m.Hold, Dial: m.host.dial, Rand: rand.New(rand.NewPCG(uint64(m.No), uint64(len(resource))))}
+	cfg := distribution.Config{Resource: resource, Place: failover.Place{Zone: m.Zone, Region: m.Region}, Check: check, Apply: apply,
+		Heartbeat: m.Hold, Dial: m.host.dial, Rand: rand.New(rand.NewPCG(uint64(m.No), uint64(len(resource))))}
 	for _, s := range m.Sources {
-		cfg.Sources = append(cfg.Sources, sources.Source{Address: s.Address, Place: sources.Place{Zone: s.Zone, Region: s.Region}})
+		cfg.Sources = append(cfg.Sources, failover.Source{Address: s.Address, Place: failover.Place{Zone: s.Zone, Region: s.Region}})
 	}
 	return distribution.New(cfg)
 }
 
 // followList follows the list as a coordinator does, and hands it to the module where there is one.
 func (m *hollow) followList(ctx context.Context) {
-	nodes := platform.NewDistributed(platform.List{})
-	nodes.Listed = func(scope harepass.ListScope, list []core.Node) {
+	nodes := platform.NewRelayedList(platform.List{})
+	nodes.Listed = func(scope scatter.UpdateKind, list []core.Endpoint) {
 		if m.owner != nil {
-			m.owner.Listed(platform.Source, scope, list)
+			m.owner.UpdateEndpoints(platform.Source, scope, list)
 		}
 	}
-	nodes.Part = func(list []core.Node) {
+	nodes.Part = func(list []core.Endpoint) {
 		if m.owner != nil {
-			m.owner.ListedPart(platform.Source, list)
+			m.owner.UpdateEndpointsPartially(platform.Source, list)
 		}
 	}
 	m.follower(distribution.Instances, nodes.Check, func(u distribution.Update) {
@@ -56,12 +56,12 @@
 }
 
 // readSettings reads a version of the settings.
-func readSettings(e versionlog.Entry) (harepass.Settings, wire.Limits, error) {
+func readSettings(e versionlog.Entry) (scatter.Settings, wire.Limits, error) {
 	var entry struct {
 		Settings json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(e.Body, &entry); err != nil {
-		return harepass.Settings{}, wire.Limits{}, err
+		return scatter.Settings{}, wire.Limits{}, err
 	}
 	return wire.JSONSettings(entry.Settings)
 }
@@ -72,11 +72,11 @@
 	if err != nil {
 		return 0, false, false
 	}
-	settings.Roots, settings.Me, settings.Subscribe = m.Fleet, m.No+1, true
-	if m.owner != nil && m.owner.Configure(settings, core.Limits{Open: caps.Open, Shards: caps.Shards}) != nil {
+	settings.Coordinators, settings.Ordinal, settings.Subscribe = m.Fleet, m.No+1, true
+	if m.owner != nil && m.owner.Configure(settings, core.Limits{MaxOpen: caps.MaxOpen, Shards: caps.Shards}) != nil {
 		return 0, false, false
 	}
-	number, whole := numberOf(settings.RetryAdvice, caps.KeepAlive)
+	number, whole := numberOf(settings.RetryAfter, caps.KeepAlive)
 	return number, !whole, true
 }
 
@@ -84,5 +84,5 @@
 // still to come.
 func (m *hollow) record(resource Resource, u distribution.Update, number int64, half bool) {
 	m.host.record(Taken{Member: m.Name, Resource: resource, Epoch: u.Slice.Version.Epoch, Index: u.Slice.Version.Index, Mark: number,
-		At: time.Now(), Whole: u.Whole, Half: half})
+		At: time.Now(), Whole: u.Complete, Half: half})
 }
--- a/internal/scale/hollow.go
+++ b/internal/test/scaletest/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -147,7 +147,7 @@
 type hollow struct {
 	MemberSpec
 	host  *host
-	owner *core.Owner // nil without the module
+	owner *core.Coordinator // nil without the module
 	file  json.RawMessage
 }
 
@@ -160,12 +160,12 @@
 	if err != nil {
 		return nil, err
 	}
-	parsed.Roots, parsed.Me, parsed.Subscribe = spec.Fleet, spec.No+1, true
-	frames := &platform.Nodes{Streams: caps.Streams, Most: 1, ConnectTimeout: caps.ConnectTimeout, KeepAlive: caps.KeepAlive}
+	parsed.Coordinators, parsed.Ordinal, parsed.Subscribe = spec.Fleet, spec.No+1, true
+	frames := &platform.Caller{CallsPerConn: caps.CallsPerConn, MaxConns: 1, ConnectTimeout: caps.ConnectTimeout, KeepAlive: caps.KeepAlive}
 	m.owner, err = core.New(core.Config{Seed: uint64(spec.No), Settings: parsed, Clock: core.SystemClock(),
-		Callers: map[string]core.Caller{platform.Scheme: frames}, Subscribe: func() {}, Asked: platform.Source})
+		Callers: map[string]core.Caller{platform.Scheme: frames}, Subscribe: func() {}, PolledSource: platform.Source})
 	if err == nil {
-		frames.Owner = m.owner
+		frames.Reporter = m.owner
 	}
 	return m, err
 }
--- a/internal/scale/judge.go
+++ b/internal/test/scaletest/judge.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // judge holds the result against the plan's bounds.
@@ -53,7 +53,7 @@
 		miss("%s", example)
 	}
 	for _, how := range slices.Sorted(maps.Keys(r.Requests)) {
-		if how == rig.OutcomeUntrue || how == rig.OutcomeTwice {
+		if how == faultinjection.OutcomeUntrue || how == faultinjection.OutcomeTwice {
 			miss("%d requests were answered %s", r.Requests[how], how)
 		}
 	}
--- a/internal/scale/network.go
+++ b/internal/test/scaletest/network.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // network is the ways between regions: one link for each region and each server outside of it, or for all of them where
@@ -21,7 +21,7 @@
 
 // way leads from a region to a server.
 type way struct {
-	*rig.Link
+	*faultinjection.Link
 	from, to int // regions
 }
 
@@ -30,7 +30,7 @@
 	if from == region && !n.plan.Links.All {
 		return address, nil
 	}
-	link, err := rig.NewLink(address)
+	link, err := faultinjection.NewLink(address)
 	if err != nil {
 		return "", err
 	}
@@ -58,9 +58,9 @@
 // cut holds what goes between a region and all others; one-sided, only what goes into it.
 func (n *network) cut(region int, oneSided bool) {
 	for _, w := range n.between(region) {
-		into := rig.There
+		into := faultinjection.There
 		if w.from == region {
-			into = rig.Back
+			into = faultinjection.Back
 		}
 		w.Cut(into, true)
 		if !oneSided {
@@ -72,8 +72,8 @@
 // heal ends a cut. Connections that stood through it break, as they do once a machine is back that has been away.
 func (n *network) heal(region int) {
 	for _, w := range n.between(region) {
-		w.Cut(rig.There, false)
-		w.Cut(rig.Back, false)
+		w.Cut(faultinjection.There, false)
+		w.Cut(faultinjection.Back, false)
 		w.Reset()
 	}
 }
@@ -104,7 +104,7 @@
 			w.Reset()
 			continue
 		}
-		direction := rig.Direction(rng.IntN(2))
+		direction := faultinjection.Direction(rng.IntN(2))
 		w.Cut(direction, true)
 		time.AfterFunc(loss.Hold, func() {
 			if !cutOff(w.from) && !cutOff(w.to) {
--- a/internal/scale/nodes.go
+++ b/internal/test/scaletest/nodes.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"harepass/internal/rig"
-	"harepass/internal/standin"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/faultinjection"
 )
 
 // The nodes that answer have the first cells of the ring for themselves, so that clients that ask for the sections which only
@@ -72,8 +72,8 @@
 			n.close()
 			return nil, nil, err
 		}
-		fleet := &standin.Fleet{Script: func(int, int) standin.Reply { return standin.Reply{After: partTakes} },
-			Heard: func(part standin.Part, _ standin.Kind) { n.heard(i, part.ID) }}
+		fleet := &fake.Fleet{Script: func(int, int) fake.Reply { return fake.Reply{After: partTakes} },
+			Heard: func(part fake.Part, _ fake.Kind) { n.heard(i, part.ID) }}
 		go fleet.Frames(l)
 		n.listeners = append(n.listeners, l)
 		addresses = append(addresses, l.Addr().String())
@@ -127,13 +127,13 @@
 }
 
 // ask lets clients ask a member for the sections that only these nodes hold.
-func (n *nodes) ask(plan *Plan, settings []byte, member, address string) (*rig.Crowd, error) {
+func (n *nodes) ask(plan *Plan, settings []byte, member, address string) (*faultinjection.Crowd, error) {
 	n.mu.Lock()
-	n.origins[rig.QueryOrigin(address)] = member
+	n.origins[faultinjection.QueryOrigin(address)] = member
 	n.mu.Unlock()
 	var sections []int
 	for s := reach - 1; s <= plan.nodeCells()-reach; s++ {
 		sections = append(sections, s)
 	}
-	return rig.NewCrowd(plan.Clients, address, settings, sections, n.sent)
+	return faultinjection.NewCrowd(plan.Clients, address, settings, sections, n.sent)
 }
--- a/internal/scale/plain.go
+++ b/internal/test/scaletest/plain.go
@@ -1,13 +1,13 @@
-package scale
+package scaletest
 
 import (
 	"context"
 	"math/rand/v2"
 	"time"
 
-	"harepass"
 	"harepass/internal/core"
 	"harepass/internal/decide/backoff"
+	"harepass/internal/decide/scatter"
 	"harepass/internal/platform"
 )
 
@@ -18,13 +18,13 @@
 func (m *hollow) followPlain(ctx context.Context) {
 	d := platform.NewDiscovery(m.Plain, platform.List{Index: m.Known, Endpoints: []platform.Endpoint{{Name: "known"}}})
 	d.Dial = m.host.dial
-	d.Schedule = &backoff.Schedule{Fleet: m.Fleet, ListMaxAge: listMaxAge, Rand: rand.New(rand.NewPCG(uint64(m.No), 0x70616365))}
-	d.Listed = func(scope harepass.ListScope, nodes []core.Node) {
-		if scope == harepass.ListRefused {
+	d.Schedule = &backoff.Schedule{FleetSize: m.Fleet, ListMaxAge: listMaxAge, Rand: rand.New(rand.NewPCG(uint64(m.No), 0x70616365))}
+	d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) {
+		if scope == scatter.FailedUpdate {
 			return
 		}
 		if m.owner != nil {
-			m.owner.Listed(platform.Source, scope, nodes)
+			m.owner.UpdateEndpoints(platform.Source, scope, nodes)
 		}
 		m.host.record(Taken{Member: m.Name, Resource: List, Mark: newestMark(nodes), At: time.Now(), Whole: true})
 	}
@@ -33,9 +33,9 @@
 }
 
 // newestMark is the mark of the newest change among some nodes.
-func newestMark(nodes []core.Node) (mark int64) {
+func newestMark(nodes []core.Endpoint) (mark int64) {
 	for _, n := range nodes {
-		mark = max(mark, n.Since.Milliseconds())
+		mark = max(mark, n.StartedAt.Milliseconds())
 	}
 	return mark
 }
--- a/internal/scale/plan.go
+++ b/internal/test/scaletest/plan.go
@@ -1,8 +1,8 @@
-// Package scale plays a large fleet on one machine: real processes of the program, hollow coordinators that hold only what
+// Package scaletest plays a large fleet on one machine: real processes of the program, hollow coordinators that hold only what
 // lists and settings need, the control processes between them and a discovery stand-in, and links between regions that can
 // be broken. A plan in YAML names sizes, troubles and bounds; the result holds the measurements against the bounds. It is
 // for tests and the laboratory only.
-package scale
+package scaletest
 
 import (
 	"bytes"
--- a/internal/scale/real.go
+++ b/internal/test/scaletest/real.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -11,7 +11,8 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"harepass/internal/rig"
+	"harepass/internal/logmsg"
+	"harepass/internal/test/faultinjection"
 )
 
 // distributionFile is a coordinator's file of the relays that it may follow.
@@ -33,7 +34,7 @@
 func (f *fleet) startReal(m *member) error {
 	if m.listen == "" {
 		var err error
-		if m.listen, err = rig.Reserve(); err != nil {
+		if m.listen, err = faultinjection.Reserve(); err != nil {
 			return err
 		}
 	}
@@ -88,7 +89,7 @@
 
 // The lines of a coordinator's log that are read.
 const (
-	inForceLine = "version in force"
+	inForceLine = logmsg.VersionInForce
 	changedLine = "settings changed"
 )
 
--- a/internal/scale/run.go
+++ b/internal/test/scaletest/run.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
--- a/internal/scale/verdict.go
+++ b/internal/test/scaletest/verdict.go
@@ -1,10 +1,10 @@
-package scale
+package scaletest
 
 import (
 	"fmt"
 	"time"
 
-	"harepass/internal/rig"
+	"harepass/internal/test/faultinjection"
 )
 
 // Broken counts what may never happen.
@@ -39,7 +39,7 @@
 	}
 	f.checkSends(&b, published)
 	for _, c := range f.crowds {
-		if lost := c.Tally()[rig.OutcomeLost]; lost > 0 {
+		if lost := c.Tally()[faultinjection.OutcomeLost]; lost > 0 {
 			b.Lost += lost
 			b.examples = append(b.examples, fmt.Sprintf("%d requests were heard and never answered", lost))
 		}
--- a/internal/scale/watch.go
+++ b/internal/test/scaletest/watch.go
@@ -1,11 +1,11 @@
-package scale
+package scaletest
 
 import (
 	"context"
 	"encoding/json"
 	"sync"
 
-	"harepass/internal/decide/sources"
+	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
 )
@@ -13,7 +13,7 @@
 // watchAuthority follows the authority itself until ctx ends, to learn which index it gave to what was published.
 func (f *fleet) watchAuthority(ctx context.Context) {
 	follow := func(resource distribution.Resource, seen func(versionlog.Entry)) {
-		distribution.New(distribution.Config{Resource: resource, Sources: []sources.Source{{Address: f.authority.address}},
+		distribution.New(distribution.Config{Resource: resource, Sources: []failover.Source{{Address: f.authority.address}},
 			Apply: func(u distribution.Update) {
 				for _, e := range u.Entries {
 					seen(e)
@@ -41,7 +41,7 @@
 // seenSettings notes the index of a version of the settings.
 func (f *fleet) seenSettings(e versionlog.Entry) {
 	if settings, caps, err := readSettings(e); err == nil {
-		number, _ := numberOf(settings.RetryAdvice, caps.KeepAlive)
+		number, _ := numberOf(settings.RetryAfter, caps.KeepAlive)
 		f.publisher.seen(Settings, number, e.Index)
 	}
 }
--- /dev/null
+++ b/internal/wire/decoder.go
@@ -0,0 +1,171 @@
+package wire
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"time"
+
+	"harepass/internal/decide/scatter"
+)
+
+// bufferSize is that of the readers and writers, in bytes.
+const bufferSize = 1 << 16
+
+// ErrTruncated is returned for input that ends inside a batch or a line.
+var ErrTruncated = errors.New("input ends inside a batch")
+
+// Batch is what happened at one time.
+type Batch struct {
+	Time     time.Duration
+	Messages []Message
+}
+
+// Message is one event of one instance of the decision module. Exactly one of Start, Stop and Event is set.
+type Message struct {
+	Line     int
+	Instance string
+	Start    *Start
+	Stop     bool
+	Event    scatter.Event
+}
+
+// Start begins an instance.
+type Start struct {
+	Seed     uint64
+	Settings scatter.Settings
+}
+
+// Decoder reads batches. It is for one goroutine.
+type Decoder struct {
+	r     *bufio.Reader
+	line  int                       // number of the line read last
+	lists map[int][]scatter.Replica // endpoint lists by their number
+}
+
+// NewDecoder returns a Decoder that reads from r.
+func NewDecoder(r io.Reader) *Decoder {
+	return &Decoder{r: bufio.NewReaderSize(r, bufferSize), lists: map[int][]scatter.Replica{}}
+}
+
+// Next returns the next batch, or io.EOF at the clean end of input. Errors name line and field.
+func (d *Decoder) Next() (Batch, error) {
+	var b Batch
+	text, err := d.readLine()
+	if err != nil {
+		return b, err
+	}
+	f, err := d.parse(text)
+	if err != nil {
+		return b, err
+	}
+	if f.name != "batch" {
+		return b, fmt.Errorf("line %d: got %q, want a batch line", d.line, f.name)
+	}
+	b.Time = f.duration("time_us")
+	if f.err != nil {
+		return b, f.err
+	}
+	for {
+		done, err := d.readMessage(&b)
+		if done || err != nil {
+			return b, err
+		}
+	}
+}
+
+// readMessage reads one line of a batch, with the rows that belong to it, and reports whether the batch is over.
+func (d *Decoder) readMessage(b *Batch) (done bool, err error) {
+	f, err := d.parseInside()
+	if err != nil {
+		return false, err
+	}
+	switch f.name {
+	case "flush":
+		return true, nil
+	case "batch", "row":
+		return false, fmt.Errorf("line %d: unexpected %s line", d.line, f.name)
+	case "sheet":
+		return false, d.readList(f)
+	}
+	m, known := d.message(f)
+	if f.err != nil {
+		return false, f.err
+	}
+	if known {
+		b.Messages = append(b.Messages, m)
+	}
+	return false, nil
+}
+
+// readLine reads a line without its end. io.EOF is the clean end of input.
+func (d *Decoder) readLine() (string, error) {
+	s, err := d.r.ReadString('\n')
+	if err == io.EOF && s != "" {
+		return "", fmt.Errorf("line %d: %w", d.line+1, ErrTruncated)
+	}
+	if err != nil {
+		return "", err
+	}
+	d.line++
+	return strings.TrimRight(s, "\r\n"), nil
+}
+
+// parseInside reads and parses a line inside a batch, where input may not end.
+func (d *Decoder) parseInside() (*fields, error) {
+	text, err := d.readLine()
+	if err == io.EOF {
+		err = fmt.Errorf("line %d: %w", d.line, ErrTruncated)
+	}
+	if err != nil {
+		return nil, err
+	}
+	return d.parse(text)
+}
+
+// parse parses a line: a message name and fields of the form name=value, with single blanks between.
+func (d *Decoder) parse(text string) (*fields, error) {
+	words := strings.Split(text, " ")
+	f := &fields{name: words[0], line: d.line, values: make(map[string]string, len(words)-1)}
+	if f.name == "" || strings.Contains(f.name, "=") {
+		return nil, fmt.Errorf("line %d: no message name", d.line)
+	}
+	for _, word := range words[1:] {
+		key, value, ok := strings.Cut(word, "=")
+		if !ok || key == "" {
+			return nil, fmt.Errorf("line %d: field %q of %s is not name=value", d.line, word, f.name)
+		}
+		f.values[key] = value
+	}
+	return f, nil
+}
+
+// readList reads a numbered endpoint list and its rows.
+func (d *Decoder) readList(f *fields) error {
+	number, rows := f.int("table"), f.int("members")
+	if f.err == nil && rows < 0 {
+		f.fail("members", "is negative")
+	}
+	if f.err != nil {
+		return f.err
+	}
+	var list []scatter.Replica
+	for i := range rows {
+		row, err := d.parseInside()
+		if err != nil {
+			return err
+		}
+		if row.name != "row" {
+			return fmt.Errorf("line %d: got %q, want row %d of %d (members)", d.line, row.name, i+1, rows)
+		}
+		r := replica(row)
+		if row.err != nil {
+			return row.err
+		}
+		list = append(list, r)
+	}
+	d.lists[number] = list
+	return nil
+}
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -8,69 +8,79 @@
 	"strings"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
-// Limits are the settings that bind the root round the module rather than the module.
+// Limits are the settings that bind the program round the decision module rather than the module.
 type Limits struct {
-	Shards         int
-	Open           int // queries and parts held at once
-	Streams        int // calls that one connection carries at once
-	ConnectTimeout time.Duration
-	KeepAlive      time.Duration
+	Shards         int           // 0 where it is not told
+	MaxOpen        int           // queries and parts open at once; 0 for no limit
+	CallsPerConn   int           // calls that one connection to a replica carries at once
+	ConnectTimeout time.Duration // for connections to replicas
+	KeepAlive      time.Duration // after which replicas close idle connections
 }
 
-// JSONSettings reads the settings where they stand as nested JSON: the same object as the facts of a
-// provision line, with the same names and units.
-func JSONSettings(raw []byte) (harepass.Settings, Limits, error) {
-	vals, err := Flatten(raw)
+// JSONSettings reads the settings where they stand as nested JSON: the same object as the facts of a provision line, with
+// the same names and units.
+func JSONSettings(raw []byte) (scatter.Settings, Limits, error) {
+	values, err := Flatten(raw)
 	if err != nil {
-		return harepass.Settings{}, Limits{}, fmt.Errorf("settings: %w", err)
+		return scatter.Settings{}, Limits{}, fmt.Errorf("settings: %w", err)
 	}
-	f := &fields{name: "settings", vals: vals}
+	f := &fields{name: "settings", values: values}
 	s := settings(f)
-	l := Limits{Shards: f.optNum("family_info.shards", 0), Open: f.optNum("caps.open_cap", 0), Streams: f.optNum("caps.streams_per_conn", 1),
-		ConnectTimeout: f.optUS("caps.connect_timeout_us"), KeepAlive: f.optUS("caps.keepalive_us")}
+	l := Limits{
+		Shards:         f.optionalInt("family_info.shards", 0),
+		MaxOpen:        f.optionalInt("caps.open_cap", 0),
+		CallsPerConn:   f.optionalInt("caps.streams_per_conn", 1),
+		ConnectTimeout: f.optionalDuration("caps.connect_timeout_us"),
+		KeepAlive:      f.optionalDuration("caps.keepalive_us"),
+	}
 	return s, l, f.err
 }
 
-// Flatten gives a JSON value as paths with their values.
+// Flatten gives a JSON value as paths with their values, the form that the simulator's lines have.
 func Flatten(raw []byte) (map[string]string, error) {
-	dec := json.NewDecoder(bytes.NewReader(raw))
-	dec.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var tree any
-	if err := dec.Decode(&tree); err != nil {
+	if err := decoder.Decode(&tree); err != nil {
 		return nil, err
 	}
-	vals := map[string]string{}
-	flatten(vals, "", tree)
-	return vals, nil
+	values := map[string]string{}
+	flatten(values, "", tree)
+	return values, nil
 }
 
-// flatten writes a JSON value as the wire does: paths with dots, plain lists joined with commas, lists of
-// objects with their count.
-func flatten(vals map[string]string, path string, v any) {
-	join := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
+// flatten writes a JSON value as the simulator's lines do: paths with dots, lists of plain values joined with commas,
+// lists of objects with their count.
+func flatten(values map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
-		for k, x := range v {
-			flatten(vals, join(k), x)
+		for key, x := range v {
+			flatten(values, joinPath(path, key), x)
 		}
 	case []any:
-		var plain []string
-		for i, x := range v {
-			if _, object := x.(map[string]any); object {
-				flatten(vals, join(strconv.Itoa(i)), x)
-				vals[join("count")] = strconv.Itoa(len(v))
-			} else {
-				plain = append(plain, fmt.Sprint(x))
-			}
-		}
-		if len(plain) > 0 {
-			vals[path] = strings.Join(plain, ",")
-		}
+		flattenList(values, path, v)
 	case nil:
 	default:
-		vals[path] = fmt.Sprint(v)
+		values[path] = fmt.Sprint(v)
 	}
 }
+
+func flattenList(values map[string]string, path string, list []any) {
+	var plain []string
+	for i, x := range list {
+		if _, object := x.(map[string]any); object {
+			flatten(values, joinPath(path, strconv.Itoa(i)), x)
+			values[joinPath(path, "count")] = strconv.Itoa(len(list))
+		} else {
+			plain = append(plain, fmt.Sprint(x))
+		}
+	}
+	if len(plain) > 0 {
+		values[path] = strings.Join(plain, ",")
+	}
+}
+
+func joinPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harepass"
+	"harepass/internal/decide/scatter"
 )
 
 const provision = "provision root_id=root-3 random_seed=5138197539985895 balancers=3 caps.cancel=true " +
@@ -56,19 +56,19 @@
 	if err != nil || len(all) != 1 {
 		t.Fatalf("%d batches, %v", len(all), err)
 	}
-	want := []harepass.Event{
-		harepass.ListReceived{Scope: harepass.ListRemembered, Replicas: []harepass.Replica{
+	want := []scatter.Event{
+		scatter.EndpointUpdate{Kind: scatter.CachedUpdate, Replicas: []scatter.Replica{
 			{ID: "leaf_a", Zone: "n"},
-			{ID: "leaf_b", Cell: 3, Zone: "c", State: harepass.Draining, Since: 6100 * time.Millisecond}}},
-		harepass.ListReceived{Scope: harepass.ListRefused},
-		harepass.QueryArrived{ID: "q", Number: 214, Class: "search", Tenant: "t", Parts: 2,
-			ValidUntil: 8652250 * time.Microsecond, IsRetry: true},
-		harepass.PartArrived{ID: "p", Number: 214, Shard: 5, Weight: 0.125},
-		harepass.AttemptEnded{Part: "p", Attempt: 1, Replica: "leaf_a", Outcome: harepass.Served,
-			Took: 18500 * time.Microsecond},
-		harepass.QueryGone{ID: "q"}, harepass.Woken{},
+			{ID: "leaf_b", RingPosition: 3, Zone: "c", State: scatter.Draining, StartedAt: 6100 * time.Millisecond}}},
+		scatter.EndpointUpdate{Kind: scatter.FailedUpdate},
+		scatter.QueryArrived{ID: "q", Number: 214, Class: "search", Tenant: "t", Parts: 2,
+			Expires: 8652250 * time.Microsecond, IsRetry: true},
+		scatter.PartArrived{ID: "p", Number: 214, Shard: 5, Weight: 0.125},
+		scatter.AttemptEnded{Part: "p", Attempt: 1, Replica: "leaf_a", Outcome: scatter.Succeeded,
+			Latency: 18500 * time.Microsecond},
+		scatter.QueryCancelled{ID: "q"}, scatter.TimerFired{},
 	}
-	var got []harepass.Event
+	var got []scatter.Event
 	for _, m := range all[0].Messages {
 		if m.Event != nil {
 			got = append(got, m.Event)
@@ -91,21 +91,21 @@
 	if s.Seed != 5138197539985895 {
 		t.Errorf("seed %d", s.Seed)
 	}
-	want := harepass.Settings{Roots: 3, Cells: 12, Reach: 4, CallBatch: 8,
-		Turn: 5 * time.Millisecond, MaxAttempts: 3, SecondCopies: true, Cancel: true,
-		RetryAdvice: 500 * time.Millisecond, OverShareWorth: 1,
-		Subscribe: true, Tenants: []harepass.Tenant{{Name: "t", Quota: 16}},
-		Classes: []harepass.Class{
-			{Name: "search", Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1, LateWorth: 0.1,
-				Need: 1, Floor: 1},
-			{Name: "mark", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Repeat: harepass.Guarded,
-				Window: 4 * time.Second, Need: 0.67, Floor: 0.5}},
-		Cold:   harepass.Cold{Start: 0.15, WarmWithin: 16 * time.Second, Multiple: 4, Window: time.Second},
-		Budget: &harepass.Budget{Free: 2, Ratio: 0.1, Window: 9 * time.Second}}
+	want := scatter.Settings{Coordinators: 3, RingSize: 12, ReplicationFactor: 4, PartsPerCall: 8,
+		TickInterval: 5 * time.Millisecond, MaxAttempts: 3, Hedging: true, Cancellation: true,
+		RetryAfter: 500 * time.Millisecond, OverQuotaWeight: 1,
+		Subscribe: true, Tenants: []scatter.Tenant{{Name: "t", Quota: 16}},
+		Classes: []scatter.Class{
+			{Name: "search", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, LateWeight: 0.1,
+				CompleteFraction: 1, MinFraction: 1},
+			{Name: "mark", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: scatter.Keyed,
+				DedupWindow: 4 * time.Second, CompleteFraction: 0.67, MinFraction: 0.5}},
+		SlowStart:   scatter.SlowStart{InitialCapacity: 0.15, Duration: 16 * time.Second, OverloadFactor: 4, Window: time.Second},
+		RetryBudget: &scatter.RetryBudget{MinRetries: 2, Ratio: 0.1, Window: 9 * time.Second}}
 	if !reflect.DeepEqual(s.Settings, want) {
 		t.Errorf("got  %+v\nwant %+v", s.Settings, want)
 	}
-	if _, err := harepass.New(s.Seed, s.Settings); err != nil {
+	if _, err := scatter.New(s.Seed, s.Settings); err != nil {
 		t.Error(err)
 	}
 }
@@ -146,7 +146,7 @@
 		}
 	}
 	_, err := NewDecoder(strings.NewReader("batch time_us=1\nflus")).Next()
-	if !errors.Is(err, errTruncated) {
+	if !errors.Is(err, ErrTruncated) {
 		t.Errorf("a cut line: %v", err)
 	}
 }
@@ -154,12 +154,12 @@
 func TestEncodeActions(t *testing.T) {
 	var buf bytes.Buffer
 	e := NewEncoder(&buf)
-	e.Actions("r", []harepass.Action{
-		harepass.Send{Part: "p", Replica: "a", Timeout: 80 * time.Millisecond},
-		harepass.CallOff{Part: "p", Attempt: 2}, harepass.Answer{Query: "q", Whole: true},
-		harepass.Answer{Query: "q"}, harepass.Refuse{Query: "q", RetryIn: 250 * time.Millisecond},
-		harepass.Fail{Query: "q"}, harepass.Disconnect{Replica: "a"},
-		harepass.Subscribe{}, harepass.WakeIn{In: 5 * time.Millisecond}})
+	e.Actions("r", []scatter.Action{
+		scatter.Send{Part: "p", Replica: "a", Timeout: 80 * time.Millisecond},
+		scatter.CancelAttempt{Part: "p", Attempt: 2}, scatter.Answer{Query: "q", Complete: true},
+		scatter.Answer{Query: "q"}, scatter.Reject{Query: "q", RetryAfter: 250 * time.Millisecond},
+		scatter.Fail{Query: "q"}, scatter.CloseIdleConnections{Replica: "a"},
+		scatter.Subscribe{}, scatter.SetTimer{After: 5 * time.Millisecond}})
 	e.Exception("r", "index out\nof range")
 	if err := e.End(); err != nil {
 		t.Fatal(err)
