--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays many instances of the decision module on the simulator's wire: batches on standard input, replies
-// on standard output. It decides nothing.
+// Command adapter plays many instances of the decision module on the simulator's wire: batches on standard input,
+// replies on standard output. It decides nothing.
 package main
 
 import (
@@ -57,8 +57,8 @@
 	events   []scatter.Event
 }
 
-// distribute starts and stops instances and sorts a batch's events by instance, in order of each one's first event, so that
-// replies are reproducible. Events of an instance that never started are dropped.
+// distribute starts and stops instances and sorts a batch's events by instance, in order of each one's first event,
+// so that replies are reproducible. Events of an instance that never started are dropped.
 func (a *adapter) distribute(batch wire.Batch) (inputs []*input, err error) {
 	current := map[string]*input{}
 	for _, m := range batch.Messages {
--- a/internal/decide/scatter/admission.go
+++ b/internal/decide/scatter/admission.go
@@ -19,9 +19,9 @@
 
 	// skipLightFrom is the pressure at which parts of little weight begin to be left out of queries that may be
 	// answered in part. At shedFrom, all those under maxLightWeight are.
-	skipLightFrom = 0.25
+	skipLowWeightFrom = 0.25
 	// maxLightWeight is the weight, in mean ones of the query's parts, under which a part counts as light at shedFrom.
-	maxLightWeight = 0.9
+	maxLowWeight = 0.9
 )
 
 // How far a tenant may run ahead of its quota.
@@ -108,17 +108,17 @@
 // half way to the least answer, light parts and those of overloaded shards. A query that needs an unavailable shard
 // is given up.
 func (m *Machine) skipParts(q *query, pressure float64) {
-	light := slices.Clone(q.parts)
-	slices.SortStableFunc(light, func(x, y *part) int { return cmp.Compare(x.Weight, y.Weight) })
-	lightWeight := min((pressure-skipLightFrom)/(shedFrom-skipLightFrom), maxLightWeight)
+	byWeight := slices.Clone(q.parts)
+	slices.SortStableFunc(byWeight, func(x, y *part) int { return cmp.Compare(x.Weight, y.Weight) })
+	lowWeight := min((pressure-skipLowWeightFrom)/(shedFrom-skipLowWeightFrom), maxLowWeight)
 	halfWay := (q.class.CompleteFraction + q.minWeight) / 2
 	sum := q.class.CompleteFraction
-	for _, p := range light {
+	for _, p := range byWeight {
 		unavailable, rest := m.shardUnavailable(p), sum-p.Weight
-		isLight := p.Weight*float64(len(light)) < lightWeight
+		hasLowWeight := p.Weight*float64(len(byWeight)) < lowWeight
 		switch {
 		case unavailable && rest >= q.minWeight-weightSlack,
-			rest > halfWay && (isLight || m.sparesOverloadedShard(p)):
+			rest > halfWay && (hasLowWeight || m.sparesOverloadedShard(p)):
 			p.skipped, sum = true, rest
 		case unavailable:
 			m.giveUp(q)
@@ -159,7 +159,7 @@
 // best holder is known to be overloaded.
 func (m *Machine) expectedLatency(p *part) float64 {
 	c, s := p.query.class, m.shardOf(p.Shard)
-	if ratio := m.medianRatioOf(&s.medianRatio, s.keptHolders()); !math.IsInf(ratio, 1) {
+	if ratio := m.medianRatioOf(&s.medianRatio, s.activeHolders()); !math.IsInf(ratio, 1) {
 		return ratio * c.meanLatency * m.loadFactor
 	}
 	return max(c.LatencyObjective.Seconds()*shedFrom, s.lowestRatio()*c.meanLatency*m.loadFactor)
@@ -168,7 +168,7 @@
 // lowestRatio is the lowest latency ratio of the kept holders that do not fail at once; 0 where there is none. A silent
 // one keeps the ratio that it had, an overloaded one shows its load.
 func (s *shard) lowestRatio() (low float64) {
-	for _, r := range s.keptHolders() {
+	for _, r := range s.activeHolders() {
 		if !r.health.failsFast && (low == 0 || r.latencyRatio < low) {
 			low = r.latencyRatio
 		}
--- a/internal/decide/scatter/admission_test.go
+++ b/internal/decide/scatter/admission_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Over-share randomTraffic goes first when the replicaFleet is crowded.
+// Traffic beyond its tenant's quota is shed first when the replicas are overloaded.
 func TestOverQuotaTrafficIsShedFirst(t *testing.T) {
 	s := base()
 	s.Tenants = []Tenant{{Name: "within", Quota: 100}, {Name: "beyond", Quota: 1}}
 	b := start(t, s, names("a")...)
-	b.a.classes.list[0].meanLatency = 0.35 * 2 // between the two thresholds
+	b.m.classes.list[0].meanLatency = 0.35 * 2 // between the two thresholds
 	refused := map[string]int{}
 	for i := range int64(20) {
 		for _, tenant := range []string{"within", "beyond"} {
@@ -28,8 +28,8 @@
 	}
 }
 
-// A tenant within its quota is not refused for it, however small one root's part of the quota is. Arrivals
-// are at random; the pressure lies where over-share randomTraffic is refused and the rest is not.
+// A tenant within its quota is not rejected for it, however small one coordinator's part of the quota is. Arrivals
+// are at random; the pressure lies where traffic beyond the quota is rejected and other traffic is not.
 func TestQuotaIsFairForAnyNumberOfCoordinators(t *testing.T) {
 	for _, roots := range []int{1, 30, 90} {
 		s := base()
@@ -40,7 +40,7 @@
 			refused, all := 0, 400
 			for i := range int64(all) {
 				gap := rng.ExpFloat64() / (20 * load / float64(roots))
-				b.a.classes.list[0].meanLatency = 0.35 * 2
+				b.m.classes.list[0].meanLatency = 0.35 * 2
 				id := fmt.Sprint(i)
 				acts := b.step(time.Duration(gap*float64(sec)), QueryArrived{ID: id, Number: i, Class: "c", Tenant: "x",
 					Parts: 1, Expires: b.now + 10*time.Hour}, PartArrived{ID: id + "p", Number: i, Weight: 1})
@@ -55,15 +55,15 @@
 	}
 }
 
-// A client with little time left: what cannot be in time is refused at once, what can is served, and the answer
-// or the end comes before its time is up.
+// A client has little time left: what cannot be in time is rejected at once, what can is served, and the answer or
+// the end comes before its time is up.
 func TestClientWithLittleTime(t *testing.T) {
 	for _, tc := range []struct {
 		patience time.Duration
 		refused  bool
 	}{{300 * ms, true}, {600 * ms, false}} {
 		b := start(t, base(), names("a", "b")...)
-		b.a.classes.list[0].meanLatency = 0.4
+		b.m.classes.list[0].meanLatency = 0.4
 		acts := b.step(0, QueryArrived{ID: "q", Number: 1, Class: "c", Parts: 1, Expires: b.now + tc.patience},
 			PartArrived{ID: "p", Number: 1, Weight: 1})
 		if got := len(of[Reject](acts)) == 1; got != tc.refused {
@@ -85,36 +85,36 @@
 	}
 }
 
-// Parts given up late at replicas that serve others are load: the prediction rises though what is served looks
-// quick, and refusals, which renew no sample, let it fall again.
+// Parts given up late at replicas that serve others are load: the prediction rises though what is served looks quick,
+// and rejected queries, which bring no samples, let it fall again.
 func TestLoadFactorRisesWithUnansweredPartsAndFalls(t *testing.T) {
 	var ids []string
 	for i := range 30 {
 		ids = append(ids, fmt.Sprint("r", i))
 	}
 	b := start(t, base(), names(ids...)...)
-	c := b.a.classes.list[0]
-	for _, r := range b.a.replicas.all {
+	c := b.m.classes.list[0]
+	for _, r := range b.m.replicas.all {
 		at := &attempt{part: &part{query: &query{class: c}}, replica: r, sentAt: b.now}
 		r.health.lastSuccess, r.classHealth[0].lastSuccess = b.now+ms, b.now+ms
-		b.a.recordOutcome(r, c, at, ended("", 0, r.ID, TimedOut, 2*sec))
+		b.m.recordOutcome(r, c, at, ended("", 0, r.ID, TimedOut, 2*sec))
 	}
 	refused := 0
 	for range 400 {
 		refused += len(of[Reject](b.query("c", 0)))
-		for _, q := range slices.Clone(b.a.queries.open) {
+		for _, q := range slices.Clone(b.m.queries.open) {
 			b.step(0, QueryCancelled{ID: q.ID})
 		}
 	}
 	if refused < 10 {
 		t.Errorf("%d refusals under strain", refused)
 	}
-	if b.a.loadFactor > 1.2 {
-		t.Errorf("strain %.2f after %d refusals", b.a.loadFactor, refused)
+	if b.m.loadFactor > 1.2 {
+		t.Errorf("strain %.2f after %d refusals", b.m.loadFactor, refused)
 	}
 }
 
-// One crowded shard refuses no query that may be answered without it.
+// One overloaded shard rejects no query that may be answered without it.
 func TestAdmittedByTheLeastAnswer(t *testing.T) {
 	for _, floor := range []float64{0.5, 1} {
 		refused := 0
@@ -122,7 +122,7 @@
 			s := base()
 			s.Classes[0].MinFraction, s.RingSize = floor, 4
 			b := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
-			b.a.replicas.byID["d"].latencyRatio = 10 // its mean is twice the aim
+			b.m.replicas.byID["d"].latencyRatio = 10 // its mean is twice the aim
 			refused += len(of[Reject](b.query("c", 0, 1, 2, 3)))
 		}
 		if floor < 1 && refused > 0 || floor == 1 && refused < 10 {
@@ -131,8 +131,9 @@
 	}
 }
 
-// Where an answer in part will do, a crowded shard is spared most of its parts, which would come too late, but not all:
-// the rest shows when it is well again. With a little less load all go out, and so they do where all are needed.
+// Where a partial answer will do, an overloaded shard is spared most of its parts, which would come too late, but not
+// all: the others show when it has recovered. With a little less load all parts are sent, and so they are where all
+// are needed.
 func TestOverloadedShardIsSpared(t *testing.T) {
 	for _, tc := range []struct {
 		floor, ratio float64
@@ -145,7 +146,7 @@
 		b := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
 		sent := 0
 		for range 40 {
-			b.a.replicas.byID["d"].latencyRatio = tc.ratio // at 10 its mean is twice the aim
+			b.m.replicas.byID["d"].latencyRatio = tc.ratio // at 10 its mean is twice the aim
 			for _, x := range of[Send](b.query("c", 0, 1, 2, 3)) {
 				sent += int(toInt(x.Replica == "d"))
 				b.step(0, ended(x.Part, 0, x.Replica, Succeeded, 400*ms))
@@ -174,7 +175,7 @@
 		s := base()
 		s.Classes[0].MinFraction = 0.6
 		b := start(t, s, names("a", "b")...)
-		b.a.classes.list[0].meanLatency = tc.base
+		b.m.classes.list[0].meanLatency = tc.base
 		evs := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Expires: b.now + 6*sec}}
 		for i, w := range tc.weights {
 			evs = append(evs, PartArrived{ID: fmt.Sprint("q.", i), Number: 1, Weight: w})
@@ -185,10 +186,10 @@
 	}
 }
 
-// A section whose only holder is a crowded suspect is refused early, so that what is let through is served in time:
-// work that was sent cannot be taken back, and a queue longer than the aim serves nobody. On the operators' days
-// with two nodes out by hand their neighbour was sent all, timed out on all, and served none in time for seven
-// seconds. Of a holder that is merely silent nothing of the kind is known.
+// The only holder of a shard is ejected and overloaded, as when two replicas are out for maintenance and their
+// neighbour is sent everything: it times out on all of it and serves nothing in time for seconds, for what was sent
+// cannot be taken back. So queries for the shard are rejected early, and what is admitted is served in time. Of a
+// holder that is merely unresponsive nothing of the kind is known.
 func TestOverloadedEjectedReplicaIsSpared(t *testing.T) {
 	for _, tc := range []struct {
 		what        string
--- a/internal/decide/scatter/attempts.go
+++ b/internal/decide/scatter/attempts.go
@@ -114,7 +114,7 @@
 	at.call.size++
 	r.attempts = append(r.attempts, at)
 	m.replicas.markBusy(r)
-	m.silence.watch(at)
+	m.responses.watch(at)
 	if !p.mayHaveRun {
 		p.mayHaveRun, p.firstSent = true, at.sentAt
 	}
--- a/internal/decide/scatter/attempts_test.go
+++ b/internal/decide/scatter/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Rule 2, by class: what may be sent again after an attempt that may have run.
+// What may be sent again, by class, after an attempt that may have run.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -25,7 +25,7 @@
 		s := base()
 		s.Classes[0].Idempotency, s.Classes[0].DedupWindow = tc.repeat, 500*ms
 		b := start(t, s, names("a", "b")...)
-		b.a.hedges.tokens = 0
+		b.m.hedges.tokens = 0
 		first := of[Send](b.query("c", 0))[0]
 		acts := b.step(tc.after, ended(first.Part, 0, first.Replica, tc.outcome, tc.after))
 		if got := len(of[Send](acts)) == 1; got != tc.again {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Full replicas everywhere for a moment: a part does not spend its last attempt at once.
+// All replicas reject for a moment: a part does not spend its last attempt at once.
 func TestThirdAttemptWaits(t *testing.T) {
 	b := start(t, base(), names("a", "b", "c", "d")...)
 	x := of[Send](b.query("c", 0))[0]
--- a/internal/decide/scatter/checkpoint.go
+++ b/internal/decide/scatter/checkpoint.go
@@ -69,7 +69,7 @@
 func (m *Machine) Checkpoint() Checkpoint {
 	c := Checkpoint{
 		At:         m.now,
-		WarmRate:   m.traffic.warmRate,
+		WarmRate:   m.traffic.warmedUpRate,
 		DemandRate: m.traffic.demandRate,
 		Windows:    m.traffic.intervals,
 		LoadFactor: m.loadFactor,
@@ -93,7 +93,7 @@
 		Name:        c.Name,
 		MeanLatency: c.meanLatency,
 		MinService:  c.minService,
-		Latencies:   slices.Clone(c.samples.kept()),
+		Latencies:   slices.Clone(c.samples.latest()),
 	}
 }
 
@@ -139,7 +139,7 @@
 	}
 	if isRate(c.WarmRate) && isRate(c.DemandRate) && isRate(c.Windows) && isPositive(c.LoadFactor) {
 		t := &m.traffic
-		t.warmRate, t.demandRate, t.intervals, m.loadFactor = c.WarmRate, c.DemandRate, c.Windows, c.LoadFactor
+		t.warmedUpRate, t.demandRate, t.intervals, m.loadFactor = c.WarmRate, c.DemandRate, c.Windows, c.LoadFactor
 	}
 	if c.IdleLimit > 0 {
 		m.idleConnections.limit = c.IdleLimit
--- a/internal/decide/scatter/checkpoint_test.go
+++ b/internal/decide/scatter/checkpoint_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What one root has learned is at another one as it was, through JSON; a replica that was started since is new there,
-// and what cannot have been learned is left out.
+// What one coordinator has learned is restored at another one, through JSON. A replica that was started since is new
+// there, and figures that cannot have been learned are left out.
 func TestCheckpointIsRestored(t *testing.T) {
 	s := base()
 	s.Classes = append(s.Classes, s.Classes[0])
@@ -66,7 +66,7 @@
 	again.Classes[0].MeanLatency, again.WarmRate, again.Replicas[1].LatencyRatio, again.Replicas[2].ExcludedUntil = -1, -1, 0, nil
 	doubtful := learn(3)
 	doubtful.Restore(again)
-	if r := doubtful.replicas.byID["r3"]; doubtful.classes.byName["c"].meanLatency <= 0 || doubtful.traffic.warmRate < 0 || doubtful.replicas.byID["r2"].latencyRatio == 0 || r.health.ejected || len(r.classHealth) != 2 {
+	if r := doubtful.replicas.byID["r3"]; doubtful.classes.byName["c"].meanLatency <= 0 || doubtful.traffic.warmedUpRate < 0 || doubtful.replicas.byID["r2"].latencyRatio == 0 || r.health.ejected || len(r.classHealth) != 2 {
 		t.Error("figures that cannot be were taken over")
 	}
 	doubtful.Step(101*sec, nil)
--- a/internal/decide/scatter/completeness.go
+++ b/internal/decide/scatter/completeness.go
@@ -118,18 +118,18 @@
 // that can no longer come.
 func (m *Machine) selectParts(q *query, complete float64) {
 	sum := q.servedWeight
-	var spare []*part
+	var unselected []*part
 	for _, p := range q.parts {
 		if !p.selected && !p.skipped {
-			spare = append(spare, p)
+			unselected = append(unselected, p)
 		} else if p.selected && !p.served && m.canStillCome(p) {
 			sum += p.Weight
 		}
 	}
 	if complete < 1 && sum < complete-weightSlack {
-		slices.SortStableFunc(spare, m.byExpectedLatency)
+		slices.SortStableFunc(unselected, m.byExpectedLatency)
 	}
-	for _, p := range spare {
+	for _, p := range unselected {
 		if sum < complete-weightSlack {
 			p.selected = true
 			sum += p.Weight
--- a/internal/decide/scatter/completeness_test.go
+++ b/internal/decide/scatter/completeness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Rule 1: one final answer, before the client's time is up, and no send after it.
+// A query has one final answer before its client's time is up, and nothing is sent after it.
 func TestQueryEndsInTimeWhenNothingAnswers(t *testing.T) {
 	for _, list := range [][]Replica{nil, names("a", "b")} {
 		b := start(t, base(), list...)
@@ -27,7 +27,7 @@
 	}
 }
 
-// Rule 1 for a query whose time is over, or as good as over, when it comes: it ends in that step, and nothing is sent.
+// A query whose time is over, or as good as over, when it comes ends in that step, and nothing is sent.
 func TestExpiredQueryEndsAtOnce(t *testing.T) {
 	for _, left := range []time.Duration{-sec, 0, 5 * ms} {
 		b := start(t, base(), names("a")...)
@@ -48,7 +48,7 @@
 	}
 }
 
-// Rule 5: whole only at the need, and nothing under the floor.
+// An answer is complete only from the complete fraction on, and there is none under the minimum fraction.
 func TestAnswerSaysWhetherItIsComplete(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -66,7 +66,7 @@
 		s := base()
 		s.Classes[0].CompleteFraction, s.Classes[0].MinFraction, s.Classes[0].LateWeight = tc.need, tc.floor, 0
 		b := start(t, s, names("a", "b")...)
-		b.a.hedges.tokens = 0
+		b.m.hedges.tokens = 0
 		all := b.query("c", 0, 1, 2, 3)
 		for i, x := range of[Send](all) {
 			if i < tc.served {
@@ -103,7 +103,7 @@
 	}
 }
 
-// A client that takes nothing less than a whole answer gets none in part, where another does.
+// A client that takes nothing less than a complete answer gets no partial one, where another client does.
 func TestRequireComplete(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		s := base()
@@ -122,9 +122,9 @@
 	}
 }
 
-// Weights come rounded: with all parts in a query is whole, and its floor is met by as many as by exact weights. On
-// the operators' days with 48 sections each summary was answered as one in part, all of its 48 parts being in. A
-// sum that is further off is no rounding.
+// Weights come rounded, and 48 of 0.020833 miss 1 by more than the slack of sums: each summary over 48 shards was
+// answered as a partial one, with all of its parts served. With all parts in, a query is complete, and the minimum is
+// met by as many parts as with exact weights. A sum that is further off is no rounding.
 func TestRoundedWeights(t *testing.T) {
 	for _, tc := range []struct {
 		parts, in int
@@ -147,7 +147,7 @@
 				}
 			}
 		}
-		acts := b.a.Step(b.now, events)
+		acts := b.m.Step(b.now, events)
 		note(acts)
 		served := 0
 		var ends []Event
@@ -157,10 +157,10 @@
 				ends = append(ends, AttemptEnded{Part: send.Part, Replica: send.Replica, Latency: 10 * ms})
 			}
 		}
-		note(b.a.Step(b.now+10*ms, ends))
+		note(b.m.Step(b.now+10*ms, ends))
 		for range 400 {
 			b.now += 20 * ms
-			note(b.a.Step(b.now, nil))
+			note(b.m.Step(b.now, nil))
 		}
 		if got := fmt.Sprint(answers); got != tc.want {
 			t.Errorf("%d of %d parts of %v: answers %s, want %s", tc.in, tc.parts, tc.weight, got, tc.want)
@@ -168,7 +168,7 @@
 	}
 }
 
-// A part that can no longer come is replaced by a spare one at once.
+// A part that can no longer come is replaced at once by one that had not been asked for.
 func TestLostPartIsReplaced(t *testing.T) {
 	s := base()
 	s.Classes[0].CompleteFraction, s.MaxAttempts = 0.75, 1
@@ -180,7 +180,7 @@
 	}
 }
 
-// A first step that may be answered in part leaves its second step the time that a slow part takes.
+// A first round that may be answered in part leaves its second round the time that a slow part takes.
 func TestFirstRoundLeavesTimeForTheSecond(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction, s.Classes[0].SecondRoundParts, s.Classes[0].LateWeight = 0.4, 1, 0
@@ -205,12 +205,12 @@
 	}
 }
 
-// The client counts from its own end of the way: an answer in part does not go out at the very aim.
+// The client's time runs until the answer reaches it: a partial answer does not go out at the very objective.
 func TestPartialAnswerLeavesTimeForItsWay(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction = 0.5
 	b := start(t, s, names("a", "b")...)
-	b.a.hedges.tokens = 0
+	b.m.hedges.tokens = 0
 	acts := b.query("c", 0, 0)
 	asked := b.now
 	acts = b.step(5*ms, ended(of[Send](acts)[0].Part, 0, of[Send](acts)[0].Replica, Succeeded, 5*ms))
--- a/internal/decide/scatter/coordinators_test.go
+++ b/internal/decide/scatter/coordinators_test.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// roots are the coordinators of a large fleet in virtual time, each a module of its own that knows of the others
-// nothing but their number. They share map nodes, one to a cell, that serve each part after a time.
-type roots struct {
-	now    time.Duration
-	all    []*root
-	takes  func(node string) (Outcome, time.Duration) // negative where nothing is answered
-	onSend func(node string)
-	onEnd  func(query string, took time.Duration) // for those served
-	due    rootDues
-	asked  int64
-	came   map[string]time.Duration
+// coordinators are those of a large fleet in virtual time. Each has a machine of its own that knows of the others
+// nothing but their number. They share replicas, one to a ring position, that serve each part after a time.
+type coordinators struct {
+	now      time.Duration
+	all      []*coordinator
+	service  func(node string) (Outcome, time.Duration) // negative where nothing is answered
+	onSend   func(node string)
+	onEnd    func(query string, took time.Duration) // for those served
+	due      fleetEvents
+	queries  int64
+	arrivals map[string]time.Duration
 }
 
-type root struct {
-	a     *Machine
-	tries map[string]int
+type coordinator struct {
+	machine *Machine
+	tries   map[string]int
 }
 
-type rootDue struct {
+type fleetEvent struct {
 	at time.Duration
 	ev Event
-	to *root
+	to *coordinator
 }
 
-type rootDues []rootDue
+type fleetEvents []fleetEvent
 
-func (d rootDues) Len() int           { return len(d) }
-func (d rootDues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d rootDues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *rootDues) Push(x any)        { *d = append(*d, x.(rootDue)) }
-func (d *rootDues) Pop() any {
+func (d fleetEvents) Len() int           { return len(d) }
+func (d fleetEvents) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d fleetEvents) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *fleetEvents) Push(x any)        { *d = append(*d, x.(fleetEvent)) }
+func (d *fleetEvents) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-func newRoots(t *testing.T, n int, s Settings) *roots {
-	f := &roots{now: 100 * sec, onSend: func(string) {}, onEnd: func(string, time.Duration) {}, came: map[string]time.Duration{}}
+func newCoordinators(t *testing.T, n int, s Settings) *coordinators {
+	f := &coordinators{now: 100 * sec, onSend: func(string) {}, onEnd: func(string, time.Duration) {}, arrivals: map[string]time.Duration{}}
 	s.Coordinators = n
 	for i := range n {
 		s.Ordinal = i + 1
@@ -52,66 +52,66 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.all = append(f.all, &root{a: a, tries: map[string]int{}})
+		f.all = append(f.all, &coordinator{machine: a, tries: map[string]int{}})
 	}
 	return f
 }
 
-// tell gives every root the same list.
-func (f *roots) tell(scope UpdateKind, list ...Replica) {
+// updateAll gives every coordinator the same endpoint list.
+func (f *coordinators) updateAll(scope UpdateKind, list ...Replica) {
 	for _, r := range f.all {
 		f.step(r, EndpointUpdate{Kind: scope, Replicas: list})
 	}
 }
 
-func (f *roots) step(r *root, events ...Event) {
-	for _, act := range r.a.Step(f.now, events) {
+func (f *coordinators) step(r *coordinator, events ...Event) {
+	for _, act := range r.machine.Step(f.now, events) {
 		switch x := act.(type) {
 		case SetTimer:
-			heap.Push(&f.due, rootDue{f.now + x.After, TimerFired{}, r})
+			heap.Push(&f.due, fleetEvent{f.now + x.After, TimerFired{}, r})
 		case CancelAttempt: // what is called off goes on at its node
-			heap.Push(&f.due, rootDue{f.now, AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Latency: 200 * ms}, r})
+			heap.Push(&f.due, fleetEvent{f.now, AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Latency: 200 * ms}, r})
 		case Answer:
-			f.onEnd(x.Query, f.now-f.came[x.Query])
+			f.onEnd(x.Query, f.now-f.arrivals[x.Query])
 		case Send:
 			f.onSend(x.Replica)
-			end, took := f.takes(x.Replica)
+			end, took := f.service(x.Replica)
 			if took < 0 || took > x.Timeout {
 				end, took = TimedOut, x.Timeout
 			}
 			no := r.tries[x.Part]
 			r.tries[x.Part]++
-			heap.Push(&f.due, rootDue{f.now + took, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: end, Latency: took}, r})
+			heap.Push(&f.due, fleetEvent{f.now + took, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: end, Latency: took}, r})
 		}
 	}
 }
 
-// run lets the fleet be asked for so many sections in a row once every gap, each time at another root, from the first
-// section on or, one after another, from each of them.
-func (f *roots) run(span, gap time.Duration, sections, cells int) {
+// run sends a query for so many shards in a row once every gap, each time to another coordinator, beginning with the
+// first shard and going round.
+func (f *coordinators) run(span, gap time.Duration, shards, ringSize int) {
 	for until := f.now + span; f.now < until; {
 		next := f.now + gap
 		for len(f.due) > 0 && f.due[0].at <= next {
-			d := heap.Pop(&f.due).(rootDue)
+			d := heap.Pop(&f.due).(fleetEvent)
 			f.now = max(f.now, d.at)
 			f.step(d.to, d.ev)
 		}
 		f.now = next
-		f.asked++
-		r := f.all[int(f.asked*7)%len(f.all)]
-		id := fmt.Sprint("q", f.asked)
-		f.came[id] = f.now
-		evs := []Event{QueryArrived{ID: id, Number: f.asked, Class: "c", Expires: f.now + sec, Parts: sections}}
-		for i := range sections {
-			evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: f.asked, Shard: (int(f.asked)*11 + i) % cells, Weight: 1 / float64(sections)})
+		f.queries++
+		r := f.all[int(f.queries*7)%len(f.all)]
+		id := fmt.Sprint("q", f.queries)
+		f.arrivals[id] = f.now
+		evs := []Event{QueryArrived{ID: id, Number: f.queries, Class: "c", Expires: f.now + sec, Parts: shards}}
+		for i := range shards {
+			evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: f.queries, Shard: (int(f.queries)*11 + i) % ringSize, Weight: 1 / float64(shards)})
 		}
 		f.step(r, evs...)
 	}
 }
 
-// A node that starts is sent what the fall rule allows by all roots together, and yet as much as it can do: each root
-// meets it seldom, so that whole parts kept back by each one leave it idle while its siblings carry its load. So it is
-// with hundreds of roots, of which most have just started too.
+// A replica that starts is sent at most what the slow start rule allows by all coordinators together, and yet as much
+// as it can do: each coordinator meets it rarely, so that complete tokens saved by each one would leave it idle while
+// its siblings carry its load. So it is with hundreds of coordinators, of which most have just started too.
 func TestFleetUsesReplicaInSlowStart(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -126,13 +126,13 @@
 		s := Settings{RingSize: tc.nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 			Classes:   []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}},
 			SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}}
-		f := newRoots(t, tc.roots, s)
+		f := newCoordinators(t, tc.roots, s)
 		var list []Replica
 		for i := range tc.nodes {
 			list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 		}
-		f.takes = func(string) (Outcome, time.Duration) { return Succeeded, 40 * ms }
-		f.tell(FullUpdate, list...)
+		f.service = func(string) (Outcome, time.Duration) { return Succeeded, 40 * ms }
+		f.updateAll(FullUpdate, list...)
 		f.run(6*sec, tc.gap, tc.nodes, tc.nodes)
 		list[0].StartedAt = f.now
 		var sent []time.Duration
@@ -141,11 +141,11 @@
 				sent = append(sent, f.now)
 			}
 		}
-		fresh := newRoots(t, tc.roots, s)
+		fresh := newCoordinators(t, tc.roots, s)
 		for i := range tc.fresh {
-			f.all[i].a = fresh.all[i].a // what is out of the old one ends as unknown to the new
+			f.all[i].machine = fresh.all[i].machine // what is out of the old one ends as unknown to the new
 		}
-		f.tell(FullUpdate, list...)
+		f.updateAll(FullUpdate, list...)
 		f.run(8*sec, tc.gap, tc.nodes, tc.nodes)
 		ramp := func(at time.Duration) float64 { return 0.2 + 0.8*(at-list[0].StartedAt).Seconds()/18 }
 		worst, from := 0.0, 0
@@ -168,9 +168,9 @@
 	}
 }
 
-// Where two of a section's three holders fall silent, more is asked of the third than it can do. What it takes all
-// the same waits past its aim and is work done for nobody: hundreds of roots, each of which meets it every few
-// seconds, have to ask for less together. Their queries for other sections go on, and those it can serve are
+// Two of a shard's three holders fall silent, and more is asked of the third than it can do. What it takes all the
+// same waits past its objective and is work done for nobody: hundreds of coordinators, each of which meets it every
+// few seconds, have to ask for less together. Their queries for other shards go on, and those that it can serve are
 // served.
 func TestLastHolderIsNotOverloaded(t *testing.T) {
 	t.Parallel()
@@ -179,14 +179,14 @@
 		service         = time.Second / 80 // of a part, one at a time
 		queue           = 450 * ms         // of work, and full beyond it
 	)
-	f := newRoots(t, 300, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
+	f := newCoordinators(t, 300, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 		Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}}})
 	var list []Replica
 	for i := range nodes {
 		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 	}
 	free, silent := map[string]time.Duration{}, map[string]bool{}
-	f.takes = func(node string) (Outcome, time.Duration) {
+	f.service = func(node string) (Outcome, time.Duration) {
 		if free[node] = max(free[node], f.now); free[node]-f.now > queue {
 			return Rejected, 2 * ms
 		}
@@ -196,11 +196,11 @@
 		}
 		return Succeeded, free[node] - f.now
 	}
-	f.tell(FullUpdate, list...)
+	f.updateAll(FullUpdate, list...)
 	f.run(4*sec, 3*ms, sections, nodes) // 55 parts a second for each node
 	silent["r1"], silent["r2"] = true, true
 	f.run(4*sec, 3*ms, sections, nodes)
-	begun, served := f.asked, map[bool]int{}
+	begun, served := f.queries, map[bool]int{}
 	f.onEnd = func(query string, took time.Duration) {
 		var n int64
 		if fmt.Sscanf(query, "q%d", &n); n > begun && took <= 380*ms {
@@ -217,27 +217,27 @@
 	}
 }
 
-// One of 300 roots that know their number sends to the two holders of a section that it keeps, as long as these
-// will do; to the third at once where one of them fails, and no more when that is back. One that is not told its
-// number keeps all.
+// One of 300 coordinators that know their ordinal sends to the two holders of a shard that it keeps, as long as these
+// will do; to the third at once where one of them fails, and no more when that has recovered. One that does not know
+// its ordinal keeps all.
 func TestKeepsItsSubset(t *testing.T) {
 	t.Parallel()
 	const nodes = 30
-	play := func(me int) (a *roots, used func(bad string) map[string]bool) {
-		f := newRoots(t, 1, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
+	play := func(me int) (a *coordinators, used func(bad string) map[string]bool) {
+		f := newCoordinators(t, 1, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
 			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}}})
-		s := f.all[0].a.settings
+		s := f.all[0].machine.settings
 		s.Coordinators, s.Ordinal = 300, me
-		if err := f.all[0].a.Configure(s); err != nil {
+		if err := f.all[0].machine.Configure(s); err != nil {
 			t.Fatal(err)
 		}
 		var list []Replica
 		for i := range nodes {
 			list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 		}
-		f.tell(FullUpdate, list...)
+		f.updateAll(FullUpdate, list...)
 		return f, func(bad string) map[string]bool {
-			f.takes = func(node string) (Outcome, time.Duration) {
+			f.service = func(node string) (Outcome, time.Duration) {
 				if node == bad {
 					return ConnectFailed, ms
 				}
@@ -285,7 +285,7 @@
 	}
 }
 
-// count3 is how many of a section's three holders were used.
+// count3 is how many of a shard's three holders were used.
 func count3(used map[string]bool, section, nodes int) (n int) {
 	for j := range 3 {
 		if used[fmt.Sprint("r", (section+j)%nodes)] {
--- a/internal/decide/scatter/deferred_test.go
+++ b/internal/decide/scatter/deferred_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Held parts are not sent, by no path, before they are settled; what is settled as in counts as served.
+// Deferred parts are not sent, on any path, before they are released; what is released as resolved counts as served.
 func TestDeferredParts(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction = 0.7
@@ -42,7 +42,7 @@
 	}
 }
 
-// What is held to the end is missing: the floor is kept, and the answer is not late.
+// What is deferred to the end is missing: the minimum fraction holds, and the answer is not late.
 func TestDeferredToTheEnd(t *testing.T) {
 	for _, in := range []float64{0.6, 0.8} {
 		s := base()
--- a/internal/decide/scatter/doc.go
+++ b/internal/decide/scatter/doc.go
@@ -20,23 +20,28 @@
 //
 // # Where each decision stands
 //
-//	machine.go       the step itself, and the timer
-//	admission.go     which queries are admitted, and which light parts are left out under load
-//	completeness.go  which parts are asked for, when a query is answered, and when it is given up
-//	attempts.go      what sends, retries and cancels attempts
-//	retry_budget.go  how many retries may begin
-//	picker.go        which replica an attempt goes to
-//	shares.go        the routing shares that the picker draws by
-//	slow_start.go    what a replica that has just started may be sent
-//	hedging.go       when an overdue part gets a hedged request
-//	outliers.go      what an outcome says of its replica: ejection, exclusion by class, reinstatement
-//	probes.go        which ejected replica gets a probe
-//	latency.go       what is usual of a class, and when a part is overdue
-//	endpoints.go     the endpoint list, its subscription, and replicas that are removed
-//	placement.go     which replicas this coordinator keeps, by its ordinal in the fleet
-//	ring.go          which replicas hold a shard
-//	reconfigure.go   what is kept when the settings change
-//	checkpoint.go    what is handed on to a new process
+//	settings.go            what a coordinator knows before its first query
+//	events.go, actions.go  what goes in and out
+//	machine.go             the step itself, and the timer
+//	admission.go           which queries are admitted, and which parts of little weight are left out under load
+//	completeness.go        which parts are asked for, when a query is answered, and when it is given up
+//	attempts.go            what sends, retries and cancels attempts
+//	retry_budget.go        how many retries may begin
+//	picker.go              which replica an attempt goes to
+//	shares.go              the routing shares that the picker draws by
+//	slow_start.go          what a replica that has just started may be sent
+//	hedging.go             when an overdue part gets a hedged request
+//	outliers.go            what an outcome says of its replica
+//	unresponsive.go        which replicas leave attempts unanswered, or are far slower than the others
+//	ejection.go            ejection, exclusion of a class, reinstatement
+//	idle_connections.go    how long an unused connection is trusted
+//	probes.go              which ejected replica gets a probe
+//	latency.go             what is usual of a class, and when a part is overdue
+//	endpoints.go           the endpoint list, its subscription, and replicas that are removed
+//	placement.go           which replicas this coordinator keeps, by its ordinal in the fleet
+//	ring.go                which replicas hold a shard
+//	reconfigure.go         what is kept when the settings change
+//	checkpoint.go          what is handed on to a new process
 //
 // docs/design.md says where each rule comes from.
 package scatter
--- a/internal/decide/scatter/endpoint_cost_test.go
+++ b/internal/decide/scatter/endpoint_cost_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// changeSizes are the numbers of nodes at which the cost of a changed entry is measured.
+// changeSizes are the numbers of replicas at which the cost of a changed entry is compared.
 var changeSizes = []int{70, 700, 2100, 7000}
 
-// fleetMember is one of 1,500 coordinators with a list of so many nodes. Where it is in use, every shard has had a part
-// and every part its outcome.
-func fleetMember(t testing.TB, nodes int, inUse bool) *steady {
-	s := newSteady(t, 5, nodes, false)
-	set := s.a.settings
+// fleetMember is one of 1,500 coordinators with a list of so many replicas. Where it is in use, every shard has had a
+// part and every part its outcome.
+func fleetMember(t testing.TB, nodes int, inUse bool) *recordedLoad {
+	s := newRecordedLoad(t, 5, nodes, false)
+	set := s.machine.settings
 	set.Coordinators, set.Ordinal = 1500, 700
 	set.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}
-	if err := s.a.Configure(set); err != nil {
+	if err := s.machine.Configure(set); err != nil {
 		t.Fatal(err)
 	}
 	queries := 1
@@ -33,7 +33,7 @@
 		s.query(nodes, false)
 	}
 	for len(s.out) > 0 {
-		d := heap.Pop(&s.out).(due)
+		d := heap.Pop(&s.out).(delivery)
 		s.now = max(s.now, d.at)
 		s.step(false, d.ev)
 	}
@@ -41,7 +41,7 @@
 }
 
 // change tells the module that one node drains, and in the next call that it is back as a new process.
-func (s *steady) change(no, nodes int) {
+func (s *recordedLoad) change(no, nodes int) {
 	node := no / 2 * 7 % nodes
 	entry := Replica{ID: fmt.Sprint("r", node), RingPosition: node}
 	if no%2 == 0 {
@@ -50,7 +50,7 @@
 		entry.StartedAt = s.now
 	}
 	s.now += 100 * time.Microsecond
-	s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{entry}}})
+	s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{entry}}})
 }
 
 // processTime is the processor time that this process has used.
@@ -79,8 +79,8 @@
 	}
 }
 
-// churn draws list changes: nodes that drain, restart, go, come, move to another cell, and whole lists that leave
-// some out.
+// churn draws endpoint updates: replicas that drain, restart, are removed, join, move to another ring position, and
+// full lists that leave some out.
 type churn struct {
 	rng  *rand.Rand
 	list []Replica
@@ -94,7 +94,7 @@
 	return c
 }
 
-// next is the next list to be told at a time.
+// next is the next update at a time.
 func (c *churn) next(now time.Duration, cells int) EndpointUpdate {
 	var changed []Replica
 	for range 1 + c.rng.IntN(4) {
@@ -128,8 +128,8 @@
 	return EndpointUpdate{Kind: IncrementalUpdate, Replicas: changed}
 }
 
-// The actions on recorded streams with list changes, new settings and memories handed over are those of the module from
-// before a changed entry cost no more than itself.
+// The actions on recorded streams with endpoint updates, new settings and restored checkpoints are those of the
+// machine from before a changed entry cost no more than itself.
 func TestActionsUnchangedByListCost(t *testing.T) {
 	t.Parallel()
 	if runtime.GOARCH != "amd64" {
@@ -146,12 +146,12 @@
 		{20, 3, 3, 1, 0, true, 0xc7cdc68bc3d35e30},
 		{10, 200, 1, 300, 5, false, 0x4fe9784adaba09d1},
 	} {
-		s := newSteady(t, tc.open, tc.nodes, tc.trouble)
-		set := s.a.settings
+		s := newRecordedLoad(t, tc.open, tc.nodes, tc.trouble)
+		set := s.machine.settings
 		set.Coordinators, set.Ordinal, set.Subscribe, set.ListMaxAge = tc.roots, tc.me, true, 60*sec
 		set.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}
 		configure := func() {
-			if err := s.a.Configure(set); err != nil {
+			if err := s.machine.Configure(set); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -174,10 +174,10 @@
 				set.Classes = append(set.Classes[:1:1], set.Classes[2])
 				configure()
 			case 800:
-				s.a.Restore(s.a.Checkpoint())
+				s.machine.Restore(s.machine.Checkpoint())
 			}
 		}
-		memory, err := json.Marshal(s.a.Checkpoint())
+		memory, err := json.Marshal(s.machine.Checkpoint())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -189,42 +189,42 @@
 	}
 }
 
-// New settings and a memory that is handed over right after them, with no step between, go together.
+// New settings and a checkpoint that is restored right after them, with no step between, go together.
 func TestCheckpointAfterNewSettings(t *testing.T) {
 	t.Parallel()
 	const nodes = 12
 	s := fleetMember(t, nodes, true)
 	s.step(false, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "r3", RingPosition: 3, State: Draining}}})
-	set := s.a.settings
+	set := s.machine.settings
 	set.Classes = append(set.Classes[:2:2], Class{Name: "new", LatencyObjective: sec, Deadline: 2 * sec, CompleteFraction: 1, MinFraction: 1})
-	if err := s.a.Configure(set); err != nil {
+	if err := s.machine.Configure(set); err != nil {
 		t.Fatal(err)
 	}
-	before := s.a.Checkpoint()
-	s.a.Restore(before)
-	if after := s.a.Checkpoint(); fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
+	before := s.machine.Checkpoint()
+	s.machine.Restore(before)
+	if after := s.machine.Checkpoint(); fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
 		t.Errorf("the memory changed from %v to %v", before, after)
 	}
 	s.query(nodes, false)
 }
 
-// A changed entry has as many replicas and shards looked at in a list of 700 as in one of 70, however many shards
-// are in use.
+// A changed entry has as many replicas and shards looked at in a list of 700 as in one of 70, however many shards are
+// in use.
 func TestChangeCostsWhatItConcerns(t *testing.T) {
 	t.Parallel()
 	for _, inUse := range []bool{false, true} {
 		var least examined
 		for _, nodes := range []int{70, 700} {
 			s := fleetMember(t, nodes, inUse)
-			s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate}}) // all that was due before
-			s.a.examined = examined{}
+			s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate}}) // all that was due before
+			s.machine.examined = examined{}
 			for i := range 20 {
 				s.change(i, nodes)
 			}
 			if nodes == 70 {
-				least = s.a.examined
-			} else if s.a.examined != least {
-				t.Errorf("in use %t: %+v looked at among %d nodes, %+v among 70", inUse, s.a.examined, nodes, least)
+				least = s.machine.examined
+			} else if s.machine.examined != least {
+				t.Errorf("in use %t: %+v looked at among %d nodes, %+v among 70", inUse, s.machine.examined, nodes, least)
 			}
 		}
 		if least.replicas == 0 || least.replicas > 20*20 {
@@ -243,7 +243,7 @@
 			ask := func() {
 				next := s.now + time.Second/180
 				for len(s.out) > 0 && s.out[0].at <= next {
-					d := heap.Pop(&s.out).(due)
+					d := heap.Pop(&s.out).(delivery)
 					s.now = max(s.now, d.at)
 					s.served(d.ev)
 				}
@@ -269,10 +269,10 @@
 }
 
 // served steps, and serves what is sent after 20 ms. It keeps no digest.
-func (s *steady) served(events ...Event) {
-	for _, act := range s.a.Step(s.now, events) {
+func (s *recordedLoad) served(events ...Event) {
+	for _, act := range s.machine.Step(s.now, events) {
 		if x, ok := act.(Send); ok {
-			heap.Push(&s.out, due{s.now + 20*ms, AttemptEnded{Part: x.Part, Replica: x.Replica, Latency: 20 * ms}})
+			heap.Push(&s.out, delivery{s.now + 20*ms, AttemptEnded{Part: x.Part, Replica: x.Replica, Latency: 20 * ms}})
 		}
 	}
 }
--- a/internal/decide/scatter/endpoints_test.go
+++ b/internal/decide/scatter/endpoints_test.go
@@ -9,17 +9,17 @@
 
 func TestJoiningReplicaAdoptsSiblingRatio(t *testing.T) {
 	b := start(t, base(), names("a", "b")...)
-	if got := b.a.replicas.byID["a"].latencyRatio * b.a.classes.list[0].meanLatency; math.Abs(got-0.4) > 1e-9 {
+	if got := b.m.replicas.byID["a"].latencyRatio * b.m.classes.list[0].meanLatency; math.Abs(got-0.4) > 1e-9 {
 		t.Errorf("starting mean %.3f, want a fifth of the aim", got)
 	}
-	b.a.replicas.byID["a"].latencyRatio, b.a.replicas.byID["b"].latencyRatio = 0.5, 1
+	b.m.replicas.byID["a"].latencyRatio, b.m.replicas.byID["b"].latencyRatio = 0.5, 1
 	b.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("c")})
-	if got := b.a.replicas.byID["c"].latencyRatio; math.Abs(got-0.75) > 1e-9 {
+	if got := b.m.replicas.byID["c"].latencyRatio; math.Abs(got-0.75) > 1e-9 {
 		t.Errorf("joiner's ratio %.3f, want 0.75", got)
 	}
 }
 
-// Rule 3: nothing new to a replica from the step in which the news is in.
+// Nothing new goes to a replica from the step in which its drain or removal is known.
 func TestNothingIsSentToDrainingReplica(t *testing.T) {
 	for _, state := range []ReplicaState{Draining, Removed} {
 		b := start(t, base(), names("a", "b")...)
@@ -39,12 +39,12 @@
 	}
 }
 
-// Rule 3 where every other holder is sick, where the news comes in the same step as queries, before or after them, and
-// after a list that was refused.
+// Nothing goes to a draining replica either where every other holder is ejected, where the update comes in the same
+// step as queries, before or after them, and after an update that failed.
 func TestNothingIsSentToDrainingReplicaEvenIfOthersFail(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		b := start(t, base(), names("a", "b")...)
-		b.a.eject(b.a.replicas.byID["b"], nil)
+		b.m.eject(b.m.replicas.byID["b"], nil)
 		news := EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: Draining}}}
 		evs := []Event{QueryArrived{ID: "q", Number: 9, Class: "c", Expires: b.now + 6*sec},
 			PartArrived{ID: "p", Number: 9, Weight: 1}}
@@ -98,8 +98,7 @@
 	}
 }
 
-// A long life of ever-new replicas and shards' holders leaves nothing behind, but what comes back
-// within a minute is what it was.
+// A long life of ever new replicas leaves nothing behind, but what comes back within a minute is what it was.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
 	b := start(t, base(), names("a", "b")...)
 	for i := range 100 {
@@ -109,26 +108,26 @@
 		b.step(ms, ended(sent.Part, 0, sent.Replica, Succeeded, ms))
 		b.step(sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: id, State: Removed}}})
 	}
-	if n := len(b.a.replicas.all); n > 2+31 || len(b.a.replicas.byID) != n || len(b.a.replicas.byID["a"].siblings) != n-1 {
-		t.Errorf("%d replicas, %d by id, %d siblings", n, len(b.a.replicas.byID), len(b.a.replicas.byID["a"].siblings))
+	if n := len(b.m.replicas.all); n > 2+31 || len(b.m.replicas.byID) != n || len(b.m.replicas.byID["a"].siblings) != n-1 {
+		t.Errorf("%d replicas, %d by id, %d siblings", n, len(b.m.replicas.byID), len(b.m.replicas.byID["a"].siblings))
 	}
-	last := b.a.replicas.byID["n99"]
+	last := b.m.replicas.byID["n99"]
 	b.step(30*sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("n99")})
 	b.step(90 * sec)
-	if b.a.replicas.byID["n99"] != last || len(b.a.replicas.all) != 3 {
-		t.Errorf("%d replicas after a minute and a half", len(b.a.replicas.all))
+	if b.m.replicas.byID["n99"] != last || len(b.m.replicas.all) != 3 {
+		t.Errorf("%d replicas after a minute and a half", len(b.m.replicas.all))
 	}
 }
 
-// A remembered list names replicas that are long gone; a root that has nothing else still answers.
+// A cached list names replicas that were removed long ago; a coordinator that has nothing else still answers.
 func TestAnswersFromAnOldCachedList(t *testing.T) {
 	a, err := New(1, base())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &replicaFleet{harness: &harness{t: t, a: a, now: 100 * sec}, fails: map[string]Outcome{}, tries: map[string]int{},
-		takes: map[string]time.Duration{"gone1": 250 * ms, "gone2": 250 * ms, "b": 100 * ms}}
-	f.fails["gone1"], f.fails["gone2"] = ConnectFailed, ConnectFailed
+	f := &replicaFleet{harness: &harness{t: t, m: a, now: 100 * sec}, failures: map[string]Outcome{}, attempts: map[string]int{},
+		service: map[string]time.Duration{"gone1": 250 * ms, "gone2": 250 * ms, "b": 100 * ms}}
+	f.failures["gone1"], f.failures["gone2"] = ConnectFailed, ConnectFailed
 	f.clear()
 	f.step(0, EndpointUpdate{Kind: CachedUpdate, Replicas: names("gone1", "gone2", "b")})
 	f.run(3*sec, 100*ms)
--- a/internal/decide/scatter/harness_test.go
+++ b/internal/decide/scatter/harness_test.go
@@ -11,17 +11,17 @@
 	sec = time.Second
 )
 
-// base is a small replicaFleet's settings: one cell, so that every replica holds every shard.
+// base is the settings of a small fleet: one ring position, so that every replica holds every shard.
 func base() Settings {
 	return Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3,
 		Hedging: true, Cancellation: true,
 		Classes: []Class{{Name: "c", LatencyObjective: 2 * sec, Deadline: 6 * sec, PriorityWeight: 1, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1}}}
 }
 
-// harness drives one Aggregator by hand.
+// harness drives one Machine by hand.
 type harness struct {
 	t   *testing.T
-	a   *Machine
+	m   *Machine
 	now time.Duration
 	n   int64
 }
@@ -32,12 +32,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, a: a, now: 100 * sec}
+	b := &harness{t: t, m: a, now: 100 * sec}
 	b.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: replicas})
 	return b
 }
 
-// startNonIdempotent has two replicas, no copies, and a second class, once, whose parts may not run twice.
+// startNonIdempotent has two replicas, no hedged requests, and a second class, once, whose parts may not run twice.
 func startNonIdempotent(t *testing.T) *harness {
 	s := base()
 	s.Hedging = false
@@ -56,7 +56,7 @@
 
 func (b *harness) step(later time.Duration, events ...Event) []Action {
 	b.now += later
-	return b.a.Step(b.now, events)
+	return b.m.Step(b.now, events)
 }
 
 // query opens a query of class c with a part for each shard; parts are named q<n>.<i>.
--- a/internal/decide/scatter/hedging.go
+++ b/internal/decide/scatter/hedging.go
@@ -34,8 +34,8 @@
 		return
 	}
 	target := p
-	if spare := p.query.sparePart(); spare != nil {
-		target = spare
+	if other := p.query.unselectedPart(); other != nil {
+		target = other
 	}
 	if lost && m.mayRetry(p) { // the retry goes out when this attempt has ended
 		if !at.probe {
@@ -71,7 +71,7 @@
 }
 
 // sparePart is a part of the query that has not been asked for and could be; nil where there is none.
-func (q *query) sparePart() *part {
+func (q *query) unselectedPart() *part {
 	i := slices.IndexFunc(q.parts, func(p *part) bool { return !p.selected && !p.skipped && !p.Deferred })
 	if i < 0 {
 		return nil
--- a/internal/decide/scatter/hedging_test.go
+++ b/internal/decide/scatter/hedging_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Where not all parts are needed, the rest stay unasked until a part is overdue.
+// Where not all parts are needed, the others stay unsent until a part is overdue.
 func TestSparePartIsSentBeforeHedging(t *testing.T) {
 	s := base()
 	s.Classes[0].CompleteFraction = 0.75
@@ -29,8 +29,9 @@
 	}
 }
 
-// Where copies are barred, an attempt that has taken ten times as long as usual is called off, and the part goes to
-// another replica well before its aim. One that is merely slow is waited for, and so is one that may not run twice.
+// Without hedged requests, an attempt that has taken ten times as long as usual is cancelled, and the part goes to
+// another replica well before its objective. One that is merely slow is waited for, and so is one that may not run
+// twice.
 func TestLostAttemptIsReplaced(t *testing.T) {
 	for _, tc := range []struct {
 		repeat Idempotency
--- a/internal/decide/scatter/latency.go
+++ b/internal/decide/scatter/latency.go
@@ -70,7 +70,7 @@
 }
 
 // kept are the latencies that are still held, in the ring's order.
-func (s *samples) kept() []float64 { return s.values[:min(s.count, maxSamples)] }
+func (s *samples) latest() []float64 { return s.values[:min(s.count, maxSamples)] }
 
 // enough reports whether there are enough of them for quantiles.
 func (s *samples) enough() bool { return s.count >= minSamples }
@@ -81,7 +81,7 @@
 	if !c.samples.enough() {
 		return
 	}
-	sorted := slices.Sorted(slices.Values(c.samples.kept()))
+	sorted := slices.Sorted(slices.Values(c.samples.latest()))
 	n := len(sorted)
 	c.minService = min(c.minService, sorted[n/10])
 	slow := time.Duration(sorted[int(float64(n)*overdueQuantile)] * float64(time.Second))
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -40,7 +40,7 @@
 	loadFactor      float64 // how much longer than their classes' means parts have taken of late
 	lastSuccess     time.Duration
 	idleConnections idleTrust
-	silence         silenceWatch
+	responses       responseWatch
 	retries         retryBudget
 	hedges          allowance
 	probes          allowance
@@ -108,7 +108,7 @@
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
 	m.now, m.actions, m.healthFixed = now, nil, false
 	m.step++
-	m.stalled = m.timer.late(now) > scale(m.classes.tightest, stalledShare)
+	m.stalled = m.timer.delay(now) > scale(m.classes.tightest, stalledShare)
 	for _, e := range events {
 		m.apply(e)
 	}
@@ -174,7 +174,7 @@
 }
 
 // late is by how much a timer that should have fired by now is late; 0 where none is set.
-func (t *timer) late(now time.Duration) time.Duration {
+func (t *timer) delay(now time.Duration) time.Duration {
 	if t.at == 0 {
 		return 0
 	}
--- a/internal/decide/scatter/outliers_test.go
+++ b/internal/decide/scatter/outliers_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// One of four replicas falls ill; the others carry the randomTraffic, and it returns when it is well again.
+// One of four replicas shows a fault; the others carry the traffic, and it is reinstated when it has recovered.
 func TestFaultyReplicaIsEjectedAndReinstated(t *testing.T) {
 	for name, fall := range map[string]func(*replicaFleet){
-		"silent":           func(f *replicaFleet) { f.takes["a"] = -1 },
-		"ten times slower": func(f *replicaFleet) { f.takes["a"] = 1000 * ms },
+		"silent":           func(f *replicaFleet) { f.service["a"] = -1 },
+		"ten times slower": func(f *replicaFleet) { f.service["a"] = 1000 * ms },
 		"refuses connections": func(f *replicaFleet) {
-			f.takes["a"], f.fails["a"] = ms, ConnectFailed
+			f.service["a"], f.failures["a"] = ms, ConnectFailed
 		},
-		"unreachable":    func(f *replicaFleet) { f.takes["a"], f.fails["a"] = 250*ms, ConnectFailed },
-		"answers errors": func(f *replicaFleet) { f.takes["a"], f.fails["a"] = ms, Errored },
-		"resets":         func(f *replicaFleet) { f.takes["a"], f.fails["a"] = ms, ConnectionReset },
-		"is always full": func(f *replicaFleet) { f.takes["a"], f.fails["a"] = ms, Rejected },
+		"unreachable":    func(f *replicaFleet) { f.service["a"], f.failures["a"] = 250*ms, ConnectFailed },
+		"answers errors": func(f *replicaFleet) { f.service["a"], f.failures["a"] = ms, Errored },
+		"resets":         func(f *replicaFleet) { f.service["a"], f.failures["a"] = ms, ConnectionReset },
+		"is always full": func(f *replicaFleet) { f.service["a"], f.failures["a"] = ms, Rejected },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newReplicaFleet(t, base(), "a", "b", "c", "d")
@@ -32,7 +32,7 @@
 			if n := f.ends["answered"]; n < 190 {
 				t.Errorf("%d of 200 queries answered: %v", n, f.ends)
 			}
-			f.takes["a"], f.fails["a"] = 100*ms, Succeeded
+			f.service["a"], f.failures["a"] = 100*ms, Succeeded
 			f.run(15*sec, 50*ms)
 			f.clear()
 			f.run(10*sec, 50*ms)
@@ -43,15 +43,15 @@
 	}
 }
 
-// A replica that is well for half a second in every two gets no more than trial parts.
+// A replica that serves well for half a second in every two gets no more than probes.
 func TestFlappingReplicaStaysEjected(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 50*ms)
 	f.clear()
 	for range 6 {
-		f.takes["a"], f.fails["a"] = ms, ConnectionReset
+		f.service["a"], f.failures["a"] = ms, ConnectionReset
 		f.run(1500*ms, 50*ms)
-		f.takes["a"], f.fails["a"] = 100*ms, Succeeded
+		f.service["a"], f.failures["a"] = 100*ms, Succeeded
 		f.run(500*ms, 50*ms)
 	}
 	if got := f.share("a"); got > 0.15 {
@@ -62,16 +62,16 @@
 	}
 }
 
-// All slow at once is load: nobody leaves, and further attempts stay within their share.
+// All replicas slow at once is load: none is ejected, and hedged requests stay within their share.
 func TestCommonSlownessIsLoad(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 50*ms)
-	for id := range f.takes {
-		f.takes[id] = 1200 * ms
+	for id := range f.service {
+		f.service[id] = 1200 * ms
 	}
 	f.clear()
 	f.run(10*sec, 50*ms)
-	for _, r := range f.a.replicas.all {
+	for _, r := range f.m.replicas.all {
 		if r.health.ejected {
 			t.Errorf("%s is taken as ill", r.ID)
 		}
@@ -80,7 +80,7 @@
 	for _, n := range f.sent {
 		all += n
 	}
-	for range f.tries {
+	for range f.attempts {
 		first++
 	}
 	if limit := float64(first)*(1+hedgeShare) + maxSavedHedges; float64(all) > limit {
@@ -88,26 +88,26 @@
 	}
 }
 
-// A stall of one replica for 300 ms moves nobody out.
+// A stall of one replica for 300 ms ejects nobody.
 func TestBriefStallEjectsNobody(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 50*ms)
-	f.takes["a"] = 400 * ms
+	f.service["a"] = 400 * ms
 	f.run(300*ms, 50*ms)
-	f.takes["a"] = 100 * ms
+	f.service["a"] = 100 * ms
 	f.run(sec, 50*ms)
-	if f.a.replicas.byID["a"].health.ejected {
+	if f.m.replicas.byID["a"].health.ejected {
 		t.Error("taken as ill")
 	}
 }
 
-// Every holder looks ill at once, as in a cut or a restart of the replicaFleet: they are still tried, and when
-// they answer again so does the root.
+// Every holder shows faults at once, as in a network cut or a restart of the fleet: they are still tried, and when
+// they answer again so does the coordinator.
 func TestEjectionNeverEmptiesTheChoice(t *testing.T) {
 	for name, o := range map[string]Outcome{"no connection": ConnectFailed, "errors": Errored, "resets": ConnectionReset} {
 		f := newReplicaFleet(t, base(), "a", "b")
 		for _, id := range []string{"a", "b"} {
-			f.takes[id], f.fails[id] = ms, o
+			f.service[id], f.failures[id] = ms, o
 		}
 		f.run(5*sec, 100*ms)
 		f.clear()
@@ -116,7 +116,7 @@
 			t.Errorf("%s: not tried any more: %v", name, f.sent)
 		}
 		for _, id := range []string{"a", "b"} {
-			f.takes[id], f.fails[id] = 100*ms, Succeeded
+			f.service[id], f.failures[id] = 100*ms, Succeeded
 		}
 		f.run(5*sec, 100*ms)
 		f.clear()
@@ -127,15 +127,15 @@
 	}
 }
 
-// The root stands still for two seconds: what then arrives late says nothing of the replicas.
+// The coordinator stands still for two seconds: what then arrives late says nothing of the replicas.
 func TestStalledCoordinatorEjectsNobody(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 20*ms)
-	before := fmt.Sprint(f.a.replicas.byID["a"].health.ejected)
+	before := fmt.Sprint(f.m.replicas.byID["a"].health.ejected)
 	f.now += 1900 * ms
 	f.clear()
 	f.run(2*sec, 20*ms)
-	for _, r := range f.a.replicas.all {
+	for _, r := range f.m.replicas.all {
 		if r.health.ejected || r.latencyRatio > 3 {
 			t.Errorf("%s: suspect %v (%s before), ratio %.2f", r.ID, r.health.ejected, before, r.latencyRatio)
 		}
@@ -145,21 +145,21 @@
 	}
 }
 
-// One class fails at a replica that serves the other: it is kept from there for a while and tried again later,
-// and the other class keeps the replica.
+// One class fails at a replica that serves the other: the class is excluded there for a while and tried again later,
+// and the other class goes on there.
 func TestFailingClassIsExcludedAlone(t *testing.T) {
 	s := base()
 	s.Classes = append(s.Classes, Class{Name: "d", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1})
 	for name, o := range map[string]Outcome{"silence": TimedOut, "errors": Errored} {
 		b := start(t, s, names("a", "b")...)
-		a, c, d := b.a.replicas.byID["a"], b.a.classes.list[0], b.a.classes.list[1]
+		a, c, d := b.m.replicas.byID["a"], b.m.classes.list[0], b.m.classes.list[1]
 		for range 2 { // each time the other class is served while the failing part is out
 			at := &attempt{part: &part{query: &query{class: d}}, replica: a, sentAt: b.now}
 			b.step(sec, TimerFired{})
-			b.a.recordOutcome(a, c, &attempt{part: &part{query: &query{class: c}}, replica: a, sentAt: b.now},
+			b.m.recordOutcome(a, c, &attempt{part: &part{query: &query{class: c}}, replica: a, sentAt: b.now},
 				ended("", 0, "a", Succeeded, 100*ms))
 			b.step(sec, TimerFired{})
-			b.a.recordOutcome(a, d, at, ended("", 0, "a", o, 2*sec))
+			b.m.recordOutcome(a, d, at, ended("", 0, "a", o, 2*sec))
 		}
 		if a.health.ejected {
 			t.Errorf("%s: the replica is out of use for all", name)
@@ -185,8 +185,9 @@
 	}
 }
 
-// A connection dropped for want of use resets the part sent on it, though its replica is well: it is back with the
-// next part, not as a cold one, and later parts go out on fresh connections. A death stays a death.
+// A connection dropped for want of use resets the part sent on it, though its replica is well: the replica is
+// reinstated with the next part, not in slow start, and later parts go out on fresh connections. The end of a process
+// stays one.
 func TestIdleConnectionLossIsNoRestart(t *testing.T) {
 	for name, lasts := range map[string]time.Duration{"connection lost": 0, "process died": 3 * sec} {
 		s := base()
@@ -211,8 +212,8 @@
 			}
 			acts = b.step(20*ms, TimerFired{})
 		}
-		r := b.a.replicas.byID["a"]
-		if well := r.ready() && b.a.capacityFraction(r, b.a.now) == 1; well != (lasts == 0) {
+		r := b.m.replicas.byID["a"]
+		if well := r.ready() && b.m.capacityFraction(r, b.m.now) == 1; well != (lasts == 0) {
 			t.Errorf("%s: taken for well and warm: %v", name, well)
 		}
 		b.now += 3 * sec
@@ -222,9 +223,8 @@
 	}
 }
 
-// A broken connection resets all that was on it, but the process runs on: one such loss makes no suspect and no cold
-// replica, and other queries go on at once. Two without an answer
-// between them are more than bad luck.
+// A broken connection resets all that was on it, but the process runs on: one such loss neither ejects a replica nor
+// starts its slow start, and other queries go on at once. Two without an answer between them are more than bad luck.
 func TestBrokenConnectionIsNoRestart(t *testing.T) {
 	s := base()
 	s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 10 * sec, OverloadFactor: 3, Window: sec}
@@ -240,7 +240,7 @@
 		t.Fatalf("%d parts on one connection", len(events))
 	}
 	b.step(5*ms, events...)
-	a := b.a.replicas.byID["a"]
+	a := b.m.replicas.byID["a"]
 	acts := b.query("c", 4, 5)
 	if !a.ready() || len(of[Send](acts)) != 2 {
 		t.Error("one broken connection makes a suspect, or holds other queries up")
@@ -255,7 +255,7 @@
 			}
 			b.step(5*ms, ended(x.Part, 0, x.Replica, o, 5*ms))
 		}
-		if resets == 0 && (!a.ready() || b.a.capacityFraction(a, b.a.now) != 1 || a.health.mayHaveRestarted) {
+		if resets == 0 && (!a.ready() || b.m.capacityFraction(a, b.m.now) != 1 || a.health.mayHaveRestarted) {
 			t.Error("one broken connection makes a suspect or a cold replica")
 		}
 		if resets = max(resets, 1); resets == 3 {
@@ -268,12 +268,13 @@
 	}
 }
 
-// A replica that is full again and again is let be for longer each time, up to an aim; one part served ends that.
+// A replica that rejects again and again is left alone for longer each time, up to an objective; one part served ends
+// that.
 func TestRejectionPauseGrows(t *testing.T) {
 	b := start(t, base(), names("a")...)
-	r := b.a.replicas.byID["a"]
+	r := b.m.replicas.byID["a"]
 	one := func(o Outcome) time.Duration {
-		b.a.classes.list[0].meanLatency, r.latencyRatio, b.now = 0.2, 1, max(b.now, r.health.rejectingUntil)+ms // no crowd is predicted
+		b.m.classes.list[0].meanLatency, r.latencyRatio, b.now = 0.2, 1, max(b.now, r.health.rejectingUntil)+ms // no crowd is predicted
 		x := of[Send](b.query("c", 0))[0]
 		b.step(ms, ended(x.Part, 0, "a", o, ms), QueryCancelled{ID: fmt.Sprint("q", b.n)})
 		return r.health.rejectingUntil - b.now
--- a/internal/decide/scatter/picker.go
+++ b/internal/decide/scatter/picker.go
@@ -102,7 +102,7 @@
 func (m *Machine) candidates(p *part, s *shard, ok eligible) (list []int, minCalls int) {
 	minCalls = math.MaxInt
 	for i, r := range s.holders {
-		inSubset := i < s.kept || len(list) == 0
+		inSubset := i < s.active || len(list) == 0
 		if inSubset && ok(r) && m.now >= r.health.rejectingUntil && m.slowStartAllows(p, r) {
 			list = append(list, i)
 			minCalls = min(minCalls, m.callsAt(r))
--- a/internal/decide/scatter/picker_test.go
+++ b/internal/decide/scatter/picker_test.go
@@ -9,15 +9,15 @@
 func TestDrawsFollowTheShares(t *testing.T) {
 	b := start(t, base(), names("a", "b", "c", "d")...)
 	for i, v := range []float64{1, 2, 3, 3.5} {
-		b.a.replicas.all[i].latencyRatio = v
+		b.m.replicas.all[i].latencyRatio = v
 	}
-	b.a.shares.dirty = true
-	sh := b.a.shardOf(0)
-	b.a.computeShares(sh, b.a.currentBasis())
+	b.m.shares.dirty = true
+	sh := b.m.shardOf(0)
+	b.m.computeShares(sh, b.m.currentBasis())
 	got := map[string]float64{}
 	for range 4000 {
-		q := &query{class: b.a.classes.list[0], draws: map[*replica]float64{}}
-		r := b.a.drawReplica(&part{query: q}, sh, (*replica).ready)
+		q := &query{class: b.m.classes.list[0], draws: map[*replica]float64{}}
+		r := b.m.drawReplica(&part{query: q}, sh, (*replica).ready)
 		got[r.ID] += 1.0 / 4000
 	}
 	for i, r := range sh.holders {
@@ -46,14 +46,14 @@
 			t.Errorf("part %s went to %s, part %s to %s", x.Part, x.Replica, sends[0].Part, sends[0].Replica)
 		}
 	}
-	if n := b.a.replicas.byID[sends[0].Replica].openCalls; n != 1 {
+	if n := b.m.replicas.byID[sends[0].Replica].openCalls; n != 1 {
 		t.Errorf("%d calls out, want 1", n)
 	}
 }
 
-// An error loses a part that may not run twice for good, so for a while after one its replica gets none of
-// them while another can take them; parts that may be repeated still go there. With errors everywhere,
-// parts go out all the same.
+// An error loses a part that may not run twice for good, so for a while after one its replica gets none of them while
+// another can take them; parts that may be repeated still go there. With errors everywhere, parts go out all the
+// same.
 func TestDistrustAfterAnError(t *testing.T) {
 	b := startNonIdempotent(t)
 	to := func(class string) map[string]int {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Some replicas leave the parts of one class without an answer and serve the others. One that keeps a part that may
-// not run twice gets no more of these, nor does it for long after that part is given up, longer each time.
+// Some replicas leave the parts of one class unanswered and serve the others. One that keeps a part that may not run
+// twice gets no more of these, nor does it for long after that part is given up, longer each time.
 func TestDistrustAfterSilence(t *testing.T) {
 	b := startNonIdempotent(t)
 	went := map[string]int{}
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -10,7 +10,7 @@
 const (
 	// minKeptHolders is how many holders of each shard a coordinator of a large fleet keeps: one, and another
 	// beside it.
-	minKeptHolders = 2
+	minActiveHolders = 2
 	// smallFleet is the number of coordinators up to which each meets a replica often. In larger fleets pauses grow
 	// with the number.
 	smallFleet = 5.0
@@ -45,7 +45,9 @@
 }
 
 // keeps reports whether a replica takes part in the routing shares and this coordinator sends to it.
-func (m *Machine) keeps(r *replica) bool { return r.ready() && m.placement.subset.Keeps(r.subsetKey) }
+func (m *Machine) inSubset(r *replica) bool {
+	return r.ready() && m.placement.subset.Keeps(r.subsetKey)
+}
 
 // updatePlacement finds this coordinator's subset of the replicas that are listed as running, and the key of each.
 func (m *Machine) updatePlacement() {
@@ -55,7 +57,7 @@
 		ReplicationFactor: m.settings.ReplicationFactor,
 		Replicas:          m.replicas.running,
 	}
-	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minKeptHolders)
+	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minActiveHolders)
 	p.fleetFactor = max(1, p.subset.Share*float64(m.settings.Coordinators)/smallFleet)
 	basis := placementBasis{p.subset, m.place()}
 	if basis != p.basis {
@@ -119,6 +121,6 @@
 	for _, r := range s.holders {
 		keys, ready = append(keys, r.subsetKey), append(ready, r.ready())
 	}
-	s.kept = m.placement.subset.Among(keys, ready, minKeptHolders)
+	s.active = m.placement.subset.Among(keys, ready, minActiveHolders)
 	m.scratch.keys, m.scratch.ready = keys, ready
 }
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -13,13 +13,13 @@
 	maxSavedProbes = 3
 	// fleetProbeRate is how many first probes a second an ejected replica gets from all coordinators together.
 	fleetProbeRate = 25.0
-	// firstProbeBackoff is the pause before the first probe, in tightest latency objectives.
+	// firstProbeBackoff is the backoff before the first probe, in tightest latency objectives.
 	firstProbeBackoff = 0.2
-	// maxProbeBackoff is the longest pause, in the same; each failed probe doubles it.
+	// maxProbeBackoff is the longest backoff, in tightest latency objectives. Each failed probe doubles the backoff.
 	maxProbeBackoff = 2.0
 )
 
-// minProbeBackoff is the pause before the first probe of an ejected replica.
+// minProbeBackoff is the backoff before the first probe of an ejected replica.
 func (m *Machine) minProbeBackoff() time.Duration {
 	return scale(m.classes.tightest, firstProbeBackoff)
 }
@@ -28,7 +28,7 @@
 // that may not run twice do not probe. Without hedged requests a probe takes the place of the part's own attempt: so
 // an equal share of the parts probes at most, of classes that may be answered without a part, if there are any.
 func (m *Machine) dueProbe(p *part) *replica {
-	c, holders := p.query.class, m.shardOf(p.Shard).keptHolders()
+	c, holders := p.query.class, m.shardOf(p.Shard).activeHolders()
 	if m.probes.empty() || len(p.attempts) > 0 || c.Idempotency == NonIdempotent {
 		return nil
 	}
@@ -46,15 +46,15 @@
 	return nil
 }
 
-// nextProbeAfter is when this coordinator may probe an ejected replica next, after a pause. In a fleet whose
+// nextProbeAfter is when this coordinator may probe an ejected replica next, after a backoff. In a fleet whose
 // coordinators know their ordinals, each has a time slot of its own, so that all of them together keep to
 // fleetProbeRate.
-func (m *Machine) nextProbeAfter(r *replica, pause time.Duration) time.Duration {
+func (m *Machine) nextProbeAfter(r *replica, backoff time.Duration) time.Duration {
 	place := m.place()
 	if !place.Known() {
-		return m.now + pause
+		return m.now + backoff
 	}
 	members := m.placement.subset.Share * float64(place.FleetSize)
-	pause = max(pause, subsetting.SlotPeriod(members, fleetProbeRate))
-	return r.position.NextSlot(m.now, pause, subsetting.Salt(r.ID))
+	backoff = max(backoff, subsetting.SlotPeriod(members, fleetProbeRate))
+	return r.position.NextSlot(m.now, backoff, subsetting.Salt(r.ID))
 }
--- a/internal/decide/scatter/probes_test.go
+++ b/internal/decide/scatter/probes_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Where copies are barred a trial is the part's own attempt: no more than an equal share of the parts are trials, none
-// of a class that cannot miss a part where another can; an overdue one is called off, and its part goes elsewhere once
-// that has ended, never before.
+// Without hedged requests a probe is the part's own attempt: no more than an equal share of the parts are probes,
+// none of a class that cannot miss a part where another can; an overdue one is cancelled, and its part goes elsewhere
+// once that has ended, never before.
 func TestProbesWithoutHedging(t *testing.T) {
 	s := base()
 	s.Hedging = false
@@ -16,8 +16,8 @@
 	for _, class := range []string{"c", "part"} {
 		b := start(t, s, names("a", "b", "c", "d")...)
 		for range 200 {
-			a := b.a.replicas.byID["a"]
-			a.health.ejected, a.health.nextProbe, a.attempts, b.a.probes.tokens = true, 0, nil, 1
+			a := b.m.replicas.byID["a"]
+			a.health.ejected, a.health.nextProbe, a.attempts, b.m.probes.tokens = true, 0, nil, 1
 			acts := b.query(class, 0)
 			x := of[Send](acts)[0]
 			if len(of[Send](acts)) != 1 {
--- a/internal/decide/scatter/random_test.go
+++ b/internal/decide/scatter/random_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// randomTraffic runs random but legal events against one root and holds the rules as invariants.
+// randomTraffic runs random but legal events against one machine and holds the rules as invariants.
 func randomTraffic(t *testing.T, seed uint64, steps int, s Settings) (log []Action) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	a, err := New(seed, s)
--- a/internal/decide/scatter/reconfigure_test.go
+++ b/internal/decide/scatter/reconfigure_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// An altered class is a new one that knows what the old one learned; another number of cells gives other siblings.
+// An altered class is a new one that knows what the old one learned; another ring size gives other siblings.
 func TestConfigureAlters(t *testing.T) {
 	s := base()
 	a, err := New(1, s)
@@ -73,33 +73,34 @@
 	}
 }
 
-// Settings that leave the classes and the ring as they are make nothing anew by replica: every list of every replica is the
-// one that it was. A replica that has moved to another cell gets its new siblings with the next settings all the same.
+// Settings that leave the classes and the ring as they are make nothing anew by replica: every list of every replica
+// is the one that it was. A replica that has moved to another ring position gets its new siblings with the next
+// settings all the same.
 func TestConfigureCostsWhatItChanges(t *testing.T) {
 	const cells, nodes = 10, 600
-	s := newSteady(t, 5, cells, false)
+	s := newRecordedLoad(t, 5, cells, false)
 	var list []Replica
 	for i := range nodes {
 		list = append(list, Replica{ID: fmt.Sprint("more", i), RingPosition: i % cells})
 	}
-	s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: list}})
-	set := s.a.settings
+	s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: list}})
+	set := s.machine.settings
 	configure := func() {
 		set.RetryAfter += time.Microsecond
-		if err := s.a.Configure(set); err != nil {
+		if err := s.machine.Configure(set); err != nil {
 			t.Fatal(err)
 		}
 	}
 	configure()
-	before := listsOf(s.a)
+	before := listsOf(s.machine)
 	configure()
-	if remade := countRemade(before, listsOf(s.a)); remade > 0 {
+	if remade := countRemade(before, listsOf(s.machine)); remade > 0 {
 		t.Errorf("the same settings again make %d of %d lists of replicas anew", remade, len(before))
 	}
-	moved := s.a.replicas.byID["more1"]
-	s.a.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "more1", RingPosition: 6}}}})
+	moved := s.machine.replicas.byID["more1"]
+	s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "more1", RingPosition: 6}}}})
 	configure()
-	if want := s.a.replicas.ring.siblings(moved); !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.a.replicas.byID["more7"]) {
+	if want := s.machine.replicas.ring.siblings(moved); !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.machine.replicas.byID["more7"]) {
 		t.Errorf("of %d nodes one that moved has %d siblings, want %d", nodes, len(moved.siblings), len(want))
 	}
 }
--- a/internal/decide/scatter/recorded_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -10,31 +10,31 @@
 )
 
 // due is an outcome on its way.
-type due struct {
+type delivery struct {
 	at time.Duration
 	ev AttemptEnded
 }
 
-type dues []due
+type deliveries []delivery
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
-func (d *dues) Pop() any {
+func (d deliveries) Len() int           { return len(d) }
+func (d deliveries) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d deliveries) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *deliveries) Push(x any)        { *d = append(*d, x.(delivery)) }
+func (d *deliveries) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-// steady keeps about so many queries of six parts open at a root: each part is served after 100 ms, but for some that
-// err or are never answered, and every arrival and outcome is a step of its own, as sockets bring them. digest sums
-// up all actions.
-type steady struct {
-	a       *Machine
+// recordedLoad keeps about so many queries of six parts open at a coordinator: each part is served after 100 ms, but
+// for some that fail or are never answered, and every arrival and outcome is a step of its own, as sockets bring
+// them. digest sums up all actions.
+type recordedLoad struct {
+	machine *Machine
 	now     time.Duration
 	every   time.Duration
-	out     dues
+	out     deliveries
 	n       int64
 	sent    map[string]int
 	actions int
@@ -44,7 +44,7 @@
 // WireForm gives actions as lines on the wire.
 var WireForm func([]Action) []byte
 
-func newSteady(t testing.TB, open, nodes int, trouble bool) *steady {
+func newRecordedLoad(t testing.TB, open, nodes int, trouble bool) *recordedLoad {
 	s := Settings{Coordinators: 1, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 		Classes: []Class{{Name: "c", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7},
 			{Name: "once", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 2, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1, Idempotency: NonIdempotent}}}
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st := &steady{a: a, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{}}
+	st := &recordedLoad{machine: a, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{}}
 	var list []Replica
 	for i := range nodes {
 		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
@@ -61,9 +61,9 @@
 	return st
 }
 
-func (s *steady) step(trouble bool, events ...Event) {
+func (s *recordedLoad) step(trouble bool, events ...Event) {
 	h := fnv.New64a()
-	actions := s.a.Step(s.now, events)
+	actions := s.machine.Step(s.now, events)
 	h.Write(WireForm(actions))
 	for _, act := range actions {
 		s.actions++
@@ -76,17 +76,17 @@
 			} else if trouble && k%13 == 0 {
 				o, after = TimedOut, x.Timeout
 			}
-			heap.Push(&s.out, due{s.now + after, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: o, Latency: after}})
+			heap.Push(&s.out, delivery{s.now + after, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: o, Latency: after}})
 		}
 	}
 	s.digest = s.digest*31 + h.Sum64()
 }
 
 // query opens the next query and plays all that is due before it.
-func (s *steady) query(nodes int, trouble bool) {
+func (s *recordedLoad) query(nodes int, trouble bool) {
 	next := s.now + s.every
 	for len(s.out) > 0 && s.out[0].at <= next {
-		d := heap.Pop(&s.out).(due)
+		d := heap.Pop(&s.out).(delivery)
 		s.now = max(s.now, d.at)
 		s.step(trouble, d.ev)
 		if len(s.sent) > 1<<16 {
@@ -107,7 +107,7 @@
 	s.step(trouble, evs...)
 }
 
-// The actions on recorded events are those of the module before its steps were made cheaper. Other processors round
+// The actions on recorded events are those of the machine before its steps were made cheaper. Other processors round
 // some products otherwise, so their draws may differ in the end.
 func TestActionsUnchanged(t *testing.T) {
 	t.Parallel()
@@ -119,7 +119,7 @@
 		trouble     bool
 		digest      uint64
 	}{{5, 12, false, 0xbefb846d54fb6568}, {20, 12, true, 0xfacacc8b172530cc}, {60, 40, true, 0x4cf9b4722d574f8e}} {
-		s := newSteady(t, tc.open, tc.nodes, tc.trouble)
+		s := newRecordedLoad(t, tc.open, tc.nodes, tc.trouble)
 		for range 1500 {
 			s.query(tc.nodes, tc.trouble)
 		}
@@ -132,7 +132,7 @@
 func BenchmarkOpen(b *testing.B) {
 	for _, bc := range []struct{ open, nodes int }{{10, 12}, {100, 12}, {1000, 12}, {100, 1200}} {
 		b.Run(fmt.Sprintf("open=%d/nodes=%d", bc.open, bc.nodes), func(b *testing.B) {
-			s := newSteady(b, bc.open, bc.nodes, false)
+			s := newRecordedLoad(b, bc.open, bc.nodes, false)
 			for range bc.open * 2 {
 				s.query(bc.nodes, false)
 			}
--- a/internal/decide/scatter/replica.go
+++ b/internal/decide/scatter/replica.go
@@ -137,7 +137,7 @@
 	t.change(r, func() { r.health.ejected = ejected })
 }
 
-// change changes what makes a replica ready, and keeps the count of those that are.
+// change tells the machine that one replica drains, and in the next call that it is back as a new process.
 func (t *replicaTable) change(r *replica, change func()) {
 	if r.ready() {
 		t.ready--
--- a/internal/decide/scatter/replica_fleet_test.go
+++ b/internal/decide/scatter/replica_fleet_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// replicaFleet is a harness whose replicas serve each part after a time of their own; a negative time means
-// that they never answer, an outcome other than Served that they fail so after that time.
+// replicaFleet is a harness whose replicas serve each part after a time of their own. A negative time means that they
+// never answer, an outcome other than Succeeded that they fail so after that time.
 type replicaFleet struct {
 	*harness
-	takes map[string]time.Duration
-	fails map[string]Outcome
-	out   []struct {
+	service  map[string]time.Duration
+	failures map[string]Outcome
+	out      []struct {
 		Send
 		no   int
 		sent time.Duration
 	}
-	tries map[string]int
-	sent  map[string]int // by replica, since the last clear
-	ends  map[string]int // answered, refused, failed
+	attempts map[string]int
+	sent     map[string]int // by replica, since the last clear
+	ends     map[string]int // answered, refused, failed
 }
 
 func newReplicaFleet(t *testing.T, s Settings, ids ...string) *replicaFleet {
-	f := &replicaFleet{harness: start(t, s, names(ids...)...), takes: map[string]time.Duration{}, fails: map[string]Outcome{},
-		tries: map[string]int{}}
+	f := &replicaFleet{harness: start(t, s, names(ids...)...), service: map[string]time.Duration{}, failures: map[string]Outcome{},
+		attempts: map[string]int{}}
 	for _, id := range ids {
-		f.takes[id] = 100 * ms
+		f.service[id] = 100 * ms
 	}
 	f.clear()
 	return f
@@ -42,8 +42,8 @@
 				Send
 				no   int
 				sent time.Duration
-			}{x, f.tries[x.Part], f.now})
-			f.tries[x.Part]++
+			}{x, f.attempts[x.Part], f.now})
+			f.attempts[x.Part]++
 		case Answer:
 			f.ends["answered"]++
 		case Reject:
@@ -67,12 +67,12 @@
 		var evs []Event
 		rest := f.out[:0]
 		for _, o := range f.out {
-			age, takes := f.now-o.sent, f.takes[o.Replica]
+			age, takes := f.now-o.sent, f.service[o.Replica]
 			switch {
 			case o.Timeout == 0:
 				evs = append(evs, ended(o.Part, o.no, o.Replica, Cancelled, age))
 			case takes >= 0 && age >= takes:
-				evs = append(evs, ended(o.Part, o.no, o.Replica, f.fails[o.Replica], age))
+				evs = append(evs, ended(o.Part, o.no, o.Replica, f.failures[o.Replica], age))
 			case age >= o.Timeout:
 				evs = append(evs, ended(o.Part, o.no, o.Replica, TimedOut, age))
 			default:
--- a/internal/decide/scatter/retry_budget_test.go
+++ b/internal/decide/scatter/retry_budget_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Rule 6: at the edge of the stated budget.
+// Retries keep to their budget up to its edge.
 func TestRetryBudget(t *testing.T) {
 	s := base()
 	s.RetryBudget = &RetryBudget{MinRetries: 1, Ratio: 0.1, Window: 10 * sec}
--- a/internal/decide/scatter/settings.go
+++ b/internal/decide/scatter/settings.go
@@ -98,6 +98,7 @@
 	Value any
 }
 
+// Error names the field and its value.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("scatter: impossible setting %s: %v", e.Field, e.Value)
 }
--- a/internal/decide/scatter/shares.go
+++ b/internal/decide/scatter/shares.go
@@ -12,7 +12,8 @@
 	floorShares = 0.5
 	// tieBand is how close latency ratios are, as a share, to count as equal: less than one part's own spread.
 	tieBand = 0.1
-	// rateMemory is the part of a measured rate that is kept at each periodic rebalance: a memory of some five.
+	// rateMemory is the share of a moving rate that remains at each periodic rebalance: a memory of some five
+	// intervals.
 	rateMemory = 0.8
 
 	// rebalanceInterval is the time between two periodic rebalances.
@@ -23,7 +24,7 @@
 type shard struct {
 	number      int
 	holders     []*replica // listed as ready, in the order of their keys in this coordinator's subset
-	kept        int        // how many of them, from the first on, are sent to while that will do
+	active      int        // how many of them, from the first on, are sent to while that will do
 	medianRatio memo       // median latency ratio of these
 
 	arrived     []float64   // parts by class since the last periodic rebalance
@@ -34,7 +35,7 @@
 }
 
 // keptHolders are the holders that this coordinator sends to.
-func (s *shard) keptHolders() []*replica { return s.holders[:s.kept] }
+func (s *shard) activeHolders() []*replica { return s.holders[:s.active] }
 
 // shardTable holds the shards in use.
 type shardTable struct {
@@ -67,8 +68,10 @@
 		m.shares.nextRebalance = m.now + rebalanceInterval
 		m.shares.periods++
 		m.idleConnections.relax()
-		warm := m.replicas.count(func(r *replica) bool { return m.keeps(r) && m.capacityFraction(r, m.now) == 1 })
-		m.traffic.renew(warm)
+		warmedUp := m.replicas.count(func(r *replica) bool {
+			return m.inSubset(r) && m.capacityFraction(r, m.now) == 1
+		})
+		m.traffic.renew(warmedUp)
 		m.retries.expire(m.now)
 		m.pruneRemoved()
 		for _, c := range m.classes.list {
@@ -211,7 +214,7 @@
 	equal, total := resize(&m.scratch.equal, len(s.holders)), 0.0
 	for i, r := range s.holders {
 		equal[i] = 0
-		if i < s.kept && r.ready() {
+		if i < s.active && r.ready() {
 			equal[i] = m.capacityFraction(r, at)
 			total += equal[i]
 		}
@@ -271,11 +274,11 @@
 // trafficRates are what this coordinator sends to one replica, in the mean. Each moving mean gains with its first
 // intervals: what a young coordinator has seen counts in full.
 type trafficRates struct {
-	served     float64 // parts that warmed up replicas have served in this interval
-	demand     float64 // parts of admitted queries in this interval, for each ready replica
-	warmRate   float64 // parts a second served by each warmed up replica
-	demandRate float64 // parts a second of admitted queries for each ready replica
-	intervals  float64 // so many have passed
+	served       float64 // parts that warmed up replicas have served in this interval
+	demand       float64 // parts of admitted queries in this interval, for each ready replica
+	warmedUpRate float64 // parts a second served by each warmed up replica
+	demandRate   float64 // parts a second of admitted queries for each ready replica
+	intervals    float64 // so many have passed
 }
 
 // admitted counts the parts of an admitted query that go to some number of ready replicas.
@@ -284,14 +287,14 @@
 }
 
 // renew ends an interval, with so many warmed up replicas.
-func (t *trafficRates) renew(warm float64) {
+func (t *trafficRates) renew(warmedUp float64) {
 	gain := max(1-rateMemory, 1/(t.intervals+1))
-	t.warmRate += gain * (t.served/max(1, warm) - t.warmRate)
+	t.warmedUpRate += gain * (t.served/max(1, warmedUp) - t.warmedUpRate)
 	t.demandRate += gain * (t.demand - t.demandRate)
 	t.served, t.demand, t.intervals = 0, 0, t.intervals+1
 }
 
-// observed is for how long traffic has been measured, less one interval.
+// observed is for how long traffic has been counted, less one interval.
 func (t *trafficRates) observed() time.Duration {
 	return time.Duration(t.intervals-1) * rebalanceInterval
 }
--- a/internal/decide/scatter/shares_test.go
+++ b/internal/decide/scatter/shares_test.go
@@ -42,15 +42,15 @@
 			ids = append(ids, fmt.Sprint("r", i))
 		}
 		b := start(t, s, names(ids...)...)
-		sh := b.a.shardOf(0)
+		sh := b.m.shardOf(0)
 		copy(sh.rates, tc.rates)
 		for i, v := range tc.ratios {
-			b.a.replicas.all[i].latencyRatio = v
+			b.m.replicas.all[i].latencyRatio = v
 		}
 		for k, v := range tc.bases {
-			b.a.classes.list[k].meanLatency = v
+			b.m.classes.list[k].meanLatency = v
 		}
-		b.a.computeShares(sh, b.a.currentBasis())
+		b.m.computeShares(sh, b.m.currentBasis())
 		for k := range tc.want {
 			for i, want := range tc.want[k] {
 				if got := sh.shares[k][i]; math.Abs(got-want) > 1e-3 {
--- a/internal/decide/scatter/slow_start.go
+++ b/internal/decide/scatter/slow_start.go
@@ -68,11 +68,11 @@
 // the rate that a replica of one core can serve for it in any case. What warmed up replicas serve tells of more.
 func (m *Machine) slowStartRate(capacity float64) (rate, minRate float64) {
 	minRate = 1 / (m.serviceTime() * float64(m.settings.Coordinators))
-	perReplica := max(minRate/m.placement.subset.Share, m.traffic.warmRate)
+	perReplica := max(minRate/m.placement.subset.Share, m.traffic.warmedUpRate)
 	return capacity * slowStartSafety * m.settings.SlowStart.OverloadFactor * perReplica, minRate
 }
 
-// serviceTime is what a part of the dearest class takes at least, in seconds. A class too rare to be measured is taken
+// serviceTime is what a part of the dearest class takes at least, in seconds. A class too rare to have samples is taken
 // to be like the others.
 func (m *Machine) serviceTime() (seconds float64) {
 	for _, c := range m.classes.list {
@@ -99,7 +99,7 @@
 		all := takes(r)
 		for _, o := range r.siblings {
 			distance := mod(o.RingPosition-r.RingPosition+offset, m.settings.RingSize)
-			if m.keeps(o) && distance < m.settings.ReplicationFactor {
+			if m.inSubset(o) && distance < m.settings.ReplicationFactor {
 				all += takes(o)
 			}
 		}
--- a/internal/decide/scatter/slow_start_test.go
+++ b/internal/decide/scatter/slow_start_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Rule 4: whatever the demand, the rule's figures and the number of roots, all together send a cold replica no more
-// than the fall rule bears. Ten fleets of roots even out the random start of each root's budget.
+// Whatever the demand, the settings' figures and the number of coordinators, all together send a replica in slow
+// start no more than it bears. Ten fleets of coordinators even out the random start of each coordinator's budget.
 func TestSlowStartKeepsItsBudget(t *testing.T) {
 	t.Parallel()
 	for name, before := range map[string]func(*harness){
 		"announced": func(*harness) {},
 		"restarted under its id": func(b *harness) {
-			b.a.replicas.byID["cold"].slowStart.from = 0
+			b.m.replicas.byID["cold"].slowStart.from = 0
 			b.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100*sec + 1}}})
 		},
 		"restarted again and again": func(b *harness) {
@@ -22,9 +22,9 @@
 			}
 		},
 		"returned without notice": func(b *harness) {
-			r := b.a.replicas.byID["cold"]
+			r := b.m.replicas.byID["cold"]
 			r.slowStart.from, r.health.mayHaveRestarted = 0, true
-			b.a.reinstate(r)
+			b.m.reinstate(r)
 		},
 	} {
 		for _, cold := range []SlowStart{
@@ -47,7 +47,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					b := &harness{t: t, a: a, now: 100 * sec}
+					b := &harness{t: t, m: a, now: 100 * sec}
 					b.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100 * sec}}})
 					before(b)
 					for range int(cold.Window / (50 * ms)) { // a window of demand far beyond any capacity
@@ -66,7 +66,8 @@
 	}
 }
 
-// A class too rare to have been measured does not hold cold replicas back: the measured ones tell what parts cost.
+// A class too rare to have samples does not hold back replicas in slow start: the classes that have them tell what
+// parts cost.
 func TestRareClassDoesNotSetTheSlowStartBudget(t *testing.T) {
 	sent := map[bool]int{}
 	for _, rare := range []bool{false, true} {
--- /dev/null
+++ b/internal/decide/scatter/unresponsive.go
@@ -0,0 +1,74 @@
+package scatter
+
+import "time"
+
+const (
+	// A replica is unresponsive when a part has been out for unresponsiveOverdue overdue times and unresponsiveMeans
+	// usual means, and nothing was answered since it was sent.
+	unresponsiveOverdue = 1.5
+	unresponsiveMeans   = 3.0
+	// slowRatio is how many times its siblings' median latency ratio makes a replica an outlier.
+	slowRatio = 3.0
+)
+
+// responseWatch says when outstanding attempts are to be looked at next.
+type responseWatch struct {
+	nextLook   time.Duration // before then no attempt that is out makes a silent replica
+	rebalances int           // the rebalance that this is of
+}
+
+// watch takes a new attempt into account.
+func (w *responseWatch) watch(at *attempt) { w.nextLook = min(w.nextLook, at.unresponsiveFrom()) }
+
+// silentFrom is until when an attempt makes no silent replica, whatever else is known.
+func (at *attempt) unresponsiveFrom() time.Duration {
+	return at.sentAt + scale(at.part.query.class.overdueAfter, unresponsiveOverdue)
+}
+
+// detectOutliers ejects the silent replicas, with a part out for long and nothing answered since it was sent though
+// others did answer, and at each periodic rebalance the slow ones.
+func (m *Machine) detectOutliers() {
+	for _, r := range m.replicasToWatch() {
+		for _, at := range r.attempts {
+			at.excused = at.excused || m.stalled
+			if m.isUnresponsive(r, at) {
+				m.eject(r, at)
+			}
+		}
+		if m.shares.due(m.now) && r.ready() && m.capacityFraction(r, m.now) == 1 &&
+			r.latencyRatio > slowRatio*medianRatio(r.siblings) {
+			m.eject(r, nil)
+		}
+	}
+}
+
+// isSilent reports whether an attempt shows a ready replica to be silent.
+func (m *Machine) isUnresponsive(r *replica, at *attempt) bool {
+	out, c := m.now-at.sentAt, at.part.query.class
+	return out > scale(c.overdueAfter, unresponsiveOverdue) && // lateAfter is no sooner
+		r.ready() && !at.cancelled && !at.excused &&
+		r.health.lastSuccess < at.sentAt && m.lastSuccess > at.sentAt &&
+		out > m.lateAfter(r, c, unresponsiveOverdue, unresponsiveMeans)
+}
+
+// replicasToWatch lists the replicas that this step may eject: those with attempts out, none before the first of these
+// has been out for long, and at a periodic rebalance all.
+func (m *Machine) replicasToWatch() []*replica {
+	periodic, w := m.shares.due(m.now), &m.responses
+	if !periodic && !m.stalled && !m.shares.dirty && w.rebalances == m.shares.rebalances && m.now <= w.nextLook {
+		return nil
+	}
+	m.replicas.dropIdle()
+	w.rebalances, w.nextLook = m.shares.rebalances, never+m.now
+	for _, r := range m.replicas.busy {
+		for _, at := range r.attempts {
+			w.watch(at)
+		}
+	}
+	list := m.replicas.busy
+	if periodic {
+		list = m.replicas.all
+	}
+	m.examined.replicas += len(list)
+	return list
+}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -14,8 +14,8 @@
 	"single_shot": scatter.NonIdempotent,
 }
 
-// settings reads the facts of a provision line. Unknown keys are skipped; keys that a site leaves out keep the zero value,
-// except where zero would mean something else.
+// settings reads the facts of a provision line. Unknown keys are skipped; keys that a site leaves out keep the zero
+// value, except where zero would mean something else.
 func settings(f *fields) scatter.Settings {
 	s := scatter.Settings{
 		Coordinators:      f.optionalInt("balancers", 1),
