--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 	test -z "$$(gofmt -l .)"
 	go vet ./...
 	go tool staticcheck ./...
+	test -z "$$(go tool deadcode -test ./... | tee /dev/stderr)"
 
 # Each fuzz test for a short while; a find is kept under testdata and runs with the tests from then on.
 fuzz:
--- a/internal/decide/subsetting/member.go
+++ b/internal/decide/subsetting/member.go
@@ -11,21 +11,6 @@
 // Place is a coordinator's in its fleet: the Me-th, from 0, of Of.
 type Place struct{ Index, FleetSize int }
 
-// View tells a place: settings do, and so may a view of a membership. Version changes with it.
-type View interface {
-	Place() Place
-	Version() uint64
-}
-
-// Settled is a place that nothing changes.
-type Settled Place
-
-// Place implements View.
-func (s Settled) Place() Place { return Place(s) }
-
-// Version implements View.
-func (s Settled) Version() uint64 { return 0 }
-
 // Salt is a name's, the same at all members (FNV-1a).
 func Salt(name string) (h uint64) {
 	h = 14695981039346656037
