--- /dev/null
+++ b/internal/decide/backoff/doc.go
@@ -0,0 +1,30 @@
+// Package backoff decides when one coordinator of many may call discovery, which all of them share.
+//
+// Discovery answers calls one after another. A call that waits too long there fails and has occupied discovery for
+// nothing. A fleet that starts, or that loses discovery, at one instant must therefore neither call at one instant nor
+// retry at one. Coordinators do not talk to each other: each draws the instant of its call from an interval that grows
+// with the fleet.
+//
+// # Contract
+//
+// A Schedule is for one coordinator and for one goroutine at a time. It has no clock: its caller reports the outcome of
+// each call and waits for the durations that it gets back. With equal fields, random source and reports it returns
+// equal durations.
+//
+// Every duration is short enough for a coordinator to learn of a change of the endpoint list before that counts as
+// notified to it. Only a fleet that discovery cannot answer in that time is spread over more.
+//
+// # Terms
+//
+//   - call slot: the time for which one call is assumed to occupy discovery.
+//   - spreading interval: the time over which the calls of the whole fleet are spread, in call slots per coordinator.
+//   - service time-out: how long discovery lets a call wait before it fails it.
+//   - notified: a change of the endpoint list counts as known to a coordinator, whether or not it has learned of it.
+//   - agent: a process beside the coordinator to which discovery pushes the endpoint list, and which serves only it.
+//
+// # Where each decision stands
+//
+//	notification.go  when a change counts as notified, and how the time until then is divided
+//	schedule.go      how long to wait before each kind of call
+//	spreading.go     how long the spreading interval is, and what failures show of discovery's load
+package backoff
--- /dev/null
+++ b/internal/decide/backoff/fleet_test.go
@@ -0,0 +1,142 @@
+package backoff
+
+import (
+	"container/heap"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// call is a coordinator's next call to the simulated service.
+type call struct {
+	at          time.Duration
+	coordinator int
+}
+
+// calls is a heap of calls, the next one first.
+type calls []call
+
+func (c calls) Len() int           { return len(c) }
+func (c calls) Less(i, j int) bool { return c[i].at < c[j].at }
+func (c calls) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *calls) Push(x any)        { *c = append(*c, x.(call)) }
+func (c *calls) Pop() any          { old := *c; x := old[len(old)-1]; *c = old[:len(old)-1]; return x }
+
+// service is a simulated discovery service that answers calls one after another. A call that has waited for
+// serviceTimeout fails, and occupies the service all the same.
+type service struct {
+	callCost time.Duration // for which a call occupies the service
+	upAt     time.Duration // until then each call fails at once
+	freeAt   time.Duration // when all calls so far have been worked off
+}
+
+const serviceTimeout = 2 * time.Second
+
+// call returns when an answered call has its answer, or after how long a call fails.
+func (s *service) call(at time.Duration) (answeredAt, failedAfter time.Duration, ok bool) {
+	if at < s.upAt {
+		return 0, 0, false
+	}
+	begins := max(s.freeAt, at)
+	s.freeAt = begins + s.callCost
+	if begins-at <= serviceTimeout {
+		return s.freeAt, 0, true
+	}
+	return 0, serviceTimeout, false
+}
+
+// fleetRun is a fleet of coordinators that all need their list from a service at one instant.
+type fleetRun struct {
+	size         int
+	service      service
+	firstDelay   func(*Schedule) time.Duration
+	failureDelay func(*Schedule, time.Duration) time.Duration
+}
+
+// run plays a minute. It returns how many calls were made, how many were answered, and when the last answer came.
+func (f fleetRun) run() (made, answered int, last time.Duration) {
+	f.service.freeAt = f.service.upAt
+	var schedules []*Schedule
+	var due calls
+	for i := range f.size {
+		schedules = append(schedules, &Schedule{FleetSize: f.size, Rand: rand.New(rand.NewPCG(uint64(i), 1))})
+		heap.Push(&due, call{f.firstDelay(schedules[i]), i})
+	}
+	for len(due) > 0 && due[0].at < time.Minute {
+		c := heap.Pop(&due).(call)
+		made++
+		answeredAt, failedAfter, ok := f.service.call(c.at)
+		if ok {
+			answered, last = answered+1, max(last, answeredAt)
+			schedules[c.coordinator].Succeeded()
+			continue
+		}
+		heap.Push(&due, call{c.at + failedAfter + f.failureDelay(schedules[c.coordinator], failedAfter), c.coordinator})
+	}
+	return made, answered, last
+}
+
+// A whole fleet starts, or loses discovery, at one instant. All coordinators have their list soon after, with few calls
+// that fail. Without spread calls, those that wait too long keep the service busy for nothing and hardly any
+// coordinator is answered; that case shows that the simulated service is a test at all.
+func TestFleetHasListSoonAfterCommonFailure(t *testing.T) {
+	for _, c := range []struct {
+		fleet              int
+		cost, upAt, lastAt time.Duration
+		callsEach          float64
+		answered           int
+	}{
+		{80, 66 * time.Millisecond, 0, 8 * time.Second, 1.1, 80},
+		{80, 100 * time.Millisecond, 0, 12 * time.Second, 1.2, 80},
+		{80, 190 * time.Millisecond, 0, time.Minute, 4, 40}, // calls cost about twice a call slot: slow, but no jam
+		{80, 66 * time.Millisecond, 8 * time.Second, 18 * time.Second, 4, 80},
+		{300, 20 * time.Millisecond, 0, 31 * time.Second, 1.1, 300},
+		{3, 66 * time.Millisecond, 0, time.Second, 1, 3},
+	} {
+		run := fleetRun{c.fleet, service{callCost: c.cost, upAt: c.upAt}, (*Schedule).FirstDelay, (*Schedule).FailureDelay}
+		made, answered, last := run.run()
+		if answered < c.answered || last > c.lastAt+2*time.Second || float64(made) > c.callsEach*float64(c.fleet) {
+			t.Errorf("%d coordinators at %v a call: %d calls, %d answered, the last after %v",
+				c.fleet, c.cost, made, answered, last)
+		}
+	}
+	atOnce := func(*Schedule) time.Duration { return 0 }
+	short := func(s *Schedule, _ time.Duration) time.Duration {
+		return time.Duration((0.25 + 0.5*s.Rand.Float64()) * float64(time.Second))
+	}
+	run := fleetRun{80, service{callCost: 66 * time.Millisecond}, atOnce, short}
+	if made, answered, _ := run.run(); answered > 60 {
+		t.Errorf("without spread calls %d were answered, of %d calls: the simulated service is no test", answered, made)
+	}
+}
+
+// Discovery is lost to a fleet of at most thirty, and comes back at once or after some seconds. Calls that wait for two
+// seconds fail and have occupied the service for 0.1 s all the same. Every coordinator is answered within
+// NotifiedAfter of discovery's return, so none lacks a change that counts as notified.
+func TestSmallFleetIsAnsweredBeforeChangesCountAsNotified(t *testing.T) {
+	for _, size := range []int{6, 20, 30} {
+		for _, upAt := range []time.Duration{0, 3 * time.Second, 8 * time.Second} {
+			run := fleetRun{size, service{callCost: 100 * time.Millisecond, upAt: upAt},
+				(*Schedule).WatchLostDelay, (*Schedule).FailureDelay}
+			_, answered, last := run.run()
+			if answered != size || last-upAt >= NotifiedAfter {
+				t.Errorf("%d coordinators: %d answered, the last %v after discovery was back", size, answered, last-upAt)
+			}
+		}
+	}
+}
+
+// A large fleet starts at one instant, at a service that answers calls fast. Spread over half of ListMaxAge, nearly
+// every first call is answered, and all coordinators have their list by then.
+func TestLargeFleetHasListWithinHalfOfListMaxAge(t *testing.T) {
+	const listMaxAge, size = 10 * time.Second, 300
+	firstDelay := func(s *Schedule) time.Duration {
+		s.ListMaxAge = listMaxAge
+		return s.FirstDelay()
+	}
+	run := fleetRun{size, service{callCost: 10 * time.Millisecond}, firstDelay, (*Schedule).FailureDelay}
+	made, answered, last := run.run()
+	if answered != size || made > 310 || last > listMaxAge/2+2*time.Second {
+		t.Errorf("%d coordinators: %d calls, %d answered, the last after %v", size, made, answered, last)
+	}
+}
