--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -1,9 +1,17 @@
-// Package lease decides for how long a coordinator may go on sending by a list of nodes that its discovery has not confirmed.
+// Package lease decides for how long a coordinator may send to replicas by an endpoint list that discovery has not
+// confirmed.
 //
-// A change of the list binds a coordinator some time after discovery had it and could be reached, whether or not the
-// coordinator has heard of it. So each confirmation of the list is a lease for that time. A call that finds that discovery
-// cannot be had renews it, since nothing binds before it can be reached again; one that breaks or stays silent there does not.
-// Once the lease is over, nothing new may be sent by the list.
+// A change of the list counts as notified to a coordinator some time after discovery had it and could be reached,
+// whether or not the coordinator has learned of it (package backoff has that time). An endpoint that drains may get new
+// attempts for a grace period after that. So a list may be used for that time and the grace from the last instant at
+// which it is known to have lacked nothing. There are two kinds of such an instant: discovery confirmed the list, or a
+// call found discovery unreachable, since no change counts as notified while discovery cannot be reached. A call that
+// discovery accepted and left unanswered proves neither.
+//
+// # Contract
+//
+// A Lease is for one endpoint list and for one goroutine at a time. It has no clock: instants are readings of the
+// caller's monotonic clock. Once Expires has passed, the caller must begin no attempt by the list.
 package lease
 
 import (
@@ -12,57 +20,68 @@
 	"harepass/internal/decide/backoff"
 )
 
-// Lease is that of one list from one service. Times are on any one clock.
+// Lease is the time for which one endpoint list may be used. Use New.
 type Lease struct {
-	confirmed time.Duration // what the list lacks was made after this, or could not be had before it
-	period    time.Duration // after that, what was made binds
-	grace     time.Duration // for how long sends may go on then
-	expires   time.Duration
+	currentAt     time.Duration // last instant at which the list is known to have lacked nothing
+	notifiedAfter time.Duration // time from a change until it counts as notified
+	grace         time.Duration // time from then on in which attempts may still begin
+	expires       time.Duration // instant from which on the list must not be used
 }
 
-// Of the rule's own grace sends may use up what is not kept for a coordinator that is held up between its clock and its
-// sockets: heldUp, or half of a grace that is short.
-const heldUp = 250 * time.Millisecond
-
-// usable is what sends may use up of a grace.
-func usable(grace time.Duration) time.Duration { return max(grace/2, grace-heldUp) }
-
-// New is the lease of a process that begins with a remembered list and has not asked yet: it is held to that for the time
-// that the settings allow between two calls. Once a call has failed, only the usual period counts. Grace is for how long the
-// rule allows sends to a node after the word that it drains.
-func New(now, listMaxAge, grace time.Duration) Lease {
-	l := Lease{confirmed: now, period: backoff.NotifiedAfter, grace: usable(grace)}
+// New returns the lease of a process that starts at now with a stored endpoint list. The process counts as notified after
+// listMaxAge, as long as no call has failed. From the first failed call on, the usual time counts. drainGrace is the time
+// for which the platform still allows attempts at an endpoint after its drain counts as notified.
+func New(now, listMaxAge, drainGrace time.Duration) Lease {
+	l := Lease{currentAt: now, notifiedAfter: backoff.NotifiedAfter, grace: usableGrace(drainGrace)}
 	l.expires = now + max(listMaxAge, backoff.NotifiedAfter) + l.grace
 	return l
 }
 
-// SetGrace takes over another grace, from the next news on.
-func (l *Lease) SetGrace(grace time.Duration) { l.grace = usable(grace) }
+// stallReserve is the part of a drain's grace that no attempt may use. An attempt is allowed by an earlier reading of
+// the clock than the instant at which it reaches the endpoint: a process that is not scheduled between the two sends
+// late. The reserve covers such a stall.
+const stallReserve = 250 * time.Millisecond
 
-// Expires is when the list holds no longer.
+// usableGrace is the part of a drain's grace in which attempts may begin: all but stallReserve, or half of a grace that
+// is shorter than twice that.
+func usableGrace(drainGrace time.Duration) time.Duration {
+	return max(drainGrace/2, drainGrace-stallReserve)
+}
+
+// SetGrace takes over another drain grace. It counts from the next event on: an expiry that has been returned stays.
+func (l *Lease) SetGrace(drainGrace time.Duration) { l.grace = usableGrace(drainGrace) }
+
+// Expires returns the instant from which on the list must not be used.
 func (l *Lease) Expires() time.Duration { return l.expires }
 
-// Confirmed notes that the list was the latest one at a time.
+// Confirmed records that discovery's answer showed the list to be the latest one at an instant.
 func (l *Lease) Confirmed(at time.Duration) {
-	l.period = backoff.NotifiedAfter
+	l.notifiedAfter = backoff.NotifiedAfter
 	l.renew(at)
 }
 
-// Unreachable notes that discovery could not be reached by a call that began at a time.
+// Unreachable records that a call which began at an instant found that discovery could not be reached.
 func (l *Lease) Unreachable(began time.Duration) { l.renew(began) }
 
-// Unanswered notes that a call may have reached discovery and brought nothing.
-func (l *Lease) Unanswered() { l.expires = min(l.expires, l.confirmed+l.period+l.grace) }
+// Unanswered records that a call failed although it may have reached discovery. It ends the longer time that a new
+// process has.
+func (l *Lease) Unanswered() {
+	l.expires = min(l.expires, l.currentAt+l.notifiedAfter+l.grace)
+}
 
-// ServiceChanged notes that another service tells the list from a time on: what it has binds sooner, until it has answered.
+// ServiceChanged records that a reload named another discovery service at an instant. Until that service has answered,
+// its changes count as notified after backoff.NotifiedAfterReload. The change never prolongs the lease.
 func (l *Lease) ServiceChanged(at time.Duration) {
-	l.confirmed = min(at, l.confirmed+l.period-backoff.NotifiedAfterReload) // what came before is not prolonged
-	l.period = backoff.NotifiedAfterReload
-	l.expires = min(l.expires, at+l.period+l.grace)
+	// Calls to the new service renew from currentAt with the shorter time. Moving currentAt back by the difference keeps
+	// changes at the old service due when they were.
+	l.currentAt = min(at, l.currentAt+l.notifiedAfter-backoff.NotifiedAfterReload)
+	l.notifiedAfter = backoff.NotifiedAfterReload
+	l.expires = min(l.expires, at+l.notifiedAfter+l.grace)
 }
 
-// renew counts the period from a time on. Time that the list has already is not taken back: calls may overlap.
-func (l *Lease) renew(from time.Duration) {
-	l.confirmed = max(l.confirmed, from)
-	l.expires = l.confirmed + l.period + l.grace
+// renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order, so
+// an earlier instant than that of another renewal does not take back what that one showed.
+func (l *Lease) renew(at time.Duration) {
+	l.currentAt = max(l.currentAt, at)
+	l.expires = l.currentAt + l.notifiedAfter + l.grace
 }
