--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -28,9 +28,9 @@
 	expires       time.Duration // instant from which on the list must not be used
 }
 
-// New returns the lease of a process that starts at now with a stored endpoint list. The process counts as notified after
-// listMaxAge, as long as no call has failed. From the first failed call on, the usual time counts. drainGrace is the time
-// for which the platform still allows attempts at an endpoint after its drain counts as notified.
+// New returns the lease of a process that starts at now with a stored endpoint list. The process counts as notified
+// after listMaxAge, as long as no call has failed. From the first failed call on, the usual time counts. drainGrace is
+// the time for which the platform still allows attempts at an endpoint after its drain counts as notified.
 func New(now, listMaxAge, drainGrace time.Duration) Lease {
 	l := Lease{currentAt: now, notifiedAfter: backoff.NotifiedAfter, grace: usableGrace(drainGrace)}
 	l.expires = now + max(listMaxAge, backoff.NotifiedAfter) + l.grace
@@ -72,15 +72,15 @@
 // ServiceChanged records that a reload named another discovery service at an instant. Until that service has answered,
 // its changes count as notified after backoff.NotifiedAfterReload. The change never prolongs the lease.
 func (l *Lease) ServiceChanged(at time.Duration) {
-	// Calls to the new service renew from currentAt with the shorter time. Moving currentAt back by the difference keeps
-	// changes at the old service due when they were.
+	// Calls to the new service renew from currentAt with the shorter time. Moving currentAt back by the difference
+	// keeps changes at the old service due when they were.
 	l.currentAt = min(at, l.currentAt+l.notifiedAfter-backoff.NotifiedAfterReload)
 	l.notifiedAfter = backoff.NotifiedAfterReload
 	l.expires = min(l.expires, at+l.notifiedAfter+l.grace)
 }
 
-// renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order, so
-// an earlier instant than that of another renewal does not take back what that one showed.
+// renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order,
+// so an earlier instant than that of another renewal does not take back what that one showed.
 func (l *Lease) renew(at time.Duration) {
 	l.currentAt = max(l.currentAt, at)
 	l.expires = l.currentAt + l.notifiedAfter + l.grace
