--- a/cmd/harepass/distribution.go
+++ b/cmd/harepass/distribution.go
@@ -88,7 +88,7 @@
 
 // follower returns a follower of a resource for a coordinator with a seed.
 func (f *distributionFile) follower(c distribution.Config, seed uint64) *distribution.Follower {
-	c = withSources(c, f.Sources, failover.Place{Zone: f.Zone, Region: f.Region})
+	c = withSources(c, f.Sources, failover.Locality{Zone: f.Zone, Region: f.Region})
 	c.Heartbeat, c.Allowance = f.Heartbeat, f.Allowance
 	c.Rand = rand.New(rand.NewPCG(seed, rand.Uint64()))
 	return distribution.New(c)
--- a/cmd/harepass/relay.go
+++ b/cmd/harepass/relay.go
@@ -111,7 +111,7 @@
 	for resource, kept := range map[distribution.Resource]*relay.Resource{
 		distribution.Instances: r.server.Instances, distribution.Settings: r.server.Settings} {
 		config := distribution.Config{Resource: resource, Heartbeat: r.file.Heartbeat, Allowance: r.file.Allowance}
-		config = withSources(config, r.file.Sources, failover.Place{Zone: r.file.Zone, Region: r.file.Region})
+		config = withSources(config, r.file.Sources, failover.Locality{Zone: r.file.Zone, Region: r.file.Region})
 		go kept.Follow(ctx, config)
 	}
 }
--- a/cmd/harepass/reload.go
+++ b/cmd/harepass/reload.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	old, flat = settingsdiff.Named(old), settingsdiff.Named(flat)
+	old, flat = settingsdiff.ByName(old), settingsdiff.ByName(flat)
 	if missing := settingsdiff.Missing(old, flat); len(missing) > 0 {
 		return nil, fmt.Errorf("the file's settings lack %s; the old ones stay", strings.Join(missing, ", "))
 	}
--- a/internal/decide/failover/freshness.go
+++ b/internal/decide/failover/freshness.go
@@ -26,13 +26,13 @@
 func (f *freshness) isStale(age time.Duration) bool { return f.staleAfter > 0 && age > f.staleAfter }
 
 // StaleAfter sets from which age on a source is stale. Without it none is.
-func (s *Selector) StaleAfter(bound time.Duration) { s.freshness.staleAfter = bound }
+func (s *Selector) SetStaleAfter(bound time.Duration) { s.freshness.staleAfter = bound }
 
 // Stale tells whether the current source is.
 func (s *Selector) Stale() bool { return s.current != none && s.freshness.isStale(s.freshness.age) }
 
 // Aged notes the age of what the current source has, by its last answer.
-func (s *Selector) Aged(now, age time.Duration) {
+func (s *Selector) RecordAge(now, age time.Duration) {
 	f, before := &s.freshness, s.Stale()
 	f.age = age
 	if s.Stale() && !before {
@@ -42,7 +42,7 @@
 }
 
 // LookIn is how long it takes until Fresher may name a source; 0 where that is not known.
-func (s *Selector) LookIn(now time.Duration) time.Duration {
+func (s *Selector) FresherIn(now time.Duration) time.Duration {
 	if !s.Stale() {
 		return 0
 	}
@@ -83,7 +83,7 @@
 // Return follows a source that Nearer or Fresher named and that has answered, where it is better than the current one: a
 // nearer one that is not stale in place of one that is not, and one that is clearly fresher in place of a stale one. age is
 // that of what the source has. Sources that are equally stale are never exchanged.
-func (s *Selector) Return(now time.Duration, source Source, age time.Duration) bool {
+func (s *Selector) SwitchTo(now time.Duration, source Source, age time.Duration) bool {
 	i := s.index(source)
 	if i == none || s.current == none || i == s.current {
 		return false
--- a/internal/decide/failover/freshness_test.go
+++ b/internal/decide/failover/freshness_test.go
@@ -16,7 +16,7 @@
 		better = s.Fresher
 	}
 	source, ok := better(now)
-	return ok, ok && s.Return(now, source, ages[source.Address])
+	return ok, ok && s.SwitchTo(now, source, ages[source.Address])
 }
 
 // Sources that are cut off at moments of their own, and later than that nothing new: a reader changes to a clearly fresher
@@ -24,7 +24,7 @@
 func TestCutSources(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now, all := New(own, list(), random(rapid.Uint64().Draw(t, "seed"))), time.Duration(0), list()
-		s.StaleAfter(bound)
+		s.SetStaleAfter(bound)
 		cutAt, ages := map[string]time.Duration{}, map[string]time.Duration{}
 		for _, source := range all {
 			cutAt[source.Address] = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "cut")) * ms
@@ -37,8 +37,8 @@
 				ages[source.Address] = max(0, now-cutAt[source.Address])
 			}
 			before, _ := s.Current()
-			s.Served(now)
-			s.Aged(now, ages[before.Address])
+			s.Succeeded(now)
+			s.RecordAge(now, ages[before.Address])
 			stale := s.Stale()
 			looked, changed := look(s, now, ages)
 			if looked {
@@ -68,18 +68,18 @@
 // A reader of a stale source has looked at all others within a second, once each, and at one in 1.5 to 3 s later on.
 func TestLooks(t *testing.T) {
 	s, looked := New(own, list(), random(1)), map[string]int{}
-	s.StaleAfter(bound)
+	s.SetStaleAfter(bound)
 	s.Next(0)
 	const start = 2 * sec
 	last, latest := time.Duration(0), time.Duration(0)
 	for now := start; now < start+60*sec; now += 10 * ms {
-		s.Aged(now, now)
+		s.RecordAge(now, now)
 		source, ok := s.Fresher(now)
 		if !ok {
 			continue
 		}
 		last, latest = latest, now
-		if s.Return(now, source, now) {
+		if s.SwitchTo(now, source, now) {
 			t.Fatalf("at %v it follows %s, which is as stale", now, source.Address)
 		}
 		if looked[source.Address]++; len(looked) < len(list())-1 && looked[source.Address] > 1 || len(looked) < len(list())-1 && now > start+sec {
@@ -95,21 +95,21 @@
 // followed all the same where that fails.
 func TestReturnsToFresh(t *testing.T) {
 	s, now := New(own, list()[1:3], random(1)), time.Duration(0)
-	s.StaleAfter(bound)
+	s.SetStaleAfter(bound)
 	near, far := next(t, s, &now), list()[1]
-	s.Aged(now, 2*bound)
+	s.RecordAge(now, 2*bound)
 	now += firstLook
-	if source, ok := s.Fresher(now); !ok || source != far || !s.Return(now, far, 0) {
+	if source, ok := s.Fresher(now); !ok || source != far || !s.SwitchTo(now, far, 0) {
 		t.Fatalf("it looks at %s", source.Address)
 	}
 	turns := 0
 	for ; turns < 5; now += 100 * ms {
-		s.Aged(now, 0)
+		s.RecordAge(now, 0)
 		source, ok := s.Nearer(now)
 		if !ok {
 			continue
 		}
-		if turns++; s.Return(now, source, bound+ms) {
+		if turns++; s.SwitchTo(now, source, bound+ms) {
 			t.Fatalf("at %v it returns to a stale one", now)
 		}
 	}
@@ -118,12 +118,12 @@
 	if source := next(t, s, &now); source != near {
 		t.Fatalf("it follows %s", source.Address)
 	}
-	s.Aged(now, 0)
+	s.RecordAge(now, 0)
 	s.Leave(now, Failed)
 	next(t, s, &now)
 	for ; ; now += 100 * ms {
 		if source, ok := s.Nearer(now); ok {
-			if !s.Return(now, source, bound) {
+			if !s.SwitchTo(now, source, bound) {
 				t.Error("it does not return to a fresh one")
 			}
 			return
--- a/internal/decide/failover/sources.go
+++ b/internal/decide/failover/sources.go
@@ -14,7 +14,7 @@
 )
 
 // Place is where something runs.
-type Place struct {
+type Locality struct {
 	Zone   string
 	Region string
 }
@@ -22,7 +22,7 @@
 // Source is one that may be followed.
 type Source struct {
 	Address string
-	Place
+	Locality
 }
 
 // Reason is why a source is left.
@@ -30,11 +30,11 @@
 
 // The reasons.
 const (
-	Failed Reason = iota // refused, reset, or an answer that tells of a failure
-	Silent               // no answer within the heartbeat and its allowance
-	Behind               // it has an older version than the reader
-	Spoilt               // an answer that no source gives by the contract
-	Stale                // what it has was last known to be the newest too long ago
+	Failed  Reason = iota // refused, reset, or an answer that tells of a failure
+	Silent                // no answer within the heartbeat and its allowance
+	Behind                // it has an older version than the reader
+	Invalid               // an answer that no source gives by the contract
+	Stale                 // what it has was last known to be the newest too long ago
 )
 
 // String names the reason for logs.
@@ -47,11 +47,11 @@
 type pause struct{ least, most time.Duration }
 
 var pauses = map[Reason]pause{
-	Failed: {250 * time.Millisecond, longestPause},
-	Silent: {500 * time.Millisecond, longestPause},
-	Behind: {250 * time.Millisecond, time.Second}, // it is about to catch up
-	Spoilt: {2 * time.Second, 30 * time.Second},
-	Stale:  {time.Second, time.Second}, // it answers: where the current one fails it is better than none
+	Failed:  {250 * time.Millisecond, longestPause},
+	Silent:  {500 * time.Millisecond, longestPause},
+	Behind:  {250 * time.Millisecond, time.Second}, // it is about to catch up
+	Invalid: {2 * time.Second, 30 * time.Second},
+	Stale:   {time.Second, time.Second}, // it answers: where the current one fails it is better than none
 }
 
 // longestPause bounds the pause after failures: a reader all of whose sources were cut off for long has to have what is new
@@ -83,7 +83,7 @@
 	elsewhere
 )
 
-func distanceOf(own, other Place) distance {
+func distanceOf(own, other Locality) distance {
 	switch {
 	case own.Region != other.Region:
 		return elsewhere
@@ -118,10 +118,10 @@
 }
 
 // New returns a Selector for a reader at a place.
-func New(own Place, list []Source, rng *rand.Rand) *Selector {
+func New(own Locality, list []Source, rng *rand.Rand) *Selector {
 	s := &Selector{current: none, rand: rng}
 	for _, source := range list {
-		s.candidates = append(s.candidates, candidate{Source: source, distance: distanceOf(own, source.Place)})
+		s.candidates = append(s.candidates, candidate{Source: source, distance: distanceOf(own, source.Locality)})
 	}
 	rng.Shuffle(len(s.candidates), func(i, j int) {
 		s.candidates[i], s.candidates[j] = s.candidates[j], s.candidates[i]
@@ -178,7 +178,7 @@
 }
 
 // Served notes a good answer of the current source.
-func (s *Selector) Served(now time.Duration) {
+func (s *Selector) Succeeded(now time.Duration) {
 	c := &s.candidates[s.current]
 	c.refusals = 0
 	if !c.served {
@@ -198,7 +198,7 @@
 
 // Busy gives the current source up because it has no capacity for this reader; it said when to ask again, and has spread
 // these times over the readers that it refused.
-func (s *Selector) Busy(now, retryAfter time.Duration) {
+func (s *Selector) Rejected(now, retryAfter time.Duration) {
 	c := &s.candidates[s.current]
 	c.refusals++
 	c.retryAt = now + retryAfter
@@ -223,7 +223,7 @@
 }
 
 // Stay notes that a source that Nearer or Fresher named is not fit yet.
-func (s *Selector) Stay(now time.Duration, source Source, reason Reason) {
+func (s *Selector) ProbeFailed(now time.Duration, source Source, reason Reason) {
 	if i := s.index(source); i != none && i != s.current {
 		s.fail(i, now, reason)
 	}
--- a/internal/decide/failover/sources_test.go
+++ b/internal/decide/failover/sources_test.go
@@ -14,14 +14,14 @@
 	sec = time.Second
 )
 
-var own = Place{Zone: "r1-a", Region: "r1"}
+var own = Locality{Zone: "r1-a", Region: "r1"}
 
 func random(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
 // list is two sources in the reader's zone, two in its region and two elsewhere, one of them in a zone of the same name.
 func list() []Source {
-	return []Source{{"far:1", Place{"r2-a", "r2"}}, {"region:1", Place{"r1-b", "r1"}}, {"zone:1", own},
-		{"far:2", Place{"r1-a", "r3"}}, {"region:2", Place{"r1-c", "r1"}}, {"zone:2", own}}
+	return []Source{{"far:1", Locality{"r2-a", "r2"}}, {"region:1", Locality{"r1-b", "r1"}}, {"zone:1", own},
+		{"far:2", Locality{"r1-a", "r3"}}, {"region:2", Locality{"r1-c", "r1"}}, {"zone:2", own}}
 }
 
 // next is the source that is chosen once it may be.
@@ -49,8 +49,8 @@
 			if len(distances) == 0 {
 				firsts[source.Address]++
 			}
-			distances = append(distances, distanceOf(own, source.Place))
-			s.Leave(now, Spoilt) // for longer than it takes to go through all
+			distances = append(distances, distanceOf(own, source.Locality))
+			s.Leave(now, Invalid) // for longer than it takes to go through all
 		}
 		if !slices.IsSorted(distances) || distances[5] != elsewhere {
 			t.Fatalf("seed %d: distances %v", seed, distances)
@@ -77,7 +77,7 @@
 				before := now
 				source, wait := s.Next(now)
 				for ; wait > 0; source, wait = s.Next(now) {
-					if now += wait; now-before > pauses[Spoilt].most+longestRetryAfter {
+					if now += wait; now-before > pauses[Invalid].most+longestRetryAfter {
 						t.Fatalf("no source for %v", now-before)
 					}
 				}
@@ -97,25 +97,25 @@
 					t.Fatalf("the next one is turned to %v later", s.notBefore-now)
 				}
 			case 1:
-				s.Busy(now, time.Duration(rapid.IntRange(0, 5).Draw(t, "busy"))*sec)
+				s.Rejected(now, time.Duration(rapid.IntRange(0, 5).Draw(t, "busy"))*sec)
 			default:
-				s.Served(now)
+				s.Succeeded(now)
 				nearer, ok := s.Nearer(now)
 				if !ok {
 					continue
 				}
 				current, _ := s.Current()
-				if distanceOf(own, nearer.Place) >= distanceOf(own, current.Place) {
+				if distanceOf(own, nearer.Locality) >= distanceOf(own, current.Locality) {
 					t.Fatalf("from %s it would return to %s", current.Address, nearer.Address)
 				}
 				if rapid.Bool().Draw(t, "fit") {
-					if got, _ := s.Current(); !s.Return(now, nearer, 0) || got == nearer {
+					if got, _ := s.Current(); !s.SwitchTo(now, nearer, 0) || got == nearer {
 						t.Fatalf("it does not return from %s to %s", got.Address, nearer.Address)
 					}
-					if got, _ := s.Current(); got != nearer || s.Return(now, nearer, 0) {
+					if got, _ := s.Current(); got != nearer || s.SwitchTo(now, nearer, 0) {
 						t.Fatalf("it follows %s, not %s", got.Address, nearer.Address)
 					}
-				} else if s.Stay(now, nearer, Failed); s.current == none {
+				} else if s.ProbeFailed(now, nearer, Failed); s.current == none {
 					t.Fatal("it has no source though it stays")
 				}
 			}
@@ -140,9 +140,9 @@
 		last = wait
 	}
 	next(t, s, &now)
-	s.Served(now)
+	s.Succeeded(now)
 	now += stable
-	s.Served(now)
+	s.Succeeded(now)
 	if s.Leave(now, Failed); s.candidates[0].retryAt-now > pauses[Failed].least {
 		t.Errorf("after a stable time: %v", s.candidates[0].retryAt-now)
 	}
@@ -155,7 +155,7 @@
 		if source := next(t, s, &now); source.Address != "zone:1" {
 			t.Fatalf("%s at %v", source.Address, now)
 		}
-		s.Busy(now, 9*sec)
+		s.Rejected(now, 9*sec)
 	}
 	if source, wait := s.Next(now); wait != 0 || source.Address != "region:1" {
 		t.Errorf("%s, wait %v after %v", source.Address, wait, now)
@@ -176,7 +176,7 @@
 		}
 		for {
 			now += 100 * ms
-			s.Served(now)
+			s.Succeeded(now)
 			nearer, ok := s.Nearer(now)
 			if !ok {
 				continue
@@ -184,7 +184,7 @@
 			if now >= back {
 				break
 			}
-			s.Stay(now, nearer, Failed)
+			s.ProbeFailed(now, nearer, Failed)
 		}
 		if now > back+pauses[Failed].most+returnSpread+100*ms {
 			t.Errorf("seed %d returns %v late", seed, now-back)
--- a/internal/decide/ratelimit/budget.go
+++ b/internal/decide/ratelimit/budget.go
@@ -16,7 +16,7 @@
 
 // Budget is a token bucket of bytes. A transfer is admitted while the bucket is not empty and may take it below zero.
 // Readers that are refused are given consecutive places in the time after that.
-type Budget struct {
+type TokenBucket struct {
 	rate   float64       // bytes a second
 	tokens float64       // bytes that may be sent now
 	filled time.Duration // when tokens was right
@@ -24,14 +24,14 @@
 }
 
 // NewBudget returns a full budget of so many bytes a second at an instant.
-func NewBudget(bytesPerSecond int, now time.Duration) *Budget {
+func NewTokenBucket(bytesPerSecond int, now time.Duration) *TokenBucket {
 	rate := float64(bytesPerSecond)
-	return &Budget{rate: rate, tokens: rate * burstTime.Seconds(), filled: now, booked: now}
+	return &TokenBucket{rate: rate, tokens: rate * burstTime.Seconds(), filled: now, booked: now}
 }
 
 // Admit takes a transfer of so many bytes, or returns how long its reader is to wait before it asks again. draw is
 // a random number in [0, 1).
-func (b *Budget) Admit(now time.Duration, bytes int, draw float64) (wait time.Duration, admitted bool) {
+func (b *TokenBucket) Admit(now time.Duration, bytes int, draw float64) (wait time.Duration, admitted bool) {
 	b.fill(now)
 	if b.tokens > 0 {
 		b.tokens -= float64(bytes)
@@ -47,12 +47,12 @@
 }
 
 // Charge takes bytes that are sent whatever the budget says.
-func (b *Budget) Charge(now time.Duration, bytes int) {
+func (b *TokenBucket) Charge(now time.Duration, bytes int) {
 	b.fill(now)
 	b.tokens -= float64(bytes)
 }
 
-func (b *Budget) fill(now time.Duration) {
+func (b *TokenBucket) fill(now time.Duration) {
 	if now <= b.filled {
 		return
 	}
@@ -60,6 +60,6 @@
 	b.filled = now
 }
 
-func (b *Budget) timeFor(bytes float64) time.Duration {
+func (b *TokenBucket) timeFor(bytes float64) time.Duration {
 	return time.Duration(bytes / b.rate * float64(time.Second))
 }
--- a/internal/decide/ratelimit/budget_test.go
+++ b/internal/decide/ratelimit/budget_test.go
@@ -20,7 +20,7 @@
 	for _, at := range arrivals {
 		due = append(due, reader{at: at})
 	}
-	budget := NewBudget(rate, 0)
+	budget := NewTokenBucket(rate, 0)
 	for len(due) > 0 {
 		slices.SortStableFunc(due, func(a, b reader) int { return int(a.at - b.at) })
 		next := due[0]
@@ -54,7 +54,7 @@
 func TestPlacesAtTwoRelays(t *testing.T) {
 	const rate, bytes, fleet = 18_000_000, 940_000, 300
 	random := rand.New(rand.NewPCG(2, 2))
-	budgets := []*Budget{NewBudget(rate, 0), NewBudget(rate, 0)}
+	budgets := []*TokenBucket{NewTokenBucket(rate, 0), NewTokenBucket(rate, 0)}
 	type reader struct {
 		first int              // the relay that it prefers
 		retry [2]time.Duration // when it may ask each
@@ -111,7 +111,7 @@
 }
 
 func TestWaitIsBounded(t *testing.T) {
-	budget := NewBudget(1000, 0)
+	budget := NewTokenBucket(1000, 0)
 	budget.Charge(0, 100_000)
 	for range 1000 {
 		if wait, ok := budget.Admit(0, 1000, 0.999); ok || wait <= 0 || wait > MaxWait {
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -28,24 +28,26 @@
 // placementBasis is what the keys of all replicas go by.
 type placementBasis struct {
 	subset subsetting.Subset
-	place  subsetting.Place
+	place  subsetting.Member
 }
 
 // place is this coordinator's; the zero value where it would change nothing.
-func (m *Machine) place() subsetting.Place {
+func (m *Machine) place() subsetting.Member {
 	if m.placement.fleetFactor <= 1 {
-		return subsetting.Place{}
+		return subsetting.Member{}
 	}
 	return m.settingsPlace()
 }
 
 // settingsPlace is this coordinator's place by the settings.
-func (m *Machine) settingsPlace() subsetting.Place {
-	return subsetting.Place{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
+func (m *Machine) settingsPlace() subsetting.Member {
+	return subsetting.Member{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
 }
 
 // keeps reports whether a replica takes part in the routing shares and this coordinator sends to it.
-func (m *Machine) keeps(r *replica) bool { return r.ready() && m.placement.subset.Keeps(r.subsetKey) }
+func (m *Machine) keeps(r *replica) bool {
+	return r.ready() && m.placement.subset.Contains(r.subsetKey)
+}
 
 // updatePlacement finds this coordinator's subset of the replicas that are listed as running, and the key of each.
 func (m *Machine) updatePlacement() {
@@ -119,6 +121,6 @@
 	for _, r := range s.holders {
 		keys, ready = append(keys, r.subsetKey), append(ready, r.ready())
 	}
-	s.kept = m.placement.subset.Among(keys, ready, minKeptHolders)
+	s.kept = m.placement.subset.HolderCount(keys, ready, minKeptHolders)
 	m.scratch.keys, m.scratch.ready = keys, ready
 }
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -51,7 +51,7 @@
 // fleetProbeRate.
 func (m *Machine) nextProbeAfter(r *replica, pause time.Duration) time.Duration {
 	place := m.place()
-	if !place.Known() {
+	if !place.HasPeers() {
 		return m.now + pause
 	}
 	members := m.placement.subset.Share * float64(place.FleetSize)
--- a/internal/decide/scatter/slow_start.go
+++ b/internal/decide/scatter/slow_start.go
@@ -43,7 +43,7 @@
 	if capacity >= 1 {
 		return true
 	}
-	if p.triedAt(r) || !m.placement.subset.Keeps(r.subsetKey) {
+	if p.triedAt(r) || !m.placement.subset.Contains(r.subsetKey) {
 		return false
 	}
 	rate, minRate := m.slowStartRate(capacity)
@@ -111,7 +111,7 @@
 // drawSlowStart draws a number for a replica in slow start: by this coordinator's place in the fleet, or at random
 // where it does not know it.
 func (m *Machine) drawSlowStart(r *replica) float64 {
-	if !m.place().Known() {
+	if !m.place().HasPeers() {
 		return m.random.Float64()
 	}
 	return r.slowStart.sequence.Next(r.slowStart.tokens)
--- a/internal/decide/settingsdiff/reload.go
+++ b/internal/decide/settingsdiff/reload.go
@@ -20,7 +20,7 @@
 const window, guarded = "dedup_window_us", "guarded"
 
 // Named gives the paths with the entries' names in place of their places: an entry that has moved has not changed.
-func Named(flat map[string]string) map[string]string {
+func ByName(flat map[string]string) map[string]string {
 	names := map[string]string{}
 	for path, v := range flat {
 		for _, l := range lists {
--- a/internal/decide/settingsdiff/reload_test.go
+++ b/internal/decide/settingsdiff/reload_test.go
@@ -39,7 +39,7 @@
 	} {
 		next := classes("a", "b")
 		tc.change(next)
-		old, named := Named(classes("a", "b")), Named(next)
+		old, named := ByName(classes("a", "b")), ByName(next)
 		if got := fmt.Sprint(Missing(old, named)); got != tc.missing {
 			t.Errorf("%s: missing %s, want %s", tc.what, got, tc.missing)
 		}
@@ -54,21 +54,21 @@
 	old := classes("a")
 	old["classes.0.repeat"], old["classes.0.dedup_window_us"] = "guarded", "5"
 	next := classes("a")
-	if got := Missing(Named(old), Named(next)); len(got) != 0 {
+	if got := Missing(ByName(old), ByName(next)); len(got) != 0 {
 		t.Errorf("missing %v", got)
 	}
 	next["classes.0.repeat"] = "guarded"
-	if got := fmt.Sprint(Missing(Named(old), Named(next))); got != "[classes[a].dedup_window_us]" {
+	if got := fmt.Sprint(Missing(ByName(old), ByName(next))); got != "[classes[a].dedup_window_us]" {
 		t.Errorf("missing %s", got)
 	}
 	// Also where classes that are not guarded say nothing of it, and where the class is guarded from now on.
 	old, next = classes("a", "b"), classes("a", "b")
 	next["classes.1.repeat"] = "guarded"
-	if got := fmt.Sprint(Missing(Named(old), Named(next))); got != "[classes[b].dedup_window_us]" {
+	if got := fmt.Sprint(Missing(ByName(old), ByName(next))); got != "[classes[b].dedup_window_us]" {
 		t.Errorf("missing of a class that is guarded from now on: %s", got)
 	}
 	old["classes.1.repeat"], old["classes.1.dedup_window_us"] = "guarded", "5"
-	if got := fmt.Sprint(Missing(Named(old), Named(next))); got != "[classes[b].dedup_window_us]" {
+	if got := fmt.Sprint(Missing(ByName(old), ByName(next))); got != "[classes[b].dedup_window_us]" {
 		t.Errorf("missing beside a class that is not guarded: %s", got)
 	}
 }
--- a/internal/decide/subsetting/member.go
+++ b/internal/decide/subsetting/member.go
@@ -9,19 +9,19 @@
 import "math"
 
 // Place is a coordinator's in its fleet: the Me-th, from 0, of Of.
-type Place struct{ Index, FleetSize int }
+type Member struct{ Index, FleetSize int }
 
 // View tells a place: settings do, and so may a view of a membership. Version changes with it.
 type View interface {
-	Place() Place
+	Place() Member
 	Version() uint64
 }
 
 // Settled is a place that nothing changes.
-type Settled Place
+type Settled Member
 
 // Place implements View.
-func (s Settled) Place() Place { return Place(s) }
+func (s Settled) Place() Member { return Member(s) }
 
 // Version implements View.
 func (s Settled) Version() uint64 { return 0 }
@@ -36,12 +36,12 @@
 }
 
 // Known tells whether the place says anything: a fleet of one, or a member that does not know which it is, is not spread.
-func (p Place) Known() bool { return p.FleetSize > 1 && p.Index >= 0 && p.Index < p.FleetSize }
+func (p Member) HasPeers() bool { return p.FleetSize > 1 && p.Index >= 0 && p.Index < p.FleetSize }
 
 // at is where the place lies on a circle of length 1. The places of a fleet lie at equal distances, so any arc of length a
 // holds a times their number of them, rounded up or down.
-func (p Place) at() float64 {
-	if !p.Known() {
+func (p Member) at() float64 {
+	if !p.HasPeers() {
 		return 0
 	}
 	return (float64(p.Index) + 0.5) / float64(p.FleetSize)
@@ -52,7 +52,7 @@
 type Position float64
 
 // Position is the place's among all coordinators.
-func (p Place) Position() Position { return Position(p.at()) }
+func (p Member) Position() Position { return Position(p.at()) }
 
 // frac is the part of x behind the point, in [0, 1).
 func frac(x float64) float64 {
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -33,9 +33,9 @@
 )
 
 // NewSubset is the subset of a place that leaves each section least holders, where it has so many. A small fleet keeps all.
-func NewSubset(p Place, r Ring, least int) Subset {
+func NewSubset(p Member, r Ring, least int) Subset {
 	s := Subset{Share: 1}
-	if !p.Known() || r.Size < 1 {
+	if !p.HasPeers() || r.Size < 1 {
 		return s
 	}
 	holders := r.ReplicationFactor * max(1, r.Replicas/r.Size)
@@ -58,10 +58,10 @@
 }
 
 // Keeps tells whether a node with that key is kept.
-func (s Subset) Keeps(key float64) bool { return key < s.Share }
+func (s Subset) Contains(key float64) bool { return key < s.Share }
 
 // Position is the coordinator's among those that keep a node with that key.
-func (s Subset) Position(p Place, key float64) Position {
+func (s Subset) Position(p Member, key float64) Position {
 	if s.Share == 1 {
 		return p.Position()
 	}
@@ -71,9 +71,9 @@
 // Among is how many of a section's holders, in the order of their keys, belong to the subset: those that are kept, and as
 // many more as it takes for least of them to be ready. It widens in the step in which one fails and narrows in that in
 // which it is back, with nothing to remember.
-func (s Subset) Among(keys []float64, ready []bool, least int) (n int) {
+func (s Subset) HolderCount(keys []float64, ready []bool, least int) (n int) {
 	sound := 0
-	for n < len(keys) && (s.Keeps(keys[n]) || sound < least) {
+	for n < len(keys) && (s.Contains(keys[n]) || sound < least) {
 		if ready[n] {
 			sound++
 		}
--- a/internal/decide/subsetting/subsetting_test.go
+++ b/internal/decide/subsetting/subsetting_test.go
@@ -18,9 +18,9 @@
 	os.Exit(m.Run())
 }
 
-func fleet(m int) (all []Place) {
+func fleet(m int) (all []Member) {
 	for i := range m {
-		all = append(all, Place{Index: i, FleetSize: m})
+		all = append(all, Member{Index: i, FleetSize: m})
 	}
 	return all
 }
@@ -34,7 +34,7 @@
 		r := Ring{Size: rapid.IntRange(3, 210).Draw(t, "cells"), ReplicationFactor: 3}
 		r.Replicas = layers * r.Size
 		least := rapid.IntRange(1, 4).Draw(t, "least")
-		s0 := NewSubset(Place{Index: 0, FleetSize: m}, r, least)
+		s0 := NewSubset(Member{Index: 0, FleetSize: m}, r, least)
 		if m > 100 && layers == 2 && least == 2 && r.Size > 20 && s0.Share > 0.75 {
 			t.Fatalf("%d coordinators of %d nodes keep %.2f of them each", m, r.Replicas, s0.Share)
 		}
@@ -43,7 +43,7 @@
 			s := NewSubset(p, r, least)
 			holds := make([]int, r.Size)
 			for i := range kept {
-				if s.Keeps(s.Key(i/layers, i%layers)) {
+				if s.Contains(s.Key(i/layers, i%layers)) {
 					kept[i]++
 					holds[i/layers]++
 				}
@@ -68,9 +68,9 @@
 	for _, m := range []int{150, 300, 600} {
 		moved, all := 0, 0
 		for i := range m {
-			s, next := NewSubset(Place{i, m}, r, 2), NewSubset(Place{i, m + 1}, r, 2)
+			s, next := NewSubset(Member{i, m}, r, 2), NewSubset(Member{i, m + 1}, r, 2)
 			for c := range r.Size {
-				if s.Keeps(s.Key(c, 0)) != next.Keeps(next.Key(c, 0)) {
+				if s.Contains(s.Key(c, 0)) != next.Contains(next.Key(c, 0)) {
 					moved++
 				}
 			}
@@ -80,17 +80,17 @@
 		if least := all / m; moved > 3*least {
 			t.Errorf("%d to %d coordinators: %d changes, where %d nodes are kept by the new one", m, m+1, moved, least)
 		}
-		s := NewSubset(Place{1, m}, r, 2)
-		if one := NewSubset(Place{1, m}, Ring{200, 3, 199}, 2); one != s {
+		s := NewSubset(Member{1, m}, r, 2)
+		if one := NewSubset(Member{1, m}, Ring{200, 3, 199}, 2); one != s {
 			t.Errorf("%d: a node less changes the subset from %v to %v", m, s, one)
 		}
 	}
 	for i := range 30 {
-		if s := NewSubset(Place{i, 30}, r, 2); s.Share < 1 {
+		if s := NewSubset(Member{i, 30}, r, 2); s.Share < 1 {
 			t.Errorf("30 coordinators, whose traffic differs, keep only %.2f of the nodes each", s.Share)
 		}
 	}
-	for _, p := range []Place{{-1, 300}, {300, 300}, {0, 1}, {}} {
+	for _, p := range []Member{{-1, 300}, {300, 300}, {0, 1}, {}} {
 		if s := NewSubset(p, r, 2); s.Share < 1 {
 			t.Errorf("place %v is none and keeps %.2f", p, s.Share)
 		}
@@ -108,14 +108,14 @@
 		kept := make([]int, r.Size)
 		share, members := 0.0, min(old, now)
 		for i := range members {
-			p := Place{i, old}
+			p := Member{i, old}
 			if i < told {
 				p.FleetSize = now
 			}
 			s := NewSubset(p, r, 2)
 			share = s.Share
 			for c := range kept {
-				if s.Keeps(s.Key(c, 0)) {
+				if s.Contains(s.Key(c, 0)) {
 					kept[c]++
 				}
 			}
@@ -132,13 +132,13 @@
 
 // A section's holders that fail are made up for in the same step, and no more than that.
 func TestSubsetWidens(t *testing.T) {
-	s := NewSubset(Place{7, 300}, Ring{200, 3, 200}, 2)
+	s := NewSubset(Member{7, 300}, Ring{200, 3, 200}, 2)
 	keys := []float64{0.1, 0.5, 0.9}
 	for _, c := range []struct {
 		ready []bool
 		want  int
 	}{{[]bool{true, true, true}, 2}, {[]bool{false, true, true}, 3}, {[]bool{true, false, false}, 3}, {[]bool{true, true, false}, 2}} {
-		if n := s.Among(keys, c.ready, 2); n != c.want {
+		if n := s.HolderCount(keys, c.ready, 2); n != c.want {
 			t.Errorf("ready %v: %d belong to the subset, want %d", c.ready, n, c.want)
 		}
 	}
@@ -191,7 +191,7 @@
 			var positions []float64
 			for _, p := range fleet(m) {
 				s := NewSubset(p, r, 2)
-				if key := s.Key(c, 0); s.Keeps(key) {
+				if key := s.Key(c, 0); s.Contains(key) {
 					positions = append(positions, float64(s.Position(p, key)))
 				}
 			}
--- a/internal/decide/versionlog/apply.go
+++ b/internal/decide/versionlog/apply.go
@@ -11,14 +11,14 @@
 }
 
 // Restart drops a snapshot that is coming in: the relay reads from another source, or anew.
-func (l *Log) Restart() { l.staged = nil }
+func (l *Log) AbortSnapshot() { l.staged = nil }
 
 // Apply takes the next slice of a relay's source over, whole or not at all. Changes count at once; a snapshot replaces
 // the log when its last slice is in. The errors wrap ErrOlder, ErrMismatch or ErrInvalid.
 func (l *Log) Apply(slice Slice) error {
 	err := l.apply(slice)
 	if err != nil {
-		l.Restart()
+		l.AbortSnapshot()
 	}
 	return err
 }
@@ -113,7 +113,7 @@
 		if entry.Index <= last || entry.Index > s.Version.Index {
 			return invalid("entry %q of index %d after %d in a slice up to %d", entry.Name, entry.Index, last, s.Version.Index)
 		}
-		if entry.Name == "" || len(entry.Body) == 0 || len(entry.Body) > MaxEntry {
+		if entry.Name == "" || len(entry.Body) == 0 || len(entry.Body) > MaxEntryBytes {
 			return invalid("entry %q of %d bytes", entry.Name, len(entry.Body))
 		}
 		if _, twice := names[entry.Name]; twice {
--- a/internal/decide/versionlog/json.go
+++ b/internal/decide/versionlog/json.go
@@ -14,7 +14,7 @@
 const statusRemoved = "terminated"
 
 // EnvelopeBytes bounds what an answer holds besides its entries and the commas between them.
-const EnvelopeBytes = 256
+const MaxEnvelopeBytes = 256
 
 // entryHead is the part of an entry that the log reads.
 type entryHead struct {
--- a/internal/decide/versionlog/log.go
+++ b/internal/decide/versionlog/log.go
@@ -8,10 +8,10 @@
 )
 
 // MaxEntry is the longest body of an entry, in bytes: with the envelope it fits into an answer of 64 KiB.
-const MaxEntry = 60 << 10
+const MaxEntryBytes = 60 << 10
 
 // MaxObject is the longest object of a change, in bytes.
-const MaxObject = MaxEntry - versionKeyBytes
+const MaxObjectBytes = MaxEntryBytes - versionKeyBytes
 
 const (
 	treeDegree      = 32
@@ -118,8 +118,8 @@
 		if change.Name == "" || !change.Removed && !isObject(change.Object) {
 			return 0, fmt.Errorf("versionlog: change of %q has no name or is no object", change.Name)
 		}
-		if len(change.Object) > MaxObject {
-			return 0, fmt.Errorf("versionlog: entry %q has %d bytes, more than %d", change.Name, len(change.Object), MaxObject)
+		if len(change.Object) > MaxObjectBytes {
+			return 0, fmt.Errorf("versionlog: entry %q has %d bytes, more than %d", change.Name, len(change.Object), MaxObjectBytes)
 		}
 		last[change.Name] = i
 	}
--- a/internal/decide/versionlog/log_test.go
+++ b/internal/decide/versionlog/log_test.go
@@ -140,7 +140,7 @@
 				source := rapid.IntRange(0, relay-1).Draw(t, "source")
 				follow(relay, logs[source], size.Draw(t, "bytes"))
 			},
-			"lost source": func(t *rapid.T) { logs[rapid.IntRange(1, 2).Draw(t, "relay")].Restart() },
+			"lost source": func(t *rapid.T) { logs[rapid.IntRange(1, 2).Draw(t, "relay")].AbortSnapshot() },
 			"read": func(t *rapid.T) {
 				read(readers[rapid.IntRange(0, 1).Draw(t, "reader")], logs[rapid.IntRange(0, 2).Draw(t, "source")], size.Draw(t, "bytes"))
 			},
@@ -202,7 +202,7 @@
 		}
 	}
 	for _, bad := range []Change{{Object: object("", 1)}, {Name: "x", Object: []byte(`{"name":`)}, {Name: "x", Object: []byte(`[]`)},
-		{Name: "x", Object: fmt.Appendf(nil, `{"name":"x","text":"%0*d"}`, MaxEntry, 1)}} {
+		{Name: "x", Object: fmt.Appendf(nil, `{"name":"x","text":"%0*d"}`, MaxEntryBytes, 1)}} {
 		if _, err := l.Publish([]Change{{Name: "a", Object: object("a", 9)}, bad}); err == nil || l.Head().Index != 7 {
 			t.Errorf("%.40q was published: %v", bad.Object, err)
 		}
@@ -270,7 +270,7 @@
 		{"a name twice", nil, Slice{Version: Version{5, 25}, Head: 25, Entries: []Entry{entry("a", 24), entry("a", 25)}}, ErrInvalid},
 		{"an entry over the version", nil, Slice{Version: Version{5, 25}, Head: 40, Entries: []Entry{entry("a", 26)}}, ErrInvalid},
 		{"a version over the head", nil, Slice{Version: Version{5, 25}, Head: 24}, ErrInvalid},
-		{"an oversized entry", nil, Slice{Version: Version{5, 25}, Head: 25, Entries: []Entry{{Name: "a", Index: 25, Body: make([]byte, MaxEntry+1)}}}, ErrInvalid},
+		{"an oversized entry", nil, Slice{Version: Version{5, 25}, Head: 25, Entries: []Entry{{Name: "a", Index: 25, Body: make([]byte, MaxEntryBytes+1)}}}, ErrInvalid},
 		{"no version", nil, Slice{Entries: []Entry{entry("a", 25)}}, ErrInvalid},
 		{"another base", []Slice{begun}, Slice{Version: Version{6, 6}, Head: 9, Base: 8}, ErrMismatch},
 		{"another epoch within", []Slice{begun}, Slice{Version: Version{5, 21}, Head: 21}, ErrMismatch},
--- a/internal/distribution/call.go
+++ b/internal/distribution/call.go
@@ -47,7 +47,7 @@
 	case errors.Is(r.err, follower.ErrBehind):
 		return failover.Behind
 	case errors.Is(r.err, follower.ErrInvalid), errors.Is(r.err, ErrInvalid), errors.As(r.err, &protocol):
-		return failover.Spoilt
+		return failover.Invalid
 	case errors.Is(r.err, context.DeadlineExceeded), errors.As(r.err, &timeout) && timeout.Timeout():
 		return failover.Silent
 	}
@@ -151,8 +151,8 @@
 		if !f.following {
 			f.answered(source)
 		}
-		f.selector.Served(f.now())
-		f.selector.Aged(f.now(), f.sourceAge)
+		f.selector.Succeeded(f.now())
+		f.selector.RecordAge(f.now(), f.sourceAge)
 		return true
 	}
 	if f.bearBehind(ctx, r) {
@@ -161,7 +161,7 @@
 	var busy busyError
 	if errors.As(r.err, &busy) && f.needsSnapshot() {
 		slog.Debug("source busy", "resource", f.cfg.Resource.Name(), "source", source.Address, "retry_after", busy.retryAfter)
-		f.selector.Busy(f.now(), busy.retryAfter)
+		f.selector.Rejected(f.now(), busy.retryAfter)
 		return false
 	}
 	reason := r.reason()
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -17,7 +17,7 @@
 // Config says what a Follower follows and who takes it.
 type Config struct {
 	Resource Resource
-	Place    failover.Place
+	Place    failover.Locality
 	Sources  []failover.Source // one at least
 
 	// Check finds what is wrong with an answer's entries before anything of it counts. nil finds nothing.
@@ -91,7 +91,7 @@
 		cfg.Confirmed = now
 	}
 	f := &Follower{cfg: cfg, selector: failover.New(cfg.Place, cfg.Sources, cfg.Rand), began: now, confirmed: cfg.Confirmed, trials: make(chan trial, 1)}
-	f.selector.StaleAfter(cfg.StaleAfter)
+	f.selector.SetStaleAfter(cfg.StaleAfter)
 	f.state.AcceptAnySnapshot = cfg.AcceptAnySnapshot
 	f.state.Seed(cfg.Known)
 	f.dial = f.countBytes(cfg.Dial)
@@ -166,7 +166,7 @@
 	if f.trying {
 		return min(f.cfg.Heartbeat, trialHold)
 	}
-	if wait := f.selector.LookIn(f.now()); wait > 0 {
+	if wait := f.selector.FresherIn(f.now()); wait > 0 {
 		return min(f.cfg.Heartbeat, max(wait, noHold))
 	}
 	return f.cfg.Heartbeat
--- a/internal/distribution/follower_test.go
+++ b/internal/distribution/follower_test.go
@@ -28,13 +28,13 @@
 }
 
 var (
-	inZone    = failover.Place{Zone: "r1-a", Region: "r1"}
-	inRegion  = failover.Place{Zone: "r1-b", Region: "r1"}
-	elsewhere = failover.Place{Zone: "r2-a", Region: "r2"}
+	inZone    = failover.Locality{Zone: "r1-a", Region: "r1"}
+	inRegion  = failover.Locality{Zone: "r1-b", Region: "r1"}
+	elsewhere = failover.Locality{Zone: "r2-a", Region: "r2"}
 )
 
-func at(s *source, p failover.Place) failover.Source {
-	return failover.Source{Address: s.address, Place: p}
+func at(s *source, p failover.Locality) failover.Source {
+	return failover.Source{Address: s.address, Locality: p}
 }
 
 // allowance is long enough for a source that answers on a busy machine.
--- a/internal/distribution/trial.go
+++ b/internal/distribution/trial.go
@@ -31,7 +31,7 @@
 	case t := <-f.trials:
 		f.trying = false
 		if t.result.err != nil {
-			f.selector.Stay(f.now(), t.source, t.result.reason())
+			f.selector.ProbeFailed(f.now(), t.source, t.result.reason())
 		} else if f.isBetter(t) {
 			return t.source, t.client
 		}
@@ -45,7 +45,7 @@
 func (f *Follower) isBetter(t trial) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
-	if !f.selector.Return(f.now(), t.source, t.age+time.Since(t.at)) {
+	if !f.selector.SwitchTo(f.now(), t.source, t.age+time.Since(t.at)) {
 		return false
 	}
 	if stale {
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -164,8 +164,8 @@
 }
 
 func checkNode(entry versionlog.Entry) error {
-	if len(entry.Body) > versionlog.MaxObject {
-		return fmt.Errorf("%d bytes, at most %d can be given out", len(entry.Body), versionlog.MaxObject)
+	if len(entry.Body) > versionlog.MaxObjectBytes {
+		return fmt.Errorf("%d bytes, at most %d can be given out", len(entry.Body), versionlog.MaxObjectBytes)
 	}
 	var n node
 	if err := json.Unmarshal(entry.Body, &n); err != nil {
@@ -247,8 +247,8 @@
 
 // settingsFit tells of settings that no answer could hold.
 func settingsFit(settings json.RawMessage) error {
-	if size := len(settingsChange(settings).Object); size > versionlog.MaxObject {
-		return fmt.Errorf("the settings have %d bytes, at most %d can be given out", size, versionlog.MaxObject)
+	if size := len(settingsChange(settings).Object); size > versionlog.MaxObjectBytes {
+		return fmt.Errorf("the settings have %d bytes, at most %d can be given out", size, versionlog.MaxObjectBytes)
 	}
 	return nil
 }
--- a/internal/relay/resource.go
+++ b/internal/relay/resource.go
@@ -16,7 +16,7 @@
 	// maxBody bounds an answer's body, as the protocol does.
 	maxBody = 64 << 10
 	// sliceBytes bounds the entries of an answer.
-	sliceBytes = maxBody - versionlog.EnvelopeBytes
+	sliceBytes = maxBody - versionlog.MaxEnvelopeBytes
 	// maxCached bounds the encoded slices that are kept for one version.
 	maxCached = 64
 	// emptyRetry is what readers are told to wait where there is nothing yet; each is told half as much more at most.
@@ -262,12 +262,12 @@
 type Budget struct {
 	mu    sync.Mutex
 	began time.Time
-	bytes *ratelimit.Budget
+	bytes *ratelimit.TokenBucket
 }
 
 // NewBudget returns a budget of so many bytes a second.
 func NewBudget(bytesPerSecond int) *Budget {
-	return &Budget{began: time.Now(), bytes: ratelimit.NewBudget(bytesPerSecond, 0)}
+	return &Budget{began: time.Now(), bytes: ratelimit.NewTokenBucket(bytesPerSecond, 0)}
 }
 
 func (b *Budget) admit(bytes int) (wait time.Duration, admitted bool) {
--- a/internal/relay/stale_test.go
+++ b/internal/relay/stale_test.go
@@ -30,10 +30,10 @@
 
 // ofTwo is the configuration of a reader with a relay in its zone and one elsewhere.
 func ofTwo(near, far string) distribution.Config {
-	own := failover.Place{Zone: "a", Region: "north"}
+	own := failover.Locality{Zone: "a", Region: "north"}
 	return distribution.Config{Resource: distribution.Instances, Place: own, Heartbeat: quickHeartbeat, Allowance: 2 * time.Second,
 		StaleAfter: quickStale, Rand: rand.New(rand.NewPCG(1, 2)),
-		Sources: []failover.Source{{Address: near, Place: own}, {Address: far, Place: failover.Place{Zone: "a", Region: "south"}}}}
+		Sources: []failover.Source{{Address: near, Locality: own}, {Address: far, Locality: failover.Locality{Zone: "a", Region: "south"}}}}
 }
 
 // following runs a follower until the test ends.
