--- a/internal/decide/failover/freshness_test.go
+++ b/internal/decide/failover/freshness_test.go
@@ -7,10 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-const bound = 1500 * ms
+const staleAfter = 1500 * ms
 
-// look has a reader look at a fresher or nearer source where it is time, and tells whether it follows that now.
-func look(s *Selector, now time.Duration, ages map[string]time.Duration) (looked, changed bool) {
+// probe has a reader probe a fresher or nearer source where it is time, and reports whether it follows that now.
+// Sources answer with their ages.
+func probe(s *Selector, now time.Duration, ages map[string]time.Duration) (probed, switched bool) {
 	better := s.Nearer
 	if s.Stale() {
 		better = s.Fresher
@@ -19,18 +20,18 @@
 	return ok, ok && s.SwitchTo(now, source, ages[source.Address])
 }
 
-// Sources that are cut off at moments of their own, and later than that nothing new: a reader changes to a clearly fresher
-// one only, never back, and its looks are bounded.
-func TestCutSources(t *testing.T) {
+// Each source is cut off from the authority at a random instant and learns nothing new after that. A reader switches to
+// clearly fresher sources only, never back to one that it has left, and the number of its probes is bounded.
+func TestReaderOfCutSourcesSwitchesToFresherOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, now, all := New(own, list(), random(rapid.Uint64().Draw(t, "seed"))), time.Duration(0), list()
-		s.SetStaleAfter(bound)
+		s, now, all := New(own, sixSources(), random(rapid.Uint64().Draw(t, "seed"))), time.Duration(0), sixSources()
+		s.SetStaleAfter(staleAfter)
 		cutAt, ages := map[string]time.Duration{}, map[string]time.Duration{}
 		for _, source := range all {
 			cutAt[source.Address] = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "cut")) * ms
 		}
 		s.Next(now)
-		looks, changes, followed := 0, 0, map[string]bool{}
+		probes, switches, left := 0, 0, map[string]bool{}
 		const end, step = 60 * sec, 50 * ms
 		for ; now < end; now += step {
 			for _, source := range all {
@@ -40,37 +41,39 @@
 			s.Succeeded(now)
 			s.RecordAge(now, ages[before.Address])
 			stale := s.Stale()
-			looked, changed := look(s, now, ages)
-			if looked {
-				looks++
+			probed, switched := probe(s, now, ages)
+			if probed {
+				probes++
 			}
-			if !changed {
+			if !switched {
 				continue
 			}
-			changes++
+			switches++
 			after, _ := s.Current()
 			switch gain := ages[before.Address] - ages[after.Address]; {
-			case followed[after.Address]:
+			case left[after.Address]:
 				t.Fatalf("at %v it is back at %s", now, after.Address)
-			case stale && gain < time.Duration(clearly*float64(bound)):
+			case stale && gain < time.Duration(clearlyFresher*float64(staleAfter)):
 				t.Fatalf("at %v it leaves age %v for %v", now, ages[before.Address], ages[after.Address])
 			case !stale:
 				t.Fatalf("at %v it leaves %s, which is fresh", now, before.Address)
 			}
-			followed[before.Address] = true
+			left[before.Address] = true
 		}
-		if most := len(all)*len(all) + int(end/sec); looks > most {
-			t.Errorf("%d looks with %d changes", looks, changes)
+		if most := len(all)*len(all) + int(end/sec); probes > most {
+			t.Errorf("%d probes with %d switches", probes, switches)
 		}
 	})
 }
 
-// A reader of a stale source has looked at all others within a second, once each, and at one in 1.5 to 3 s later on.
-func TestLooks(t *testing.T) {
-	s, looked := New(own, list(), random(1)), map[string]int{}
-	s.SetStaleAfter(bound)
+// All sources are equally stale. A reader has probed all others within a second, once each, and later on probes one in
+// 1.5 to 3 s.
+func TestProbesOfEquallyStaleSources(t *testing.T) {
+	s, probes := New(own, sixSources(), random(1)), map[string]int{}
+	s.SetStaleAfter(staleAfter)
 	s.Next(0)
 	const start = 2 * sec
+	others := len(sixSources()) - 1
 	last, latest := time.Duration(0), time.Duration(0)
 	for now := start; now < start+60*sec; now += 10 * ms {
 		s.RecordAge(now, now)
@@ -82,38 +85,38 @@
 		if s.SwitchTo(now, source, now) {
 			t.Fatalf("at %v it follows %s, which is as stale", now, source.Address)
 		}
-		if looked[source.Address]++; len(looked) < len(list())-1 && looked[source.Address] > 1 || len(looked) < len(list())-1 && now > start+sec {
-			t.Fatalf("at %v it has looked at %v", now, looked)
+		probes[source.Address]++
+		if len(probes) < others && (probes[source.Address] > 1 || now > start+sec) {
+			t.Fatalf("at %v it has probed %v", now, probes)
 		}
 	}
-	if gap := latest - last; len(looked) != len(list())-1 || gap < looks.most/2 || gap > looks.most+10*ms {
-		t.Errorf("looked at %v, the last ones %v apart", looked, gap)
+	if gap := latest - last; len(probes) != others || gap < probeBackoff.max/2 || gap > probeBackoff.max+10*ms {
+		t.Errorf("probes %v, the last ones %v apart", probes, gap)
 	}
 }
 
-// A nearer source that was left as stale is returned to when it is fresh, not before; one that is as stale as the reader's is
-// followed all the same where that fails.
-func TestReturnsToFresh(t *testing.T) {
-	s, now := New(own, list()[1:3], random(1)), time.Duration(0)
-	s.SetStaleAfter(bound)
-	near, far := next(t, s, &now), list()[1]
-	s.RecordAge(now, 2*bound)
-	now += firstLook
+// A nearer source was left because it was stale. The reader returns to it once it is fresh, and not before. If the
+// reader's source fails while the nearer one is still stale, that one is followed all the same.
+func TestReturnsToNearerSourceOnceFresh(t *testing.T) {
+	s, now := New(own, oneInRegionOneInZone(), random(1)), time.Duration(0)
+	s.SetStaleAfter(staleAfter)
+	near, far := next(t, s, &now), sixSources()[1]
+	s.RecordAge(now, 2*staleAfter)
+	now += firstProbeSpread
 	if source, ok := s.Fresher(now); !ok || source != far || !s.SwitchTo(now, far, 0) {
-		t.Fatalf("it looks at %s", source.Address)
+		t.Fatalf("it probes %s", source.Address)
 	}
-	turns := 0
-	for ; turns < 5; now += 100 * ms {
+	for probes := 0; probes < 5; now += 100 * ms {
 		s.RecordAge(now, 0)
 		source, ok := s.Nearer(now)
 		if !ok {
 			continue
 		}
-		if turns++; s.SwitchTo(now, source, bound+ms) {
+		if probes++; s.SwitchTo(now, source, staleAfter+ms) {
 			t.Fatalf("at %v it returns to a stale one", now)
 		}
 	}
-	now += pauses[Stale].most
+	now += backoffs[Stale].max
 	s.Leave(now, Failed)
 	if source := next(t, s, &now); source != near {
 		t.Fatalf("it follows %s", source.Address)
@@ -123,7 +126,7 @@
 	next(t, s, &now)
 	for ; ; now += 100 * ms {
 		if source, ok := s.Nearer(now); ok {
-			if !s.SwitchTo(now, source, bound) {
+			if !s.SwitchTo(now, source, staleAfter) {
 				t.Error("it does not return to a fresh one")
 			}
 			return
