--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -7,63 +7,82 @@
 
 // The levels.
 const (
-	Normal   Level = iota // everything is admitted
-	Trimming              // traffic beyond its tenant's share, or of least worth, is refused
-	Shedding              // traffic within its share is refused, what is kept excepted
-	Critical              // even queries that may not run twice are refused
+	Normal   Level = iota // few arrivals are rejected, or none
+	Trimming              // traffic beyond its tenant's quota, or of the lowest priority, is rejected
+	Shedding              // idempotent traffic within its quota is rejected
+	Critical              // protected queries are rejected too, or admitted ones ended
 )
 
+// String returns the level's name in lower case.
 func (l Level) String() string { return [...]string{"normal", "trimming", "shedding", "critical"}[l] }
 
 const (
-	refusedGain = 0.3 // weight of a window in the share of arrivals that are refused
-	manyRefused = 0.1 // of that share: fewer refusals make no level, for a few of the returning are always among them
+	// rejectionGain is the weight of a window in the mean fraction of arrivals that are rejected.
+	rejectionGain = 0.3
+	// manyRejections is the fraction from which rejections make a level: a few retries among them are always rejected.
+	manyRejections = 0.1
+	// minLevelTime is how long a level is kept after its last cause.
+	minLevelTime = 650 * time.Millisecond
 )
 
-const holdLevel = 650 * time.Millisecond // a level is left downwards only after so long without cause
-
-// Level is the present one.
-func (c *Controller) Level() Level { return c.level }
-
-// Reasons is why, for a log line.
-func (c *Controller) Reasons(s Signals) []string {
-	var list []string
-	for _, r := range []struct {
-		name string
-		is   bool
-	}{
-		{"loop delay", s.MeanWait > c.cfg.WaitTarget}, {"cpu", c.cfg.Cores > 0 && s.CPU > cpuFull*c.cfg.Cores},
-		{"memory", c.memory > MemoryNormal}, {"descriptors", s.Descriptors > crowded}, {"open queries", s.Open > crowded},
-	} {
-		if r.is {
-			list = append(list, r.name)
-		}
-	}
-	return list
+// levelTracker follows the level over the windows.
+type levelTracker struct {
+	present          Level
+	causedAt         time.Duration // when the present level last had a cause
+	rejectedFraction float64       // rejections among arrivals, a moving mean
 }
 
-// relevel goes up at once, and down when there has been no cause for so high a level for long enough.
-func (c *Controller) relevel(s Signals, w window, now time.Duration) bool {
-	if tries := w.queries + w.refusals; tries > 0 {
-		c.refusing += refusedGain * (w.refusals/tries - c.refusing)
-	}
-	want, many := Normal, w.refusals > 0 && c.refusing > manyRefused
-	switch {
-	case w.highest || c.memory == EndQueries:
-		want = Critical
-	case c.memory == RejectNew || many && w.lowest >= lowScore-retryLoss:
-		want = Shedding
-	case many:
-		want = Trimming
+// update takes a window and reports whether the level changed. It rises at once, and falls when there has been no cause
+// for so high a level for minLevelTime.
+func (t *levelTracker) update(w window, memory MemoryLevel, now time.Duration) (changed bool) {
+	if arrivals := w.queries + w.rejections; arrivals > 0 {
+		t.rejectedFraction += rejectionGain * (w.rejections/arrivals - t.rejectedFraction)
 	}
-	if want >= c.level {
-		changed := want > c.level
-		c.level, c.levelAt = want, now
+	caused := t.causedBy(w, memory)
+	if caused >= t.present {
+		changed = caused > t.present
+		t.present, t.causedAt = caused, now
 		return changed
 	}
-	if now-c.levelAt < holdLevel {
+	if now-t.causedAt < minLevelTime {
 		return false
 	}
-	c.level, c.levelAt = want, now
+	t.present, t.causedAt = caused, now
 	return true
 }
+
+// causedBy is the level that a window gives cause for.
+func (t *levelTracker) causedBy(w window, memory MemoryLevel) Level {
+	many := w.rejections > 0 && t.rejectedFraction > manyRejections
+	switch {
+	case w.rejectedProtected || memory == EndQueries:
+		return Critical
+	case memory == RejectNew || many && w.highestRejected >= minWithinScore-retryPenalty:
+		return Shedding
+	case many:
+		return Trimming
+	}
+	return Normal
+}
+
+// Level returns the present level.
+func (c *Controller) Level() Level { return c.level.present }
+
+// Reasons names the signals that are over their limits, for a log line.
+func (c *Controller) Reasons(s Signals) (reasons []string) {
+	for _, r := range []struct {
+		name  string
+		holds bool
+	}{
+		{"loop delay", s.MeanWait > c.cfg.WaitTarget},
+		{"cpu", c.cfg.Cores > 0 && s.CoresUsed > allCores*c.cfg.Cores},
+		{"memory", c.memory > MemoryNormal},
+		{"descriptors", s.DescriptorFraction > saturated},
+		{"open queries", s.OpenFraction > saturated},
+	} {
+		if r.holds {
+			reasons = append(reasons, r.name)
+		}
+	}
+	return reasons
+}
--- /dev/null
+++ b/internal/decide/overload/memory_level_test.go
@@ -0,0 +1,62 @@
+package overload_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"harepass/internal/decide/overload"
+)
+
+// Memory runs short and is freed again. Each level is entered at once and left with a gap; new queries are rejected
+// before any admitted one is ended, and protected queries only when some have to be ended.
+func TestMemoryLevels(t *testing.T) {
+	cfg := config()
+	cfg.MemoryBytes = 1000
+	c := overload.New(cfg)
+	now := time.Second
+	observe := func(queryBytes int64) overload.MemoryLevel {
+		now += c.Interval()
+		c.Observe(overload.Signals{QueryBytes: queryBytes}, now)
+		return c.MemoryLevel()
+	}
+	observe(0)
+	for _, tc := range []struct {
+		queryBytes int64
+		want       overload.MemoryLevel
+	}{
+		{599, overload.MemoryNormal}, {600, overload.DropCached}, {541, overload.DropCached}, {539, overload.MemoryNormal},
+		{850, overload.EndQueries}, {770, overload.EndQueries}, {764, overload.RejectNew}, {650, overload.RejectNew},
+		{647, overload.DropCached}, {0, overload.MemoryNormal},
+	} {
+		if got := observe(tc.queryBytes); got != tc.want {
+			t.Fatalf("%d of 1000 bytes booked: %v, want %v", tc.queryBytes, got, tc.want)
+		}
+		for _, class := range []string{"route", "hazard"} {
+			d := c.Admit(overload.Arrival{Class: class, Tenant: "kitakaze"}, now)
+			level := c.MemoryLevel()
+			want := level < overload.RejectNew || class == "hazard" && level == overload.RejectNew
+			if d.Admitted != want {
+				t.Errorf("%v: %s admitted: %t", level, class, d.Admitted)
+			}
+		}
+	}
+	observe(900)
+	if x := c.ExcessBytes(overload.Signals{QueryBytes: 900}); x != 135 {
+		t.Errorf("excess %d, want what is over 0.9 of 0.85", x)
+	}
+}
+
+// Of the queries to end, those with the most bytes for their priority weight come first, and protected ones are spared.
+func TestSelectQueriesToEnd(t *testing.T) {
+	list := []overload.OpenQuery{
+		{Bytes: 50, PriorityWeight: 1}, {Bytes: 90, PriorityWeight: 3}, {Bytes: 80, PriorityWeight: 1, Protected: true},
+		{Bytes: 20, PriorityWeight: 1}, {PriorityWeight: 0},
+	}
+	if got := fmt.Sprint(overload.SelectQueriesToEnd(list, 60)); got != "[0 1]" {
+		t.Errorf("selected %s, want those with the most bytes for their weight, and none that is protected", got)
+	}
+	if got := fmt.Sprint(overload.SelectQueriesToEnd(list, 1000)); got != "[0 1 3]" {
+		t.Errorf("selected %s, want all that may be", got)
+	}
+}
--- a/internal/loadshed/guard.go
+++ b/internal/loadshed/guard.go
@@ -132,13 +132,13 @@
 	use, now := g.Measure(), g.Clock()
 	s := overload.Signals{LiveBytes: use.Live}
 	if span := now - g.looked; span > 0 {
-		s.CPU = float64(use.CPU-g.last.CPU) / float64(span)
+		s.CoresUsed = float64(use.CPU-g.last.CPU) / float64(span)
 	}
 	if g.Descriptors != nil {
-		s.Descriptors = g.Descriptors()
+		s.DescriptorFraction = g.Descriptors()
 	}
 	g.mu.Lock()
-	s.QueryBytes, s.Open = g.turns.QueryBytes, g.turns.OpenFraction
+	s.QueryBytes, s.OpenFraction = g.turns.QueryBytes, g.turns.OpenFraction
 	if g.turns.Count > 0 {
 		s.MeanWait = g.turns.TotalWait / time.Duration(g.turns.Count)
 	}
@@ -151,13 +151,13 @@
 	g.turns = core.Tick{OpenFraction: g.turns.OpenFraction, QueryBytes: g.turns.QueryBytes}
 	changed := g.control.Observe(s, now)
 	level, reasons := g.control.Level(), g.control.Reasons(s)
-	rate, memory, excess := g.control.Limited(), g.control.MemoryLevel(), g.control.Excess(s)
+	rate, memory, excess := g.control.AdmittedRate(), g.control.MemoryLevel(), g.control.ExcessBytes(s)
 	g.mu.Unlock()
 	g.last, g.looked = use, now
 	if changed {
 		g.Log.Warn("overload", "level", level.String(), "because", strings.Join(reasons, ", "), "wait", s.MeanWait, "worst", worst, "ready", ready, "turn", took,
-			"cores", s.CPU, "admitted_cores", rate, "live_mb", s.LiveBytes>>20, "held_mb", s.QueryBytes>>20, "memory", memory.String(),
-			"descriptors", s.Descriptors, "open", s.Open)
+			"cores", s.CoresUsed, "admitted_cores", rate, "live_mb", s.LiveBytes>>20, "held_mb", s.QueryBytes>>20, "memory", memory.String(),
+			"descriptors", s.DescriptorFraction, "open", s.OpenFraction)
 	}
 	if g.RelieveMemory != nil && (memory != g.memory || excess > 0) {
 		g.RelieveMemory(memory, excess)
--- a/internal/test/loopsim/loop.go
+++ b/internal/test/loopsim/loop.go
@@ -134,7 +134,7 @@
 	if len(p.queue) > 0 { // what waits now waits so long at least
 		wait = max(wait, p.look-p.queue[0].at)
 	}
-	p.gate.Observe(overload.Signals{MeanWait: wait, CPU: min(1, p.busy.Seconds()/p.gate.Interval().Seconds())}, p.look)
+	p.gate.Observe(overload.Signals{MeanWait: wait, CoresUsed: min(1, p.busy.Seconds()/p.gate.Interval().Seconds())}, p.look)
 	p.waits, p.waiters, p.busy = 0, 0, 0
 }
 
