--- /dev/null
+++ b/internal/decide/twophase/cache_test.go
@@ -0,0 +1,98 @@
+package twophase
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// The cache never passes its limit, and the most recently used values stay.
+func TestCacheDropsLeastRecentlyUsed(t *testing.T) {
+	value := []byte(strings.Repeat("x", 1000))
+	size := entryOverhead + len("t0") + len(value)
+	p := New(10 * size)
+	for i := range 11 {
+		p.ObserveFull(testTopic, 0, fmt.Sprint("t", i%10), versioned(version(0), 1), value, 0)
+		if i == 9 {
+			if n, bytes := p.Cached(); n != 10 || bytes != 10*size {
+				t.Errorf("%d values, %d bytes: what just fits is cached", n, bytes)
+			}
+			p.ObserveFirstPhase(testTopic, 0, "t0", versioned(version(0), 1), true, 0) // used
+			p.ObserveFull(testTopic, 0, "tt", versioned(version(0), 1), value, 0)
+		}
+	}
+	cached := func(body string) bool {
+		v, _ := p.ObserveFirstPhase(testTopic, 0, body, versioned(version(0), 1), true, 0)
+		return v == Unchanged
+	}
+	if !cached("t0") || cached("t1") || !cached("tt") {
+		t.Errorf("t0 %t, t1 %t, tt %t: want the least recently used gone", cached("t0"), cached("t1"), cached("tt"))
+	}
+	p.ObserveFull(testTopic, 0, "huge", versioned(version(0), 1), []byte(strings.Repeat("x", 2*size)), 0)
+	if cached("huge") {
+		t.Error("a value over an eighth of the limit is cached")
+	}
+	if v, _ := New(0).ObserveFirstPhase(testTopic, 0, "q", versioned(version(0), 1), true, 0); v != NeedsFull {
+		t.Errorf("a limit of 0: %v", v)
+	}
+}
+
+// Whatever comes, the counts add up, the limit holds, and the verdict Unchanged gives the value that was cached last
+// for just this body and shard under just this version.
+func TestCacheModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		limit := rapid.IntRange(0, 20000).Draw(t, "limit")
+		p, now := New(limit), time.Duration(0)
+		type key struct {
+			shard int
+			body  string
+			v     Version
+		}
+		cached := map[key]string{}
+		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
+			now += time.Duration(rapid.IntRange(0, 30).Draw(t, "seconds")) * time.Second
+			shard := rapid.IntRange(0, 2).Draw(t, "shard")
+			body := rapid.SampledFrom([]string{"a", "b", "ab"}).Draw(t, "body")
+			n := float64(rapid.IntRange(1, 4).Draw(t, "version"))
+			v := Version{int64(rapid.IntRange(1, 3).Draw(t, "docs")), n, 1, n}
+			ev := versioned(v, int64(rapid.IntRange(0, 2).Draw(t, "matches")))
+			ev.Readable = rapid.IntRange(0, 9).Draw(t, "readable") > 0
+			ev.Versioned = rapid.IntRange(0, 9).Draw(t, "versioned") > 0
+			switch rapid.IntRange(0, 2).Draw(t, "call") {
+			case 0:
+				p.Plan(Request{
+					Topic: testTopic, Body: body, Shards: []int{0, 1, 2}, Now: now, Objective: now + time.Second,
+				})
+			case 1:
+				value := strings.Repeat(fmt.Sprint(i), rapid.IntRange(1, 900).Draw(t, "size"))
+				p.ObserveFull(testTopic, shard, body, ev, []byte(value), now)
+				if ev.Readable && ev.Versioned {
+					cached[key{shard, body, v}] = value
+				}
+			case 2:
+				verdict, value := p.ObserveFirstPhase(testTopic, shard, body, ev, true, now)
+				if verdict == Unchanged &&
+					(!ev.Readable || !ev.Versioned || cached[key{shard, body, v}] != string(value)) {
+					t.Fatalf("unchanged with %.20q, cached %.20q", value, cached[key{shard, body, v}])
+				}
+				if verdict == Empty && (!ev.Readable || ev.Matches != 0) {
+					t.Fatalf("empty on %+v", ev)
+				}
+			}
+			bytes, values := 0, 0
+			for _, s := range p.shards {
+				for _, e := range s.entries {
+					if bytes += e.size(); e.value != nil {
+						values++
+					}
+				}
+			}
+			if n, b := p.Cached(); n != values || b != bytes || b > limit || p.cache.recency.Len() < values {
+				t.Fatalf("%d values of %d bytes counted, %d of %d there, limit %d", n, b, values, bytes, limit)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/decide/twophase/planner_test.go
@@ -0,0 +1,163 @@
+package twophase
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+var testTopic = Topic{"conditions", "summary"}
+
+// firstAnswerCost is the work of a first answer, and of a version with a full one, in full answers.
+const firstAnswerCost = 0.1
+
+// simulation plays queries over some shards against a planner.
+type simulation struct {
+	*Planner
+	now       time.Duration
+	shards    int
+	firstWork float64                                    // work of first answers and versions so far, in full answers
+	fullWork  float64                                    // full answers so far
+	state     func(shard int) (v Version, matches int64) // of a shard's data at the time
+}
+
+// versioned is the evidence of a readable answer that shows its version.
+func versioned(v Version, matches int64) Evidence {
+	return Evidence{Readable: true, Matches: matches, Versioned: true, Version: v}
+}
+
+// version returns the versions of a shard's data after n changes.
+func version(n int) Version {
+	return Version{Docs: 10, Max: float64(100 + n), Min: 1, Sum: float64(500 + n)}
+}
+
+// ask plays one query and returns how many shards were not asked in full.
+func (s *simulation) ask(body string) (pruned int) {
+	s.now += time.Second
+	r := Request{Topic: testTopic, Body: body, Now: s.now, Objective: s.now + 1500*ms}
+	for shard := range s.shards {
+		r.Shards = append(r.Shards, shard)
+	}
+	for i, mode := range s.Plan(r).Modes {
+		v, matches := s.state(i)
+		withVersion := mode == FullWithVersion
+		if mode == FirstPhase {
+			s.firstWork += firstAnswerCost
+			s.ObserveLatency(testTopic, i, true, 2*ms)
+			verdict, _ := s.ObserveFirstPhase(testTopic, i, body, versioned(v, matches), true, s.now)
+			if verdict.Proves() {
+				pruned++
+				continue
+			}
+			withVersion = s.WantsVersion(testTopic, i)
+		}
+		s.FullSent(testTopic)
+		s.ObserveLatency(testTopic, i, false, 20*ms)
+		s.fullWork++
+		if withVersion {
+			s.firstWork += firstAnswerCost
+			s.ObserveFull(testTopic, i, body, versioned(v, matches), fmt.Appendf(nil, "%s %d %v", body, i, v), s.now)
+		}
+	}
+	return pruned
+}
+
+// A site's data changes all the time, then not at all, then in half of the shards. While nothing changes nearly all
+// full questions are saved; while all changes hardly any work is lost; and the planner notices when that changes,
+// either way.
+func TestPlannerFollowsHowOftenDataChanges(t *testing.T) {
+	changes := 0
+	unchanged := func(int) (Version, int64) { return version(0), 3 }
+	changing := func(int) (Version, int64) { changes++; return version(changes), 3 }
+	s := &simulation{Planner: New(1 << 20), shards: 12, state: changing}
+	play := func(queries int) (work float64) {
+		s.firstWork, s.fullWork = 0, 0
+		for i := range queries {
+			s.ask(fmt.Sprint("body ", i%3))
+		}
+		return (s.firstWork + s.fullWork) / float64(queries*s.shards)
+	}
+	if work := play(300); work > 1.05 || s.firstWork == 0 {
+		t.Errorf("all changing: %.3f of the work of one phase, want at most 1.05, and some of it exploration", work)
+	}
+	s.state = unchanged
+	play(100) // the planner learns
+	if work := play(100); work > 0.2 {
+		t.Errorf("unchanged after changing: %.3f, want at most 0.2", work)
+	}
+	s.state = changing
+	if work := play(300); work > 1.05 {
+		t.Errorf("changing after unchanged: %.3f, want at most 1.05", work)
+	}
+	half := func(shard int) (Version, int64) {
+		if shard%2 == 0 {
+			return changing(shard)
+		}
+		return unchanged(shard)
+	}
+	s.state = half
+	play(100)
+	if work := play(100); work > 0.65 || work < 0.5 {
+		t.Errorf("half changing: %.3f, want about 0.55: each shard is judged by itself", work)
+	}
+	s.state = func(int) (Version, int64) { return Version{}, 0 }
+	play(300)
+	if work := play(100); work > 0.2 {
+		t.Errorf("nothing matches: %.3f, want at most 0.2", work)
+	}
+}
+
+// Full questions are deferred for no longer than leaves a slow full answer its time before the latency objective.
+func TestDeferralLeavesTimeForFullAnswer(t *testing.T) {
+	p := New(1 << 20)
+	plan := func(left time.Duration) Plan {
+		return p.Plan(Request{Topic: testTopic, Body: "q", Shards: []int{0, 1}, Now: time.Second, Objective: time.Second + left})
+	}
+	if got := plan(1600 * ms); got.MaxDeferral != 200*ms || got.Modes[0] != FirstPhase {
+		t.Errorf("nothing seen yet: %+v, want a quarter of half of the time", got)
+	}
+	for range 64 {
+		p.ObserveLatency(testTopic, 0, true, 10*ms)
+		p.ObserveLatency(testTopic, 0, false, 100*ms)
+	}
+	for shard := range 2 {
+		p.ObserveFull(testTopic, shard, "q", versioned(version(0), 1), []byte("v"), time.Second)
+	}
+	for _, tc := range []struct{ left, deferral time.Duration }{
+		{1500 * ms, 20 * ms}, {115 * ms, 15 * ms}, {110 * ms, 10 * ms}, {110*ms - 1, 0}, {50 * ms, 0}, {-ms, 0},
+	} {
+		got := plan(tc.left)
+		if got.MaxDeferral != tc.deferral || (got.Modes[0] == FirstPhase) != (tc.deferral > 0) {
+			t.Errorf("%v left: %+v, want a deferral of %v", tc.left, got, tc.deferral)
+		}
+	}
+	got := p.Plan(Request{
+		Topic: testTopic, Body: "q", Shards: []int{0, 1}, Capable: func(shard int) bool { return shard == 1 },
+		Now: time.Second, Objective: 3 * time.Second,
+	})
+	if got.Modes[0] != Full || got.Modes[1] != FirstPhase {
+		t.Errorf("%+v, want the shard whose holders know no first phase asked in full", got)
+	}
+}
+
+// First answers come so late that the full questions have gone out already. They save nothing, whatever they prove,
+// so the planner stops asking these shards in two phases.
+func TestLateFirstPhasesAreGivenUp(t *testing.T) {
+	p := New(1 << 20)
+	p.ObserveFull(testTopic, 0, "q", versioned(version(0), 1), []byte("v"), 0)
+	firstPhases := 0
+	for i := range 200 {
+		at := time.Duration(i) * time.Second
+		plan := p.Plan(Request{Topic: testTopic, Body: "q", Shards: []int{0}, Now: at, Objective: at + time.Second})
+		if plan.Modes[0] == FirstPhase {
+			firstPhases++
+			p.ObserveFirstPhase(testTopic, 0, "q", versioned(version(0), 1), false, at)
+		}
+		p.FullSent(testTopic)
+	}
+	if firstPhases > 60 {
+		t.Errorf("%d first phases of 200 that never helped", firstPhases)
+	}
+}
