--- a/internal/decide/ratelimit/budget.go
+++ b/internal/decide/ratelimit/budget.go
@@ -14,7 +14,7 @@
 // finds the bucket empty again loses a short call, while a place that nobody takes is lost for all.
 const overbooking = 2
 
-// Budget is a token bucket of bytes. A transfer is admitted while the bucket is not empty and may take it below zero.
+// TokenBucket is a token bucket of bytes. A transfer is admitted while the bucket is not empty and may take it below zero.
 // Readers that are refused are given consecutive places in the time after that.
 type TokenBucket struct {
 	rate   float64       // bytes a second
@@ -23,7 +23,7 @@
 	booked time.Duration // up to here readers have been given places
 }
 
-// NewBudget returns a full budget of so many bytes a second at an instant.
+// NewTokenBucket returns a full budget of so many bytes a second at an instant.
 func NewTokenBucket(bytesPerSecond int, now time.Duration) *TokenBucket {
 	rate := float64(bytesPerSecond)
 	return &TokenBucket{rate: rate, tokens: rate * burstTime.Seconds(), filled: now, booked: now}
--- a/internal/decide/settingsdiff/reload.go
+++ b/internal/decide/settingsdiff/reload.go
@@ -19,7 +19,7 @@
 // window is a key that only classes of one kind need to have.
 const window, guarded = "dedup_window_us", "guarded"
 
-// Named gives the paths with the entries' names in place of their places: an entry that has moved has not changed.
+// ByName gives the paths with the entries' names in place of their places: an entry that has moved has not changed.
 func ByName(flat map[string]string) map[string]string {
 	names := map[string]string{}
 	for path, v := range flat {
--- a/internal/decide/subsetting/member.go
+++ b/internal/decide/subsetting/member.go
@@ -8,7 +8,7 @@
 
 import "math"
 
-// Place is a coordinator's in its fleet: the Me-th, from 0, of Of.
+// Member is a coordinator's in its fleet: the Me-th, from 0, of Of.
 type Member struct{ Index, FleetSize int }
 
 // Salt is a name's, the same at all members (FNV-1a).
@@ -20,7 +20,7 @@
 	return h
 }
 
-// Known tells whether the place says anything: a fleet of one, or a member that does not know which it is, is not spread.
+// HasPeers tells whether the place says anything: a fleet of one, or a member that does not know which it is, is not spread.
 func (p Member) HasPeers() bool { return p.FleetSize > 1 && p.Index >= 0 && p.Index < p.FleetSize }
 
 // at is where the place lies on a circle of length 1. The places of a fleet lie at equal distances, so any arc of length a
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -57,7 +57,7 @@
 	return frac(float64(cell)*s.Share + float64(rank)*golden + s.at)
 }
 
-// Keeps tells whether a node with that key is kept.
+// Contains tells whether a node with that key is kept.
 func (s Subset) Contains(key float64) bool { return key < s.Share }
 
 // Position is the coordinator's among those that keep a node with that key.
@@ -68,7 +68,7 @@
 	return Position(frac(key / s.Share))
 }
 
-// Among is how many of a section's holders, in the order of their keys, belong to the subset: those that are kept, and as
+// HolderCount is how many of a section's holders, in the order of their keys, belong to the subset: those that are kept, and as
 // many more as it takes for least of them to be ready. It widens in the step in which one fails and narrows in that in
 // which it is back, with nothing to remember.
 func (s Subset) HolderCount(keys []float64, ready []bool, least int) (n int) {
--- a/internal/decide/versionlog/apply.go
+++ b/internal/decide/versionlog/apply.go
@@ -10,7 +10,7 @@
 	return Cursor{Version: l.head, Head: l.target}
 }
 
-// Restart drops a snapshot that is coming in: the relay reads from another source, or anew.
+// AbortSnapshot drops a snapshot that is coming in: the relay reads from another source, or anew.
 func (l *Log) AbortSnapshot() { l.staged = nil }
 
 // Apply takes the next slice of a relay's source over, whole or not at all. Changes count at once; a snapshot replaces
--- a/internal/decide/versionlog/json.go
+++ b/internal/decide/versionlog/json.go
@@ -13,7 +13,7 @@
 // statusRemoved is the status of an entry that exists no more.
 const statusRemoved = "terminated"
 
-// EnvelopeBytes bounds what an answer holds besides its entries and the commas between them.
+// MaxEnvelopeBytes bounds what an answer holds besides its entries and the commas between them.
 const MaxEnvelopeBytes = 256
 
 // entryHead is the part of an entry that the log reads.
--- a/internal/decide/versionlog/log.go
+++ b/internal/decide/versionlog/log.go
@@ -7,10 +7,10 @@
 	"github.com/google/btree"
 )
 
-// MaxEntry is the longest body of an entry, in bytes: with the envelope it fits into an answer of 64 KiB.
+// MaxEntryBytes is the longest body of an entry, in bytes: with the envelope it fits into an answer of 64 KiB.
 const MaxEntryBytes = 60 << 10
 
-// MaxObject is the longest object of a change, in bytes.
+// MaxObjectBytes is the longest object of a change, in bytes.
 const MaxObjectBytes = MaxEntryBytes - versionKeyBytes
 
 const (
