--- a/internal/platform/discovery_log.go
+++ b/internal/platform/discovery_log.go
@@ -5,44 +5,47 @@
 	"time"
 
 	"harepass/internal/counters"
+	"harepass/internal/logmsg"
 )
 
-// This file is what is counted and logged of discovery: each subscription that failed, until when nothing is asked again,
-// and how old the list is meanwhile.
-
+// The counters of calls to discovery. Their names are wire: the admin endpoint shows them.
 var (
-	listCallsServed = counters.New("list_calls", "served")
-	listWatchesLost = counters.New("list_calls", "watch_lost")
-	listUnreachable = counters.New("list_calls", "unreachable")
-	listUnanswered  = counters.New("list_calls", "unanswered")
+	pollsAnswered    = counters.New("list_calls", "served")
+	watchesLost      = counters.New("list_calls", "watch_lost")
+	pollsUnreachable = counters.New("list_calls", "unreachable")
+	pollsUnanswered  = counters.New("list_calls", "unanswered")
 )
 
-// outage is a time without an answer of discovery, for the log.
+// outage is a time without an answer of discovery: each failure is counted and logged, and so is its end.
 type outage struct {
-	answered time.Time // the last answer; the start before the first
-	failures int       // since then
+	answered time.Time // the last answer; the start before the first one
+	failures int       // since the last answer
 }
 
-// failed logs the end of a subscription, when the next one begins, and how long the list holds still.
-func (o *outage) failed(f *listFailure, version int64, pause, holds time.Duration) {
+// failed logs the end of a subscription, when the next one begins, and how long the list may be used still.
+func (o *outage) failed(f *pollFailure, version int64, nextPoll, expires time.Duration) {
 	o.failures++
 	switch {
 	case f.watch:
-		listWatchesLost.Inc()
+		watchesLost.Inc()
 	case f.unreachable():
-		listUnreachable.Inc()
+		pollsUnreachable.Inc()
 	default:
-		listUnanswered.Inc()
+		pollsUnanswered.Inc()
 	}
-	slog.Info("discovery lost", "err", f, "took", f.took.Round(time.Millisecond), "version", version, "failures", o.failures,
-		"list_age", time.Since(o.answered).Round(time.Millisecond), "next_call_in", pause.Round(time.Millisecond), "list_expires_in", holds.Round(time.Millisecond))
+	slog.Info("discovery poll failed", logmsg.KeyError, f, logmsg.KeyLatency, f.took.Round(time.Millisecond),
+		"version", version, "failures", o.failures,
+		"endpoint_list_age", time.Since(o.answered).Round(time.Millisecond),
+		"next_poll_in", nextPoll.Round(time.Millisecond),
+		"endpoint_list_expires_in", expires.Round(time.Millisecond))
 }
 
-// served notes an answer, and logs the end of an outage.
-func (o *outage) served(version int64) {
-	listCallsServed.Inc()
+// answeredWith notes an answer with a version of the list, and logs the end of an outage.
+func (o *outage) answeredWith(version int64) {
+	pollsAnswered.Inc()
 	if o.failures > 0 {
-		slog.Info("discovery answers again", "version", version, "failures", o.failures, "after", time.Since(o.answered).Round(time.Millisecond))
+		slog.Info("discovery answers again", "version", version, "failures", o.failures,
+			"after", time.Since(o.answered).Round(time.Millisecond))
 	}
 	o.answered, o.failures = time.Now(), 0
 }
