--- a/internal/platform/agent_test.go
+++ b/internal/platform/agent_test.go
@@ -18,8 +18,8 @@
 	"harepass/internal/test/fake"
 )
 
-// agent is what pushed lists come to: it answers at once with what it has, and says nothing while discovery is down, not to
-// those either that have asked before.
+// agent is what pushed lists come to: it answers at once with what it has, and says nothing while discovery is
+// down, not to those either that have asked before.
 type agent struct {
 	changed atomic.Bool // it holds the news that the node drains
 	down    atomic.Bool
@@ -46,8 +46,9 @@
 	fmt.Fprintf(w, `{"index":%d,"endpoints":[]}`, map[bool]int{true: 8, false: 7}[a.changed.Load()])
 }
 
-// What the agent holds counts as told at once, and a drain binds half a second later: a coordinator has it well before that,
-// though discovery was down and neither the watch that stood then nor a call made meanwhile is ever answered.
+// What the agent holds counts as told at once, and a drain binds half a second later: a coordinator has it well
+// before that, though discovery was down and neither the watch that stood then nor a call made meanwhile is ever
+// answered.
 func TestAgentIsHeardInTime(t *testing.T) {
 	for _, down := range []time.Duration{0, 5 * time.Millisecond, 3 * time.Second} {
 		for _, holds := range []bool{true, false} {
--- a/internal/platform/nodes_test.go
+++ b/internal/platform/caller_test.go
@@ -248,7 +248,7 @@
 			case 5:
 				p.send(appendFrame(nil, frameAnswer, []byte("nobody.1 S 0 -\nvalue")), size)
 			case 6: // the node tells that it closes the connection
-				p.send(appendFrame(nil, frameFault, []byte("bad")), size)
+				p.send(appendFrame(nil, frameError, []byte("bad")), size)
 				broken(scatter.ConnectFailed, scatter.ConnectionReset)
 			case 7: // a value of 3 GB
 				p.send(append([]byte{0, 94, 208, 178, '5'}, id+" S 7 -\nvvvv"...), 1<<20)
@@ -345,7 +345,7 @@
 		p.nodes.Close()
 	})
 	at := &core.Attempt{QueryID: "9b1f", Shard: 3, Timeout: 240 * time.Millisecond, Body: []byte("c41e77d0")}
-	got := callFrame([]*sending{{at: at}})
+	got := callFrame([]*sentAttempt{{attempt: at}})
 	if want := append([]byte{26, 0, 0, 0, '1'}, "9b1f.3 3 d=240 8\nc41e77d0"...); !bytes.Equal(got, want) {
 		t.Errorf("frame %q, want %q", got, want)
 	}
@@ -364,7 +364,7 @@
 		{"passed over, then closed on proof", func(p *player, call func(), answer, abandon func(int)) {
 			call()
 			time.Sleep(late)
-			for i := 1; i <= quietProof; i++ {
+			for i := 1; i <= answersToClose; i++ {
 				call()
 				p.node = p.peers[1]
 				answer(i)
@@ -373,7 +373,7 @@
 		{"no proof: what was answered was sent before the silence", func(p *player, call func(), answer, abandon func(int)) {
 			call()
 			time.Sleep(late)
-			for range quietProof {
+			for range answersToClose {
 				call()
 			}
 			p.node = p.peers[0]
@@ -381,12 +381,12 @@
 			call()
 			time.Sleep(late)
 			p.node = p.peers[1]
-			for i := 1; i <= quietProof; i++ {
+			for i := 1; i <= answersToClose; i++ {
 				answer(i)
 			}
 		}, "2 connections, frames [1q0.0 1q1.0 1q2.0 1q3.0 1q4.0], ended [[0] [0] [0] [0] []]"},
 		{"a node that is silent everywhere", func(p *player, call func(), answer, abandon func(int)) {
-			for range quietMost + 3 {
+			for range maxSilentConns + 3 {
 				call()
 				time.Sleep(late)
 			}
@@ -473,8 +473,8 @@
 		}
 		p.nodes.Close()
 		synctest.Wait()
-		if len(p.nodes.conns) > 0 || len(p.nodes.sends) > 0 {
-			t.Errorf("%d nodes and %d sends remain", len(p.nodes.conns), len(p.nodes.sends))
+		if len(p.nodes.conns) > 0 || len(p.nodes.attempts) > 0 {
+			t.Errorf("%d nodes and %d sends remain", len(p.nodes.conns), len(p.nodes.attempts))
 		}
 	})
 }
@@ -530,9 +530,10 @@
 	})
 }
 
-// A call that comes in the very moment in which half a line ends an idle connection goes on a new one, and is not told as one
-// that the node refused. The moment is made, on real sockets: the reader's look whether anybody waits, and behind it the call,
-// wait for the lock, which goes to those who wait in turn once one of them has waited in vain.
+// A call that comes in the very moment in which half a line ends an idle connection goes on a new one, and is not
+// told as one that the node refused. The moment is made, on real sockets: the reader's look whether anybody waits,
+// and behind it the call, wait for the lock, which goes to those who wait in turn once one of them has waited in
+// vain.
 func TestCallAtTheEndOfAnIdleConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/platform/told_deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -18,8 +18,8 @@
 // toldSlack is by how much the deadline that a node is told may be over what its client has left.
 const toldSlack = 150 * time.Millisecond
 
-// A node is told the time that its client has left when the frame is written, not when the attempt was decided: it may have
-// waited for its connection since.
+// A node is told the time that its client has left when the frame is written, not when the attempt was decided: it
+// may have waited for its connection since.
 func TestDeadlineToldIsWhatIsLeft(t *testing.T) {
 	const budget, late = 1400 * time.Millisecond, 400 * time.Millisecond
 	type heard struct {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -280,10 +280,11 @@
 // held is how long watches ask to be held.
 var held = fmt.Sprint(backoff.WatchHold.Milliseconds())
 
-// Whatever fails, a change is heard of before it counts as told: 6 s after discovery had it and could be reached. Each
-// trouble begins with the change; the coordinator is one of a fleet that can be heard in the time. Seen on days of six
-// coordinators: watches of 10 s that fell silent at 1 s, nodes that began to drain at 3.68 s and were heard of at 11.87 s, with
-// turns of 0.15 to 0.29 s at 12.7 s; and, on a day of 273, watches asked for again up to 10 s after their silence had shown.
+// Whatever fails, a change is heard of before it counts as told: 6 s after discovery had it and could be reached.
+// Each trouble begins with the change; the coordinator is one of a fleet that can be heard in the time. Seen on
+// days of six coordinators: watches of 10 s that fell silent at 1 s, nodes that began to drain at 3.68 s and were
+// heard of at 11.87 s, with turns of 0.15 to 0.29 s at 12.7 s; and, on a day of 273, watches asked for again up to
+// 10 s after their silence had shown.
 func TestToldInTime(t *testing.T) {
 	const trouble = 9 * time.Second
 	late := func(after time.Duration) func(http.ResponseWriter, *http.Request) {
@@ -370,8 +371,8 @@
 	}
 }
 
-// What a discovery that a reload names has to tell binds 4 s after: though its first call is not answered, is refused or fails
-// late, and at whatever moment of the subscription to the old one the move comes.
+// What a discovery that a reload names has to tell binds 4 s after: though its first call is not answered, is
+// refused or fails late, and at whatever moment of the subscription to the old one the move comes.
 func TestMovedInTime(t *testing.T) {
 	for name, first := range map[string]http.HandlerFunc{
 		"silent": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
--- a/internal/platform/ended_idle_test.go
+++ b/internal/platform/ended_idle_test.go
@@ -21,9 +21,9 @@
 	return c.TCPConn.Read(p)
 }
 
-// A node ends a connection while it is idle, and a call is about to be written to it before the reader has seen the end. The
-// call has not begun, goes elsewhere, and says nothing of the node: written, it would be a reset, after which a report may
-// have run.
+// A node ends a connection while it is idle, and a call is about to be written to it before the reader has seen the
+// end. The call has not begun, goes elsewhere, and says nothing of the node: written, it would be a reset, after
+// which a report may have run.
 func TestCallToAConnectionThatItsNodeHasEnded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -16,30 +16,30 @@
 // Frames are a length of four bytes, least significant first, a letter, and the rest.
 const (
 	frameCall   = '1'
-	frameGiveUp = '2'
+	frameCancel = '2'
 	frameAnswer = '5'
-	frameFault  = 'X'
+	frameError  = 'X'
 
-	frameHead = 4
-	frameMost = 68 << 10 // a value, which has to fit a body of 64 KiB, and its line: who claims more is not speaking frames
+	frameHeader = 4
+	maxFrame    = 68 << 10 // a value, which has to fit a body of 64 KiB, and its line: who claims more is not speaking frames
 )
 
 // nextFrame takes one whole frame off the buffer; ok is false while it is not all there. rest is valid
 // until the buffer is used again.
 func nextFrame(b *buffer.Buffer) (letter byte, rest []byte, ok bool, err error) {
 	data := b.Bytes()
-	if len(data) < frameHead {
+	if len(data) < frameHeader {
 		return 0, nil, false, nil
 	}
 	n := int(binary.LittleEndian.Uint32(data))
-	if n < 1 || n > frameMost {
+	if n < 1 || n > maxFrame {
 		return 0, nil, false, fmt.Errorf("platform: frame of %d bytes", n)
 	}
-	if len(data) < frameHead+n {
+	if len(data) < frameHeader+n {
 		return 0, nil, false, nil
 	}
-	b.Consume(frameHead + n)
-	return data[frameHead], data[frameHead+1 : frameHead+n], true, nil
+	b.Consume(frameHeader + n)
+	return data[frameHeader], data[frameHeader+1 : frameHeader+n], true, nil
 }
 
 func appendFrame(b []byte, letter byte, rest []byte) []byte {
@@ -60,7 +60,7 @@
 	return append(b, at.Body...)
 }
 
-var ends = map[string]scatter.Outcome{"S": scatter.Succeeded, "E": scatter.Errored, "B": scatter.Rejected}
+var outcomes = map[string]scatter.Outcome{"S": scatter.Succeeded, "E": scatter.Errored, "B": scatter.Rejected}
 
 // answer is what a node sent for a part.
 type answer struct {
@@ -77,7 +77,7 @@
 	if !found || len(words) < 3 {
 		return answer{}, fmt.Errorf("platform: bad answer line %.80q", line)
 	}
-	outcome, known := ends[words[1]]
+	outcome, known := outcomes[words[1]]
 	if _, err := strconv.ParseFloat(words[2], 64); !known || err != nil {
 		return answer{}, fmt.Errorf("platform: unknown end or score %.80q", line)
 	}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -68,7 +68,7 @@
 	}
 	ok, retryIn := f.Coordinator.Admit(overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry})
 	if q.Admitted = ok; !ok {
-		return refusal(retryIn)
+		return rejection(retryIn)
 	}
 	if err := parseBody(q, req.Body); err != nil {
 		return text(400, err.Error())
@@ -76,7 +76,7 @@
 	a := f.Coordinator.Ask(q, gone)
 	switch a.Status {
 	case core.Rejected:
-		return refusal(a.RetryAfter)
+		return rejection(a.RetryAfter)
 	case core.Failed:
 		return text(500, "failed")
 	case core.Invalid:
@@ -95,7 +95,7 @@
 	return &http1.Message{Status: 200, Header: textproto.MIMEHeader{"Content-Type": {"application/json"}}, Body: data}
 }
 
-func refusal(retryIn time.Duration) *http1.Message {
+func rejection(retryIn time.Duration) *http1.Message {
 	m := text(429, "refused")
 	if retryIn > 0 {
 		m.Header.Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', -1, 64))
@@ -104,11 +104,11 @@
 }
 
 // headers are those of a query; each stands once at most.
-var headers = []string{"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget", "X-Again"}
+var singleHeaders = []string{"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget", "X-Again"}
 
 // head reads what this protocol alone words, and parseBody the rest; what any query has to be is for the core to check.
 func (f *Front) head(req *http1.Message) (*core.Query, error) {
-	for _, h := range headers {
+	for _, h := range singleHeaders {
 		if len(req.Header[h]) > 1 {
 			return nil, fmt.Errorf("%s more than once", h)
 		}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-const longestBudget = time.Hour
+const maxBudget = time.Hour
 
 // parseBudget reads a number followed by m for milliseconds or u for microseconds.
 func parseBudget(s string) (time.Duration, error) {
@@ -154,7 +154,7 @@
 	}
 	unit := float64(units[s[len(s)-1]])
 	n, err := strconv.ParseFloat(s[:len(s)-1], 64)
-	if err != nil || n*unit > float64(longestBudget) {
+	if err != nil || n*unit > float64(maxBudget) {
 		return 0, fmt.Errorf("bad X-Budget %.40q", s)
 	}
 	return time.Duration(n * unit), nil
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -29,10 +29,10 @@
 }
 
 // statusGone is that of an entry that is listed no more; it stands among changes only.
-const statusGone = "terminated"
+const statusRemoved = "terminated"
 
-var states = map[string]scatter.ReplicaState{
-	"in_service": scatter.Ready, "terminating": scatter.Draining, statusGone: scatter.Removed}
+var replicaStates = map[string]scatter.ReplicaState{
+	"in_service": scatter.Ready, "terminating": scatter.Draining, statusRemoved: scatter.Removed}
 
 // CoreEndpoints gives the entries as the owner takes them.
 func (l List) CoreEndpoints() ([]core.Endpoint, error) {
@@ -41,7 +41,7 @@
 		if err := e.check(); err != nil {
 			return nil, err
 		}
-		nodes = append(nodes, core.Endpoint{Replica: scatter.Replica{ID: e.Name, RingPosition: e.Group, Zone: e.Zone, State: states[e.Status],
+		nodes = append(nodes, core.Endpoint{Replica: scatter.Replica{ID: e.Name, RingPosition: e.Group, Zone: e.Zone, State: replicaStates[e.Status],
 			StartedAt: time.Duration(e.SinceMS) * time.Millisecond}, Address: e.Address, Scheme: Scheme})
 	}
 	return nodes, nil
@@ -49,14 +49,14 @@
 
 // check finds what keeps the entry from being a node.
 func (e Endpoint) check() error {
-	if _, known := states[e.Status]; !known || e.Name == "" {
+	if _, known := replicaStates[e.Status]; !known || e.Name == "" {
 		return fmt.Errorf("platform: entry %q has status %q", e.Name, e.Status)
 	}
 	return nil
 }
 
-// ListCopy is the whole list as the answers so far make it, for a process that takes over. An answer costs what it holds;
-// only Whole goes through the list. It is for any goroutine.
+// ListCopy is the whole list as the answers so far make it, for a process that takes over. An answer costs what it
+// holds; only Whole goes through the list. It is for any goroutine.
 type ListCopy struct {
 	mu      sync.Mutex
 	address string
@@ -80,7 +80,7 @@
 		clear(c.entries)
 	}
 	for _, e := range l.Endpoints {
-		if states[e.Status] == scatter.Removed {
+		if replicaStates[e.Status] == scatter.Removed {
 			delete(c.entries, e.Name)
 		} else {
 			c.entries[e.Name] = e
--- a/internal/platform/distributed.go
+++ b/internal/platform/relayed_list.go
@@ -23,7 +23,7 @@
 	complete bool       // the first snapshot is in
 	checked  []Endpoint // of the latest answer, in the order of its entries
 	known    List
-	kept     *ListCopy // nil where nobody wants it
+	copy     *ListCopy // nil where nobody wants it
 	changed  func()    // told when kept has changed
 }
 
@@ -39,11 +39,11 @@
 	return names
 }
 
-// KeepCopy keeps the whole list for a process that takes over, and tells when it has changed. It is to be called before the
-// follower runs.
+// KeepCopy keeps the whole list for a process that takes over, and tells when it has changed. It is to be called
+// before the follower runs.
 func (d *RelayedList) KeepCopy(changed func()) *ListCopy {
-	d.kept, d.changed = NewListCopy(DistributedSource, d.known), changed
-	return d.kept
+	d.copy, d.changed = NewListCopy(DistributedSource, d.known), changed
+	return d.copy
 }
 
 // Check finds entries that are no nodes, and keeps the others for the Apply that follows.
@@ -69,14 +69,14 @@
 func (d *RelayedList) Apply(u distribution.Update) {
 	list := List{Index: u.Slice.Version.Index, Endpoints: d.endpoints(u.Entries)}
 	for _, name := range u.Removed {
-		list.Endpoints = append(list.Endpoints, Endpoint{Name: name, Status: statusGone})
+		list.Endpoints = append(list.Endpoints, Endpoint{Name: name, Status: statusRemoved})
 	}
 	nodes, err := list.CoreEndpoints()
 	if err != nil {
 		return // Check lets none pass
 	}
-	if d.kept != nil {
-		d.kept.Merge(DistributedSource, list)
+	if d.copy != nil {
+		d.copy.Merge(DistributedSource, list)
 		d.changed()
 	}
 	d.complete = d.complete || u.Completed
--- a/internal/platform/distributed_test.go
+++ b/internal/platform/relayed_list_test.go
@@ -13,12 +13,12 @@
 )
 
 func distributedEntry(name, status string) versionlog.Entry {
-	return versionlog.Entry{Name: name, Removed: status == statusGone,
+	return versionlog.Entry{Name: name, Removed: status == statusRemoved,
 		Body: fmt.Appendf(nil, `{"version":3,"name":%q,"address":"a:1","group":2,"status":%q}`, name, status)}
 }
 
-// A drain in an early slice of the first snapshot reaches the owner with that slice. Names are gone with the last one, and
-// only that brings the list as such; the copy for a process that takes over has all of it.
+// A drain in an early slice of the first snapshot reaches the owner with that slice. Names are gone with the last
+// one, and only that brings the list as such; the copy for a process that takes over has all of it.
 func TestDistributedList(t *testing.T) {
 	d := NewRelayedList(List{Endpoints: []Endpoint{{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"}}})
 	if got := d.Known(); !slices.Equal(got, []string{"known", "old"}) {
