--- a/internal/decide/scatter/actions.go
+++ b/internal/decide/scatter/actions.go
@@ -11,7 +11,7 @@
 	Send struct {
 		Part    string
 		Replica string
-		Timeout time.Duration
+		Timeout time.Duration // until the answer is due by the objective; after that, until the query is ended
 	}
 	// CancelAttempt stops waiting for an attempt.
 	CancelAttempt struct {
--- a/internal/decide/scatter/admission.go
+++ b/internal/decide/scatter/admission.go
@@ -2,26 +2,31 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 )
 
-// Admission goes by pressure: the latency that a query is predicted to have, as a share of its latency objective.
+// Admission goes by pressure: a query's predicted latency as a share of its latency objective.
 const (
 	overQuotaPressure = 0.25 // from here on, traffic beyond its tenant's quota is rejected
-	shedFrom          = 0.4  // from here on, queries are rejected at random, with a probability that grows
+	shedFrom          = 0.4  // from here on, queries are shed at random, with a probability that grows
 	shedAll           = 0.7  // up to here, where the probability is maxShed
 
-	// maxShed is the largest share of queries that is shed at random; the others keep the prediction up to date. It
-	// is also the share of its remaining time that a query may be predicted to need.
+	// maxShed is the largest share of queries that is shed at random; the others keep the prediction up to date.
 	maxShed = 0.9
+	// maxTimeShare is the largest share of its remaining time that an admitted query is predicted to need.
+	maxTimeShare = 0.9
 
-	// skipLightFrom is the pressure at which parts of little weight begin to be left out of queries that may be
-	// answered in part. At shedFrom, all those under maxLightWeight are.
+	// From skipLowWeightFrom on, parts of little weight are left out of queries that may be answered in part. Up to
+	// skipLowWeightAll the limit grows to maxLowWeight, in mean weights of the query's parts.
 	skipLowWeightFrom = 0.25
-	// maxLightWeight is the weight, in mean ones of the query's parts, under which a part counts as light at shedFrom.
-	maxLowWeight = 0.9
+	skipLowWeightAll  = 0.4
+	maxLowWeight      = 0.9
+
+	// A shard is overloaded where a part is predicted to take overloadedFrom of the objective. Of the parts that can be
+	// left out there, skipOverloaded are.
+	overloadedFrom = 0.9
+	skipOverloaded = 0.9
 )
 
 // How far a tenant may run ahead of its quota.
@@ -68,10 +73,10 @@
 // admit rejects a query that cannot meet its objective, sheds load with growing pressure, and leaves out of an admitted
 // query the parts that it can be answered without.
 func (m *Machine) admit(q *query) {
-	q.admitted = true
+	q.admissionDecided = true
 	q.normalizeWeights()
 	pressure := m.predictLatency(q) / q.class.LatencyObjective.Seconds()
-	if m.sheds(q, pressure) {
+	if m.decideShed(q, pressure) {
 		m.relaxPrediction(q.class)
 		m.giveUp(q)
 		return
@@ -80,11 +85,11 @@
 	m.skipParts(q, pressure)
 }
 
-// sheds decides whether a query is rejected: because it cannot be in time, because its tenant is beyond its quota, or
-// at random.
-func (m *Machine) sheds(q *query, pressure float64) bool {
-	remaining := float64(q.objective - m.now)
-	shed := pressure*float64(q.class.LatencyObjective) > maxShed*remaining
+// decideShed decides whether a query is rejected: because it cannot be in time, because its tenant is beyond its
+// quota, or at random.
+func (m *Machine) decideShed(q *query, pressure float64) bool {
+	remaining := float64(q.answerDue - m.now)
+	shed := pressure*float64(q.class.LatencyObjective) > maxTimeShare*remaining
 	if t := m.quotas[q.Tenant]; t != nil && t.rate > 0 && m.settings.OverQuotaWeight < 1 {
 		within := t.take(m.now, q.IsRetry)
 		shed = shed || !within && pressure > overQuotaPressure
@@ -110,7 +115,7 @@
 func (m *Machine) skipParts(q *query, pressure float64) {
 	byWeight := slices.Clone(q.parts)
 	slices.SortStableFunc(byWeight, func(x, y *part) int { return cmp.Compare(x.Weight, y.Weight) })
-	lowWeight := min((pressure-skipLowWeightFrom)/(shedFrom-skipLowWeightFrom), maxLowWeight)
+	lowWeight := min((pressure-skipLowWeightFrom)/(skipLowWeightAll-skipLowWeightFrom), maxLowWeight)
 	halfWay := (q.class.CompleteFraction + q.minWeight) / 2
 	sum := q.class.CompleteFraction
 	for _, p := range byWeight {
@@ -131,7 +136,7 @@
 // load is over.
 func (m *Machine) sparesOverloadedShard(p *part) bool {
 	objective := p.query.class.LatencyObjective.Seconds()
-	return m.expectedLatency(p) > maxShed*objective && m.random.Float64() < maxShed
+	return m.expectedLatency(p) > overloadedFrom*objective && m.random.Float64() < skipOverloaded
 }
 
 // shardUnavailable reports whether all holders of a part's shard are being avoided: the part would add to an
@@ -140,38 +145,3 @@
 	open := func(r *replica) bool { return m.now >= r.health.avoidUntil }
 	return m.placement.fleetFactor > 1 && !slices.ContainsFunc(m.shardOf(p.Shard).holders, open)
 }
-
-// predictLatency is the expected latency, in seconds, of the slowest part that the least answer needs.
-func (m *Machine) predictLatency(q *query) float64 {
-	parts := slices.Clone(q.parts)
-	slices.SortStableFunc(parts, m.byExpectedLatency)
-	latency, sum := 0.0, 0.0
-	for _, p := range parts {
-		if sum < min(q.class.CompleteFraction, q.minWeight)-weightSlack {
-			latency, sum = m.expectedLatency(p), sum+p.Weight
-		}
-	}
-	return latency
-}
-
-// expectedLatency is the latency, in seconds, to expect of a part, at the lower median of its shard's ready holders.
-// Where none is ready it is the pressure at which shedding begins, so that other parts are preferred, or more if the
-// best holder is known to be overloaded.
-func (m *Machine) expectedLatency(p *part) float64 {
-	c, s := p.query.class, m.shardOf(p.Shard)
-	if ratio := m.medianRatioOf(&s.medianRatio, s.activeHolders()); !math.IsInf(ratio, 1) {
-		return ratio * c.meanLatency * m.loadFactor
-	}
-	return max(c.LatencyObjective.Seconds()*shedFrom, s.lowestRatio()*c.meanLatency*m.loadFactor)
-}
-
-// lowestRatio is the lowest latency ratio of the kept holders that do not fail at once; 0 where there is none. A silent
-// one keeps the ratio that it had, an overloaded one shows its load.
-func (s *shard) lowestRatio() (low float64) {
-	for _, r := range s.activeHolders() {
-		if !r.health.failsFast && (low == 0 || r.latencyRatio < low) {
-			low = r.latencyRatio
-		}
-	}
-	return low
-}
--- /dev/null
+++ b/internal/decide/scatter/arrivals.go
@@ -0,0 +1,61 @@
+package scatter
+
+import "time"
+
+// onQueryArrived opens a query. Queries of an unknown class are rejected at once.
+func (m *Machine) onQueryArrived(e QueryArrived) {
+	q := &query{QueryArrived: e, class: m.classes.byName[e.Class], draws: draws{}, slowStartDraws: draws{}}
+	m.retries.countArrival(m.now)
+	if q.class == nil {
+		m.do(Reject{Query: e.ID})
+		return
+	}
+	q.endBy = e.Expires - max(m.settings.TickInterval, time.Microsecond)
+	q.minWeight = q.class.MinFraction
+	if e.RequireComplete {
+		q.minWeight = q.class.CompleteFraction
+	}
+	q.answerDue = min(m.now+q.class.LatencyObjective, q.endBy)
+	m.queries.add(q)
+}
+
+// onPartArrived adds a part to its query. A deferred part is no load on its shard yet.
+func (m *Machine) onPartArrived(e PartArrived) {
+	q := m.queries.byNumber[e.Number]
+	if q == nil {
+		return
+	}
+	p := &part{PartArrived: e, query: q}
+	q.markDirty()
+	q.parts = append(q.parts, p)
+	m.queries.parts[p.ID] = p
+	if s := m.shardOf(e.Shard); !e.Deferred {
+		s.arrived[q.class.index]++
+	}
+	m.hedges.partArrived()
+	m.probes.partArrived()
+	m.retries.countArrival(m.now)
+}
+
+// onPartReleased lets a deferred part go out, or takes a part as served whose value the caller has by other means.
+func (m *Machine) onPartReleased(e PartReleased) {
+	p := m.queries.parts[e.ID]
+	if p == nil || p.served || p.query.closed {
+		return
+	}
+	if p.Deferred && !e.Resolved {
+		m.shardOf(p.Shard).arrived[p.query.class.index]++
+	}
+	p.query.markDirty()
+	p.Deferred = false
+	if e.Resolved {
+		m.markServed(p)
+	}
+}
+
+// markServed takes a part's value as in: no attempt of it is waited for any more.
+func (m *Machine) markServed(p *part) {
+	p.served = true
+	p.query.servedWeight += p.Weight
+	m.cancelAttempts(p)
+}
--- a/internal/decide/scatter/attempts.go
+++ b/internal/decide/scatter/attempts.go
@@ -6,11 +6,12 @@
 )
 
 // retryDelayShare is the wait before a part's third attempt and later ones, as a share of the latency objective: two
-// failures in a row say that the part's shard is overloaded or lost.
+// failures in a row say that the part's shard is overloaded or lost. A probe counts as an attempt.
 const retryDelayShare = 0.2
 
-// mayRetry reports whether the class of a part allows another attempt of it now; the first one always.
-func (m *Machine) mayRetry(p *part) bool {
+// mayAttempt reports whether another attempt of a part may begin now: within its class's limit, the retry budget,
+// and the class's idempotency. The first one always may.
+func (m *Machine) mayAttempt(p *part) bool {
 	if len(p.attempts) == 0 {
 		return true
 	}
@@ -27,7 +28,7 @@
 		m.probes.take()
 		m.send(p, probed)
 	}
-	if r != nil && (probed == nil || m.settings.Hedging && m.mayRetry(p)) {
+	if r != nil && (probed == nil || m.settings.Hedging && m.mayAttempt(p)) {
 		m.send(p, r)
 	}
 }
@@ -41,7 +42,7 @@
 	if r.health.ejected {
 		r.health.nextProbe = m.now + r.health.probeBackoff
 	}
-	at := &attempt{part: p, number: len(p.attempts), replica: r, sentAt: m.now, probe: r.health.ejected}
+	at := &attempt{part: p, number: len(p.attempts), replica: r, sentAt: m.now, toEjected: r.health.ejected}
 	if len(r.attempts) == 0 && r.lastUsed > 0 {
 		at.connectionIdle = m.now - r.lastUsed
 	}
@@ -52,11 +53,11 @@
 	r.lastUsed = m.now
 	m.attach(at)
 	if at.number > 0 {
-		m.retries.retriedAt(m.now)
+		m.retries.countRetry(m.now)
 	}
-	until := p.query.objective
+	until := p.query.answerDue
 	if m.now >= until {
-		until = p.query.deadline
+		until = p.query.endBy
 	}
 	m.do(Send{Part: p.ID, Replica: r.ID, Timeout: max(until-m.now, time.Microsecond)})
 }
@@ -87,7 +88,7 @@
 // attempts out is forgotten.
 func (m *Machine) cancelAttempts(p *part) {
 	for _, at := range p.attempts {
-		if m.settings.Cancellation && !at.ended && !at.cancelled && !at.probe {
+		if m.settings.Cancellation && !at.ended && !at.cancelled && !at.toEjected {
 			m.cancel(at)
 		}
 	}
--- a/internal/decide/scatter/checkpoint.go
+++ b/internal/decide/scatter/checkpoint.go
@@ -11,11 +11,11 @@
 // as if for the first time. Instants are on the coordinator's clock. The JSON names are stored data and stay as
 // they are.
 type Checkpoint struct {
-	At         time.Duration `json:"at"`
-	WarmRate   float64       `json:"warm"`    // parts a second served by each warmed up replica
-	DemandRate float64       `json:"asked"`   // parts a second of admitted queries for each ready replica
-	Windows    float64       `json:"refills"` // rebalance intervals that these rates are of
-	LoadFactor float64       `json:"strain"`  // how much longer than their classes' means parts take
+	At           time.Duration `json:"at"`
+	WarmedUpRate float64       `json:"warm"`    // parts a second served by each warmed up replica
+	DemandRate   float64       `json:"asked"`   // parts a second of admitted queries for each ready replica
+	Intervals    float64       `json:"refills"` // rebalance intervals that these rates are of
+	LoadFactor   float64       `json:"strain"`  // how much longer than their classes' means parts take
 	// IdleLimit is how long connections had been unused that were lost.
 	IdleLimit time.Duration       `json:"idle_limit"`
 	Classes   []ClassCheckpoint   `json:"classes"`
@@ -41,7 +41,7 @@
 	FailsFast             bool          `json:"failing,omitempty"`
 	MayHaveRestarted      bool          `json:"restarted,omitempty"`
 	ProbeSuccesses        int           `json:"good,omitempty"`
-	ConsecutiveErrors     int           `json:"errors,omitempty"`
+	ConsecutiveFaults     int           `json:"errors,omitempty"`
 	ConsecutiveRejections int           `json:"fulls,omitempty"`
 	ProbeBackoff          time.Duration `json:"pause,omitempty"`
 	EjectedAt             time.Duration `json:"suspect_at,omitempty"`
@@ -53,10 +53,10 @@
 	LastReset             time.Duration `json:"reset_at,omitempty"`
 	LastError             time.Duration `json:"error_at,omitempty"`
 
-	ConsecutiveFaults   []int           `json:"faults,omitempty"`
-	ExcludedUntil       []time.Duration `json:"barred,omitempty"`
-	ClassLastSuccess    []time.Duration `json:"ok_at,omitempty"`
-	ClassLastUnanswered []time.Duration `json:"lost_at,omitempty"`
+	ClassConsecutiveFaults []int           `json:"faults,omitempty"`
+	ClassExcludedUntil     []time.Duration `json:"barred,omitempty"`
+	ClassLastSuccess       []time.Duration `json:"ok_at,omitempty"`
+	ClassLastUnanswered    []time.Duration `json:"lost_at,omitempty"`
 }
 
 // ShardCheckpoint is a shard's traffic by class, in parts a rebalance interval.
@@ -68,12 +68,12 @@
 // Checkpoint is what the Machine has learned. The caller may keep it.
 func (m *Machine) Checkpoint() Checkpoint {
 	c := Checkpoint{
-		At:         m.now,
-		WarmRate:   m.traffic.warmedUpRate,
-		DemandRate: m.traffic.demandRate,
-		Windows:    m.traffic.intervals,
-		LoadFactor: m.loadFactor,
-		IdleLimit:  m.idleConnections.limit,
+		At:           m.now,
+		WarmedUpRate: m.traffic.warmedUpRate,
+		DemandRate:   m.traffic.demandRate,
+		Intervals:    m.traffic.intervals,
+		LoadFactor:   m.loadFactor,
+		IdleLimit:    m.idleConnections.limit,
 	}
 	for _, k := range m.classes.list {
 		c.Classes = append(c.Classes, k.checkpoint())
@@ -100,35 +100,36 @@
 func (r *replica) checkpoint() ReplicaCheckpoint {
 	h := &r.health
 	return ReplicaCheckpoint{
-		ID:                    r.ID,
-		StartedAt:             r.StartedAt,
-		LatencyRatio:          r.latencyRatio,
-		SlowStartFrom:         r.slowStart.from,
-		Ejected:               h.ejected,
-		FailsFast:             h.failsFast,
-		MayHaveRestarted:      h.mayHaveRestarted,
-		ProbeSuccesses:        h.probeSuccesses,
-		ConsecutiveErrors:     h.consecutiveErrors,
-		ConsecutiveRejections: h.consecutiveRejections,
-		ProbeBackoff:          h.probeBackoff,
-		EjectedAt:             h.ejectedAt,
-		NextProbe:             h.nextProbe,
-		LastSuccess:           h.lastSuccess,
-		RejectingUntil:        h.rejectingUntil,
-		AvoidUntil:            h.avoidUntil,
-		LastFailure:           h.lastFailure,
-		LastReset:             h.lastReset,
-		LastError:             h.lastError,
-		ConsecutiveFaults:     byClass(r.classHealth, func(h classHealth) int { return h.consecutiveFaults }),
-		ExcludedUntil:         byClass(r.classHealth, func(h classHealth) time.Duration { return h.excludedUntil }),
-		ClassLastSuccess:      byClass(r.classHealth, func(h classHealth) time.Duration { return h.lastSuccess }),
-		ClassLastUnanswered:   byClass(r.classHealth, func(h classHealth) time.Duration { return h.lastUnanswered }),
+		ID:                     r.ID,
+		StartedAt:              r.StartedAt,
+		LatencyRatio:           r.latencyRatio,
+		SlowStartFrom:          r.slowStart.from,
+		Ejected:                h.ejected,
+		FailsFast:              h.failsFast,
+		MayHaveRestarted:       h.mayHaveRestarted,
+		ProbeSuccesses:         h.probeSuccesses,
+		ConsecutiveFaults:      h.consecutiveFaults,
+		ConsecutiveRejections:  h.consecutiveRejections,
+		ProbeBackoff:           h.probeBackoff,
+		EjectedAt:              h.ejectedAt,
+		NextProbe:              h.nextProbe,
+		LastSuccess:            h.lastSuccess,
+		RejectingUntil:         h.rejectingUntil,
+		AvoidUntil:             h.avoidUntil,
+		LastFailure:            h.lastFailure,
+		LastReset:              h.lastReset,
+		LastError:              h.lastError,
+		ClassConsecutiveFaults: byClass(r.classHealth, func(h classHealth) int { return h.consecutiveFaults }),
+		ClassExcludedUntil:     byClass(r.classHealth, func(h classHealth) time.Duration { return h.excludedUntil }),
+		ClassLastSuccess:       byClass(r.classHealth, func(h classHealth) time.Duration { return h.lastSuccess }),
+		ClassLastUnanswered:    byClass(r.classHealth, func(h classHealth) time.Duration { return h.lastUnanswered }),
 	}
 }
 
-// Restore takes over what another Machine had learned of the classes and replicas that this one knows; it is for
-// one that has learned nothing yet. A replica that has been started since is not the one that was known. Figures
-// that cannot have been learned are left out.
+// Restore takes over what another Machine had learned of the classes and replicas that this one knows, so the
+// endpoint list is to be given before; it is for one that has learned nothing yet. A replica that has been started
+// since is not the one that was known. Figures that cannot have been learned are left out. Open queries and what is
+// saved up of budgets are not handed on.
 func (m *Machine) Restore(c Checkpoint) {
 	from := make([]int, len(m.classes.list)) // a class's index in the checkpoint; negative where it is not there
 	for i, k := range m.classes.list {
@@ -137,9 +138,9 @@
 			k.restore(c.Classes[from[i]])
 		}
 	}
-	if isRate(c.WarmRate) && isRate(c.DemandRate) && isRate(c.Windows) && isPositive(c.LoadFactor) {
+	if isRate(c.WarmedUpRate) && isRate(c.DemandRate) && isRate(c.Intervals) && isPositive(c.LoadFactor) {
 		t := &m.traffic
-		t.warmedUpRate, t.demandRate, t.intervals, m.loadFactor = c.WarmRate, c.DemandRate, c.Windows, c.LoadFactor
+		t.warmedUpRate, t.demandRate, t.intervals, m.loadFactor = c.WarmedUpRate, c.DemandRate, c.Intervals, c.LoadFactor
 	}
 	if c.IdleLimit > 0 {
 		m.idleConnections.limit = c.IdleLimit
@@ -174,7 +175,7 @@
 // appliesTo reports whether a checkpoint is of the same process and has figures for each of its classes.
 func (saved *ReplicaCheckpoint) appliesTo(r *replica, classes int) bool {
 	return r.StartedAt <= saved.StartedAt && isPositive(saved.LatencyRatio) &&
-		len(saved.ConsecutiveFaults) == classes && len(saved.ExcludedUntil) == classes &&
+		len(saved.ClassConsecutiveFaults) == classes && len(saved.ClassExcludedUntil) == classes &&
 		len(saved.ClassLastSuccess) == classes && len(saved.ClassLastUnanswered) == classes
 }
 
@@ -189,7 +190,7 @@
 		probeSuccesses:        saved.ProbeSuccesses,
 		probeBackoff:          saved.ProbeBackoff,
 		nextProbe:             saved.NextProbe,
-		consecutiveErrors:     saved.ConsecutiveErrors,
+		consecutiveFaults:     saved.ConsecutiveFaults,
 		consecutiveRejections: saved.ConsecutiveRejections,
 		lastSuccess:           saved.LastSuccess,
 		rejectingUntil:        saved.RejectingUntil,
@@ -201,8 +202,7 @@
 		idleBeforeReset:       r.health.idleBeforeReset,
 		mayHaveRestarted:      saved.MayHaveRestarted,
 	}
-	r.classHealth = reorder(fromLists(
-		saved.ConsecutiveFaults, saved.ExcludedUntil, saved.ClassLastSuccess, saved.ClassLastUnanswered), from)
+	r.classHealth = reorder(saved.byClass(), from)
 	r.slowStart.from = max(r.slowStart.from, saved.SlowStartFrom)
 	r.slowStart.tokens, r.slowStart.updatedAt = 0, m.now
 }
@@ -216,3 +216,26 @@
 func isRate(x float64) bool { return x == 0 || isPositive(x) }
 
 func isNoRate(x float64) bool { return !isRate(x) }
+
+// byClass lists a figure of a replica's health by class.
+func byClass[T any](list []classHealth, of func(classHealth) T) []T {
+	figures := make([]T, 0, len(list))
+	for _, h := range list {
+		figures = append(figures, of(h))
+	}
+	return figures
+}
+
+// byClass is a replica's health by class, from the lists of its figures, which have the same length.
+func (saved *ReplicaCheckpoint) byClass() []classHealth {
+	list := make([]classHealth, len(saved.ClassConsecutiveFaults))
+	for i := range list {
+		list[i] = classHealth{
+			consecutiveFaults: saved.ClassConsecutiveFaults[i],
+			excludedUntil:     saved.ClassExcludedUntil[i],
+			lastSuccess:       saved.ClassLastSuccess[i],
+			lastUnanswered:    saved.ClassLastUnanswered[i],
+		}
+	}
+	return list
+}
--- a/internal/decide/scatter/checkpoint_test.go
+++ b/internal/decide/scatter/checkpoint_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	m := old.Checkpoint()
-	if !old.replicas.byID["r3"].health.ejected || m.WarmRate == 0 || len(m.Classes[0].Latencies) == 0 {
+	if !old.replicas.byID["r3"].health.ejected || m.WarmedUpRate == 0 || len(m.Classes[0].Latencies) == 0 {
 		t.Fatalf("nothing was learned: %+v", m)
 	}
 	data, err := json.Marshal(m)
@@ -55,7 +55,7 @@
 	fresh.Restore(again)
 	got := fresh.Checkpoint()
 	got.At = m.At
-	if !reflect.DeepEqual(got.Classes, m.Classes) || got.WarmRate != m.WarmRate || got.Windows != m.Windows || !reflect.DeepEqual(got.Shards, m.Shards) ||
+	if !reflect.DeepEqual(got.Classes, m.Classes) || got.WarmedUpRate != m.WarmedUpRate || got.Intervals != m.Intervals || !reflect.DeepEqual(got.Shards, m.Shards) ||
 		!reflect.DeepEqual(got.Replicas[1:], m.Replicas[1:]) {
 		t.Errorf("recalled\n%+v, remembered\n%+v", got, m)
 	}
@@ -63,7 +63,7 @@
 		t.Errorf("a replica that was started anew is known as it was: %+v", r)
 	}
 
-	again.Classes[0].MeanLatency, again.WarmRate, again.Replicas[1].LatencyRatio, again.Replicas[2].ExcludedUntil = -1, -1, 0, nil
+	again.Classes[0].MeanLatency, again.WarmedUpRate, again.Replicas[1].LatencyRatio, again.Replicas[2].ClassExcludedUntil = -1, -1, 0, nil
 	doubtful := learn(3)
 	doubtful.Restore(again)
 	if r := doubtful.replicas.byID["r3"]; doubtful.classes.byName["c"].meanLatency <= 0 || doubtful.traffic.warmedUpRate < 0 || doubtful.replicas.byID["r2"].latencyRatio == 0 || r.health.ejected || len(r.classHealth) != 2 {
--- a/internal/decide/scatter/completeness.go
+++ b/internal/decide/scatter/completeness.go
@@ -6,68 +6,13 @@
 	"time"
 )
 
+// answerTicks is how many ticks an answer is taken to need to its client.
+const answerTicks = 4
+
 // continueLateBelow is the predicted latency, as a share of the objective, up to which a query that has missed its
 // objective goes on: above it, the late answer would cost other queries theirs.
 const continueLateBelow = 0.25
 
-// onQueryArrived opens a query. Queries of an unknown class are rejected at once.
-func (m *Machine) onQueryArrived(e QueryArrived) {
-	q := &query{QueryArrived: e, class: m.classes.byName[e.Class], draws: draws{}, slowStartDraws: draws{}}
-	m.retries.arrivedAt(m.now)
-	if q.class == nil {
-		m.do(Reject{Query: e.ID})
-		return
-	}
-	q.deadline = e.Expires - max(m.settings.TickInterval, time.Microsecond)
-	q.minWeight = q.class.MinFraction
-	if e.RequireComplete {
-		q.minWeight = q.class.CompleteFraction
-	}
-	q.objective = min(m.now+q.class.LatencyObjective, q.deadline)
-	m.queries.add(q)
-}
-
-// onPartArrived adds a part to its query. A deferred part is no load on its shard yet.
-func (m *Machine) onPartArrived(e PartArrived) {
-	q := m.queries.byNumber[e.Number]
-	if q == nil {
-		return
-	}
-	p := &part{PartArrived: e, query: q}
-	q.markDirty()
-	q.parts = append(q.parts, p)
-	m.queries.parts[p.ID] = p
-	if s := m.shardOf(e.Shard); !e.Deferred {
-		s.arrived[q.class.index]++
-	}
-	m.hedges.partArrived()
-	m.probes.partArrived()
-	m.retries.arrivedAt(m.now)
-}
-
-// onPartReleased lets a deferred part go out, or takes a part as served whose value the caller has by other means.
-func (m *Machine) onPartReleased(e PartReleased) {
-	p := m.queries.parts[e.ID]
-	if p == nil || p.served || p.query.closed {
-		return
-	}
-	if p.Deferred && !e.Resolved {
-		m.shardOf(p.Shard).arrived[p.query.class.index]++
-	}
-	p.query.markDirty()
-	p.Deferred = false
-	if e.Resolved {
-		m.markServed(p)
-	}
-}
-
-// markServed takes a part's value as in: no attempt of it is waited for any more.
-func (m *Machine) markServed(p *part) {
-	p.served = true
-	p.query.servedWeight += p.Weight
-	m.cancelAttempts(p)
-}
-
 // advance does what a query needs now: its answer, its end, missing attempts, hedged requests.
 func (m *Machine) advance(q *query) {
 	complete, least := q.requiredWeights()
@@ -83,7 +28,7 @@
 	}
 	for _, p := range q.parts {
 		if p.selected && !p.served {
-			m.hedge(p)
+			m.relieveOverdue(p)
 		}
 	}
 }
@@ -104,13 +49,13 @@
 // decidePastObjective ends a query at its objective, unless its class values late answers and going on costs no other
 // query its own objective.
 func (m *Machine) decidePastObjective(q *query) {
-	if q.pastObjective || m.now < q.objective-m.settings.TickInterval {
+	if q.lateDecided || m.now < q.answerDue-m.settings.TickInterval {
 		return
 	}
-	q.pastObjective = true
+	q.lateDecided = true
 	limit := continueLateBelow * q.class.LatencyObjective.Seconds()
 	if q.class.LateWeight <= 0 || m.predictLatency(q) > limit {
-		q.deadline = m.now
+		q.endBy = m.now
 	}
 }
 
@@ -142,8 +87,9 @@
 	return cmp.Compare(m.expectedLatency(x), m.expectedLatency(y))
 }
 
-// canStillCome reports whether a part's answer can still come.
-func (m *Machine) canStillCome(p *part) bool { return p.outstanding() || m.mayRetry(p) }
+// canStillCome reports whether a part's answer can still come. It cannot where no attempt is out and none may begin
+// now: not even if only the retry budget is spent, so that a query that needs the part ends at once.
+func (m *Machine) canStillCome(p *part) bool { return p.outstanding() || m.mayAttempt(p) }
 
 // sendMissingAttempts sends the selected parts that have no attempt out, and returns the weight that the query can
 // still reach.
@@ -162,13 +108,13 @@
 
 // needsAttempt reports whether an attempt of a part is to begin now.
 func (m *Machine) needsAttempt(p *part) bool {
-	return p.selected && !p.Deferred && !p.served && !p.outstanding() && m.mayRetry(p) &&
-		m.now < p.query.deadline && m.now >= p.notBefore
+	return p.selected && !p.Deferred && !p.served && !p.outstanding() && m.mayAttempt(p) &&
+		m.now < p.query.endBy && m.now >= p.notBefore
 }
 
 // endQuery answers a query in part or gives it up, where it is time, and reports whether it did.
 func (m *Machine) endQuery(q *query, reachable, complete, least float64) (ended bool) {
-	over := m.now >= q.deadline
+	over := m.now >= q.endBy
 	enough := q.servedWeight > 0 && q.servedWeight >= least-weightSlack
 	short := len(q.parts) > 0 && reachable < complete-weightSlack // the parts of a second round come a step later
 	switch {
@@ -185,7 +131,7 @@
 // answerBy is when a query is answered with what is in: before its objective, by the time that the answer takes to its
 // client, and where a second round follows, by the time of a slow part of that round.
 func (m *Machine) answerBy(q *query) time.Duration {
-	by := q.objective - pollTicks*m.settings.TickInterval
+	by := q.answerDue - answerTicks*m.settings.TickInterval
 	if q.round == 0 && q.class.SecondRoundParts > 0 {
 		by -= q.class.overdueAfter
 	}
@@ -203,7 +149,7 @@
 		m.cancelAttempts(p)
 	}
 	q.round, q.firstRoundComplete = 1, complete
-	q.servedWeight, q.parts, q.admitted = 0, nil, true
+	q.servedWeight, q.parts, q.admissionDecided = 0, nil, true
 }
 
 // giveUp ends a query without an answer: rejected where the client may safely try again, else failed.
--- a/internal/decide/scatter/doc.go
+++ b/internal/decide/scatter/doc.go
@@ -23,25 +23,36 @@
 //	settings.go            what a coordinator knows before its first query
 //	events.go, actions.go  what goes in and out
 //	machine.go             the step itself, and the timer
+//	query.go, replica.go   what is known of open queries, their parts and attempts, and of replicas
+//	arrivals.go            how queries and parts come in
 //	admission.go           which queries are admitted, and which parts of little weight are left out under load
+//	prediction.go          how long a part and a query are expected to take
 //	completeness.go        which parts are asked for, when a query is answered, and when it is given up
 //	attempts.go            what sends, retries and cancels attempts
 //	retry_budget.go        how many retries may begin
 //	picker.go              which replica an attempt goes to
 //	shares.go              the routing shares that the picker draws by
+//	traffic.go             how much traffic this coordinator has for one replica
 //	slow_start.go          what a replica that has just started may be sent
-//	hedging.go             when an overdue part gets a hedged request
+//	hedging.go             what an overdue part calls for
+//	latency.go             what is usual of a class, and when a part is late
 //	outliers.go            what an outcome says of its replica
-//	unresponsive.go        which replicas leave attempts unanswered, or are far slower than the others
-//	ejection.go            ejection, exclusion of a class, reinstatement
-//	idle_connections.go    how long an unused connection is trusted
+//	unresponsive.go        which replicas leave attempts unanswered, or are far slower than others
+//	ejection.go            ejection, faults of one class, reinstatement
 //	probes.go              which ejected replica gets a probe
-//	latency.go             what is usual of a class, and when a part is overdue
+//	idle_connections.go    how long an unused connection is trusted
 //	endpoints.go           the endpoint list, its subscription, and replicas that are removed
 //	placement.go           which replicas this coordinator keeps, by its ordinal in the fleet
 //	ring.go                which replicas hold a shard
 //	reconfigure.go         what is kept when the settings change
 //	checkpoint.go          what is handed on to a new process
 //
+// # Why a replica gets no traffic
+//
+// It is not listed as Ready; it is not in this coordinator's subset (placement.go); it is ejected, and probed only
+// (ejection.go, probes.go); it has rejected parts a moment ago, or is avoided after that in a large fleet
+// (outliers.go, ejection.go); its class is excluded there, or not trusted after an error or a silence (picker.go);
+// it is in slow start (slow_start.go); other holders have fewer calls out (picker.go).
+//
 // docs/design.md says where each rule comes from.
 package scatter
--- a/internal/decide/scatter/endpoints.go
+++ b/internal/decide/scatter/endpoints.go
@@ -8,10 +8,13 @@
 const (
 	// forgetAfter is how long a removed replica is remembered after it was last used.
 	forgetAfter = time.Minute
-	// minSubscribeBackoff is the first pause after a failed subscription, before it is spread; each failure doubles it.
-	minSubscribeBackoff = rebalanceInterval / 2
-	// subscribeBackoffShare bounds that pause, as a share of the time for which the endpoint list holds.
-	subscribeBackoffShare = 4
+	// minSubscribeBackoff is the backoff after the first failed subscription, before it is spread; each failure
+	// doubles it.
+	minSubscribeBackoff = 500 * time.Millisecond
+	// minSubscribeRepeat is the least time after which a subscription that was not answered at all is asked for again.
+	minSubscribeRepeat = time.Second
+	// subscribeBackoffDivisor bounds that backoff: the time for which the endpoint list holds, divided by it.
+	subscribeBackoffDivisor = 4
 )
 
 // endpointList is the subscription to the endpoint list.
@@ -19,14 +22,14 @@
 	updates       int // so many were received
 	subscribed    bool
 	nextSubscribe time.Duration // when to subscribe next, unless subscribed
-	backoff       time.Duration // the last pause after a failure; 0 after a success
+	backoff       time.Duration // after the last failure; 0 after a success
 }
 
 // onEndpointUpdate takes a list of replicas, changes of it, or a failure to get it.
 func (m *Machine) onEndpointUpdate(e EndpointUpdate) {
 	l := &m.endpoints
 	if e.Kind == FailedUpdate {
-		longest := max(m.settings.ListMaxAge/subscribeBackoffShare, minSubscribeBackoff)
+		longest := max(m.settings.ListMaxAge/subscribeBackoffDivisor, minSubscribeBackoff)
 		l.subscribed = false
 		l.backoff = min(max(2*l.backoff, minSubscribeBackoff), longest)
 		l.nextSubscribe = m.now + scale(l.backoff, 0.5+m.random.Float64())
@@ -45,8 +48,8 @@
 	}
 }
 
-// updateReplica takes over one entry. A later start under the same id is a new process: it is in slow start, and
-// whatever its predecessor was ejected for is over.
+// updateReplica takes over one entry. A later start under the same id is a new process: it is in slow start, and no
+// longer ejected. The backoffs of its predecessor run out by themselves.
 func (m *Machine) updateReplica(e Replica) {
 	r := m.replicas.byID[e.ID]
 	switch {
@@ -57,7 +60,7 @@
 	case e.StartedAt > r.StartedAt:
 		m.startSlowStart(r, e.StartedAt)
 		m.replicas.setEjected(r, false)
-		r.health.failsFast, r.health.mayHaveRestarted, r.health.consecutiveErrors = false, false, 0
+		r.health.failsFast, r.health.mayHaveRestarted, r.health.consecutiveFaults = false, false, 0
 		r.adoptSiblingRatio()
 	}
 	m.setEntry(r, e)
@@ -101,6 +104,6 @@
 	if !m.settings.Subscribe || l.subscribed || m.now < l.nextSubscribe {
 		return
 	}
-	l.nextSubscribe = m.now + max(m.settings.ListMaxAge, rebalanceInterval)
+	l.nextSubscribe = m.now + max(m.settings.ListMaxAge, minSubscribeRepeat)
 	m.do(Subscribe{})
 }
--- a/internal/decide/scatter/events.go
+++ b/internal/decide/scatter/events.go
@@ -30,7 +30,7 @@
 type Replica struct {
 	ID           string
 	RingPosition int
-	Zone         string
+	Zone         string // the Machine does not read it
 	State        ReplicaState
 	StartedAt    time.Duration // its process's last start; 0 for long ago
 }
@@ -66,9 +66,9 @@
 		Class           string
 		Tenant          string
 		Expires         time.Duration // when the client gives this request up
-		Parts           int
-		IsRetry         bool // the client has sent it before
-		RequireComplete bool // the client takes no answer in part
+		Parts           int           // how many follow; the Machine does not read it
+		IsRetry         bool          // the client has sent it before
+		RequireComplete bool          // the client takes no answer in part
 	}
 	// PartArrived brings one part of the query of that number. Deferred parts count for admission and for what can
 	// still come in, but are not sent before their PartReleased.
@@ -89,7 +89,7 @@
 	AttemptEnded struct {
 		Part    string
 		Attempt int
-		Replica string
+		Replica string // the Machine does not read it: the attempt has one
 		Outcome Outcome
 		Latency time.Duration
 	}
--- a/internal/decide/scatter/hedging.go
+++ b/internal/decide/scatter/hedging.go
@@ -8,69 +8,79 @@
 	// maxSavedHedges is how many hedged requests may accumulate unused: about the parts in flight at one replica when
 	// it fails.
 	maxSavedHedges = 10.0
-	// hedgeMeans is how many usual means a part has to be out before it is hedged: what slows all replicas is load.
-	hedgeMeans = 2.0
-
-	// A part is lost, not slow, after lostOverdue overdue times and lostMeans usual means.
-	lostOverdue = 1.5
-	lostMeans   = 10.0
-	// minLostShare is the least share of lostMeans that is waited for in a large fleet, where each coordinator finds a
-	// silent replica by a query of its own.
+	// lastPartsWeight is the served weight of a query from which on its overdue parts are relieved without an
+	// allowance: without these last parts the others would have been served in vain.
+	lastPartsWeight = 0.85
+	// minLostShare is the least share of lostPart's means that is waited for in a large fleet, where each coordinator
+	// finds an unresponsive replica by a query of its own.
 	minLostShare = 0.5
 )
 
-// hedge sends what an overdue part calls for: another part of the query where not all are needed, else a hedged
-// request. Both are bounded by an allowance, but for a query's last parts, without which the others would be lost.
-func (m *Machine) hedge(p *part) {
+// relieveOverdue does what an overdue part calls for. Without hedged requests a lost attempt is cancelled, and the
+// retry goes out when it has ended. Else another part of the query is sent where not all are needed, or a hedged
+// request of the same part. All of this is bounded by an allowance, but for a query's last parts; a hedged request
+// is bounded by the retry budget too. Each attempt is relieved once at most.
+func (m *Machine) relieveOverdue(p *part) {
+	c := p.query.class
+	if p.outstandingCount != 1 || m.now >= p.query.endBy {
+		return
+	}
 	at := p.lastAttempt()
-	if at == nil || m.now-at.sentAt < p.query.class.overdueAfter || p.outstandingCount != 1 ||
-		m.now >= p.query.deadline {
+	if m.now-at.sentAt < c.overdueAfter { // isLate is never sooner, and costs more
 		return
 	}
 	lost := m.isLost(at)
-	unbounded := lost || p.query.servedWeight >= 1-hedgeShare
-	if at.ended || at.cancelled || at.hedged || m.hedges.empty() && !unbounded ||
-		m.now-at.sentAt < m.lateAfter(at.replica, p.query.class, 1, hedgeMeans) {
+	unbounded := lost || p.query.servedWeight >= lastPartsWeight
+	if at.ended || at.cancelled || at.relieved || m.hedges.empty() && !unbounded || !m.isLate(at, overduePart) {
 		return
 	}
-	target := p
-	if other := p.query.unselectedPart(); other != nil {
-		target = other
-	}
-	if lost && m.mayRetry(p) { // the retry goes out when this attempt has ended
-		if !at.probe {
+	if lost && m.mayAttempt(p) {
+		if !at.toEjected {
 			m.hedges.take()
 		}
 		m.cancel(at)
-	}
-	if target == p && (!m.settings.Hedging || !m.mayRetry(p)) || at.cancelled {
 		return
 	}
-	if r := m.pickReplica(target, true); r != nil {
-		target.selected, at.hedged = true, true
-		if !unbounded {
-			m.hedges.take()
+	m.sendRelief(p, at, unbounded)
+}
+
+// sendRelief sends, beside an overdue attempt, another part of its query, or where all have been sent a hedged
+// request of its own part.
+func (m *Machine) sendRelief(p *part, overdue *attempt, unbounded bool) {
+	target := p.query.unselectedPart()
+	if target == nil {
+		if !m.settings.Hedging || !m.mayAttempt(p) {
+			return
 		}
-		m.send(target, r)
+		target = p
+	}
+	r := m.pickReplica(target, true)
+	if r == nil {
+		return
+	}
+	target.selected, overdue.relieved = true, true
+	if !unbounded {
+		m.hedges.take()
 	}
+	m.send(target, r)
 }
 
-// isLost reports whether an overdue attempt is to be cancelled for a retry, where hedged requests are not allowed: a
-// probe, or an attempt that has taken so long that it will not be answered.
+// isLost reports whether an overdue attempt is to be cancelled for a retry, where hedged requests are not allowed:
+// one at an ejected replica, or one that has taken so long that it will not be answered. A part that may not run
+// twice is waited for.
 func (m *Machine) isLost(at *attempt) bool {
 	if m.settings.Hedging || !m.settings.Cancellation {
 		return false
 	}
-	if at.probe {
+	if at.toEjected {
 		return true
 	}
-	c := at.part.query.class
-	means := lostMeans * max(minLostShare, 1/m.placement.fleetFactor)
-	return c.Idempotency == Idempotent && !at.excused && !m.hedges.empty() &&
-		m.now-at.sentAt >= m.lateAfter(at.replica, c, lostOverdue, means)
+	lost := lostPart
+	lost.meanTimes *= max(minLostShare, 1/m.placement.fleetFactor)
+	return at.part.query.class.Idempotency == Idempotent && !at.excused && !m.hedges.empty() && m.isLate(at, lost)
 }
 
-// sparePart is a part of the query that has not been asked for and could be; nil where there is none.
+// unselectedPart is a part of the query that has not been asked for and could be; nil where there is none.
 func (q *query) unselectedPart() *part {
 	i := slices.IndexFunc(q.parts, func(p *part) bool { return !p.selected && !p.skipped && !p.Deferred })
 	if i < 0 {
--- a/internal/decide/scatter/idle_connections.go
+++ b/internal/decide/scatter/idle_connections.go
@@ -7,17 +7,17 @@
 	idleTrustShare = 0.7
 	// idleTrustGrowth is the growth of that time at each periodic rebalance, since what drops connections may end.
 	idleTrustGrowth = 1.03
-	// never is a span longer than any run.
-	never = 24 * time.Hour
+	// maxIdleTrust is how long an unused connection is trusted at most; nothing is known of any that was lost.
+	maxIdleTrust = 24 * time.Hour
 )
 
 // wasIdleReset reports whether an ejected replica that serves right after a reset had no fault: the part went on a
-// connection that was dropped for want of use. A process that restarts within two first pauses between probes is taken
-// for the same one.
+// connection that was dropped for want of use. A process that answers within restartTime
+// is taken for the same one.
 func (m *Machine) wasIdleReset(r *replica, at *attempt) bool {
 	h := &r.health
 	return h.mayHaveRestarted && h.idleBeforeReset >= m.minProbeBackoff() &&
-		at.sentAt-h.ejectedAt <= 2*m.minProbeBackoff()
+		at.sentAt-h.ejectedAt <= m.restartTime()
 }
 
 // reinstateIdleResets notes that a connection was dropped that had been unused for a time, and reinstates all replicas
@@ -45,4 +45,4 @@
 func (t *idleTrust) lostAfter(idle time.Duration) { t.limit = min(t.limit, idle) }
 
 // relax lets the limit grow.
-func (t *idleTrust) relax() { t.limit = min(scale(t.limit, idleTrustGrowth), never) }
+func (t *idleTrust) relax() { t.limit = min(scale(t.limit, idleTrustGrowth), maxIdleTrust) }
--- a/internal/decide/scatter/latency.go
+++ b/internal/decide/scatter/latency.go
@@ -69,7 +69,7 @@
 	s.count++
 }
 
-// kept are the latencies that are still held, in the ring's order.
+// latest are the latencies that are still held, in the ring's order.
 func (s *samples) latest() []float64 { return s.values[:min(s.count, maxSamples)] }
 
 // enough reports whether there are enough of them for quantiles.
@@ -144,11 +144,31 @@
 	}
 }
 
-// lateAfter is the time after which a part is late at a replica: so many times its class's overdue time, and so many
-// times what the replica's siblings take now, for what slows all of them is load. It ends at the class's deadline.
-func (m *Machine) lateAfter(r *replica, c *class, overdueTimes, meanTimes float64) time.Duration {
-	usual := meanTimes * c.meanLatency * m.medianRatioOf(&r.siblingRatio, r.siblings)
+// lateness is a degree of being late: a part has been out for so many of its class's overdue times, and for so many
+// times what its replica's siblings take now.
+type lateness struct {
+	overdueTimes float64
+	meanTimes    float64
+}
+
+// The degrees of lateness.
+var (
+	unansweredPart   = lateness{0.5, 2}  // its replica may be leaving parts of just this class unanswered
+	overduePart      = lateness{1, 2}    // calls for a hedged request
+	unresponsivePart = lateness{1.5, 3}  // its replica counts as unresponsive, if it answered nothing else meanwhile
+	lostPart         = lateness{1.5, 10} // will not be answered: a retry costs little of the objective
+)
+
+// lateAfter is the time after which a part is late at a replica: the longer of both times, for what slows all
+// siblings is load. The second one ends at the class's deadline.
+func (m *Machine) lateAfter(r *replica, c *class, l lateness) time.Duration {
+	usual := l.meanTimes * c.meanLatency * m.medianRatioOf(&r.siblingRatio, r.siblings)
 	usual = min(usual, c.Deadline.Seconds())
-	overdue := scale(c.overdueAfter, overdueTimes/m.capacityFraction(r, m.now))
+	overdue := scale(c.overdueAfter, l.overdueTimes/m.capacityFraction(r, m.now))
 	return max(overdue, time.Duration(usual*float64(time.Second)))
 }
+
+// isLate reports whether an attempt is late by now.
+func (m *Machine) isLate(at *attempt, l lateness) bool {
+	return m.now-at.sentAt >= m.lateAfter(at.replica, at.part.query.class, l)
+}
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// pollTicks is how many ticks lie between two looks at open queries, and how many an answer takes to its client.
+	// pollTicks is how many ticks lie between two looks at open queries.
 	pollTicks = 4
 	// stalledShare is the share of the tightest latency objective by which a timer may fire late before the
 	// coordinator itself counts as stalled.
@@ -37,7 +37,7 @@
 	queries   queryTable
 
 	traffic         trafficRates
-	loadFactor      float64 // how much longer than their classes' means parts have taken of late
+	loadFactor      float64 // how long parts have taken of late, as a multiple of their classes' means; 1 is usual
 	lastSuccess     time.Duration
 	idleConnections idleTrust
 	responses       responseWatch
@@ -81,7 +81,7 @@
 		shards:          shardTable{byNumber: map[int]*shard{}},
 		queries:         newQueryTable(),
 		loadFactor:      1,
-		idleConnections: idleTrust{limit: never},
+		idleConnections: idleTrust{limit: maxIdleTrust},
 		hedges:          allowance{tokens: maxSavedHedges, limit: maxSavedHedges, rate: hedgeShare},
 		probes:          allowance{limit: maxSavedProbes, rate: probeShare},
 	}
@@ -142,7 +142,7 @@
 		}
 	case QueryExpired:
 		if q := m.queries.byID[e.ID]; q != nil {
-			q.deadline = m.now
+			q.endBy = m.now
 			q.markDirty()
 		}
 	case TimerFired:
@@ -153,7 +153,7 @@
 // advanceQueries admits what has arrived in this step and does for every open query what is due.
 func (m *Machine) advanceQueries() {
 	for _, q := range m.queries.open {
-		if !q.admitted {
+		if !q.admissionDecided {
 			m.admit(q)
 		}
 		if q.closed || m.isIdle(q) {
@@ -173,7 +173,7 @@
 	at time.Duration // when it fires; 0 where none is set
 }
 
-// late is by how much a timer that should have fired by now is late; 0 where none is set.
+// delay is by how much a timer is late, negative before it is due; 0 where none is set.
 func (t *timer) delay(now time.Duration) time.Duration {
 	if t.at == 0 {
 		return 0
@@ -195,7 +195,7 @@
 	}
 	tick := m.settings.TickInterval
 	for _, q := range m.queries.open {
-		sooner(q.deadline, m.answerBy(q), q.objective-tick, m.now+max(pollTicks*tick, time.Millisecond))
+		sooner(q.endBy, m.answerBy(q), q.answerDue-tick, m.now+max(pollTicks*tick, time.Millisecond))
 	}
 	if m.settings.Subscribe && !m.endpoints.subscribed {
 		sooner(m.endpoints.nextSubscribe)
--- a/internal/decide/scatter/outliers.go
+++ b/internal/decide/scatter/outliers.go
@@ -11,6 +11,10 @@
 	// probeRatio is how many times its siblings' latency a probe may take.
 	probeRatio = 2.0
 
+	// maxRejectionBackoffs bounds for how long a replica that rejects is avoided, as a multiple of minProbeBackoff.
+	maxRejectionBackoffs = 2
+	// restartBackoffs is the least time in which a process is taken to restart, as a multiple of minProbeBackoff.
+	restartBackoffs = 2
 	// rejectionBackoff is the backoff after a rejection, in latency objectives of its class, for each rejection in
 	// a row.
 	rejectionBackoff = 0.1
@@ -24,11 +28,11 @@
 	probeBackoff   time.Duration // before the next probe; each failed probe doubles it
 	nextProbe      time.Duration
 
-	consecutiveErrors     int
+	consecutiveFaults     int // errors, resets and unanswered attempts in a row, whatever their class
 	consecutiveRejections int
 	lastSuccess           time.Duration
-	rejectingUntil        time.Duration // it has rejected parts: nothing is sent to it until then
-	avoidUntil            time.Duration // no first attempt is sent to it until then
+	rejectingUntil        time.Duration // it has rejected parts: until then it is picked for nothing but probes
+	avoidUntil            time.Duration // until then it is not among the first choices; only large fleets avoid
 	failsFast             bool          // attempts fail at once, rather than being slow or unanswered
 	lastFailure           time.Duration // when an attempt last failed at once
 	lastError             time.Duration // when it last answered with an error; 0 for never
@@ -39,8 +43,8 @@
 
 // classHealth is what attempts of one class have shown of a replica.
 type classHealth struct {
-	consecutiveFaults int
-	excludedUntil     time.Duration // until then it gets nothing of the class
+	consecutiveFaults int           // of the class, in a row
+	excludedUntil     time.Duration // until then it is not among the first choices for the class
 	lastSuccess       time.Duration
 	lastUnanswered    time.Duration // when an attempt that it had left unanswered for long was given up; 0 for never
 }
@@ -66,15 +70,16 @@
 		r.health.failed(m.now)
 		r.health.lastError = m.now
 		m.recordFault(r, at)
-		m.excludeClass(r, c)
+		m.recordClassFault(r, c)
 	case TimedOut, Cancelled:
 		m.recordUnanswered(r, c, at, e.Latency, seconds)
 	}
 }
 
-// failed notes a failure that came at once. A single one may be bad luck.
+// failed notes a failure that came at once; the replica fails fast if it is not the first fault in a row. It is to
+// be called before the fault is counted.
 func (h *health) failed(now time.Duration) {
-	h.failsFast, h.lastFailure = h.consecutiveErrors > 0, now
+	h.failsFast, h.lastFailure = h.consecutiveFaults > 0, now
 }
 
 // recordSuccess takes a served part's latency, in seconds. A probe counts towards the replica's reinstatement.
@@ -82,15 +87,15 @@
 	h := &r.health
 	h.lastSuccess, r.classHealth[c.index].lastSuccess, m.lastSuccess = m.now, m.now, m.now
 	m.traffic.served += math.Floor(m.capacityFraction(r, m.now)) // by those that are warmed up
-	h.consecutiveErrors, h.consecutiveRejections, h.avoidUntil = 0, 0, 0
+	h.consecutiveFaults, h.consecutiveRejections, h.avoidUntil = 0, 0, 0
 	r.classHealth[c.index].consecutiveFaults, r.classHealth[c.index].excludedUntil = 0, 0
 	c.samples.add(seconds)
-	m.checkRestart(r, at)
+	m.decideRestart(r, at)
 	switch {
 	case !h.ejected:
 	case m.wasIdleReset(r, at):
 		m.reinstateIdleResets(h.idleBeforeReset)
-	case m.recordProbe(r, c, at, seconds):
+	case m.countProbe(r, c, at, seconds):
 		m.reinstate(r)
 	default:
 		return
@@ -100,24 +105,24 @@
 	r.latencyRatio += ratioGain * (seconds/c.meanLatency - r.latencyRatio)
 }
 
-// checkRestart decides what a broken connection meant, once a part that was sent after it is served. Where that took
+// decideRestart decides what a broken connection meant, once a part that was sent after it is served. Where that took
 // long, the process may be a new one; else a connection that had been unused was dropped.
-func (m *Machine) checkRestart(r *replica, at *attempt) {
+func (m *Machine) decideRestart(r *replica, at *attempt) {
 	h := &r.health
 	if !h.mayHaveRestarted || h.ejected || at.sentAt < h.lastReset {
 		return
 	}
 	h.mayHaveRestarted = false
-	if at.sentAt-h.lastReset > 2*m.minProbeBackoff() {
+	if at.sentAt-h.lastReset > m.restartTime() {
 		m.startSlowStart(r, m.now)
 	} else if h.idleBeforeReset >= m.minProbeBackoff() {
 		m.idleConnections.lostAfter(h.idleBeforeReset)
 	}
 }
 
-// recordProbe takes a probe's latency, in seconds, and reports whether the replica has recovered. After a good
+// countProbe takes a probe's latency, in seconds, and reports whether the replica has recovered. After a good
 // probe the next one may follow at once.
-func (m *Machine) recordProbe(r *replica, c *class, at *attempt, seconds float64) (recovered bool) {
+func (m *Machine) countProbe(r *replica, c *class, at *attempt, seconds float64) (recovered bool) {
 	if seconds > probeRatio*c.meanLatency*medianRatio(r.siblings)/m.capacityFraction(r, m.now) {
 		m.eject(r, at)
 		return false
@@ -136,7 +141,8 @@
 	h.consecutiveRejections++
 	backoff := min(1, rejectionBackoff*float64(h.consecutiveRejections))
 	h.rejectingUntil = m.now + scale(c.LatencyObjective, backoff)
-	m.avoid(r, scale(m.minProbeBackoff(), float64(min(h.consecutiveRejections, 2))))
+	backoffs := float64(min(h.consecutiveRejections, maxRejectionBackoffs))
+	m.avoid(r, m.fleetBackoff(scale(m.minProbeBackoff(), backoffs)))
 	objective := c.LatencyObjective.Seconds()
 	r.observeAtLeast(c, objective)
 	c.meanLatency += meanGain * max(0, objective-c.meanLatency)
@@ -165,18 +171,18 @@
 // recordUnanswered takes an attempt that was given up. Silence for long is a fault of the replica, or of the class
 // there if the replica answered others meanwhile; else it is load that served parts do not show.
 func (m *Machine) recordUnanswered(r *replica, c *class, at *attempt, took time.Duration, seconds float64) {
-	unresponsive := took >= m.lateAfter(r, c, unresponsiveOverdue, unresponsiveMeans) && !at.excused && !m.stalled
+	unresponsive := took >= m.lateAfter(r, c, unresponsivePart) && !at.excused && !m.stalled
 	h := &r.classHealth[c.index]
-	if took >= m.lateAfter(r, c, unansweredOverdue, unansweredMeans) {
+	if took >= m.lateAfter(r, c, unansweredPart) {
 		h.lastUnanswered = m.now
 	}
 	switch {
-	case at.probe && at.cancelled:
+	case at.toEjected && at.cancelled:
 		m.eject(r, at)
 	case unresponsive && r.health.lastSuccess < at.sentAt:
 		m.recordFault(r, at)
 	case unresponsive && h.lastSuccess < at.sentAt:
-		m.excludeClass(r, c)
+		m.recordClassFault(r, c)
 	default:
 		m.loadFactor += meanGain * max(0, seconds/c.meanLatency/r.latencyRatio-m.loadFactor)
 		r.observeAtLeast(c, seconds)
@@ -185,8 +191,12 @@
 
 // recordFault counts an error or a silence; several in a row eject the replica.
 func (m *Machine) recordFault(r *replica, at *attempt) {
-	r.health.consecutiveErrors++
-	if r.health.consecutiveErrors >= errorsToEject {
+	r.health.consecutiveFaults++
+	if r.health.consecutiveFaults >= faultsToEject {
 		m.eject(r, at)
 	}
 }
+
+// restartTime is the least time in which a process is taken to restart: one that answers sooner after a broken
+// connection is the same process.
+func (m *Machine) restartTime() time.Duration { return restartBackoffs * m.minProbeBackoff() }
--- a/internal/decide/scatter/picker.go
+++ b/internal/decide/scatter/picker.go
@@ -9,25 +9,18 @@
 // objectives: an error loses such a part for good, and errors come in runs.
 const distrustFor = 8.0
 
-// A part is late enough to be held against its replica's answers to the class after so many overdue times or usual
-// means.
-const (
-	unansweredOverdue = 0.5
-	unansweredMeans   = 2.0
-)
-
 // eligible reports whether a replica may be picked.
 type eligible func(*replica) bool
 
 // pickReplica picks a replica for a part's next attempt; nil where there is none. It tries, in this order: ready
 // replicas that have not been tried with the part; ready ones; then, since ejection may never empty the choice, any
-// that are slow or silent; last those that fail at once, after a pause. A hedged request goes to the first kind
+// that are slow or silent; last those that fail at once, after a backoff. A hedged request goes to the first kind
 // only.
 func (m *Machine) pickReplica(p *part, hedged bool) *replica {
 	s, c := m.shardOf(p.Shard), p.query.class
-	ready := func(r *replica) bool { return r.ready() && m.now >= r.health.avoidUntil }
+	unavoided := func(r *replica) bool { return r.ready() && m.now >= r.health.avoidUntil }
 	fresh := func(r *replica) bool {
-		return ready(r) && m.now >= r.classHealth[c.index].excludedUntil && !p.triedAt(r)
+		return unavoided(r) && m.now >= r.classHealth[c.index].excludedUntil && !p.triedAt(r)
 	}
 	if c.Idempotency == NonIdempotent {
 		if r := m.pickTrusted(p, s, fresh); r != nil {
@@ -38,7 +31,7 @@
 		return r
 	}
 	for _, ok := range []eligible{
-		ready,
+		unavoided,
 		func(r *replica) bool { return !r.health.failsFast && !p.triedAt(r) },
 		func(r *replica) bool { return m.now >= r.health.lastFailure+m.minProbeBackoff() },
 	} {
@@ -72,7 +65,7 @@
 func (m *Machine) leavesUnanswered(r *replica, c *class) bool {
 	return slices.ContainsFunc(r.attempts, func(at *attempt) bool {
 		return at.part.query.class == c && !at.excused &&
-			m.now-at.sentAt > m.lateAfter(r, c, unansweredOverdue, unansweredMeans)
+			m.now-at.sentAt > m.lateAfter(r, c, unansweredPart)
 	})
 }
 
@@ -102,8 +95,8 @@
 func (m *Machine) candidates(p *part, s *shard, ok eligible) (list []int, minCalls int) {
 	minCalls = math.MaxInt
 	for i, r := range s.holders {
-		inSubset := i < s.active || len(list) == 0
-		if inSubset && ok(r) && m.now >= r.health.rejectingUntil && m.slowStartAllows(p, r) {
+		mayStandIn := i < s.subsetSize || len(list) == 0
+		if mayStandIn && ok(r) && m.now >= r.health.rejectingUntil && m.admitInSlowStart(p, r) {
 			list = append(list, i)
 			minCalls = min(minCalls, m.callsAt(r))
 		}
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// minKeptHolders is how many holders of each shard a coordinator of a large fleet keeps: one, and another
+	// minSubsetHolders is how many holders of each shard a coordinator of a large fleet keeps: one, and another
 	// beside it.
-	minActiveHolders = 2
-	// smallFleet is the number of coordinators up to which each meets a replica often. In larger fleets pauses grow
+	minSubsetHolders = 2
+	// smallFleet is the number of coordinators up to which each meets a replica often. In larger fleets backoffs grow
 	// with the number.
 	smallFleet = 5.0
 )
@@ -44,8 +44,8 @@
 	return subsetting.Member{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
 }
 
-// inSubset reports whether a replica takes part in the routing shares and this coordinator sends to it.
-func (m *Machine) inSubset(r *replica) bool {
+// sendsTo reports whether a replica takes part in the routing shares and this coordinator sends to it.
+func (m *Machine) sendsTo(r *replica) bool {
 	return r.ready() && m.placement.subset.Contains(r.subsetKey)
 }
 
@@ -55,9 +55,9 @@
 	nodes := subsetting.Ring{
 		Size:              m.settings.RingSize,
 		ReplicationFactor: m.settings.ReplicationFactor,
-		Replicas:          m.replicas.running,
+		Replicas:          m.replicas.listedReady,
 	}
-	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minActiveHolders)
+	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minSubsetHolders)
 	p.fleetFactor = max(1, p.subset.Share*float64(m.settings.Coordinators)/smallFleet)
 	basis := placementBasis{p.subset, m.place()}
 	if basis != p.basis {
@@ -121,6 +121,6 @@
 	for _, r := range s.holders {
 		keys, ready = append(keys, r.subsetKey), append(ready, r.ready())
 	}
-	s.active = m.placement.subset.HolderCount(keys, ready, minActiveHolders)
+	s.subsetSize = m.placement.subset.HolderCount(keys, ready, minSubsetHolders)
 	m.scratch.keys, m.scratch.ready = keys, ready
 }
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -28,7 +28,7 @@
 // that may not run twice do not probe. Without hedged requests a probe takes the place of the part's own attempt: so
 // an equal share of the parts probes at most, of classes that may be answered without a part, if there are any.
 func (m *Machine) dueProbe(p *part) *replica {
-	c, holders := p.query.class, m.shardOf(p.Shard).activeHolders()
+	c, holders := p.query.class, m.shardOf(p.Shard).subsetHolders()
 	if m.probes.empty() || len(p.attempts) > 0 || c.Idempotency == NonIdempotent {
 		return nil
 	}
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, r := range holders {
-		if r.health.ejected && m.now >= r.health.nextProbe && len(r.attempts) == 0 && m.slowStartAllows(p, r) {
+		if r.health.ejected && m.now >= r.health.nextProbe && len(r.attempts) == 0 && m.admitInSlowStart(p, r) {
 			return r
 		}
 	}
--- a/internal/decide/scatter/query.go
+++ b/internal/decide/scatter/query.go
@@ -35,21 +35,21 @@
 	delete(t.byNumber, q.Number)
 }
 
-// query is one that is open.
+// query is an open query.
 type query struct {
 	QueryArrived
-	class     *class
-	objective time.Duration // instant by which the answer is wanted
-	deadline  time.Duration // instant by which the query has to end
-	minWeight float64       // least served weight for any answer
-	parts     []*part       // of the present round
-	admitted  bool
-	closed    bool
+	class            *class
+	answerDue        time.Duration // instant at which the answer is due by the latency objective
+	endBy            time.Duration // instant by which the query is ended; now where it is to be ended at once
+	minWeight        float64       // least served weight for any answer
+	parts            []*part       // of the present round
+	admissionDecided bool
+	closed           bool
 
 	round              int     // 0, or 1 for the parts of a second round
 	firstRoundComplete bool    // the answer to the first round was complete
 	servedWeight       float64 // of the parts of this round that have been served
-	pastObjective      bool    // whether to go on past the objective has been decided
+	lateDecided        bool    // whether to go on past the objective has been decided
 
 	draws          draws // random numbers drawn for replicas by the picker
 	slowStartDraws draws // and for replicas in slow start
@@ -95,10 +95,10 @@
 	connectionIdle time.Duration // how long its connection had been unused when it was sent
 	ended          bool
 	cancelled      bool // its cancellation has been asked for
-	probe          bool // sent to an ejected replica to learn whether it has recovered; not cancelled with its query
+	toEjected      bool // sent to an ejected replica, whose recovery it shows: not cancelled with its query
 	neverRan       bool // proven not to have run
 	excused        bool // the coordinator itself was stalled while it was out: its time says nothing of its replica
-	hedged         bool // a hedged request or a spare part has been sent for its lateness
+	relieved       bool // a hedged request or another part has been sent for its lateness
 }
 
 // call is one message to a replica; the parts of one step to the same replica share it.
@@ -135,7 +135,7 @@
 // comes: all parts that it waits for are out, and none is overdue.
 func (m *Machine) updateIdle(q *query) {
 	q.idleRebalance = m.shares.rebalances
-	q.idleUntil = min(q.deadline, m.answerBy(q), q.objective-m.settings.TickInterval)
+	q.idleUntil = min(q.endBy, m.answerBy(q), q.answerDue-m.settings.TickInterval)
 	for _, p := range q.parts {
 		if !p.selected || p.served || p.Deferred {
 			continue
--- a/internal/decide/scatter/reconfigure.go
+++ b/internal/decide/scatter/reconfigure.go
@@ -1,16 +1,22 @@
 package scatter
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
-// reconfigureRing makes the ring that of the settings.
+// reconfigureRing makes the ring and all siblings those of the settings. A replica that has moved on the ring keeps
+// its old siblings until then.
 func (m *Machine) reconfigureRing() {
 	t, s := &m.replicas, m.settings
-	if t.ring.size == s.RingSize && t.ring.replicationFactor == s.ReplicationFactor {
-		return
+	if t.ring.size != s.RingSize || t.ring.replicationFactor != s.ReplicationFactor {
+		m.replaceRing()
 	}
+	if t.siblingsStale {
+		t.relateAll()
+	}
+}
+
+// replaceRing makes a new ring by the settings.
+func (m *Machine) replaceRing() {
+	t, s := &m.replicas, m.settings
 	t.ring, t.siblingsStale = newRing(s.RingSize, s.ReplicationFactor), true
 	for _, r := range t.all {
 		t.ring.add(r)
@@ -20,7 +26,7 @@
 	}
 }
 
-// reconfigureClasses makes classes and siblings those of the settings. A class that is as it was goes on; one that
+// reconfigureClasses makes the classes those of the settings. A class that is as it was goes on; one that
 // is altered is a new one that knows what the old one learned. One that is no longer named stays for the queries
 // under way, which keep their class, and is left out at the next change after them.
 func (m *Machine) reconfigureClasses() {
@@ -44,9 +50,6 @@
 	if !inPlace(from, len(before.list)) {
 		m.reorderByClass(from)
 	}
-	if m.replicas.siblingsStale {
-		m.replicas.relateAll()
-	}
 	m.classes.allowsPartial = slices.ContainsFunc(s.Classes, func(c Class) bool {
 		return c.MinFraction < c.CompleteFraction
 	})
@@ -120,26 +123,3 @@
 	}
 	m.quotas = quotas
 }
-
-// byClass lists a figure of a replica's health by class.
-func byClass[T any](list []classHealth, of func(classHealth) T) []T {
-	figures := make([]T, 0, len(list))
-	for _, h := range list {
-		figures = append(figures, of(h))
-	}
-	return figures
-}
-
-// fromLists is a replica's health by class from lists of its figures.
-func fromLists(faults []int, excludedUntil, lastSuccess, lastUnanswered []time.Duration) []classHealth {
-	list := make([]classHealth, len(faults))
-	for i := range list {
-		list[i] = classHealth{
-			consecutiveFaults: faults[i],
-			excludedUntil:     excludedUntil[i],
-			lastSuccess:       lastSuccess[i],
-			lastUnanswered:    lastUnanswered[i],
-		}
-	}
-	return list
-}
--- a/internal/decide/scatter/recorded_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// due is an outcome on its way.
+// delivery is an outcome on its way.
 type delivery struct {
 	at time.Duration
 	ev AttemptEnded
--- a/internal/decide/scatter/replica.go
+++ b/internal/decide/scatter/replica.go
@@ -36,7 +36,7 @@
 	removalPending bool          // it is among those that may be forgotten in time
 }
 
-// ready reports whether a replica takes part in the routing shares: it is listed as running, and not ejected.
+// ready reports whether a replica takes part in the routing shares: the list has it as Ready, and it is not ejected.
 func (r *replica) ready() bool { return r.State == Ready && !r.health.ejected }
 
 // byListing orders replicas by when they were first listed.
@@ -48,7 +48,7 @@
 	byID          map[string]*replica
 	ring          ring
 	lastNumber    int
-	running       int        // listed as running
+	listedReady   int        // in the state Ready
 	ready         int        // of these, not ejected
 	busy          []*replica // with attempts outstanding, and some that had, in order of first listing
 	removed       []*replica // that may be forgotten in time
@@ -99,10 +99,10 @@
 		t.ring.markUnranked(t.ring.at(e.RingPosition))
 	}
 	if was.State == Ready {
-		t.running--
+		t.listedReady--
 	}
 	if e.State == Ready {
-		t.running++
+		t.listedReady++
 	}
 }
 
@@ -137,7 +137,7 @@
 	t.change(r, func() { r.health.ejected = ejected })
 }
 
-// change tells the machine that one replica drains, and in the next call that it is back as a new process.
+// change applies a change of what makes a replica ready, and keeps the count of those that are.
 func (t *replicaTable) change(r *replica, change func()) {
 	if r.ready() {
 		t.ready--
--- a/internal/decide/scatter/retry_budget.go
+++ b/internal/decide/scatter/retry_budget.go
@@ -13,11 +13,11 @@
 	retried []time.Duration // attempts beyond the first within the window, oldest first
 }
 
-// arrivedAt counts a query or a part.
-func (b *retryBudget) arrivedAt(now time.Duration) { b.arrived = append(b.arrived, now) }
+// countArrival counts a query or a part.
+func (b *retryBudget) countArrival(now time.Duration) { b.arrived = append(b.arrived, now) }
 
-// retriedAt counts an attempt beyond the first.
-func (b *retryBudget) retriedAt(now time.Duration) { b.retried = append(b.retried, now) }
+// countRetry counts an attempt beyond the first.
+func (b *retryBudget) countRetry(now time.Duration) { b.retried = append(b.retried, now) }
 
 // allows reports whether one more retry may begin at now.
 func (b *retryBudget) allows(now time.Duration) bool {
--- a/internal/decide/scatter/settings.go
+++ b/internal/decide/scatter/settings.go
@@ -34,7 +34,9 @@
 
 	Subscribe  bool          // the endpoint list has to be asked for
 	ListMaxAge time.Duration // how long the endpoint list holds without a subscription
-	DrainGrace time.Duration // how long a replica may be sent to after the notice that it drains or is removed
+	// DrainGrace is how long a replica may be sent to after the notice that it drains or is removed. A Machine
+	// sends nothing from the notice on; the lease of the endpoint list goes by it.
+	DrainGrace time.Duration
 
 	SlowStart   SlowStart
 	RetryBudget *RetryBudget // nil where retries are not bounded
@@ -45,8 +47,8 @@
 	Name             string
 	LatencyObjective time.Duration // answers within this earn their full priority weight
 	Deadline         time.Duration // how long a client waits over all of its own retries; at least LatencyObjective
-	PriorityWeight   float64
-	LateWeight       float64 // share of the priority weight that is left between LatencyObjective and Deadline
+	PriorityWeight   float64       // for load shedding before queries come to the Machine, which does not read it
+	LateWeight       float64       // share of the priority weight that is left between LatencyObjective and Deadline
 	Idempotency      Idempotency
 	DedupWindow      time.Duration // Keyed: how long repeats are dropped, from the first attempt on
 	CompleteFraction float64       // share of the parts' weight that makes a complete answer; in (0, 1]
--- a/internal/decide/scatter/shares.go
+++ b/internal/decide/scatter/shares.go
@@ -24,7 +24,7 @@
 type shard struct {
 	number      int
 	holders     []*replica // listed as ready, in the order of their keys in this coordinator's subset
-	active      int        // how many of them, from the first on, are sent to while that will do
+	subsetSize  int        // how many of them, from the first on, are sent to while that will do
 	medianRatio memo       // median latency ratio of these
 
 	arrived     []float64   // parts by class since the last periodic rebalance
@@ -34,8 +34,8 @@
 	rebalancing int         // the rebalance that the shares are of
 }
 
-// keptHolders are the holders that this coordinator sends to.
-func (s *shard) activeHolders() []*replica { return s.holders[:s.active] }
+// subsetHolders are the holders that this coordinator sends to.
+func (s *shard) subsetHolders() []*replica { return s.holders[:s.subsetSize] }
 
 // shardTable holds the shards in use.
 type shardTable struct {
@@ -69,7 +69,7 @@
 		m.shares.periods++
 		m.idleConnections.relax()
 		warmedUp := m.replicas.count(func(r *replica) bool {
-			return m.inSubset(r) && m.capacityFraction(r, m.now) == 1
+			return m.sendsTo(r) && m.capacityFraction(r, m.now) == 1
 		})
 		m.traffic.renew(warmedUp)
 		m.retries.expire(m.now)
@@ -214,7 +214,7 @@
 	equal, total := resize(&m.scratch.equal, len(s.holders)), 0.0
 	for i, r := range s.holders {
 		equal[i] = 0
-		if i < s.active && r.ready() {
+		if i < s.subsetSize && r.ready() {
 			equal[i] = m.capacityFraction(r, at)
 			total += equal[i]
 		}
@@ -270,31 +270,3 @@
 	*list = slices.Grow((*list)[:0], n)[:n]
 	return *list
 }
-
-// trafficRates are what this coordinator sends to one replica, in the mean. Each moving mean gains with its first
-// intervals: what a young coordinator has seen counts in full.
-type trafficRates struct {
-	served       float64 // parts that warmed up replicas have served in this interval
-	demand       float64 // parts of admitted queries in this interval, for each ready replica
-	warmedUpRate float64 // parts a second served by each warmed up replica
-	demandRate   float64 // parts a second of admitted queries for each ready replica
-	intervals    float64 // so many have passed
-}
-
-// admitted counts the parts of an admitted query that go to some number of ready replicas.
-func (t *trafficRates) admitted(parts, ready int) {
-	t.demand += float64(parts) / max(1, float64(ready))
-}
-
-// renew ends an interval, with so many warmed up replicas.
-func (t *trafficRates) renew(warmedUp float64) {
-	gain := max(1-rateMemory, 1/(t.intervals+1))
-	t.warmedUpRate += gain * (t.served/max(1, warmedUp) - t.warmedUpRate)
-	t.demandRate += gain * (t.demand - t.demandRate)
-	t.served, t.demand, t.intervals = 0, 0, t.intervals+1
-}
-
-// observed is for how long traffic has been counted, less one interval.
-func (t *trafficRates) observed() time.Duration {
-	return time.Duration(t.intervals-1) * rebalanceInterval
-}
--- a/internal/decide/scatter/slow_start.go
+++ b/internal/decide/scatter/slow_start.go
@@ -6,7 +6,7 @@
 	"harepass/internal/decide/subsetting"
 )
 
-// slowStartSafety is the part used of what a replica in slow start bears: other coordinators may be less careful.
+// slowStartSafety is the share used of what a replica in slow start bears: other coordinators may be less careful.
 const slowStartSafety = 0.8
 
 // slowStart is what this coordinator may send to a replica whose process has just started. All coordinators together
@@ -34,11 +34,12 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*max(0, age.Seconds())/c.Duration.Seconds()
 }
 
-// slowStartAllows reports whether a replica may be sent a part, as far as slow start goes. The budget is for first
-// attempts of coordinators that keep the replica. Where a coordinator's part of it is a whole part and more, it is a
-// token bucket; where it is less, a draw decides once for each query, so that what each coordinator would save does not
-// lie idle.
-func (m *Machine) slowStartAllows(p *part, r *replica) bool {
+// admitInSlowStart decides whether a replica may be sent a part, as far as slow start goes; a replica that has
+// warmed up always may. Only coordinators that have the replica in their subset send to it, and no part twice.
+// Where a coordinator's share of what the replica bears is one part or more within the settings' window, it is a
+// token bucket; where it is less, a draw decides once for each query and replica, so that the fractions that each
+// coordinator would save do not lie idle.
+func (m *Machine) admitInSlowStart(p *part, r *replica) bool {
 	capacity := m.capacityFraction(r, m.now)
 	if capacity >= 1 {
 		return true
@@ -56,7 +57,7 @@
 	if saved >= 1 {
 		return r.slowStart.tokens >= 1
 	}
-	crowding := float64(m.settings.ReplicationFactor) // a retry may be one of all that its siblings were sent
+	crowding := float64(m.settings.ReplicationFactor) // of retries: all that failed at its siblings may come here
 	if len(p.attempts) == 0 {
 		crowding = m.crowding(r)
 	}
@@ -89,8 +90,8 @@
 	s.updatedAt = now
 }
 
-// crowding is the load that would come to a replica if it took all that is drawn for it, in equal shares: 1 where all
-// holders are warmed up, more where others are in slow start too, or are missing.
+// crowding is how many times its equal share of first attempts would come to a replica if every query that draws it
+// were sent there: 1 where all holders are warmed up, more where others are in slow start too, or are missing.
 func (m *Machine) crowding(r *replica) (sum float64) {
 	takes := func(o *replica) float64 {
 		return min(1, slowStartSafety*m.settings.SlowStart.OverloadFactor*m.capacityFraction(o, m.now))
@@ -99,7 +100,7 @@
 		all := takes(r)
 		for _, o := range r.siblings {
 			distance := mod(o.RingPosition-r.RingPosition+offset, m.settings.RingSize)
-			if m.inSubset(o) && distance < m.settings.ReplicationFactor {
+			if m.sendsTo(o) && distance < m.settings.ReplicationFactor {
 				all += takes(o)
 			}
 		}
--- a/internal/decide/scatter/unresponsive.go
+++ b/internal/decide/scatter/unresponsive.go
@@ -2,14 +2,8 @@
 
 import "time"
 
-const (
-	// A replica is unresponsive when a part has been out for unresponsiveOverdue overdue times and unresponsiveMeans
-	// usual means, and nothing was answered since it was sent.
-	unresponsiveOverdue = 1.5
-	unresponsiveMeans   = 3.0
-	// slowRatio is how many times its siblings' median latency ratio makes a replica an outlier.
-	slowRatio = 3.0
-)
+// slowRatio is how many times its siblings' median latency ratio makes a replica an outlier.
+const slowRatio = 3.0
 
 // responseWatch says when outstanding attempts are to be looked at next.
 type responseWatch struct {
@@ -20,9 +14,9 @@
 // watch takes a new attempt into account.
 func (w *responseWatch) watch(at *attempt) { w.nextLook = min(w.nextLook, at.unresponsiveFrom()) }
 
-// silentFrom is until when an attempt makes no silent replica, whatever else is known.
+// unresponsiveFrom is until when an attempt makes no silent replica, whatever else is known.
 func (at *attempt) unresponsiveFrom() time.Duration {
-	return at.sentAt + scale(at.part.query.class.overdueAfter, unresponsiveOverdue)
+	return at.sentAt + scale(at.part.query.class.overdueAfter, unresponsivePart.overdueTimes)
 }
 
 // detectOutliers ejects the silent replicas, with a part out for long and nothing answered since it was sent though
@@ -42,13 +36,13 @@
 	}
 }
 
-// isSilent reports whether an attempt shows a ready replica to be silent.
+// isUnresponsive reports whether an attempt shows a ready replica to be silent.
 func (m *Machine) isUnresponsive(r *replica, at *attempt) bool {
 	out, c := m.now-at.sentAt, at.part.query.class
-	return out > scale(c.overdueAfter, unresponsiveOverdue) && // lateAfter is no sooner
+	return out > scale(c.overdueAfter, unresponsivePart.overdueTimes) && // lateAfter is no sooner
 		r.ready() && !at.cancelled && !at.excused &&
 		r.health.lastSuccess < at.sentAt && m.lastSuccess > at.sentAt &&
-		out > m.lateAfter(r, c, unresponsiveOverdue, unresponsiveMeans)
+		out > m.lateAfter(r, c, unresponsivePart)
 }
 
 // replicasToWatch lists the replicas that this step may eject: those with attempts out, none before the first of these
@@ -59,7 +53,7 @@
 		return nil
 	}
 	m.replicas.dropIdle()
-	w.rebalances, w.nextLook = m.shares.rebalances, never+m.now
+	w.rebalances, w.nextLook = m.shares.rebalances, maxIdleTrust+m.now
 	for _, r := range m.replicas.busy {
 		for _, at := range r.attempts {
 			w.watch(at)
--- a/internal/operator/register_test.go
+++ b/internal/operator/register_test.go
@@ -93,14 +93,14 @@
 		call(old.Out, "a", true)
 		call(old.Out, "nobody", false)
 		old.SetList("d:1", json.RawMessage(`{"index":7}`))
-		old.SetCheckpoint(scatter.Checkpoint{At: old.Clock(), WarmRate: 3})
+		old.SetCheckpoint(scatter.Checkpoint{At: old.Clock(), WarmedUpRate: 3})
 		time.Sleep(2 * lookEvery)
 
 		fresh := begin(t, dir, "n1")
 		if list, from := fresh.FoundList(); string(list) != `{"index":7}` || from != "d:1" {
 			t.Errorf("found %s from %s", list, from)
 		}
-		if m, ok := fresh.Checkpoint(); !ok || m.WarmRate != 3 {
+		if m, ok := fresh.Checkpoint(); !ok || m.WarmedUpRate != 3 {
 			t.Errorf("learned %+v, %t", m, ok)
 		}
 		synctest.Wait()
--- a/internal/operator/stored_test.go
+++ b/internal/operator/stored_test.go
@@ -28,12 +28,12 @@
 		List: json.RawMessage(`{"index":41,"snapshot":true,"endpoints":[` +
 			`{"name":"a1","address":"127.0.0.1:7001","zone":"z1","group":3,"status":"ready","since_ms":1764700000001}]}`),
 		Checkpoint: &scatter.Checkpoint{
-			At: 1_764_700_000_000_000_004, WarmRate: 1.5, DemandRate: 2.5, Windows: 3, LoadFactor: 4.5, IdleLimit: 5 * time.Second,
+			At: 1_764_700_000_000_000_004, WarmedUpRate: 1.5, DemandRate: 2.5, Intervals: 3, LoadFactor: 4.5, IdleLimit: 5 * time.Second,
 			Classes: []scatter.ClassCheckpoint{{Name: "route-lookup", MeanLatency: 0.25, MinService: 0.125, Latencies: []float64{0.5, 0.75}}},
 			Replicas: []scatter.ReplicaCheckpoint{{
 				ID: "a1", StartedAt: 6, LatencyRatio: 1.25, SlowStartFrom: 7, Ejected: true, FailsFast: true, MayHaveRestarted: true,
-				ProbeSuccesses: 8, ConsecutiveErrors: 9, ConsecutiveRejections: 10, ProbeBackoff: 11, EjectedAt: 12, NextProbe: 13, LastSuccess: 14, RejectingUntil: 15,
-				AvoidUntil: 16, LastFailure: 17, LastReset: 18, LastError: 19, ConsecutiveFaults: []int{20}, ExcludedUntil: []time.Duration{21},
+				ProbeSuccesses: 8, ConsecutiveFaults: 9, ConsecutiveRejections: 10, ProbeBackoff: 11, EjectedAt: 12, NextProbe: 13, LastSuccess: 14, RejectingUntil: 15,
+				AvoidUntil: 16, LastFailure: 17, LastReset: 18, LastError: 19, ClassConsecutiveFaults: []int{20}, ClassExcludedUntil: []time.Duration{21},
 				ClassLastSuccess: []time.Duration{22}, ClassLastUnanswered: []time.Duration{23},
 			}, {ID: "a2", LatencyRatio: 1}},
 			Shards: []scatter.ShardCheckpoint{{Number: 24, Rates: []float64{25.5}}},
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -103,7 +103,7 @@
 	return m
 }
 
-// headers are those of a query; each stands once at most.
+// singleHeaders are those of a query; each stands once at most.
 var singleHeaders = []string{"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget", "X-Again"}
 
 // head reads what this protocol alone words, and parseBody the rest; what any query has to be is for the core to check.
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -28,7 +28,7 @@
 	SinceMS int64  `json:"since_ms"`
 }
 
-// statusGone is that of an entry that is listed no more; it stands among changes only.
+// statusRemoved is that of an entry that is listed no more; it stands among changes only.
 const statusRemoved = "terminated"
 
 var replicaStates = map[string]scatter.ReplicaState{
--- a/internal/platform/replica_reader.go
+++ b/internal/platform/replica_reader.go
@@ -14,7 +14,7 @@
 	"harepass/internal/socket"
 )
 
-// lookTime is how long bytes may take to be read that were there before a deadline.
+// lateReadTime is how long bytes may take to be read that were there before a deadline.
 const lateReadTime = 50 * time.Millisecond
 
 // read takes answers until the connection ends, or until it is of no more use. An answer that has begun has
--- a/internal/platform/replica_writer.go
+++ b/internal/platform/replica_writer.go
@@ -15,7 +15,7 @@
 	"harepass/internal/socket"
 )
 
-// endedWhileIdle counts connections that nodes had ended when a call was about to be written to them.
+// connsEndedWhileIdle counts connections that nodes had ended when a call was about to be written to them.
 var connsEndedWhileIdle = counters.New("node_connections", "ended_while_idle")
 
 // run connects, writes what is queued, and ends what is outstanding when the connection breaks.
