--- a/internal/decide/scatter/checkpoint.go
+++ b/internal/decide/scatter/checkpoint.go
@@ -140,7 +140,8 @@
 	}
 	if isRate(c.WarmedUpRate) && isRate(c.DemandRate) && isRate(c.Intervals) && isPositive(c.LoadFactor) {
 		t := &m.traffic
-		t.warmedUpRate, t.demandRate, t.intervals, m.loadFactor = c.WarmedUpRate, c.DemandRate, c.Intervals, c.LoadFactor
+		t.warmedUpRate, t.demandRate, t.intervals = c.WarmedUpRate, c.DemandRate, c.Intervals
+		m.loadFactor = c.LoadFactor
 	}
 	if c.IdleLimit > 0 {
 		m.idleConnections.limit = c.IdleLimit
