--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -1,67 +1,104 @@
 package core
 
-import (
-	"harepass/internal/decide/scatter"
-)
+import "harepass/internal/decide/scatter"
 
-// This file does what the module asks for.
+// callBatch collects the attempts of one step by replica, so that those to one replica leave together.
+type callBatch struct {
+	replicas []string // in order of their first attempt
+	attempts map[string][]*Attempt
+}
 
-// perform does what the module asks for, in order; sends to one node leave together as calls.
-func (o *Coordinator) perform(actions []scatter.Action) {
-	calls := map[string][]*Attempt{}
-	var order []string
-	for _, act := range actions {
-		switch a := act.(type) {
+func (b *callBatch) add(at *Attempt) {
+	if b.attempts == nil {
+		b.attempts = map[string][]*Attempt{}
+	}
+	if len(b.attempts[at.Endpoint]) == 0 {
+		b.replicas = append(b.replicas, at.Endpoint)
+	}
+	b.attempts[at.Endpoint] = append(b.attempts[at.Endpoint], at)
+}
+
+// perform carries out what the module asks for, in order. Attempts leave last, as calls.
+func (c *Coordinator) perform(actions []scatter.Action) {
+	var batch callBatch
+	for _, action := range actions {
+		switch a := action.(type) {
 		case scatter.Send:
-			if at := o.send(a); at != nil {
-				if len(calls[a.Replica]) == 0 {
-					order = append(order, a.Replica)
-				}
-				calls[a.Replica] = append(calls[a.Replica], at)
+			if at := c.newAttempt(a); at != nil {
+				batch.add(at)
 			}
 		case scatter.CancelAttempt:
-			if p := o.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
-				o.abandon(p.attempts[a.Attempt], scatter.Cancelled)
-			}
+			c.cancelAttempt(a)
 		case scatter.Answer:
-			if q := o.queries[a.Query]; q != nil {
-				ans := Answer{Complete: a.Complete, Values: make([][]byte, len(q.parts)), Pruned: make([]bool, len(q.parts))}
-				for i, p := range q.parts {
-					ans.Values[i], ans.Pruned[i] = p.value, p.pruned
-				}
-				o.finish(q, ans)
-			}
-			o.letOut(o.firsts[a.Query])
+			c.answerQuery(a)
 		case scatter.Reject:
-			if q := o.queries[a.Query]; q != nil {
-				refusedByModule.Inc()
-				o.finish(q, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
-			}
-			o.letOut(o.firsts[a.Query])
+			c.rejectQuery(a)
 		case scatter.Fail:
-			if q := o.queries[a.Query]; q != nil {
-				o.finish(q, Answer{Status: Failed})
-			}
-			o.letOut(o.firsts[a.Query])
+			c.failQuery(a)
 		case scatter.CloseIdleConnections:
-			if c := o.cfg.Callers[o.nodes[a.Replica].Scheme]; c != nil {
-				c.CloseIdleConnections(a.Replica)
-			}
+			c.closeIdleConnections(c.endpoints.byID[a.Replica].Scheme, a.Replica)
 		case scatter.Subscribe:
-			o.cfg.Subscribe()
-			o.asked = true
-			o.presume()
+			c.cfg.Subscribe()
+			c.initialList.requested = true
+			c.presumeInitialList()
 		case scatter.SetTimer:
-			o.deadlines.remove(o.wake)
-			o.wake = o.deadlines.add(o.now+a.After, func() { o.events = append(o.events, scatter.TimerFired{}) })
+			c.deadlines.remove(c.wake)
+			c.wake = c.deadlines.add(c.now+a.After, func() { c.notify(scatter.TimerFired{}) })
+		}
+	}
+	c.sendCalls(batch)
+}
+
+// cancelAttempt stops waiting for an attempt that is out.
+func (c *Coordinator) cancelAttempt(a scatter.CancelAttempt) {
+	if p := c.open.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
+		c.cancel(p.attempts[a.Attempt], scatter.Cancelled)
+	}
+}
+
+// answerQuery answers a query with the values that are in. The module's id may be that of a first phase, which is over
+// then; so it is for rejectQuery and failQuery.
+func (c *Coordinator) answerQuery(a scatter.Answer) {
+	if q := c.open.byID[a.Query]; q != nil {
+		answer := Answer{Complete: a.Complete, Values: make([][]byte, len(q.parts)), Pruned: make([]bool, len(q.parts))}
+		for i, p := range q.parts {
+			answer.Values[i], answer.Pruned[i] = p.value, p.pruned
 		}
+		c.finish(q, answer)
+	}
+	c.releaseDeferred(c.firstPhases[a.Query])
+}
+
+func (c *Coordinator) rejectQuery(a scatter.Reject) {
+	if q := c.open.byID[a.Query]; q != nil {
+		rejectedByModule.Inc()
+		c.finish(q, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
+	}
+	c.releaseDeferred(c.firstPhases[a.Query])
+}
+
+func (c *Coordinator) failQuery(a scatter.Fail) {
+	if q := c.open.byID[a.Query]; q != nil {
+		c.finish(q, Answer{Status: Failed})
 	}
-	for _, id := range order {
-		node, list := o.nodes[id], calls[id]
-		for len(list) > 0 {
-			n := min(len(list), max(1, o.set().PartsPerCall))
-			o.cfg.Callers[node.Scheme].Call(node.Endpoint, list[:n:n])
-			list = list[n:]
+	c.releaseDeferred(c.firstPhases[a.Query])
+}
+
+// closeIdleConnections closes the idle connections to a replica, if a Caller speaks its scheme.
+func (c *Coordinator) closeIdleConnections(scheme, id string) {
+	if caller := c.cfg.Callers[scheme]; caller != nil {
+		caller.CloseIdleConnections(id)
+	}
+}
+
+// sendCalls hands attempts to their callers, at most PartsPerCall in a call.
+func (c *Coordinator) sendCalls(batch callBatch) {
+	for _, id := range batch.replicas {
+		endpoint, attempts := c.endpoints.byID[id], batch.attempts[id]
+		for len(attempts) > 0 {
+			n := min(len(attempts), max(1, c.inForce().PartsPerCall))
+			c.cfg.Callers[endpoint.Scheme].Call(endpoint.Endpoint, attempts[:n:n])
+			attempts = attempts[n:]
 		}
 	}
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,126 +7,152 @@
 	"harepass/internal/decide/twophase"
 )
 
-// This file is the tries of parts at nodes, from the sending to the outcome.
+// cancelGrace is for how long a Caller may take to send a cancellation, should its connection be blocked.
+const cancelGrace = 20 * time.Millisecond
 
-// Attempt is one try of a part at a node. Callers read the exported fields and hand it back.
+// Attempt is one send of a part to a replica. Callers read the exported fields and hand it back to AttemptEnded.
 type Attempt struct {
 	QueryID        string
 	Class          string
 	Shard          int
 	Body           []byte
-	IdempotencyKey string // the query's idempotency key; empty in a class that is not keyed
-	Origin         any
-	Timeout        time.Duration
-	Endpoint       string
-	FirstPhase     bool              // asks what the section could add, not for its value
-	WithVersion    bool              // the value is wanted with its version
-	Evidence       twophase.Evidence // set by the caller before Ended, where First or Signed asked for it
-
-	part   *part
-	no     int
-	sent   time.Duration
-	caller Caller
-	reason scatter.Outcome // of the abandoning
-	due    *deadline
-	ended  bool
-	never  bool // proven not to have run
-	permit permit
+	IdempotencyKey string        // of the query, the same for all its attempts; empty in a class that is not keyed
+	Origin         any           // of the query
+	Timeout        time.Duration // from when the module decided the attempt; Remaining is what is left of it
+	Endpoint       string        // id of the replica
+	FirstPhase     bool          // asks what the shard could add, rather than for its value
+	WithVersion    bool          // the value is wanted with its version
+
+	// Evidence is set by the Caller before AttemptEnded, where FirstPhase or WithVersion asked for it.
+	Evidence twophase.Evidence
+
+	part         *part
+	number       int // among the part's attempts, from 0
+	sentAt       time.Duration
+	caller       Caller          // nil where no Caller speaks the endpoint's scheme
+	cancelReason scatter.Outcome // outcome in the place of Cancelled; Succeeded while the attempt is not cancelled
+	timeout      *deadline       // when the attempt is cancelled; once it is, when it ends without its Caller
+	ended        bool
+	neverRan     bool // proven not to have run
+	permit       permit
 }
 
-// Caller speaks to nodes. None of its methods may block or call the owner back from within.
+// Caller speaks to replicas. The coordinator's goroutine calls its methods; none may block, or call the Coordinator
+// from within.
 type Caller interface {
-	// Call sends the attempts as one call, those that may Begin right before their first byte is written; each ends in
-	// one Owner.Ended.
-	Call(node Endpoint, attempts []*Attempt)
-	// Abandon tells the node that an attempt is given up and then ends it as Cancelled, unless it
-	// has ended otherwise. Called again, it closes the attempt's connection before it returns.
+	// Call sends the attempts as one call: those whose Begin returns true right before their first byte is written.
+	// Each attempt ends in one Coordinator.AttemptEnded.
+	Call(endpoint Endpoint, attempts []*Attempt)
+	// Cancel tells the replica that an attempt is given up, and then ends the attempt as Cancelled, unless it has ended
+	// otherwise. A second Cancel of an attempt closes the attempt's connection before it returns.
 	Cancel(*Attempt)
-	// Disconnect closes the idle connections to a node.
-	CloseIdleConnections(node string)
+	// CloseIdleConnections closes the idle connections to a replica, given by its id.
+	CloseIdleConnections(replica string)
 }
 
-// AttemptReporter takes the outcomes of attempts; it is the Owner, but for tests of callers.
+// AttemptReporter takes the outcomes of attempts. It is a Coordinator, except in tests of Callers.
 type AttemptReporter interface {
 	AttemptEnded(at *Attempt, outcome scatter.Outcome, value []byte)
 }
 
-type ended struct {
-	at      *Attempt
-	outcome scatter.Outcome
-	value   []byte
-	when    time.Duration
+// AttemptEnded brings an attempt's outcome and, if it succeeded, the value that the replica returned. Callers call it
+// from their own goroutines; it waits while the queue is full. Only the first outcome of an attempt counts.
+func (c *Coordinator) AttemptEnded(at *Attempt, outcome scatter.Outcome, value []byte) {
+	c.post(attemptEnded{at, outcome, value, c.cfg.Clock()})
 }
 
-// AttemptEnded brings an attempt's outcome; value is what the node served. Only the first one counts.
-func (o *Coordinator) AttemptEnded(at *Attempt, outcome scatter.Outcome, value []byte) {
-	o.post(ended{at, outcome, value, o.cfg.Clock()})
+type attemptEnded struct {
+	attempt *Attempt
+	outcome scatter.Outcome
+	value   []byte
+	at      time.Duration
 }
 
-func (m ended) apply(o *Coordinator) { o.end(m.at, m.outcome, m.value, m.when) }
+func (m attemptEnded) apply(c *Coordinator) { c.endAttempt(m.attempt, m.outcome, m.value, m.at) }
 
-// end passes the first outcome of an attempt on; any later one is dropped.
-func (o *Coordinator) end(at *Attempt, outcome scatter.Outcome, value []byte, when time.Duration) {
-	if at.ended {
-		return
+// newAttempt begins an attempt that the module has decided. It returns nil where the attempt is not to be sent: it has
+// ended as NotSent then, or its part is over and the module hears nothing.
+func (c *Coordinator) newAttempt(send scatter.Send) *Attempt {
+	p := c.open.parts[send.Part]
+	if p == nil {
+		return nil
 	}
-	at.ended = true
-	at.never = outcome == scatter.Rejected || outcome == scatter.ConnectFailed || outcome == scatter.NotSent
-	o.deadlines.remove(at.due)
-	if outcome == scatter.Cancelled && at.reason != scatter.Succeeded { // else the caller took it back by itself
-		outcome = at.reason
+	q, scheme := p.query, c.endpoints.byID[send.Replica].Scheme
+	at := &Attempt{QueryID: q.ID, Class: q.Class, Shard: p.shard, Body: q.Body, IdempotencyKey: q.idempotencyKey,
+		Origin: q.Origin, Timeout: send.Timeout, Endpoint: send.Replica, FirstPhase: p.full != nil,
+		WithVersion: p.wantsVersion && c.cfg.TwoPhaseSchemes[scheme], part: p, number: len(p.attempts), sentAt: c.now,
+		caller: c.cfg.Callers[scheme]}
+	p.attempts = append(p.attempts, at)
+	c.setPermit(at)
+	if !c.canSend(at, scheme) {
+		c.endAttempt(at, scatter.NotSent, nil, c.now)
+		return nil
 	}
-	if outcome == scatter.Succeeded && at.part.value == nil && !at.FirstPhase {
-		at.part.value = value
-		if q := at.part.q; o.queries[q.id] != nil {
-			o.hold(q, int64(len(value)))
-		}
+	if q.Index != "" && c.cfg.Planner != nil && !at.FirstPhase {
+		c.cfg.Planner.FullSent(q.topic())
 	}
-	took := max(0, when-at.sent)
-	countOutcome(outcome)
-	o.traceEnd(at, outcome, took)
-	o.events = append(o.events, scatter.AttemptEnded{Part: at.part.id, Attempt: at.no, Replica: at.Endpoint,
-		Outcome: outcome, Latency: took})
-	o.learn(at, outcome == scatter.Succeeded, value, took)
-	o.forget(at.part)
+	at.timeout = c.deadlines.add(c.now+send.Timeout, func() { c.cancel(at, scatter.TimedOut) })
+	return at
 }
 
-// abandon stops waiting for an attempt. Its outcome follows when the caller has got the word out, so
-// that no other attempt of the part can reach a node before it.
-func (o *Coordinator) abandon(at *Attempt, reason scatter.Outcome) {
-	if at.ended || at.reason != scatter.Succeeded {
+// canSend reports whether an attempt is still of use and its endpoint's Caller can send it.
+func (c *Coordinator) canSend(at *Attempt, scheme string) bool {
+	if !c.open.isOpen(at.part.query) || at.caller == nil {
+		return false
+	}
+	return !at.FirstPhase || at.part.full.firstPhase == at.part && c.cfg.TwoPhaseSchemes[scheme]
+}
+
+// cancel stops waiting for an attempt; reason is the outcome that the module is to hear. It hears that only when the
+// Caller has sent the cancellation or cancelGrace is over, so no other attempt of the part reaches a replica before.
+func (c *Coordinator) cancel(at *Attempt, reason scatter.Outcome) {
+	if at.ended || at.cancelled() {
 		return
 	}
-	at.reason = reason
+	at.cancelReason = reason
 	at.withhold()
-	o.deadlines.remove(at.due)
-	at.due = o.deadlines.add(o.now+abandonWait, func() {
+	c.deadlines.remove(at.timeout)
+	at.timeout = c.deadlines.add(c.now+cancelGrace, func() {
 		at.caller.Cancel(at)
-		o.end(at, scatter.Cancelled, nil, o.now)
+		c.endAttempt(at, scatter.Cancelled, nil, c.now)
 	})
 	at.caller.Cancel(at)
 }
 
-// send books an attempt; nil where the part is over, whose outcome is then Moot.
-func (o *Coordinator) send(a scatter.Send) *Attempt {
-	p := o.parts[a.Part]
-	if p == nil {
-		return nil
+// cancelled reports whether the coordinator has cancelled the attempt; a Caller may end one as Cancelled by itself.
+func (at *Attempt) cancelled() bool { return at.cancelReason != scatter.Succeeded }
+
+// endAttempt tells the module the first outcome of an attempt; any later one is dropped.
+func (c *Coordinator) endAttempt(at *Attempt, outcome scatter.Outcome, value []byte, when time.Duration) {
+	if at.ended {
+		return
 	}
-	at := &Attempt{QueryID: p.q.ID, Class: p.q.Class, Shard: p.shard, Body: p.q.Body, IdempotencyKey: p.q.key, Origin: p.q.Origin,
-		Timeout: a.Timeout, Endpoint: a.Replica, part: p, no: len(p.attempts), sent: o.now}
-	p.attempts = append(p.attempts, at)
-	o.permitted(at)
-	scheme := o.nodes[a.Replica].Scheme
-	at.caller = o.cfg.Callers[scheme]
-	at.FirstPhase, at.WithVersion = p.of != nil, p.signed && o.cfg.TwoPhaseSchemes[scheme]
-	if o.queries[p.q.id] == nil || at.caller == nil || at.FirstPhase && (p.of.ahead != p || !o.cfg.TwoPhaseSchemes[scheme]) {
-		o.end(at, scatter.NotSent, nil, o.now)
-		return nil
+	at.ended = true
+	at.neverRan = outcome == scatter.Rejected || outcome == scatter.ConnectFailed || outcome == scatter.NotSent
+	c.deadlines.remove(at.timeout)
+	if outcome == scatter.Cancelled && at.cancelled() {
+		outcome = at.cancelReason
 	}
-	if p.q.Index != "" && o.cfg.Planner != nil && !at.FirstPhase {
-		o.cfg.Planner.FullSent(p.q.topic())
+	succeeded := outcome == scatter.Succeeded
+	if succeeded && !at.FirstPhase {
+		c.keepValue(at.part, value)
+	}
+	latency := max(0, when-at.sentAt)
+	countOutcome(outcome)
+	c.logAttemptEnded(at, outcome, latency)
+	c.notify(scatter.AttemptEnded{Part: at.part.id, Attempt: at.number, Replica: at.Endpoint, Outcome: outcome,
+		Latency: latency})
+	c.learn(at, succeeded, value, latency)
+	c.open.removePart(at.part)
+}
+
+// keepValue enters the first value of a part.
+func (c *Coordinator) keepValue(p *part, value []byte) {
+	if p.value != nil {
+		return
+	}
+	p.value = value
+	if c.open.isOpen(p.query) {
+		c.open.addBytes(p.query, int64(len(value)))
 	}
-	at.due = o.deadlines.add(o.now+a.Timeout, func() { o.abandon(at, scatter.TimedOut) })
-	return at
 }
--- /dev/null
+++ b/internal/core/coordinator.go
@@ -0,0 +1,69 @@
+package core
+
+import (
+	"cmp"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"harepass/internal/decide/scatter"
+)
+
+// Coordinator is one coordinator: the module, and all that is open. Use New, then Run in a goroutine of its own. Fields
+// belong to that goroutine, unless the type of one says otherwise.
+type Coordinator struct {
+	cfg      Config
+	settings atomic.Pointer[settingsSnapshot] // those in force; see inForce
+
+	queue   chan posted   // messages that wait for the next tick
+	stopped chan struct{} // closed once Run has returned
+
+	machine   *scatter.Machine
+	now       time.Duration   // instant of the present tick, or of the last one
+	events    []scatter.Event // for the module's next step, in order
+	deadlines deadlines
+	wake      *deadline // when the module wants to be stepped; nil before it has asked
+
+	lifecycle   lifecycle
+	load        tickLoad
+	open        openQueries
+	firstPhases map[string]*firstPhase // first phases that are under way, by the module's id
+
+	endpoints   endpointTable
+	updates     pendingUpdates
+	initialList initialList
+	lease       listLease
+	maintenance maintenanceInForce
+
+	logLimit logLimit
+}
+
+// New returns a Coordinator in the phase Starting. It returns a *scatter.SettingError for settings that the module does
+// not take, and ErrSecondRound for classes that this program does not serve.
+func New(cfg Config) (*Coordinator, error) {
+	machine, err := scatter.New(cfg.Seed, withFirstPhases(cfg.Settings, cfg.TwoPhaseClasses))
+	if err != nil {
+		return nil, err
+	}
+	if err := checkSupported(cfg.Settings); err != nil {
+		return nil, err
+	}
+	cfg.Log = cmp.Or(cfg.Log, slog.Default())
+	c := &Coordinator{
+		cfg:         cfg,
+		queue:       make(chan posted, queueCapacity),
+		stopped:     make(chan struct{}),
+		machine:     machine,
+		deadlines:   newDeadlines(),
+		lifecycle:   newLifecycle(),
+		open:        newOpenQueries(),
+		firstPhases: map[string]*firstPhase{},
+		endpoints:   newEndpointTable(cfg.Settings.RingSize, cfg.Settings.ReplicationFactor),
+		maintenance: newMaintenanceInForce(),
+	}
+	c.settings.Store(&settingsSnapshot{cfg.Settings, cfg.Limits})
+	if cfg.OnCheckpoint != nil {
+		c.deadlines.add(cfg.Clock()+checkpointInterval, c.checkpoint)
+	}
+	return c, nil
+}
--- /dev/null
+++ b/internal/core/endpoint_updates.go
@@ -0,0 +1,115 @@
+package core
+
+import (
+	"slices"
+
+	"harepass/internal/decide/scatter"
+)
+
+// endpointUpdate is what a source tells of its list, or a piece of that.
+type endpointUpdate struct {
+	source    string
+	kind      scatter.UpdateKind
+	endpoints []Endpoint
+	partial   bool // further pieces of the same list follow
+
+	// listed has all ids of the source's list, in the last of several pieces; nil where the list came in one.
+	listed map[string]struct{}
+}
+
+// isFull reports whether the update lists all endpoints of its source.
+func (u endpointUpdate) isFull() bool {
+	return u.kind == scatter.FullUpdate || u.kind == scatter.CachedUpdate
+}
+
+// UpdateEndpoints brings a source's list of endpoints, changes of it, or the notice that it could not be had. A full
+// list takes away only what the same source had listed. It waits while the queue is full.
+func (c *Coordinator) UpdateEndpoints(source string, kind scatter.UpdateKind, endpoints []Endpoint) {
+	c.post(endpointUpdate{source: source, kind: kind, endpoints: endpoints})
+}
+
+// UpdateEndpointsPartially brings entries of a source's first list, of which further ones follow. They count at once,
+// but the coordinator does not become Ready by them: UpdateEndpoints with the last entries makes it so. It waits while
+// the queue is full.
+func (c *Coordinator) UpdateEndpointsPartially(source string, endpoints []Endpoint) {
+	c.post(endpointUpdate{source: source, kind: scatter.IncrementalUpdate, endpoints: endpoints, partial: true})
+}
+
+// merge takes an update into the endpoint table and tells the module.
+func (c *Coordinator) merge(u endpointUpdate) {
+	before := map[string]listedEndpoint{} // those that the update may remove
+	if u.isFull() {
+		c.removeListed(u.source, before)
+	}
+	event := scatter.EndpointUpdate{Kind: c.eventKind(u)}
+	unsendable := u.isFull()
+	for _, e := range slices.Concat(u.endpoints, c.unlisted(u)) {
+		before[e.ID] = c.endpoints.byID[e.ID]
+		entry := listedEndpoint{e, u.source}
+		if e.State == scatter.Removed {
+			c.endpoints.remove(e.ID)
+		} else {
+			c.endpoints.put(entry)
+		}
+		c.logEndpointUpdated(e)
+		unsendable = unsendable || !c.sendable(e.ID)
+		event.Replicas = append(event.Replicas, c.effective(entry))
+	}
+	c.disconnectRemoved(before)
+	if event.Kind == scatter.FullUpdate || event.Kind == scatter.CachedUpdate {
+		event.Replicas = c.effectiveList()
+	}
+	c.notify(event)
+	if unsendable {
+		c.withholdUnsendable()
+	}
+	if len(c.maintenance.register) > 0 {
+		c.warnUncoveredShards()
+	}
+	c.noteInitialList(u)
+}
+
+// eventKind is how the module hears of an update. The module takes a full list, a change or a failure for the answer to
+// its own Subscribe, and would never subscribe if a source that it did not ask gave it one. So what comes from such a
+// source is a cached list to it.
+func (c *Coordinator) eventKind(u endpointUpdate) scatter.UpdateKind {
+	if u.source != c.cfg.PolledSource {
+		return scatter.CachedUpdate
+	}
+	return u.kind
+}
+
+// removeListed removes all that a source has listed and adds it to removed.
+func (c *Coordinator) removeListed(source string, removed map[string]listedEndpoint) {
+	for id, e := range c.endpoints.byID {
+		if e.source == source {
+			removed[id] = e
+			c.endpoints.remove(id)
+		}
+	}
+}
+
+// unlisted lists the endpoints that the source of a list in pieces does not list any more, as removed.
+func (c *Coordinator) unlisted(u endpointUpdate) (removed []Endpoint) {
+	if u.listed == nil {
+		return nil
+	}
+	for _, id := range c.endpoints.ids() {
+		e := c.endpoints.byID[id]
+		if _, listed := u.listed[id]; !listed && e.source == u.source {
+			e.State = scatter.Removed
+			removed = append(removed, e.Endpoint)
+		}
+	}
+	return removed
+}
+
+// disconnectRemoved closes the idle connections to those endpoints that are not listed any more. One with an attempt
+// out keeps its connection, which ends when it has been idle.
+func (c *Coordinator) disconnectRemoved(before map[string]listedEndpoint) {
+	for id, e := range before {
+		if _, listed := c.endpoints.byID[id]; !listed {
+			c.closeIdleConnections(e.Scheme, id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/first_phase.go
@@ -0,0 +1,209 @@
+package core
+
+import (
+	"slices"
+	"strconv"
+	"time"
+
+	"harepass/internal/decide/scatter"
+	"harepass/internal/decide/twophase"
+)
+
+// The module sees a query of two phases as one query with all its parts, which is admitted, counted and answered like
+// any other. The parts that the Planner wants asked cheaply first are deferred. Their first phase is a second query of
+// the module, of no tenant, and of a class of its own so that its quick parts do not pass for quick replicas. What the
+// first phase proves resolves a deferred part; where it proves nothing, the part is released.
+
+// firstPhase is the first phase of a query.
+type firstPhase struct {
+	query   *query
+	id      string    // the module's
+	parts   []*part   // one for each deferred part of the query
+	timeout *deadline // when the parts that are still deferred are released
+	ended   bool      // the query is over
+}
+
+// firstPhaseSuffix makes a class's name that of its first phases. Clients cannot name such a class: validate goes by
+// the settings, which lack it.
+const firstPhaseSuffix = "/first"
+
+// withFirstPhases adds the classes of first phases to the settings. They have their class's latency objective, so no
+// figure that the module derives from the tightest one changes.
+func withFirstPhases(s scatter.Settings, classes []string) scatter.Settings {
+	s.Classes = slices.Clone(s.Classes)
+	for _, name := range classes {
+		for _, class := range s.Classes {
+			if class.Name == name {
+				class.Name += firstPhaseSuffix
+				s.Classes = append(s.Classes, class)
+				break
+			}
+		}
+	}
+	return s
+}
+
+// planFirstPhase asks the Planner how a query's parts are asked, and defers and returns those with a first phase.
+func (c *Coordinator) planFirstPhase(q *query) (deferred []*part) {
+	if c.cfg.Planner == nil || q.Index == "" || !slices.Contains(c.cfg.TwoPhaseClasses, q.Class) {
+		return nil
+	}
+	plan := c.cfg.Planner.Plan(c.planRequest(q))
+	for i, p := range q.parts {
+		p.deferred = plan.Modes[i] == twophase.FirstPhase
+		p.wantsVersion = plan.Modes[i] == twophase.FullWithVersion
+		if p.deferred {
+			deferred = append(deferred, p)
+		}
+	}
+	if len(deferred) > 0 {
+		f := &firstPhase{query: q, id: q.id + firstPhaseSuffix}
+		f.timeout = c.deadlines.add(c.now+plan.MaxDeferral, func() { c.releaseDeferred(f) })
+		q.firstPhase = f
+	}
+	return deferred
+}
+
+// planRequest describes a query to the Planner.
+func (c *Coordinator) planRequest(q *query) twophase.Request {
+	request := twophase.Request{Topic: q.topic(), Body: string(q.Body), Capable: c.supportsFirstPhase, Now: c.now}
+	if class := c.inForce().class(q.Class); class != nil {
+		request.Objective = min(q.Deadline, c.now+class.LatencyObjective)
+	}
+	for _, p := range q.parts {
+		request.Shards = append(request.Shards, p.shard)
+	}
+	if limit := c.openLimit(); limit > 0 && c.open.count+openSize(len(q.parts)) > limit {
+		request.Capable = func(int) bool { return false } // a first phase would exceed the limit
+	}
+	return request
+}
+
+// supportsFirstPhase reports whether a shard has holders that may be sent to, and a first phase can be sent to each.
+// The endpoint table remembers the answer until one of the holders changes.
+func (c *Coordinator) supportsFirstPhase(shard int) bool {
+	shard = c.endpoints.ring.position(shard)
+	supported, known := c.endpoints.firstPhase[shard]
+	if known {
+		return supported
+	}
+	for _, id := range c.endpoints.ring.holders(shard) {
+		e := c.endpoints.byID[id]
+		if c.maintenance.register.Effective(e.Replica).State != scatter.Ready {
+			continue
+		}
+		if supported = c.cfg.TwoPhaseSchemes[e.Scheme]; !supported {
+			break
+		}
+	}
+	c.endpoints.firstPhase[shard] = supported
+	return supported
+}
+
+// beginFirstPhase opens the first phase of a query's deferred parts with the module.
+func (c *Coordinator) beginFirstPhase(q *query, deferred []*part) {
+	if len(deferred) == 0 {
+		return
+	}
+	f, number := q.firstPhase, c.open.nextNumber()
+	c.firstPhases[f.id] = f
+	c.notify(scatter.QueryArrived{ID: f.id, Number: number, Class: q.Class + firstPhaseSuffix, Expires: q.Deadline,
+		Parts: len(deferred)})
+	for _, full := range deferred {
+		id := f.id + "." + strconv.Itoa(full.index)
+		p := &part{id: id, index: full.index, shard: full.shard, query: q, full: full}
+		full.firstPhase = p
+		f.parts = append(f.parts, p)
+		c.open.parts[p.id] = p
+		c.notify(scatter.PartArrived{ID: p.id, Number: number, Shard: p.shard, Weight: 1 / float64(len(deferred))})
+	}
+	c.open.count += openSize(len(f.parts))
+}
+
+// releaseDeferred releases all parts that are still deferred: the first phase has had its time, or the module has ended
+// it. Its outcomes may still come and prove something. A nil first phase has no parts.
+func (c *Coordinator) releaseDeferred(f *firstPhase) {
+	if f == nil || !c.open.isOpen(f.query) {
+		return
+	}
+	for _, p := range f.query.parts {
+		c.release(p)
+	}
+}
+
+// release has the module send a deferred part in full.
+func (c *Coordinator) release(p *part) {
+	if p.deferred {
+		p.deferred = false
+		c.notify(scatter.PartReleased{ID: p.id})
+	}
+}
+
+// endPartFirstPhase ends the first phase of a part in full. The module cancels an attempt of it that is still out.
+func (c *Coordinator) endPartFirstPhase(full *part) {
+	if full.firstPhase != nil {
+		c.notify(scatter.PartReleased{ID: full.firstPhase.id, Resolved: true})
+		full.firstPhase = nil
+	}
+}
+
+// endFirstPhase ends the first phase of a query that is over; nil where it had none.
+func (c *Coordinator) endFirstPhase(f *firstPhase) {
+	if f == nil || f.ended {
+		return
+	}
+	f.ended = true
+	c.deadlines.remove(f.timeout)
+	delete(c.firstPhases, f.id)
+	c.notify(scatter.QueryCancelled{ID: f.id})
+	c.open.count -= openSize(len(f.parts))
+	c.closeParts(f.parts)
+}
+
+// learn tells the Planner what an attempt shows: its latency, what a first phase proves, and a value to retain.
+func (c *Coordinator) learn(at *Attempt, succeeded bool, value []byte, latency time.Duration) {
+	p := at.part
+	if p.query.Index == "" || c.cfg.Planner == nil {
+		return
+	}
+	if succeeded {
+		c.cfg.Planner.ObserveLatency(p.query.topic(), p.shard, at.FirstPhase, latency)
+	}
+	switch {
+	case at.FirstPhase:
+		c.learnFirstPhase(at, succeeded)
+	case succeeded:
+		c.learnFull(at, value)
+	}
+}
+
+// learnFull takes in the value of a part in full.
+func (c *Coordinator) learnFull(at *Attempt, value []byte) {
+	p := at.part
+	if at.WithVersion {
+		c.cfg.Planner.ObserveFull(p.query.topic(), p.shard, string(p.query.Body), at.Evidence, value, c.now)
+	}
+	c.endPartFirstPhase(p)
+}
+
+// learnFirstPhase takes in the outcome of a part's first phase: the part in full gets its value by it, or is released.
+func (c *Coordinator) learnFirstPhase(at *Attempt, succeeded bool) {
+	p, q, full := at.part, at.part.query, at.part.full
+	if full.firstPhase != p || !c.open.isOpen(q) { // the part in full has ended without it
+		return
+	}
+	evidence := at.Evidence
+	evidence.Readable = evidence.Readable && succeeded
+	verdict, value := c.cfg.Planner.ObserveFirstPhase(q.topic(), p.shard, string(q.Body), evidence, full.deferred,
+		c.now)
+	if verdict.Proves() && full.value == nil {
+		if verdict == twophase.Empty {
+			value = q.EmptyValue
+		}
+		full.value, full.pruned, full.deferred = value, true, false
+		c.notify(scatter.PartReleased{ID: full.id, Resolved: true})
+	}
+	full.wantsVersion = c.cfg.Planner.WantsVersion(q.topic(), p.shard)
+	c.release(full)
+	c.endPartFirstPhase(full)
+}
--- a/internal/core/gate_test.go
+++ b/internal/core/gate_test.go
@@ -29,23 +29,23 @@
 // What the gate refuses never reaches the owner; what it let in before is not asked about again.
 func TestGate(t *testing.T) {
 	k := &keeper{refuse: true}
-	r := newRig(t, func(c *Config) { c.Admitter = k })
-	q := r.query("free", 0, 1)
-	if a := r.Ask(q, nil); a.Status != Rejected || a.RetryAfter != 3*time.Second || len(r.queue) != 0 {
-		t.Errorf("%+v, %d messages for the owner", a, len(r.queue))
+	h := newHarness(t, func(c *Config) { c.Admitter = k })
+	q := h.query("free", 0, 1)
+	if a := h.Ask(q, nil); a.Status != Rejected || a.RetryAfter != 3*time.Second || len(h.queue) != 0 {
+		t.Errorf("%+v, %d messages for the owner", a, len(h.queue))
 	}
 	if len(k.asked) != 1 || k.asked[0].Parts != 2 || k.asked[0].Class != "free" {
 		t.Errorf("asked %+v", k.asked)
 	}
-	q = r.query("free", 0)
+	q = h.query("free", 0)
 	q.Admitted = true
 	gone := make(chan struct{})
 	close(gone)
-	if a := r.Ask(q, gone); a.Status != Failed || len(k.asked) != 1 {
+	if a := h.Ask(q, gone); a.Status != Failed || len(k.asked) != 1 {
 		t.Errorf("%+v, asked %d times", a, len(k.asked))
 	}
-	r = newRig(t, func(c *Config) { c.Admitter, c.Settings.RetryAfter = k, 0 }) // clients may not be told when to come back
-	if a := r.Ask(r.query("free", 0), nil); a.RetryAfter != 0 {
+	h = newHarness(t, func(c *Config) { c.Admitter, c.Settings.RetryAfter = k, 0 }) // clients may not be told when to come back
+	if a := h.Ask(h.query("free", 0), nil); a.RetryAfter != 0 {
 		t.Errorf("told to come back in %v", a.RetryAfter)
 	}
 }
@@ -53,22 +53,22 @@
 // The owner tells how late it was, what it holds, and of each query's end once; all books end at nothing.
 func TestTurnsTold(t *testing.T) {
 	k := &keeper{}
-	r := newRig(t, func(c *Config) { c.Admitter, c.Limits.MaxOpen = k, 100 })
-	r.Submit(r.query("free", 0, 1))
-	r.clock += 30 * ms
-	r.turn()
+	h := newHarness(t, func(c *Config) { c.Admitter, c.Limits.MaxOpen = k, 100 })
+	h.Submit(h.query("free", 0, 1))
+	h.clock += 30 * ms
+	h.tick()
 	last := k.turns[len(k.turns)-1]
 	if last.Count != 1 || last.TotalWait != 30*ms || last.MaxWait != 30*ms || last.OpenFraction != 0.03 || last.QueryBytes != queryBytes+2*partBytes {
 		t.Errorf("%+v", last)
 	}
-	for _, call := range r.hand.calls {
+	for _, call := range h.caller.calls {
 		for _, at := range call {
-			r.AttemptEnded(at, scatter.Succeeded, make([]byte, 100))
+			h.AttemptEnded(at, scatter.Succeeded, make([]byte, 100))
 		}
 	}
-	r.pass(0)
-	if last := k.turns[len(k.turns)-1]; last.QueryBytes != 0 || last.OpenFraction != 0 || !slices.Equal(k.done, []int{2}) || r.bytes != 0 {
-		t.Errorf("%+v, ended %v, %d bytes", last, k.done, r.bytes)
+	h.pass(0)
+	if last := k.turns[len(k.turns)-1]; last.QueryBytes != 0 || last.OpenFraction != 0 || !slices.Equal(k.done, []int{2}) || h.open.bytes != 0 {
+		t.Errorf("%+v, ended %v, %d bytes", last, k.done, h.open.bytes)
 	}
 }
 
@@ -76,44 +76,44 @@
 // that is allowed, refused else; and none of which a part may have run that must not run twice.
 func TestSqueeze(t *testing.T) {
 	k := &keeper{}
-	r := newRig(t, func(c *Config) {
+	h := newHarness(t, func(c *Config) {
 		c.Admitter, c.Planner, c.CacheBytes = k, twophase.New(1<<20), 1<<20
 		c.Settings.Classes[0].MinFraction = 0.5
 	})
-	r.cfg.Planner.ObserveFull(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
+	h.cfg.Planner.ObserveFull(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
 	var once *Query
 	for i := range 3 {
-		q := r.query("free", 0, 1)
+		q := h.query("free", 0, 1)
 		if i == 2 {
-			q = r.query("once", 0)
+			q = h.query("once", 0)
 			once = q
 		}
 		q.Done = func(a Answer) {
-			r.answers = append(r.answers, fmt.Sprintf("%s: %d whole=%t", q.ID, a.Status, a.Complete))
+			h.answers = append(h.answers, fmt.Sprintf("%s: %d whole=%t", q.ID, a.Status, a.Complete))
 		}
-		r.Submit(q)
-		r.pass(0)
+		h.Submit(q)
+		h.pass(0)
 	}
-	r.AttemptEnded(r.hand.calls[0][0], scatter.Succeeded, make([]byte, 100<<10)) // of the first query's two parts
-	r.pass(0)
-	r.RelieveMemory(overload.DropCached, 0)
-	r.pass(0)
-	if n, _ := r.cfg.Planner.Cached(); n != 0 || len(r.answers) != 0 {
-		t.Errorf("%d values retained, answers %q", n, r.answers)
+	h.AttemptEnded(h.caller.calls[0][0], scatter.Succeeded, make([]byte, 100<<10)) // of the first query's two parts
+	h.pass(0)
+	h.RelieveMemory(overload.DropCached, 0)
+	h.pass(0)
+	if n, _ := h.cfg.Planner.Cached(); n != 0 || len(h.answers) != 0 {
+		t.Errorf("%d values retained, answers %q", n, h.answers)
 	}
-	r.RelieveMemory(overload.EndQueries, 1)
-	r.pass(0)
-	r.want(t, "q1: 0 whole=false") // half of it is in
-	r.RelieveMemory(overload.EndQueries, 1<<30)
-	r.pass(0)
-	r.want(t, "q1: 0 whole=false", "q2: 1 whole=false")
-	if r.byQuery[once] == nil {
+	h.RelieveMemory(overload.EndQueries, 1)
+	h.pass(0)
+	h.want(t, "q1: 0 whole=false") // half of it is in
+	h.RelieveMemory(overload.EndQueries, 1<<30)
+	h.pass(0)
+	h.want(t, "q1: 0 whole=false", "q2: 1 whole=false")
+	if h.open.byQuery[once] == nil {
 		t.Error("a report that may have run was ended")
 	}
-	r.RelieveMemory(overload.MemoryNormal, 0)
-	r.pass(0)
-	r.cfg.Planner.ObserveFull(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
-	if n, _ := r.cfg.Planner.Cached(); n != 1 {
+	h.RelieveMemory(overload.MemoryNormal, 0)
+	h.pass(0)
+	h.cfg.Planner.ObserveFull(twophase.Topic{Index: "ix", Class: "free"}, 0, "q", state(1), []byte("v"), 0)
+	if n, _ := h.cfg.Planner.Cached(); n != 1 {
 		t.Error("nothing is retained after memory came back")
 	}
 }
--- /dev/null
+++ b/internal/core/initial_list.go
@@ -0,0 +1,39 @@
+package core
+
+import (
+	"time"
+
+	"harepass/internal/decide/scatter"
+)
+
+// cachedListDelay is for how long a new list is waited for after a start with a cached one. A watch that brings nothing
+// is silent, and discovery may be overloaded; clients are served by the cached list then.
+const cachedListDelay = 200 * time.Millisecond
+
+// initialList tells whether the endpoint list counts as known, which makes the coordinator Ready.
+type initialList struct {
+	known     bool // the polled source has answered, if only by a failure, or the cached list has to do
+	requested bool // the polled source was asked, and cachedListDelay does not run yet
+}
+
+// noteInitialList takes in that an update was merged.
+func (c *Coordinator) noteInitialList(u endpointUpdate) {
+	if u.partial {
+		return
+	}
+	if u.kind != scatter.CachedUpdate && u.source == c.cfg.PolledSource {
+		c.initialList.known = true
+	}
+	c.presumeInitialList()
+}
+
+// presumeInitialList lets the cached list do after cachedListDelay, once it is there and a new one was asked for,
+// whichever came first. If it had to be there first, a coordinator whose cached list came a moment after the request
+// would not be ready for as long as the watch is silent.
+func (c *Coordinator) presumeInitialList() {
+	l := &c.initialList
+	if l.requested && !l.known && len(c.endpoints.byID) > 0 {
+		l.requested = false
+		c.deadlines.add(c.now+cachedListDelay, func() { l.known = true })
+	}
+}
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -1,59 +1,71 @@
 package core
 
 import (
-	"errors"
 	"slices"
+	"sync/atomic"
 
 	"harepass/internal/decide/maintenance"
 	"harepass/internal/decide/scatter"
+	"harepass/internal/logmsg"
 )
 
-// This file is the owner's part in nodes that operators have taken out: the module hears of the list as the book tells it.
+// maintenanceInForce is the register of replicas that operators have taken out. It comes past the queue, so that a call
+// does not wait behind queries; several calls between two ticks are as the last of them.
+type maintenanceInForce struct {
+	latest  atomic.Pointer[maintenance.Register] // set by any goroutine; nil before the first
+	changed chan struct{}                        // has a token while latest may not have been applied
 
-// SetMaintenance brings the book as it is from now on. It does not wait, be the owner's queue as long as it may.
-func (o *Coordinator) SetMaintenance(b maintenance.Register) {
-	o.books.Store(&b)
-	select {
-	case o.news <- struct{}{}:
-	default:
-	}
+	applied   *maintenance.Register // the value of latest that the module has heard of
+	register  maintenance.Register  // the contents of applied
+	uncovered []int                 // shards that the last warning named
 }
 
-// CheckReady tells why the owner does not take queries; for any goroutine.
-func (o *Coordinator) CheckReady() error {
-	if p := o.Phase(); p != Ready {
-		return errors.New(p.String())
+func newMaintenanceInForce() maintenanceInForce {
+	return maintenanceInForce{changed: make(chan struct{}, 1)}
+}
+
+// SetMaintenance replaces the register from the next tick on. It does not wait, and any goroutine may call it; the
+// register must not be changed after that.
+func (c *Coordinator) SetMaintenance(register maintenance.Register) {
+	c.maintenance.latest.Store(&register)
+	select {
+	case c.maintenance.changed <- struct{}{}:
+	default:
 	}
-	return nil
 }
 
-// heed takes over the latest book, before all else in a turn.
-func (o *Coordinator) heed() {
-	b := o.books.Load()
-	if b == nil || b == o.heeded {
+// applyMaintenance takes over the latest register, if there is a new one. It comes before all else in a tick, so
+// nothing that the tick decides is sent to a replica that was taken out before.
+func (c *Coordinator) applyMaintenance() {
+	latest := c.maintenance.latest.Load()
+	if latest == nil || latest == c.maintenance.applied {
 		return
 	}
-	o.heeded, o.book = b, *b
-	o.retellNodes()
-	o.withholdLeaving()
-	o.warnBare()
+	c.maintenance.applied, c.maintenance.register = latest, *latest
+	c.notifyEffectiveList()
+	c.withholdUnsendable()
+	c.warnUncoveredShards()
 }
 
-// warnBare logs which sections have lost all holders by hand, when that changes. They stay lost: the rule holds.
-func (o *Coordinator) warnBare() {
-	var cells []int
-	for id, e := range o.book {
-		if n, listed := o.nodes[id]; listed && e.Out {
-			cells = append(cells, n.RingPosition)
+// warnUncoveredShards logs, when that changes, the shards of which all holders were taken out. The coordinator does not
+// send to them all the same: operators alone may call a replica back.
+func (c *Coordinator) warnUncoveredShards() {
+	m := &c.maintenance
+	var positions []int
+	for id, entry := range m.register {
+		if e, listed := c.endpoints.byID[id]; listed && entry.Out {
+			positions = append(positions, e.RingPosition)
 		}
 	}
-	var list []scatter.Replica
-	for _, id := range o.cells.near(cells) {
-		list = append(list, o.nodes[id].Replica)
+	var replicas []scatter.Replica
+	for _, id := range c.endpoints.ring.near(positions) {
+		replicas = append(replicas, c.endpoints.byID[id].Replica)
 	}
-	bare := o.book.UncoveredShards(list, o.set().RingSize, o.set().ReplicationFactor, o.set().limits.Shards)
-	if !slices.Equal(bare, o.bare) {
-		o.bare = bare
-		o.cfg.Log.Warn("sections whose nodes are all out by hand", "sections", bare, "do", "call one of their nodes back")
+	s := c.inForce()
+	uncovered := m.register.UncoveredShards(replicas, s.RingSize, s.ReplicationFactor, s.limits.Shards)
+	if !slices.Equal(uncovered, m.uncovered) {
+		m.uncovered = uncovered
+		c.cfg.Log.Warn(logmsg.ShardsUncovered, logmsg.KeyShards, uncovered,
+			logmsg.KeyRemedy, "end the maintenance of one of their replicas")
 	}
 }
--- /dev/null
+++ b/internal/core/open_queries.go
@@ -0,0 +1,106 @@
+package core
+
+import "sync/atomic"
+
+// What an open query and a part take in the maps of coordinator and module, besides texts and values, in bytes.
+const (
+	queryBytes = 2 << 10
+	partBytes  = 1 << 10
+)
+
+// openQueries holds the queries that have not been answered, and the parts that are under way. A part stays until its
+// query is over and its last attempt has ended, for outcomes of attempts still reach the module.
+type openQueries struct {
+	byID       map[string]*query   // by the module's id
+	byQuery    map[*Query]*query   // by what the front handed over
+	clientIDs  map[string]struct{} // ids that clients gave to queries whose time is not over, answered or not
+	parts      map[string]*part    // by the module's id; first phases of parts too
+	lastNumber int64               // of the query or first phase that was opened last
+	count      int                 // queries and parts that are open; a first phase counts as a query
+	bytes      int64               // that open queries take, as far as they are counted
+
+	// shared tells that another process of the same coordinator serves beside this one. Any goroutine may use it.
+	shared atomic.Bool
+}
+
+func newOpenQueries() openQueries {
+	return openQueries{byID: map[string]*query{}, byQuery: map[*Query]*query{}, clientIDs: map[string]struct{}{},
+		parts: map[string]*part{}}
+}
+
+// openSize is what a query of so many parts counts toward the limit.
+func openSize(parts int) int { return 1 + parts }
+
+// nextNumber numbers a query or first phase that is to be opened.
+func (o *openQueries) nextNumber() int64 {
+	o.lastNumber++
+	return o.lastNumber
+}
+
+// add counts a query that is accepted; its parts follow.
+func (o *openQueries) add(q *query) {
+	o.count += openSize(len(q.Parts))
+	o.byID[q.id], o.byQuery[q.Query] = q, q
+	o.addBytes(q, int64(queryBytes+len(q.Body)+partBytes*len(q.Parts)))
+}
+
+func (o *openQueries) addPart(p *part) {
+	p.query.parts = append(p.query.parts, p)
+	o.parts[p.id] = p
+}
+
+// addBytes counts bytes that an open query takes.
+func (o *openQueries) addBytes(q *query, bytes int64) {
+	q.bytes += bytes
+	o.bytes += bytes
+}
+
+// remove ends a query; its parts stay until removePart.
+func (o *openQueries) remove(q *query) {
+	delete(o.byID, q.id)
+	delete(o.byQuery, q.Query)
+	o.count -= openSize(len(q.parts))
+	o.bytes -= q.bytes
+}
+
+// removePart forgets a part whose query is over, if it has no attempt out.
+func (o *openQueries) removePart(p *part) {
+	if o.isOpen(p.query) {
+		return
+	}
+	for _, at := range p.attempts {
+		if !at.ended {
+			return
+		}
+	}
+	delete(o.parts, p.id)
+}
+
+// isOpen reports whether a query has no final answer yet and its client has not left.
+func (o *openQueries) isOpen(q *query) bool { return o.byID[q.id] != nil }
+
+// reserved reports whether replicas may still work for a query with a client's id.
+func (o *openQueries) reserved(clientID string) bool {
+	_, reserved := o.clientIDs[clientID]
+	return reserved
+}
+
+// reserveID refuses other queries with the id of q until q's client's time is over and no replica can still be at it:
+// replicas know a part by its query's id, and would take one query's part for another's.
+func (c *Coordinator) reserveID(q *query) {
+	c.open.clientIDs[q.ID] = struct{}{}
+	c.deadlines.add(q.Deadline+answerGrace+cancelGrace, func() { delete(c.open.clientIDs, q.ID) })
+}
+
+// SetShared tells whether another process of the same coordinator serves beside this one: what may be open is for both.
+// Any goroutine may call it.
+func (c *Coordinator) SetShared(shared bool) { c.open.shared.Store(shared) }
+
+// openLimit is how many queries and parts may be open; 0 for no limit.
+func (c *Coordinator) openLimit() int {
+	limit := c.inForce().limits.MaxOpen
+	if limit > 0 && c.open.shared.Load() {
+		return max(1, limit/2)
+	}
+	return limit
+}
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -8,88 +8,80 @@
 	"harepass/internal/decide/scatter"
 )
 
-// This file is how the owner's settings change while it serves.
+var (
+	// ErrSecondRound is returned for settings with a class of two rounds, which no front of this program serves.
+	ErrSecondRound = errors.New("core: classes with a second step are not served")
+	// ErrStopped is returned by calls to a Coordinator whose Run has returned.
+	ErrStopped = errors.New("core: stopped")
+)
 
-// facts are the settings in force, and the limits that come with them. A change makes new ones, so any goroutine may
-// read them.
-type facts struct {
+// settingsSnapshot holds settings and limits that are in force together. It is never changed, so any goroutine may read
+// it.
+type settingsSnapshot struct {
 	scatter.Settings
 	limits Limits
 }
 
-// set is what is in force.
-func (o *Coordinator) set() *facts { return o.facts.Load() }
+// inForce returns the settings in force. Any goroutine may call it.
+func (c *Coordinator) inForce() *settingsSnapshot { return c.settings.Load() }
 
-// class is a class in force by its name, nil if there is none.
-func (f *facts) class(name string) *scatter.Class {
-	for i := range f.Classes {
-		if f.Classes[i].Name == name {
-			return &f.Classes[i]
+// class returns the class of a name, nil if there is none.
+func (s *settingsSnapshot) class(name string) *scatter.Class {
+	for i := range s.Classes {
+		if s.Classes[i].Name == name {
+			return &s.Classes[i]
 		}
 	}
 	return nil
 }
 
-// resendPolicy is that of a class in force by its name; without any bound if there is none.
-func (f *facts) resendPolicy(name string) retry.Policy {
-	if c := f.class(name); c != nil {
+// retryPolicy returns the policy of the class of a name, the zero policy if there is none.
+func (s *settingsSnapshot) retryPolicy(class string) retry.Policy {
+	if c := s.class(class); c != nil {
 		return c.RetryPolicy()
 	}
 	return retry.Policy{}
 }
 
-// servable tells what this program does not serve.
-func servable(s scatter.Settings) error {
-	for _, c := range s.Classes {
-		if c.SecondRoundParts > 0 {
-			return fmt.Errorf("%w: %s", ErrSecondStep, c.Name)
+// checkSupported returns ErrSecondRound, with the class's name, for settings that this program does not serve.
+func checkSupported(s scatter.Settings) error {
+	for _, class := range s.Classes {
+		if class.SecondRoundParts > 0 {
+			return fmt.Errorf("%w: %s", ErrSecondRound, class.Name)
 		}
 	}
 	return nil
 }
 
-// Configure takes settings and limits over: whole, or not at all with an error. Queries that were submitted before keep
-// their class.
-func (o *Coordinator) Configure(s scatter.Settings, l Limits) error {
-	if err := servable(s); err != nil {
+// Configure puts settings and limits in force, all of them or, with an error, none: ErrSecondRound, a
+// *scatter.SettingError, or ErrStopped. Queries that were submitted before keep their class. It waits for the tick that
+// does it, so the coordinator's own goroutine must not call it.
+func (c *Coordinator) Configure(s scatter.Settings, l Limits) error {
+	if err := checkSupported(s); err != nil {
 		return err
 	}
-	done := make(chan error, 1)
-	o.post(configured{&facts{s, l}, done})
+	result := make(chan error, 1)
+	c.post(configureRequest{&settingsSnapshot{s, l}, result})
 	select {
-	case err := <-done:
+	case err := <-result:
 		return err
-	case <-o.done:
-		return errors.New("core: stopped")
+	case <-c.stopped:
+		return ErrStopped
 	}
 }
 
-type configured struct {
-	facts *facts
-	done  chan error
+type configureRequest struct {
+	settings *settingsSnapshot
+	result   chan error // takes one without waiting
 }
 
-func (m configured) apply(o *Coordinator) {
-	o.step() // what has come before belongs to the old ones
-	err := o.agg.Configure(withFirsts(m.facts.Settings, o.cfg.TwoPhaseClasses))
+func (m configureRequest) apply(c *Coordinator) {
+	c.step() // events that came before belong to the old settings
+	err := c.machine.Configure(withFirstPhases(m.settings.Settings, c.cfg.TwoPhaseClasses))
 	if err == nil {
-		o.facts.Store(m.facts)
-		clear(o.ables)
-		if m.facts.RingSize != o.cells.size || m.facts.ReplicationFactor != o.cells.reach {
-			o.cells = newCellIndex(m.facts.RingSize, m.facts.ReplicationFactor, o.nodes)
-		}
-	}
-	m.done <- err
-}
-
-// SetShared tells whether another process of the same coordinator serves beside this one: what may be open is for both.
-func (o *Coordinator) SetShared(yes bool) { o.shared.Store(yes) }
-
-// most is how many queries and parts may be open; 0 for no limit.
-func (o *Coordinator) most() int {
-	most := o.set().limits.MaxOpen
-	if most > 0 && o.shared.Load() {
-		return max(1, most/2)
+		c.settings.Store(m.settings)
+		c.endpoints.forgetFirstPhases()
+		c.endpoints.resizeRing(m.settings.RingSize, m.settings.ReplicationFactor)
 	}
-	return most
+	m.result <- err
 }
--- /dev/null
+++ b/internal/core/submit.go
@@ -0,0 +1,116 @@
+package core
+
+import (
+	"strconv"
+
+	"harepass/internal/decide/overload"
+	"harepass/internal/decide/retry"
+	"harepass/internal/decide/scatter"
+)
+
+// Ask submits a query and waits for its answer, or until clientLeft is closed; the answer is Failed then. It validates
+// the query, asks the Admitter unless the query is Admitted, and sets Done. Any goroutine may call it, but for the
+// coordinator's own. A nil clientLeft never closes.
+func (c *Coordinator) Ask(q *Query, clientLeft <-chan struct{}) Answer {
+	if err := c.validate(q); err != nil {
+		return Answer{Status: Invalid, Reason: err.Error()}
+	}
+	if !q.Admitted {
+		arrival := overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry, Parts: len(q.Parts)}
+		if ok, retryIn := c.Admit(arrival); !ok {
+			return Answer{Status: Rejected, RetryAfter: retryIn}
+		}
+	}
+	answers := make(chan Answer, 1)
+	q.Done, q.client.closed = func(a Answer) { answers <- a }, clientLeft
+	if q.clientHasLeft(c.cfg.Clock()) {
+		return Answer{Status: Failed}
+	}
+	if !c.Submit(q) {
+		return Answer{Status: Rejected, RetryAfter: c.inForce().RetryAfter}
+	}
+	select {
+	case a := <-answers:
+		return a
+	case <-clientLeft:
+		c.CancelQuery(q)
+		return Answer{Status: Failed}
+	}
+}
+
+// Submit hands over a query, which has to be valid and to have its Done. It does not wait. False means that the queue
+// is full or that the coordinator has stopped: nothing was accepted, and Done is not called.
+func (c *Coordinator) Submit(q *Query) bool {
+	if c.Phase() == Stopped {
+		return false
+	}
+	select {
+	case c.queue <- posted{submitted{q}, c.cfg.Clock()}:
+		return true
+	default:
+		rejectedQueueFull.Inc()
+		return false
+	}
+}
+
+type submitted struct{ query *Query }
+
+// apply accepts a query, or answers it at once.
+func (m submitted) apply(c *Coordinator) {
+	q := m.query
+	if answer, over := c.immediateAnswer(q); over {
+		q.Done(answer)
+		return
+	}
+	policy := c.inForce().retryPolicy(q.Class) // the front's check may have gone by older settings
+	key, err := policy.Key(q.IdempotencyKeys)
+	if err != nil {
+		q.Done(Answer{Status: Invalid, Reason: err.Error()})
+		return
+	}
+	c.accept(q, policy, key)
+}
+
+// immediateAnswer returns the final answer to a query that is not to be opened at all; over is false for any other.
+func (c *Coordinator) immediateAnswer(q *Query) (answer Answer, over bool) {
+	if q.clientHasLeft(c.cfg.Clock()) { // while the query was in the queue
+		return Answer{Status: Failed}, true
+	}
+	if c.nothingSendable() {
+		rejectedListExpired.Inc()
+		return Answer{Status: Rejected, RetryAfter: c.inForce().RetryAfter}, true
+	}
+	if c.open.reserved(q.ID) {
+		return Answer{Status: Invalid, Reason: ErrDuplicateID.Error()}, true
+	}
+	if limit := c.openLimit(); limit > 0 && c.open.count+openSize(len(q.Parts)) > limit {
+		rejectedOpenLimit.Inc()
+		return Answer{Status: Rejected, RetryAfter: c.inForce().RetryAfter}, true
+	}
+	return Answer{}, false
+}
+
+// accept opens a query and tells the module of it and its parts, then of its first phase.
+func (c *Coordinator) accept(submitted *Query, policy retry.Policy, key string) {
+	if end := c.lifecycle.drainEnd; end > 0 {
+		submitted.Deadline = min(submitted.Deadline, end)
+	}
+	queriesAccepted.Inc()
+	number := c.open.nextNumber()
+	q := &query{Query: submitted, id: strconv.FormatInt(number, 10), number: number, retryPolicy: policy,
+		idempotencyKey: key, acceptedAt: c.now}
+	c.open.add(q)
+	q.expiry = c.deadlines.add(q.Deadline+answerGrace, func() { c.expire(q) })
+	c.reserveID(q)
+	c.notify(scatter.QueryArrived{ID: q.id, Number: number, Class: q.Class, Tenant: q.Tenant, Expires: q.Deadline,
+		Parts: len(q.Parts), IsRetry: q.IsRetry, RequireComplete: q.RequireComplete})
+	for i, p := range q.Parts {
+		c.open.addPart(&part{id: q.id + "." + strconv.Itoa(i), index: i, shard: p.Shard, query: q})
+	}
+	deferred := c.planFirstPhase(q)
+	for i, p := range q.parts {
+		c.notify(scatter.PartArrived{ID: p.id, Number: number, Shard: p.shard, Weight: q.Parts[i].Weight,
+			Deferred: p.deferred})
+	}
+	c.beginFirstPhase(q, deferred)
+}
--- /dev/null
+++ b/internal/core/validate.go
@@ -0,0 +1,117 @@
+package core
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	"harepass/internal/decide/scatter"
+)
+
+const (
+	maxIDLength     = 128  // bytes of a query's id
+	weightTolerance = 1e-3 // by how much a query's weights may miss 1 for rounding, as clients write them
+)
+
+// Errors of a query that cannot be served as it is. The client is told their texts; those of retry.Policy.Key and
+// InvalidPartError are further ones.
+var (
+	ErrInvalidID     = errors.New("bad id")
+	ErrDuplicateID   = errors.New("the id is taken")
+	ErrUnknownClass  = errors.New("unknown class")
+	ErrUnknownTenant = errors.New("unknown tenant")
+	ErrNoTimeLeft    = errors.New("no time left")
+	ErrNoParts       = errors.New("no parts")
+)
+
+// InvalidPartError tells what is wrong with the parts of a query. The client is told its text.
+type InvalidPartError struct {
+	Problem PartProblem
+	Shard   int     // UnknownShard, RepeatedShard
+	Weight  float64 // InvalidWeight: of the part; InvalidWeightSum: of all parts
+}
+
+// PartProblem is what may be wrong with the parts of a query.
+type PartProblem int
+
+// The problems.
+const (
+	UnknownShard     PartProblem = iota // the shard is negative, or there are fewer
+	RepeatedShard                       // two parts have the same shard
+	InvalidWeight                       // a weight is not above 0 and up to 1
+	InvalidWeightSum                    // the weights do not sum to 1
+)
+
+// Error is the text that the client is told.
+func (e *InvalidPartError) Error() string {
+	switch e.Problem {
+	case UnknownShard:
+		return fmt.Sprintf("unknown shard %d", e.Shard)
+	case RepeatedShard:
+		return fmt.Sprintf("shard %d twice", e.Shard)
+	case InvalidWeight:
+		return fmt.Sprintf("weight %g", e.Weight)
+	default:
+		return fmt.Sprintf("weights sum to %g", e.Weight)
+	}
+}
+
+// validate returns why a query cannot be served, as far as the settings in force tell. It cuts the query's deadline to
+// what its class allows. Any goroutine may call it.
+func (c *Coordinator) validate(q *Query) error {
+	settings := c.inForce()
+	class := settings.class(q.Class)
+	switch now := c.cfg.Clock(); {
+	case q.ID == "" || len(q.ID) > maxIDLength || strings.ContainsFunc(q.ID, invalidInID):
+		return ErrInvalidID
+	case class == nil:
+		return ErrUnknownClass
+	case !settings.servesTenant(q.Tenant):
+		return ErrUnknownTenant
+	case q.Deadline <= now:
+		return ErrNoTimeLeft
+	case len(q.Parts) == 0:
+		return ErrNoParts
+	default:
+		q.Deadline = min(q.Deadline, now+class.Deadline)
+	}
+	if _, err := class.RetryPolicy().Key(q.IdempotencyKeys); err != nil {
+		return err
+	}
+	return validateParts(q.Parts, settings.limits.Shards)
+}
+
+// validateParts returns an *InvalidPartError for parts that are none of a query; shards is 0 where their number is
+// unknown.
+func validateParts(parts []Part, shards int) error {
+	sum, seen := 0.0, map[int]bool{}
+	for _, p := range parts {
+		switch {
+		case p.Shard < 0 || shards > 0 && p.Shard >= shards:
+			return &InvalidPartError{Problem: UnknownShard, Shard: p.Shard}
+		case seen[p.Shard]:
+			return &InvalidPartError{Problem: RepeatedShard, Shard: p.Shard}
+		case !(p.Weight > 0 && p.Weight <= 1+weightTolerance): // NaN is invalid too
+			return &InvalidPartError{Problem: InvalidWeight, Weight: p.Weight}
+		}
+		seen[p.Shard] = true
+		sum += p.Weight
+	}
+	if !(math.Abs(sum-1) <= weightTolerance) {
+		return &InvalidPartError{Problem: InvalidWeightSum, Weight: sum}
+	}
+	return nil
+}
+
+// invalidInID reports whether a character could not stand in an id on some wire. A dot separates the id from the shard.
+func invalidInID(r rune) bool {
+	return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '-' && r != '_'
+}
+
+// servesTenant reports whether queries of a tenant are served; where the settings name none, any is.
+func (s *settingsSnapshot) servesTenant(name string) bool {
+	return name == "" || len(s.Tenants) == 0 ||
+		slices.ContainsFunc(s.Tenants, func(t scatter.Tenant) bool { return t.Name == name })
+}
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -18,6 +18,10 @@
 // Messages about the endpoint list and the settings in force.
 const (
 	VersionInForce = "version in force"
+
+	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired: queries are served again
+	EndpointListExpired   = "endpoint list expired"           // nothing new is sent until discovery confirms it
+	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas were taken out: queries are refused
 )
 
 // Keys.
@@ -36,4 +40,15 @@
 	KeyAttempts  = "attempts"
 	KeyError     = "err"
 	KeySlowStart = "slow_start"
+
+	KeyReason          = "reason"
+	KeyTenant          = "tenant"
+	KeyQueryAge        = "query_age"
+	KeyTimeLeft        = "time_left"
+	KeyParts           = "parts"
+	KeyPartsServed     = "parts_served"
+	KeyLinesSuppressed = "lines_suppressed"
+	KeyOpenQueries     = "open_queries"
+	KeyShards          = "shards"
+	KeyRemedy          = "remedy"
 )
