--- a/internal/core/begin_test.go
+++ b/internal/core/begin_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// A client that has left before its query reaches the owner, or before Ask, has nothing sent.
+// A client that has left before its query reaches the owner, or before Execute, has nothing sent.
 func TestNothingBeginsForWhoHasLeft(t *testing.T) {
 	h := two(t, nil)
 	gone := make(chan struct{})
@@ -107,7 +107,7 @@
 	h.Submit(q)
 	close(gone)
 	h.pass(0)
-	if a := h.Ask(h.query("free", 0), gone); a.Status != Failed {
+	if a := h.Execute(h.query("free", 0), gone); a.Status != Failed {
 		t.Errorf("the answer is %+v", a)
 	}
 	if h.pass(time.Second); len(h.caller.calls) > 0 || h.open.count > 0 {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -395,7 +395,7 @@
 		q := h.query("free", 0, 1)
 		q.Tenant = "kitakaze"
 		want.do(q)
-		if a := h.Ask(q, nil); a.Status != Invalid || a.Reason != want.reason || len(h.queue) > 0 {
+		if a := h.Execute(q, nil); a.Status != Invalid || a.Reason != want.reason || len(h.queue) > 0 {
 			t.Errorf("%s: %+v, want %q", change, a, want.reason)
 		}
 	}
--- a/internal/core/gate_test.go
+++ b/internal/core/gate_test.go
@@ -31,7 +31,7 @@
 	k := &keeper{refuse: true}
 	h := newHarness(t, func(c *Config) { c.Admitter = k })
 	q := h.query("free", 0, 1)
-	if a := h.Ask(q, nil); a.Status != Rejected || a.RetryAfter != 3*time.Second || len(h.queue) != 0 {
+	if a := h.Execute(q, nil); a.Status != Rejected || a.RetryAfter != 3*time.Second || len(h.queue) != 0 {
 		t.Errorf("%+v, %d messages for the owner", a, len(h.queue))
 	}
 	if len(k.asked) != 1 || k.asked[0].Parts != 2 || k.asked[0].Class != "free" {
@@ -41,11 +41,11 @@
 	q.Admitted = true
 	gone := make(chan struct{})
 	close(gone)
-	if a := h.Ask(q, gone); a.Status != Failed || len(k.asked) != 1 {
+	if a := h.Execute(q, gone); a.Status != Failed || len(k.asked) != 1 {
 		t.Errorf("%+v, asked %d times", a, len(k.asked))
 	}
 	h = newHarness(t, func(c *Config) { c.Admitter, c.Settings.RetryAfter = k, 0 }) // clients may not be told when to come back
-	if a := h.Ask(h.query("free", 0), nil); a.RetryAfter != 0 {
+	if a := h.Execute(h.query("free", 0), nil); a.RetryAfter != 0 {
 		t.Errorf("told to come back in %v", a.RetryAfter)
 	}
 }
--- a/internal/core/open_queries.go
+++ b/internal/core/open_queries.go
@@ -19,8 +19,8 @@
 	count      int                 // queries and parts that are open; a first phase counts as a query
 	bytes      int64               // that open queries take, as far as they are counted
 
-	// shared tells that another process of the same coordinator serves beside this one. Any goroutine may use it.
-	shared atomic.Bool
+	// limitsShared tells that another process of the same coordinator serves beside this one. Any goroutine may use it.
+	limitsShared atomic.Bool
 }
 
 func newOpenQueries() openQueries {
@@ -92,14 +92,14 @@
 	c.deadlines.add(q.Deadline+answerGrace+cancelGrace, func() { delete(c.open.clientIDs, q.ID) })
 }
 
-// SetShared tells whether another process of the same coordinator serves beside this one: what may be open is for both.
+// SetLimitsShared tells whether another process of the same coordinator serves beside this one: what may be open is for both.
 // Any goroutine may call it.
-func (c *Coordinator) SetShared(shared bool) { c.open.shared.Store(shared) }
+func (c *Coordinator) SetLimitsShared(shared bool) { c.open.limitsShared.Store(shared) }
 
 // openLimit is how many queries and parts may be open; 0 for no limit.
 func (c *Coordinator) openLimit() int {
 	limit := c.inForce().limits.MaxOpen
-	if limit > 0 && c.open.shared.Load() {
+	if limit > 0 && c.open.limitsShared.Load() {
 		return max(1, limit/2)
 	}
 	return limit
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -18,12 +18,12 @@
 	Body            []byte        // what each part carries to its replica
 	IdempotencyKeys []string      // values of retry.IdempotencyKeyHeader, one for each line
 	Origin          any           // the front's own form of the query, for callers that know it
-	Admitted        bool          // Admit has admitted the query by its head, so Ask does not call it again
+	Admitted        bool          // Admit has admitted the query by its head, so Execute does not call it again
 	Index           string        // what the Planner keeps the parts' values under; empty allows no first phase
 	EmptyValue      []byte        // with an Index: the value of a shard without any hit
 	Parts           []Part        // one for each shard that the query needs
 
-	// Done is given the one final answer by the coordinator's goroutine, and must not block. Ask sets it.
+	// Done is given the one final answer by the coordinator's goroutine, and must not block. Execute sets it.
 	Done func(Answer)
 	// ClientLeft asks the system, without waiting, whether the client has left; any goroutine may call it. It is nil
 	// where the system cannot tell.
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -89,7 +89,7 @@
 		shared bool
 		opened int // queries of one part, which take two places
 	}{{true, 2}, {false, 4}} {
-		h.SetShared(tc.shared)
+		h.SetLimitsShared(tc.shared)
 		for range 6 {
 			h.Submit(h.query("free", 0))
 		}
