--- a/internal/core/admitter.go
+++ b/internal/core/admitter.go
@@ -19,8 +19,8 @@
 }
 
 // Admit asks the Admitter. Fronts that know enough of a query before they have read all of it call it themselves, and
-// set the query's Admitted; for others, Execute calls it. Any goroutine may call it. Where clients are not to be told when
-// to retry, retryIn is 0.
+// set the query's Admitted; for others, Execute calls it. Any goroutine may call it. Where clients are not to be told
+// when to retry, retryIn is 0.
 func (c *Coordinator) Admit(a overload.Arrival) (ok bool, retryIn time.Duration) {
 	if c.cfg.Admitter == nil {
 		return true, 0
--- a/internal/core/lease_test.go
+++ b/internal/core/list_lease_test.go
@@ -7,16 +7,16 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A list that has expired stops all sends: queries are refused at once, a failed part is not sent again, and what is
-// out is still waited for. Once the list is confirmed, queries are sent again.
+// Discovery has not confirmed the list for so long that a replica may be draining without the coordinator's knowledge.
+// Nothing new is sent: queries are rejected at once and a failed part is not retried, while what was sent is still
+// waited for. Once the list is confirmed, queries are sent again. Other sources have no lease.
 func TestExpiredListStopsSends(t *testing.T) {
 	h := newHarness(t, nil)
 	h.Submit(h.query("free", 0))
-	h.Submit(h.query("free", 0))
-	h.pass(0)
+	h.submit(h.query("free", 0))
 	waiting, failing := h.caller.calls[0][0], h.caller.calls[0][1]
 	if !waiting.Begin() || !failing.Begin() {
-		t.Fatal("attempts may not begin by a list that holds")
+		t.Fatal("attempts may not begin by a list that is valid")
 	}
 	h.SetListExpiry("test", h.clock+100*ms)
 	h.pass(99 * ms)
@@ -27,13 +27,12 @@
 	if !h.lease.expired {
 		t.Fatal("not expired")
 	}
-	h.Submit(h.query("free", 0))
-	h.pass(0)
-	h.want(t, `1 whole=false []`)
+	h.submit(h.query("free", 0))
+	h.want(t, `refused complete=false []`)
 	h.AttemptEnded(failing, scatter.Errored, nil)
 	h.AttemptEnded(waiting, scatter.Succeeded, []byte("v"))
 	h.pass(100 * ms)
-	h.want(t, `1 whole=false []`, `0 whole=true ["v"]`)
+	h.want(t, `refused complete=false []`, `served complete=true ["v"]`)
 	if len(h.caller.calls) != 1 {
 		t.Errorf("%d calls by an expired list", len(h.caller.calls)-1)
 	}
@@ -50,11 +49,10 @@
 	}
 }
 
-// An attempt that was decided by a list which held, and has not begun when it expires, never begins.
+// The list expires while an attempt that was decided before waits at its caller: the attempt never begins.
 func TestExpiredListWithholdsAttempts(t *testing.T) {
 	h := newHarness(t, nil)
-	h.Submit(h.query("free", 0))
-	h.pass(0)
+	h.submit(h.query("free", 0))
 	at := h.caller.last()
 	h.SetListExpiry("test", h.clock+10*ms)
 	h.pass(10 * ms)
@@ -63,7 +61,7 @@
 	}
 }
 
-// BenchmarkExpiry is the two turns in which a list of 3,200 nodes expires and is confirmed.
+// BenchmarkExpiry is the two ticks in which a list of 3,200 endpoints expires and is confirmed.
 func BenchmarkExpiry(b *testing.B) {
 	h := newFleetHarness(b, 3200)
 	for b.Loop() {
--- a/internal/core/maintenance_test.go
+++ b/internal/core/maintenance_test.go
@@ -13,87 +13,66 @@
 	"harepass/internal/logmsg"
 )
 
-// askedNode sends a query and tells which node its part went to; it is then served.
-func (h *harness) askedNode(t *testing.T, class string) string {
-	t.Helper()
-	n := len(h.caller.calls)
-	h.Submit(h.query(class, 0))
-	h.pass(0)
-	if len(h.caller.calls) == n {
-		return "none"
-	}
-	at := h.caller.last()
-	h.AttemptEnded(at, scatter.Succeeded, []byte("v"))
-	h.pass(0)
-	return at.Endpoint
-}
-
-// A node that is out gets nothing from the turn on that hears of it, whatever lists say meanwhile: that it runs, that
-// it is gone, that it is back, from the source anew or after a move. What the source says holds again after the call
-// back.
-func TestNodeOutByHand(t *testing.T) {
-	h := newHarness(t, nil)
-	node := func(id string, state scatter.ReplicaState) Endpoint {
-		return Endpoint{Replica: scatter.Replica{ID: id, State: state}, Address: id, Scheme: "fake"}
-	}
-	h.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{node("a", 0), node("b", 0)})
-	h.pass(0)
-	book := maintenance.Register{}
-	call := func(out bool) {
-		book = maintenance.Register{"a": {Out: out, At: h.clock, OutSince: book["a"].At}}
-		h.SetMaintenance(book)
+// An operator takes a replica out. From the next tick on nothing is sent to it, whatever its source lists meanwhile:
+// that it runs, that it was removed, that it is back, in a change or a full list. After the operator has called it
+// back, what its source lists counts again; it is in slow start then, so it is sent few parts at first.
+func TestReplicaInMaintenanceIsNotSentTo(t *testing.T) {
+	h := newTwoEndpointHarness(t, nil)
+	register := maintenance.Register{}
+	setOut := func(out bool) {
+		register = maintenance.Register{"a": {Out: out, At: h.clock, OutSince: register["a"].At}}
+		h.SetMaintenance(register)
 		h.pass(0)
 	}
-	only := func(what, want string) {
+	wantSentTo := func(name, want string) {
 		t.Helper()
 		seen := map[string]bool{}
 		for range 30 {
-			seen[h.askedNode(t, "free")] = true
+			seen[h.sentTo(t, "free")] = true
 		}
 		if got := fmt.Sprint(seen); got != want {
-			t.Errorf("%s: asked %s, want %s", what, got, want)
+			t.Errorf("%s: sent to %s, want %s", name, got, want)
 		}
 	}
-	only("before", "map[a:true b:true]")
+	wantSentTo("before", "map[a:true b:true]")
 	if !h.HasEndpoint("a") || h.HasEndpoint("c") {
 		t.Error("the ids that are listed are not known")
 	}
-	call(true)
-	only("out", "map[b:true]")
-	h.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{node("a", scatter.Ready)})
-	h.pass(0)
-	only("listed as running", "map[b:true]")
-	h.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{node("a", scatter.Removed)})
-	h.pass(0)
-	only("gone", "map[b:true]")
-	h.UpdateEndpoints("test", scatter.FullUpdate, []Endpoint{node("a", 0), node("b", 0)})
-	h.pass(0)
-	only("back under the same id", "map[b:true]")
+	setOut(true)
+	wantSentTo("out", "map[b:true]")
+	h.update(scatter.IncrementalUpdate, fakeEndpoint("a", scatter.Ready))
+	wantSentTo("listed as ready", "map[b:true]")
+	h.update(scatter.IncrementalUpdate, fakeEndpoint("a", scatter.Removed))
+	wantSentTo("removed", "map[b:true]")
+	h.update(scatter.FullUpdate, fakeEndpoint("a", scatter.Ready), fakeEndpoint("b", scatter.Ready))
+	wantSentTo("back under the same id", "map[b:true]")
 	h.clock += time.Second
-	call(false)
-	for range 300 { // cold, so it is sent a few at first
-		if h.askedNode(t, "free") == "a" {
+	setOut(false)
+	for range 300 {
+		if h.sentTo(t, "free") == "a" {
 			return
 		}
 		h.pass(100 * ms)
 	}
-	t.Error("called back and never asked")
+	t.Error("called back and never sent to")
 }
 
-// What asks the owner waits for no query: the book is heeded first in the very next turn, however many are queued.
-func TestMaintenanceComesBeforeTheQueue(t *testing.T) {
+// An operator takes the only replica out while the queue is full of queries. The register is applied first in the very
+// next tick, so none of them is sent.
+func TestMaintenanceIsAppliedBeforeQueuedQueries(t *testing.T) {
 	h := newHarness(t, nil)
 	for h.Submit(h.query("free", 0)) {
 	}
 	h.SetMaintenance(maintenance.Register{"a": {Out: true, At: h.clock}})
 	h.tick()
 	if len(h.caller.calls) != 0 {
-		t.Errorf("%d calls to a node that was out before the turn", len(h.caller.calls))
+		t.Errorf("%d calls to a replica that was out before the tick", len(h.caller.calls))
 	}
 }
 
-// The last holder of a section out by hand: its queries end with a clear answer in time, and one line says why.
-func TestLastHolderOut(t *testing.T) {
+// Operators take out the last holder of a shard. Queries that need the shard are rejected in time, and one line in the
+// log says why.
+func TestShardUncoveredByMaintenance(t *testing.T) {
 	var log bytes.Buffer
 	h := newHarness(t, func(c *Config) {
 		c.Limits.Shards = 1
@@ -101,13 +80,12 @@
 	})
 	h.SetMaintenance(maintenance.Register{"a": {Out: true, At: h.clock}})
 	h.pass(0)
-	h.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{{Replica: scatter.Replica{ID: "a"}, Address: "a", Scheme: "fake"}})
-	h.pass(0)
+	h.update(scatter.IncrementalUpdate, fakeEndpoint("a", scatter.Ready))
 	h.Submit(h.query("free", 0))
 	h.pass(4 * time.Second)
-	h.want(t, `1 whole=false []`)
+	h.want(t, `refused complete=false []`)
 	if len(h.caller.calls) != 0 {
-		t.Error("sent to a node that is out")
+		t.Error("sent to a replica that is out")
 	}
 	if n := strings.Count(log.String(), logmsg.ShardsUncovered); n != 1 {
 		t.Errorf("%d lines on it: %s", n, &log)
--- /dev/null
+++ b/internal/core/memory_relief_test.go
@@ -0,0 +1,58 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+
+	"harepass/internal/decide/overload"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/decide/twophase"
+)
+
+// Memory runs short. Values that the Planner retains go first; then queries end that take most for the least priority:
+// with an incomplete answer where their class allows one, rejected where not. A query stays of which a part may have
+// run that must not run twice. Once there is memory again, values are retained as before.
+func TestMemoryReliefDropsValuesThenQueries(t *testing.T) {
+	h := newHarness(t, func(c *Config) {
+		c.Admitter, c.Planner, c.CacheBytes = &fakeAdmitter{}, twophase.New(1<<20), 1<<20
+		c.Settings.Classes[0].MinFraction = 0.5
+	})
+	retain := func() {
+		h.cfg.Planner.ObserveFull(searchTopic, 0, "q", state(1), []byte("v"), 0)
+	}
+	relieve := func(level overload.MemoryLevel, excess int64) {
+		h.RelieveMemory(level, excess)
+		h.pass(0)
+	}
+	retain()
+	var once *Query
+	for i := range 3 {
+		q := h.query("free", 0, 1)
+		if i == 2 {
+			q = h.query("once", 0)
+			once = q
+		}
+		q.Done = func(a Answer) {
+			h.answers = append(h.answers, fmt.Sprintf("%s: %s complete=%t", q.ID, statusNames[a.Status], a.Complete))
+		}
+		h.submit(q)
+	}
+	h.AttemptEnded(h.caller.calls[0][0], scatter.Succeeded, make([]byte, 100<<10)) // one of the first query's two parts
+	h.pass(0)
+	relieve(overload.DropCached, 0)
+	if n, _ := h.cfg.Planner.Cached(); n != 0 || len(h.answers) != 0 {
+		t.Errorf("%d values retained, answers %q", n, h.answers)
+	}
+	relieve(overload.EndQueries, 1)
+	h.want(t, "q1: served complete=false")
+	relieve(overload.EndQueries, 1<<30)
+	h.want(t, "q1: served complete=false", "q2: refused complete=false")
+	if h.open.byQuery[once] == nil {
+		t.Error("a non-idempotent query was ended that may have run")
+	}
+	relieve(overload.MemoryNormal, 0)
+	retain()
+	if n, _ := h.cfg.Planner.Cached(); n != 1 {
+		t.Error("nothing is retained after memory came back")
+	}
+}
--- a/internal/core/open_queries.go
+++ b/internal/core/open_queries.go
@@ -92,8 +92,8 @@
 	c.deadlines.add(q.Deadline+answerGrace+cancelGrace, func() { delete(c.open.clientIDs, q.ID) })
 }
 
-// SetLimitsShared tells whether another process of the same coordinator serves beside this one: what may be open is for both.
-// Any goroutine may call it.
+// SetLimitsShared tells whether another process of the same coordinator serves beside this one: what may be open is
+// for both. Any goroutine may call it.
 func (c *Coordinator) SetLimitsShared(shared bool) { c.open.limitsShared.Store(shared) }
 
 // openLimit is how many queries and parts may be open; 0 for no limit.
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -8,9 +8,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Execute submits a query and waits for its answer, or until clientLeft is closed; the answer is Failed then. It validates
-// the query, asks the Admitter unless the query is Admitted, and sets Done. Any goroutine may call it, but for the
-// coordinator's own. A nil clientLeft never closes.
+// Execute submits a query and waits for its answer, or until clientLeft is closed; the answer is Failed then. It
+// validates the query, asks the Admitter unless the query is Admitted, and sets Done. Any goroutine may call it, but
+// for the coordinator's own. A nil clientLeft never closes.
 func (c *Coordinator) Execute(q *Query, clientLeft <-chan struct{}) Answer {
 	if err := c.validate(q); err != nil {
 		return Answer{Status: Invalid, Reason: err.Error()}
--- /dev/null
+++ b/internal/core/validate_test.go
@@ -0,0 +1,79 @@
+package core
+
+import (
+	"errors"
+	"math"
+	"strings"
+	"testing"
+	"time"
+
+	"harepass/internal/decide/scatter"
+)
+
+// A query that no replica could serve is refused at once and never queued. The client is told why.
+func TestInvalidQueriesAreRefused(t *testing.T) {
+	h := newHarness(t, func(c *Config) {
+		c.Limits.Shards = 24
+		c.Settings.Tenants = []scatter.Tenant{{Name: "kitakaze"}}
+	})
+	for name, tc := range map[string]struct {
+		change func(*Query)
+		reason string
+		err    error // nil for an *InvalidPartError
+	}{
+		"no id":          {func(q *Query) { q.ID = "" }, "bad id", ErrInvalidID},
+		"long id":        {func(q *Query) { q.ID = strings.Repeat("x", 200) }, "bad id", ErrInvalidID},
+		"id with a dot":  {func(q *Query) { q.ID = "a.3" }, "bad id", ErrInvalidID},
+		"id of lines":    {func(q *Query) { q.ID = "a\nb" }, "bad id", ErrInvalidID},
+		"class":          {func(q *Query) { q.Class = "none" }, "unknown class", ErrUnknownClass},
+		"tenant":         {func(q *Query) { q.Tenant = "none" }, "unknown tenant", ErrUnknownTenant},
+		"no time":        {func(q *Query) { q.Deadline = h.clock }, "no time left", ErrNoTimeLeft},
+		"no parts":       {func(q *Query) { q.Parts = nil }, "no parts", ErrNoParts},
+		"shard":          {func(q *Query) { q.Parts[1].Shard = 24 }, "unknown shard 24", nil},
+		"negative shard": {func(q *Query) { q.Parts[1].Shard = -1 }, "unknown shard -1", nil},
+		"shard twice":    {func(q *Query) { q.Parts[1].Shard = 0 }, "shard 0 twice", nil},
+		"no weight":      {func(q *Query) { q.Parts[0].Weight, q.Parts[1].Weight = 0, 1 }, "weight 0", nil},
+		"negative":       {func(q *Query) { q.Parts[0].Weight, q.Parts[1].Weight = -0.5, 1.5 }, "weight -0.5", nil},
+		"not a number":   {func(q *Query) { q.Parts[0].Weight = math.NaN() }, "weight NaN", nil},
+		"too little":     {func(q *Query) { q.Parts[0].Weight = 0.4 }, "weights sum to 0.9", nil},
+		"too much":       {func(q *Query) { q.Parts[0].Weight = 0.6 }, "weights sum to 1.1", nil},
+	} {
+		q := h.query("free", 0, 1)
+		q.Tenant = "kitakaze"
+		tc.change(q)
+		err := h.validate(q)
+		var part *InvalidPartError
+		if tc.err != nil && !errors.Is(err, tc.err) || tc.err == nil && !errors.As(err, &part) {
+			t.Errorf("%s: %v of type %T", name, err, err)
+		}
+		if a := h.Execute(q, nil); a.Status != Invalid || a.Reason != tc.reason || len(h.queue) > 0 {
+			t.Errorf("%s: %+v, want %q", name, a, tc.reason)
+		}
+	}
+	q := h.query("free", 0)
+	q.Tenant, q.Deadline = "kitakaze", q.Deadline+time.Minute
+	if err := h.validate(q); err != nil {
+		t.Errorf("a valid query: %v", err)
+	}
+}
+
+// Two clients give their queries one id. Replicas know parts by it, and would take one query's parts for the other's.
+// So the second query is refused, also right after the first has its answer, when a replica may still be at it. Once
+// the time of the first query's client is over, nothing of it remains.
+func TestClientIDIsReserved(t *testing.T) {
+	h := newHarness(t, nil)
+	first, second := h.query("free", 0), h.query("free", 0)
+	second.ID = first.ID
+	first.Deadline += time.Minute
+	h.Submit(first)
+	h.submit(second)
+	h.want(t, "invalid complete=false []")
+	h.AttemptEnded(h.caller.last(), scatter.Succeeded, []byte("v"))
+	h.pass(0)
+	h.submit(second)
+	h.want(t, "invalid complete=false []", `served complete=true ["v"]`, "invalid complete=false []")
+	h.pass(2 * time.Minute)
+	if n := h.deadlines.tree.Len(); len(h.open.clientIDs) > 0 || n > 1 {
+		t.Errorf("%d ids and %d deadlines remain", len(h.open.clientIDs), n)
+	}
+}
