--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -3,6 +3,7 @@
 import (
 	"harepass/internal/counters"
 	"harepass/internal/decide/scatter"
+	"harepass/internal/logmsg"
 )
 
 // Counters of queries: those accepted, those whose client left, and those that the module did not answer in time.
@@ -36,7 +37,7 @@
 
 // Names of statuses and outcomes, in the order of their constants. Log lines use them too.
 var (
-	statusNames  = [...]string{"served", "refused", "failed", "invalid"}
+	statusNames  = [...]string{logmsg.StatusServed, logmsg.StatusRejected, "failed", "invalid"}
 	outcomeNames = [...]string{"served", "error", "full", "timeout", "noconn", "reset", "cancelled", "moot"}
 )
 
--- a/internal/core/query_log.go
+++ b/internal/core/query_log.go
@@ -17,7 +17,7 @@
 )
 
 // stateNames are the names of replica states in log lines, in the order of their constants.
-var stateNames = [...]string{"ready", "draining", "gone"}
+var stateNames = [...]string{logmsg.StateReady, "draining", "gone"}
 
 // logLimit is a token bucket for lines about queries that ended badly. The zero value is full.
 type logLimit struct {
