--- a/internal/operator/register_test.go
+++ b/internal/operator/register_test.go
@@ -35,7 +35,7 @@
 }
 func (o *owner) HasEndpoint(id string) bool { return id == "a" || id == "b" }
 func (o *owner) CheckReady() error          { return errors.New("draining") }
-func (o *owner) SetShared(yes bool) {
+func (o *owner) SetLimitsShared(yes bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.shared = append(o.shared, yes)
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -52,7 +52,7 @@
 	defer owner.Stop()
 	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{{Replica: scatter.Replica{ID: "n0", State: scatter.Ready}, Address: l.Addr().String(), Scheme: Scheme}})
 	until := time.Now().Add(budget)
-	a := owner.Ask(&core.Query{ID: "q", Class: "c", Deadline: clock() + budget, Parts: []core.Part{{Shard: 0, Weight: 1}}}, nil)
+	a := owner.Execute(&core.Query{ID: "q", Class: "c", Deadline: clock() + budget, Parts: []core.Part{{Shard: 0, Weight: 1}}}, nil)
 	if a.Status != core.Served {
 		t.Fatalf("the answer is %+v", a)
 	}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -73,7 +73,7 @@
 	if err := parseBody(q, req.Body); err != nil {
 		return text(400, err.Error())
 	}
-	a := f.Coordinator.Ask(q, gone)
+	a := f.Coordinator.Execute(q, gone)
 	switch a.Status {
 	case core.Rejected:
 		return rejection(a.RetryAfter)
