--- a/internal/decide/versionlog/version.go
+++ b/internal/decide/versionlog/version.go
@@ -57,5 +57,10 @@
 	Entries  []Entry
 }
 
+// SourceVersion returns the newest version that the slice shows its source to have.
+func (s Slice) SourceVersion() Version {
+	return Version{Epoch: s.Version.Epoch, Index: max(s.Version.Index, s.Base)}
+}
+
 // More tells whether further slices follow at once.
 func (s Slice) More() bool { return s.Version.Index < s.Head }
