--- a/internal/decide/versionlog/apply.go
+++ b/internal/decide/versionlog/apply.go
@@ -1,20 +1,40 @@
 package versionlog
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
 
-// Cursor is where a relay's log stands as a reader of its source: inside a snapshot that has begun, else at its head.
+// Errors of Log.Apply. A slice that is refused changes nothing, but a snapshot that is being taken is dropped.
+var (
+	// ErrOlder is wrapped by the error for a slice that is older than what the log has.
+	ErrOlder = errors.New("versionlog: the slice is older than the log")
+	// ErrMismatch is wrapped by the error for a slice that does not go on from what the log has.
+	ErrMismatch = errors.New("versionlog: the slice does not follow what the log has")
+	// ErrInvalid is wrapped by the error for a slice that no log gives.
+	ErrInvalid = errors.New("versionlog: no valid slice")
+)
+
+// staging is a snapshot that a relay is taking. Readers get the relay's old log until it is complete.
+type staging struct {
+	log  *Log
+	base int64 // index of the source's head when the snapshot began
+}
+
+// Cursor returns where a relay stands as a reader of its source: within the snapshot that it is taking, else at its
+// head.
 func (l *Log) Cursor() Cursor {
-	if l.staged != nil {
-		return Cursor{Version: l.staged.head, Base: l.staged.base, Head: l.staged.target}
+	if s := l.staging; s != nil {
+		return Cursor{Version: s.log.head, Base: s.base, Head: s.log.announced}
 	}
-	return Cursor{Version: l.head, Head: l.target}
+	return Cursor{Version: l.head, Head: l.announced}
 }
 
-// Restart drops a snapshot that is coming in: the relay reads from another source, or anew.
-func (l *Log) AbortSnapshot() { l.staged = nil }
+// AbortSnapshot drops a snapshot that is being taken. It is for a relay that reads from another source, or anew.
+func (l *Log) AbortSnapshot() { l.staging = nil }
 
-// Apply takes the next slice of a relay's source over, whole or not at all. Changes count at once; a snapshot replaces
-// the log when its last slice is in. The errors wrap ErrOlder, ErrMismatch or ErrInvalid.
+// Apply takes the next slice of a relay's source, as a whole or not at all. Readers get changes at once, and a snapshot
+// when its last slice is in. The error wraps ErrOlder, ErrMismatch or ErrInvalid.
 func (l *Log) Apply(slice Slice) error {
 	err := l.apply(slice)
 	if err != nil {
@@ -27,99 +47,82 @@
 	if err := slice.Check(); err != nil {
 		return err
 	}
-	if slice.Snapshot {
+	switch {
+	case slice.Snapshot:
 		return l.beginSnapshot(slice)
-	}
-	if l.staged != nil {
+	case l.staging != nil:
 		return l.continueSnapshot(slice)
 	}
+	return l.applyChanges(slice)
+}
+
+// applyChanges takes a slice that belongs to no snapshot.
+func (l *Log) applyChanges(slice Slice) error {
 	switch {
 	case l.head.Epoch == 0 || slice.Version.Epoch > l.head.Epoch || slice.Base != 0:
-		return fmt.Errorf("%w: changes of epoch %d, base %d, at %+v", ErrMismatch, slice.Version.Epoch, slice.Base, l.head)
+		return fmt.Errorf("%w: changes of epoch %d, base %d, at %+v",
+			ErrMismatch, slice.Version.Epoch, slice.Base, l.head)
 	case slice.Version.Before(l.head):
 		return fmt.Errorf("%w: %+v at %+v", ErrOlder, slice.Version, l.head)
-	case len(slice.Entries) > 0 && slice.Entries[0].Index <= l.head.Index:
-		return fmt.Errorf("%w: entry %q of index %d at %+v", ErrOlder, slice.Entries[0].Name, slice.Entries[0].Index, l.head)
+	case slice.beginsAtOrBefore(l.head.Index):
+		first := slice.Entries[0]
+		return fmt.Errorf("%w: entry %q of index %d at %+v", ErrOlder, first.Name, first.Index, l.head)
 	}
-	l.take(slice)
+	l.enter(slice)
 	return nil
 }
 
-// beginSnapshot takes the first slice of a snapshot.
+// beginSnapshot takes the first slice of a snapshot. It is the last one too if it has no base.
 func (l *Log) beginSnapshot(slice Slice) error {
 	base := slice.Base
-	if base == 0 { // it is the last one too
+	if base == 0 {
 		base = slice.Version.Index
 	}
-	if whole := (Version{slice.Version.Epoch, base}); whole.Before(l.head) {
-		return fmt.Errorf("%w: a snapshot of %+v at %+v", ErrOlder, whole, l.head)
-	}
-	staged := New(slice.Version.Epoch, l.remembered)
-	staged.base = base
-	staged.take(slice)
-	l.staged = staged
-	if slice.Base == 0 {
-		l.adopt()
+	if v := (Version{slice.Version.Epoch, base}); v.Before(l.head) {
+		return fmt.Errorf("%w: a snapshot of %+v at %+v", ErrOlder, v, l.head)
 	}
+	l.staging = &staging{log: New(slice.Version.Epoch, l.removals.max), base: base}
+	l.stage(slice)
 	return nil
 }
 
 // continueSnapshot takes a further slice of a snapshot.
 func (l *Log) continueSnapshot(slice Slice) error {
-	staged := l.staged
+	base, at := l.staging.base, l.staging.log.head
 	switch {
-	case slice.Version.Epoch != staged.head.Epoch || slice.Base != 0 && slice.Base != staged.base:
+	case slice.Version.Epoch != at.Epoch || slice.Base != 0 && slice.Base != base:
 		return fmt.Errorf("%w: a slice of epoch %d, base %d in a snapshot of epoch %d, base %d", ErrMismatch,
-			slice.Version.Epoch, slice.Base, staged.head.Epoch, staged.base)
-	case slice.Version.Before(staged.head) || len(slice.Entries) > 0 && slice.Entries[0].Index <= staged.head.Index:
-		return fmt.Errorf("%w: %+v in a snapshot at %+v", ErrOlder, slice.Version, staged.head)
-	case slice.Base == 0 && slice.Version.Index < staged.base:
-		return fmt.Errorf("%w: a snapshot of index %d ends at %d", ErrMismatch, staged.base, slice.Version.Index)
-	}
-	staged.take(slice)
-	if slice.Base == 0 {
-		l.adopt()
+			slice.Version.Epoch, slice.Base, at.Epoch, base)
+	case slice.Version.Before(at) || slice.beginsAtOrBefore(at.Index):
+		return fmt.Errorf("%w: %+v in a snapshot at %+v", ErrOlder, slice.Version, at)
+	case slice.Base == 0 && slice.Version.Index < base:
+		return fmt.Errorf("%w: a snapshot of index %d ends at %d", ErrMismatch, base, slice.Version.Index)
 	}
+	l.stage(slice)
 	return nil
 }
 
-// take enters the entries of a slice that has been checked.
-func (l *Log) take(slice Slice) {
-	for _, entry := range slice.Entries {
-		l.put(entry)
+// stage enters a slice of a snapshot. With the last one the snapshot takes the place of the log. It has no tombstones
+// from before its base, so readers from before that need a snapshot too.
+func (l *Log) stage(slice Slice) {
+	log, base := l.staging.log, l.staging.base
+	log.enter(slice)
+	if slice.Base != 0 {
+		return
 	}
-	l.head, l.target = slice.Version, max(l.target, slice.Head)
+	log.removals.horizon = max(log.removals.horizon, base)
+	*l = *log
 }
 
-// adopt puts the staged snapshot in the place of the log. It holds no removals up to its base.
-func (l *Log) adopt() {
-	staged := l.staged
-	staged.horizon = max(staged.horizon, staged.base)
-	staged.base = 0
-	*l = *staged
+// enter puts the entries of a slice that has been checked into the log.
+func (l *Log) enter(slice Slice) {
+	for _, entry := range slice.Entries {
+		l.put(entry)
+	}
+	l.head, l.announced = slice.Version, max(l.announced, slice.Head)
 }
 
-// Check tells what is wrong with a slice by itself: the order of its entries, their sizes, and their indexes. The error
-// wraps ErrInvalid.
-func (s Slice) Check() error {
-	invalid := func(format string, args ...any) error {
-		return fmt.Errorf("%w: %s", ErrInvalid, fmt.Sprintf(format, args...))
-	}
-	if s.Version.Epoch <= 0 || s.Version.Index <= 0 || s.Head < s.Version.Index || s.Base < 0 || s.Base > s.Head {
-		return invalid("version %+v, head %d, base %d", s.Version, s.Head, s.Base)
-	}
-	last, names := int64(0), make(map[string]struct{}, len(s.Entries))
-	for _, entry := range s.Entries {
-		if entry.Index <= last || entry.Index > s.Version.Index {
-			return invalid("entry %q of index %d after %d in a slice up to %d", entry.Name, entry.Index, last, s.Version.Index)
-		}
-		if entry.Name == "" || len(entry.Body) == 0 || len(entry.Body) > MaxEntryBytes {
-			return invalid("entry %q of %d bytes", entry.Name, len(entry.Body))
-		}
-		if _, twice := names[entry.Name]; twice {
-			return invalid("entry %q stands twice", entry.Name)
-		}
-		last, names[entry.Name] = entry.Index, struct{}{}
-	}
-	return nil
+// beginsAtOrBefore reports whether the slice's first entry has an index up to one.
+func (s Slice) beginsAtOrBefore(index int64) bool {
+	return len(s.Entries) > 0 && s.Entries[0].Index <= index
 }
--- /dev/null
+++ b/internal/decide/versionlog/check.go
@@ -0,0 +1,26 @@
+package versionlog
+
+import "fmt"
+
+// Check finds what makes the slice invalid by itself: its version and bounds, or the order, indexes, names and sizes of
+// its entries. The error wraps ErrInvalid.
+func (s Slice) Check() error {
+	if s.Version.Epoch <= 0 || s.Version.Index <= 0 || s.Head < s.Version.Index || s.Base < 0 || s.Base > s.Head {
+		return fmt.Errorf("%w: version %+v, head %d, base %d", ErrInvalid, s.Version, s.Head, s.Base)
+	}
+	last, names := int64(0), make(map[string]struct{}, len(s.Entries))
+	for _, entry := range s.Entries {
+		if entry.Index <= last || entry.Index > s.Version.Index {
+			return fmt.Errorf("%w: entry %q of index %d after %d in a slice up to %d",
+				ErrInvalid, entry.Name, entry.Index, last, s.Version.Index)
+		}
+		if entry.Name == "" || len(entry.Body) == 0 || len(entry.Body) > MaxEntryBytes {
+			return fmt.Errorf("%w: entry %q of %d bytes", ErrInvalid, entry.Name, len(entry.Body))
+		}
+		if _, repeated := names[entry.Name]; repeated {
+			return fmt.Errorf("%w: entry %q is repeated", ErrInvalid, entry.Name)
+		}
+		last, names[entry.Name] = entry.Index, struct{}{}
+	}
+	return nil
+}
--- a/internal/decide/versionlog/json.go
+++ b/internal/decide/versionlog/json.go
@@ -10,11 +10,17 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// statusRemoved is the status of an entry that exists no more.
+// MaxEnvelopeBytes bounds what an answer holds besides its entries and the commas between them.
+const MaxEnvelopeBytes = 256
+
+// maxVersionKeyBytes bounds what withVersion adds to an object.
+const maxVersionKeyBytes = 32
+
+// statusRemoved is the status of a tombstone on the wire.
 const statusRemoved = "terminated"
 
-// EnvelopeBytes bounds what an answer holds besides its entries and the commas between them.
-const MaxEnvelopeBytes = 256
+// ErrUnreadable is wrapped by the errors of ParseSlice.
+var ErrUnreadable = errors.New("versionlog: unreadable answer")
 
 // entryHead is the part of an entry that the log reads.
 type entryHead struct {
@@ -23,7 +29,7 @@
 	Status  string `json:"status"`
 }
 
-// answer is a slice as it goes over the wire.
+// answer is a slice as it stands on the wire.
 type answer struct {
 	Epoch     int64            `json:"epoch"`
 	Index     int64            `json:"index"`
@@ -51,16 +57,16 @@
 	return append(buffer, "]}"...)
 }
 
-// ParseSlice reads an answer; nothing of data is kept. Only the form is checked here: Check tells whether the slice can be
-// one of a log, which an answer of plain discovery, without epoch and versions, cannot.
+// ParseSlice reads an answer of discovery or of a relay. The slice shares no memory with data. Only the form is
+// checked: answers of discovery have no epoch and need not pass Slice.Check. The error wraps ErrUnreadable.
 func ParseSlice(data []byte) (Slice, error) {
 	var a answer
 	if err := json.Unmarshal(data, &a); err != nil {
-		return Slice{}, fmt.Errorf("versionlog: unreadable answer: %w", err)
+		return Slice{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	slice := Slice{Version: Version{a.Epoch, a.Index}, Head: a.Head, Snapshot: a.Snapshot, Base: a.Base}
 	if a.Epoch != 0 && a.More != slice.More() {
-		return Slice{}, fmt.Errorf("versionlog: more is %t at index %d of %d", a.More, a.Index, a.Head)
+		return Slice{}, fmt.Errorf("%w: more is %t at index %d of %d", ErrUnreadable, a.More, a.Index, a.Head)
 	}
 	slice.Entries = make([]Entry, 0, len(a.Endpoints))
 	for _, body := range a.Endpoints {
@@ -76,22 +82,22 @@
 func parseEntry(body []byte) (Entry, error) {
 	var head entryHead
 	if err := json.Unmarshal(body, &head); err != nil {
-		return Entry{}, fmt.Errorf("versionlog: unreadable entry: %w", err)
+		return Entry{}, fmt.Errorf("%w: entry: %w", ErrUnreadable, err)
 	}
 	if head.Name == "" {
-		return Entry{}, errors.New("versionlog: an entry without a name")
+		return Entry{}, fmt.Errorf("%w: an entry without a name", ErrUnreadable)
 	}
 	return Entry{Name: head.Name, Index: head.Version, Removed: head.Status == statusRemoved, Body: body}, nil
 }
 
-// isObject tells whether data is a JSON object and nothing else.
+// isObject reports whether data is one JSON object and nothing else.
 func isObject(data []byte) bool {
 	return len(data) > 0 && data[0] == '{' && jsontext.Value(data).IsValid()
 }
 
-// versioned is the JSON object with its version as the first key.
-func versioned(object []byte, index int64) []byte {
-	body := make([]byte, 0, len(object)+len(`"version":,`)+20)
+// withVersion returns a JSON object with an index as the value of its first key, "version".
+func withVersion(object []byte, index int64) []byte {
+	body := make([]byte, 0, len(object)+maxVersionKeyBytes)
 	body = append(body, `{"version":`...)
 	body = strconv.AppendInt(body, index, 10)
 	rest := bytes.TrimLeft(object[1:], " \t\r\n")
@@ -101,12 +107,12 @@
 	return append(body, rest...)
 }
 
-// unversioned tells whether body is what versioned makes of the object.
-func unversioned(body, object []byte, index int64) bool {
-	return bytes.Equal(body, versioned(object, index))
+// isBodyOf reports whether body is what withVersion makes of an object.
+func isBodyOf(body, object []byte, index int64) bool {
+	return bytes.Equal(body, withVersion(object, index))
 }
 
-// tombstone is the object of a removed entry.
+// tombstone returns the object of a removed name.
 func tombstone(name string) []byte {
 	quoted, _ := json.Marshal(name) // a string can always be written
 	return fmt.Appendf(nil, `{"name":%s,"status":%q}`, quoted, statusRemoved)
--- a/internal/decide/versionlog/version.go
+++ b/internal/decide/versionlog/version.go
@@ -1,17 +1,12 @@
-// Package versionlog keeps the latest state of named entries as a compacted log of versions: each entry stands in the
-// log once, at the index of its last change. A reader that knows a version gets what has changed since, in slices of a
-// bounded size; one whose version is older than the removals that the log still remembers gets a snapshot, in slices of
-// the same form. The package does no I/O and reads no clock.
 package versionlog
 
-// Version names a state of the log. A higher epoch is a later authority: its indexes start anew and say nothing about
-// those of earlier epochs.
+// Version names a state of a log. Indexes of one epoch say nothing about those of another.
 type Version struct {
 	Epoch int64
 	Index int64
 }
 
-// Before tells whether v is older than w.
+// Before reports whether v is older than w.
 func (v Version) Before(w Version) bool {
 	if v.Epoch != w.Epoch {
 		return v.Epoch < w.Epoch
@@ -22,21 +17,22 @@
 // Entry is the latest state of one name.
 type Entry struct {
 	Name    string
-	Index   int64  // of the change that brought it to this state
-	Removed bool   // a tombstone: the name exists no more
-	Body    []byte // the entry's JSON object as it stands in answers, its version included
+	Index   int64  // index of the change that brought the entry to this state
+	Removed bool   // the entry is a tombstone
+	Body    []byte // the entry's JSON object as it stands in answers, with its index
 }
 
 // Cursor is where a reader stands.
 type Cursor struct {
+	// Version is what the reader has.
 	Version
-	// Base is the log's head when the reader's snapshot began. It is zero for a reader that is not inside a snapshot.
+	// Base is the log's head when the reader's snapshot began; 0 for a reader that is not within a snapshot.
 	Base int64
-	// Head is the newest index of this epoch that the reader was told of. A reader below it lacks changes.
+	// Head is the newest index of the epoch that the reader knows of. A reader below it lacks changes.
 	Head int64
 }
 
-// After is the cursor once the slice is taken.
+// After returns the cursor of a reader that has applied a slice.
 func (c Cursor) After(s Slice) Cursor {
 	next := Cursor{Version: s.Version, Base: s.Base, Head: s.Head}
 	if c.Epoch == s.Version.Epoch {
@@ -45,16 +41,22 @@
 	return next
 }
 
-// Complete tells whether the reader has all that it was told of.
+// Complete reports whether the reader has all that it knows of.
 func (c Cursor) Complete() bool { return c.Base == 0 && c.Index > 0 && c.Index >= c.Head }
 
-// Slice is one answer: entries in the order of their indexes, which all are over the cursor's.
+// Slice is one answer to a reader.
 type Slice struct {
-	Version  Version // what the reader has once it has taken the slice
-	Head     int64   // the newest index that the log knows of: a reader below it lacks changes
-	Snapshot bool    // the first slice of a snapshot: what the reader had before does not count
-	Base     int64   // in the slices of a snapshot but the last: to be given back with the next call
-	Entries  []Entry
+	// Version is what the reader has once it has applied the slice.
+	Version Version
+	// Head is the newest index of the epoch that the log knows of.
+	Head int64
+	// Snapshot states that the slice is the first one of a snapshot. What the reader had before no longer counts.
+	Snapshot bool
+	// Base is the log's head when the snapshot began, in the slices of a snapshot but the last; else 0. The reader
+	// gives it back with its next call.
+	Base int64
+	// Entries are in the order of their indexes, which all are above the reader's.
+	Entries []Entry
 }
 
 // SourceVersion returns the newest version that the slice shows its source to have.
@@ -62,5 +64,5 @@
 	return Version{Epoch: s.Version.Epoch, Index: max(s.Version.Index, s.Base)}
 }
 
-// More tells whether further slices follow at once.
+// More reports whether the reader lacks changes after the slice, so that its next call is answered at once.
 func (s Slice) More() bool { return s.Version.Index < s.Head }
