--- /dev/null
+++ b/internal/decide/retry/key.go
@@ -0,0 +1,67 @@
+package retry
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// IdempotencyKeyHeader is the name of the header in which clients send their idempotency key, on either front.
+const IdempotencyKeyHeader = "Idempotency-Key"
+
+// MaxKeyLength is the length of the longest valid key, in bytes.
+const MaxKeyLength = 128
+
+// keyPunctuation are the characters that a key may hold besides letters and digits. A comma, an equals sign or a space
+// would end the key in the list of keys that a frame carries. Quotation marks are read differently by HTTP servers.
+const keyPunctuation = "-._~+/:"
+
+// Errors of Policy.Key. Their texts are sent to the client, so each names the header.
+var (
+	// ErrMissingKey is the error for a request without the header.
+	ErrMissingKey = errors.New(IdempotencyKeyHeader + " is missing: this class requires one")
+	// ErrRepeatedKey is the error for a request with several lines of the header.
+	ErrRepeatedKey = errors.New(IdempotencyKeyHeader + " stands more than once")
+	// ErrEmptyKey is the error for an empty key.
+	ErrEmptyKey = errors.New(IdempotencyKeyHeader + " is empty")
+	// ErrLongKey is the error for a key of more than MaxKeyLength bytes.
+	ErrLongKey = fmt.Errorf("%s is longer than %d characters", IdempotencyKeyHeader, MaxKeyLength)
+	// ErrMalformedKey is the error for a key with a character that no key may hold.
+	ErrMalformedKey = errors.New(IdempotencyKeyHeader + " may hold letters, digits and " + keyPunctuation + " only")
+)
+
+// RequiresKey reports whether queries of the class must have an idempotency key, which every attempt of their parts
+// carries.
+func (p Policy) RequiresKey() bool { return p.Idempotency == Keyed }
+
+// Key returns the idempotency key that the attempts of a query carry, given the values of IdempotencyKeyHeader in its
+// request, one for each line. In a class that is not Keyed it is empty, whatever the client sent. The error is one of
+// the Err...Key variables.
+func (p Policy) Key(values []string) (string, error) {
+	if !p.RequiresKey() {
+		return "", nil
+	}
+	switch {
+	case len(values) == 0:
+		return "", ErrMissingKey
+	case len(values) > 1:
+		return "", ErrRepeatedKey
+	}
+	key := values[0]
+	switch {
+	case key == "":
+		return "", ErrEmptyKey
+	case len(key) > MaxKeyLength:
+		return "", ErrLongKey
+	case strings.ContainsFunc(key, isInvalidInKey):
+		return "", ErrMalformedKey
+	}
+	return key, nil
+}
+
+// isInvalidInKey reports whether a key must not hold a character.
+func isInvalidInKey(c rune) bool {
+	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+	digit := c >= '0' && c <= '9'
+	return !letter && !digit && !strings.ContainsRune(keyPunctuation, c)
+}
--- /dev/null
+++ b/internal/decide/retry/policy.go
@@ -0,0 +1,52 @@
+// Package retry decides whether and until when a part of a query may be sent again, and which idempotency key its
+// attempts carry.
+//
+// # Contract
+//
+// A Policy is a value without state, and its methods may be called from any goroutine. Nothing of one query counts for
+// another: a client's retry is a query of its own, with a deduplication window of its own, whatever its key is.
+package retry
+
+import (
+	"math"
+	"time"
+)
+
+// Idempotency is how a class of query bears that one of its parts runs more than once.
+type Idempotency int
+
+const (
+	// Idempotent parts may run any number of times.
+	Idempotent Idempotency = iota
+	// Keyed parts carry an idempotency key, by which replicas drop repeats for the class's deduplication window.
+	Keyed
+	// NonIdempotent parts are never sent again once they may have run.
+	NonIdempotent
+)
+
+// Policy is what the settings say of retries in one class. The zero value is that of an idempotent class.
+type Policy struct {
+	Idempotency Idempotency
+	DedupWindow time.Duration // how long replicas drop repeats, in a Keyed class; without meaning in others
+}
+
+const (
+	// Unlimited is the instant of RetryableUntil that never comes.
+	Unlimited = time.Duration(math.MaxInt64)
+	// Never is the instant of RetryableUntil that has always passed.
+	Never = time.Duration(math.MinInt64)
+)
+
+// RetryableUntil returns the last instant at which another attempt of a part may begin if an earlier one may have run.
+// firstSent is the instant at which the first of those that may have run was sent, and the result is on the same clock.
+// A part of which no attempt may have run is not bound by it.
+func (p Policy) RetryableUntil(firstSent time.Duration) time.Duration {
+	switch p.Idempotency {
+	case Idempotent:
+		return Unlimited
+	case Keyed:
+		return firstSent + p.DedupWindow
+	default:
+		return Never
+	}
+}
