--- a/internal/decide/subsetting/member.go
+++ b/internal/decide/subsetting/member.go
@@ -1,59 +1,27 @@
-// Package subsetting makes the choices of one coordinator a function of its place in the fleet. Coordinators that cannot talk
-// to each other, but know how many they are and which one each is, so choose what adds up: every node is kept by the same
-// number of them, tried at a bounded rate, and sent a budget that is neither spent twice nor left lying in fractions.
-//
-// Everything here is arithmetic on the place and on what all coordinators are told alike; nobody is asked. A fleet that
-// changes its size disagrees for some seconds about it: each choice says by how much the sum may then be off.
 package subsetting
 
-import "math"
-
-// Place is a coordinator's in its fleet: the Me-th, from 0, of Of.
-type Member struct{ Index, FleetSize int }
-
-// Salt is a name's, the same at all members (FNV-1a).
-func Salt(name string) (h uint64) {
-	h = 14695981039346656037
-	for i := range len(name) {
-		h = (h ^ uint64(name[i])) * 1099511628211
-	}
-	return h
+// Member is a coordinator as one of a fleet. The zero value is a coordinator that knows of no others.
+type Member struct {
+	Index     int // from 0; negative if the coordinator does not know it
+	FleetSize int // number of coordinators
 }
 
-// Known tells whether the place says anything: a fleet of one, or a member that does not know which it is, is not spread.
-func (p Member) HasPeers() bool { return p.FleetSize > 1 && p.Index >= 0 && p.Index < p.FleetSize }
+// HasPeers reports whether the coordinator knows its index in a fleet of several. Others make their choices alone.
+func (m Member) HasPeers() bool { return m.FleetSize > 1 && m.Index >= 0 && m.Index < m.FleetSize }
 
-// at is where the place lies on a circle of length 1. The places of a fleet lie at equal distances, so any arc of length a
-// holds a times their number of them, rounded up or down.
-func (p Member) at() float64 {
-	if !p.HasPeers() {
+// at is where the member lies on the circle; 0 for one without peers. An arc of length a has a times FleetSize members,
+// rounded up or down.
+func (m Member) at() float64 {
+	if !m.HasPeers() {
 		return 0
 	}
-	return (float64(p.Index) + 0.5) / float64(p.FleetSize)
+	return (float64(m.Index) + 0.5) / float64(m.FleetSize)
 }
 
-// Position is a coordinator's among those that have to do with one thing, in [0, 1): theirs lie at equal distances. Of the
-// places of the whole fleet those that keep a node are an arc, so what they share is dealt out by their positions there.
+// Position is where a coordinator lies on the circle among those that share one thing, in [0, 1). They lie at equal
+// distances. The coordinators whose subsets contain one replica are an arc of all members, so what they share is
+// divided by their positions within that arc (Subset.Position).
 type Position float64
 
-// Position is the place's among all coordinators.
-func (p Member) Position() Position { return Position(p.at()) }
-
-// frac is the part of x behind the point, in [0, 1).
-func frac(x float64) float64 {
-	if x -= math.Floor(x); x < 1 {
-		return x
-	}
-	return 0
-}
-
-// golden spreads whole numbers over the circle: any so many in a row lie about evenly.
-const golden = 0.6180339887498949
-
-// mix spreads the bits of a salt over a circle of length 1 (splitmix64's finaliser).
-func mix(salt uint64) float64 {
-	salt += 0x9e3779b97f4a7c15
-	salt = (salt ^ salt>>30) * 0xbf58476d1ce4e5b9
-	salt = (salt ^ salt>>27) * 0x94d049bb133111eb
-	return float64((salt^salt>>31)>>11) / (1 << 53)
-}
+// Position returns the coordinator's position among all coordinators.
+func (m Member) Position() Position { return Position(m.at()) }
--- a/internal/decide/subsetting/sequence.go
+++ b/internal/decide/subsetting/sequence.go
@@ -1,25 +1,27 @@
 package subsetting
 
-// Sequence is a low-discrepancy sequence in [0, 1) (additive recurrence by the golden ratio). Its numbers stand in for random
-// ones where a budget of the whole fleet leaves each coordinator less than one part: a coordinator that draws a number under its
-// share of the budget may send. The first numbers of all that share the budget lie at equal distances, so that of M members with
-// a share p each, M p may send, rounded up or down, and not a number that is right in the mean only; the numbers of one member
-// are as even, so a share of them under any p is taken within two of p. Members with several times the traffic draw so much more
-// often, and send so much more.
+// Sequence is a low-discrepancy sequence in [0, 1) (additive recurrence by the golden ratio). Its numbers take the
+// place of random ones where a budget of the fleet leaves each coordinator less than one part: a coordinator that draws
+// a number below its share of the budget may send a part.
 //
-// Which member comes first differs from node to node by the salt, so that no member is the first at all of them. Where members
-// disagree about the size for a while, those of the old fleet and those of the new one are each as even by themselves.
-type Sequence struct{ at float64 }
+// The first numbers of all coordinators that share a budget lie at equal distances. So of n coordinators with a share p
+// each, n*p may send, rounded up or down, where random numbers would make it so only in the mean. Successive numbers of
+// one coordinator are as even: those below any p deviate by less than two from the share p of them. A coordinator with
+// several times the traffic draws several times as often, and sends as much more.
+//
+// The salt decides which coordinator has the lowest first number, so that none has it for all replicas.
+type Sequence struct{ next float64 }
 
-// Sequence is for one node and one occasion, which the salt tells apart.
-func (p Position) Sequence(salt uint64) Sequence { return Sequence{frac(float64(p) + mix(salt))} }
+// Sequence returns the coordinator's sequence for the thing that a salt stands for.
+func (p Position) Sequence(salt uint64) Sequence { return Sequence{onCircle(float64(p) + mix(salt))} }
 
-// Next draws a number. A member that owes its own part of the budget a whole part and more, since a query that it drew for
-// brought several, draws 1, which is under no share, until that is made up for.
-func (s *Sequence) Next(saved float64) (v float64) {
+// Next draws a number. saved is what the coordinator has left of its own part of the budget, in parts. If it has
+// overdrawn a whole part or more, since a query for which it drew brought several parts, the result is 1, which is
+// below no share, and no number is used up.
+func (s *Sequence) Next(saved float64) (number float64) {
 	if saved <= -1 {
 		return 1
 	}
-	v, s.at = s.at, frac(s.at+golden)
-	return v
+	number, s.next = s.next, onCircle(s.next+goldenRatio)
+	return number
 }
--- a/internal/decide/subsetting/slots.go
+++ b/internal/decide/subsetting/slots.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// NextSlot is when a member's time slot for something comes next: a period from now, give or take half of it. Within each period
-// every member has one slot, the slots of all lie at equal distances, and so at most one more than their even number falls in
-// any time. Members that all came to wait in one instant do not come back in one. A slot that finds nothing to do stays with the
-// member until it has.
+// NextSlot returns the instant of the coordinator's next time slot, for the thing that a salt stands for: a period
+// after now, give or take half a period. Each coordinator has one slot in each period. On one clock the slots of all
+// lie at equal distances, so at most one more than their even number falls into any time, also if all coordinators
+// began to wait at one instant.
 func (p Position) NextSlot(now, period time.Duration, salt uint64) time.Duration {
 	if period <= 0 {
 		return now
 	}
-	least := now + period/2
-	own := time.Duration(frac(float64(p)+mix(salt)) * float64(period)) // in each period
-	passed := least % period
-	if own < passed {
-		own += period
+	earliest := now + period/2
+	offset := time.Duration(onCircle(float64(p)+mix(salt)) * float64(period)) // of the slot in each period
+	passed := earliest % period
+	if offset < passed {
+		offset += period
 	}
-	return least - passed + own
+	return earliest - passed + offset
 }
 
-// SlotPeriod is how long the period of slots has to be so that so many members together come at most rate times a second.
-func SlotPeriod(members, rate float64) time.Duration {
-	return time.Duration(members / rate * float64(time.Second))
+// SlotPeriod returns the period of slots with which a number of coordinators together have so many slots a second.
+func SlotPeriod(members, slotsPerSecond float64) time.Duration {
+	return time.Duration(members / slotsPerSecond * float64(time.Second))
 }
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -2,82 +2,92 @@
 
 import "math"
 
-// Ring is how sections lie on nodes: section s is held by the nodes of the cells s, s+1 .. s+Reach-1, modulo Cells.
+// Ring is how shards lie on replicas: shard s is held by the replicas at the ring positions s, s+1 to
+// s+ReplicationFactor-1, modulo Size.
 type Ring struct {
-	Size, ReplicationFactor int
-	Replicas                int // in all cells together
+	Size              int // number of ring positions
+	ReplicationFactor int // ring positions that hold a shard
+	Replicas          int // number of replicas at all positions together
 }
 
-// Subset tells which nodes a coordinator keeps: those that it sends to, holds connections with and learns about.
+// holdersPerShard is the number of replicas that hold a shard, at the full positions of an even ring.
+func (r Ring) holdersPerShard() int { return r.ReplicationFactor * max(1, r.Replicas/r.Size) }
+
+// Subset tells which replicas one coordinator sends to, has connections with and learns about.
 //
-// A node's key is its distance on a circle from the coordinator's place, by its cell and by its rank among the nodes
-// there; kept are keys under Share. A step from cell to cell is as long as the share, so any so many cells in a row have
-// that share of their nodes kept, rounded up or down: each section keeps enough holders. The places lie at equal
-// distances, so each node is kept by that share of the coordinators, rounded up or down.
+// A replica's key is its distance on the circle from the member, by its ring position and its rank among the replicas
+// there. The subset contains the keys below Share. Each ring position is Share further on the circle than the one
+// before it, so any successive positions have that share of their replicas contained, rounded up or down: enough
+// holders of each shard. Members lie at equal distances, so each replica is in the subsets of that share of the
+// coordinators, rounded up or down.
 //
-// One coordinator more or less moves each place by less than the distance between two: it goes on with all nodes but those
-// whose key lies so near to a bound. A node that takes another's cell and rank takes its key. The share itself goes by
-// whole holders of a section, so that it stays as it is while a fleet or its nodes come and go.
+// One coordinator more or less moves each member by less than the distance between two. Its subset changes only by
+// replicas whose keys lie that near to a bound. A replica that takes another's ring position and rank takes its key.
+// Share is a whole number of holders of a shard, so it mostly stays as it is while a fleet or its replicas come and go.
 type Subset struct {
-	Share float64 // of the nodes; 1 keeps all
+	Share float64 // of the replicas that the subset contains, in (0, 1]; 1 contains all
 
-	at float64
+	memberAt float64 // where the member lies on the circle; 0 if Share is 1
 }
 
 const (
-	// uneven is the deviation of a node's load that a subset may add, as a share of the mean. The traffic of members differs;
-	// a node that all keep has the mean of them all, one that a share f of M keeps deviates by root((1-f)/(f M)) of their spread.
-	uneven = 0.05
-	// spread is the deviation of the members' traffic, as a share of the mean: some see several times as much as others.
-	spread = 0.8
+	// maxLoadDeviation is the standard deviation of a replica's load that subsets may add, as a share of the mean. A
+	// replica in all subsets has the mean load of all coordinators. One in a share f of the subsets of n coordinators
+	// deviates by sqrt((1-f)/(f*n)) of the deviation of their traffic.
+	maxLoadDeviation = 0.05
+	// trafficDeviation is the assumed standard deviation of the coordinators' traffic, as a share of the mean. Some
+	// coordinators see several times as much as others.
+	trafficDeviation = 0.8
 )
 
-// NewSubset is the subset of a place that leaves each section least holders, where it has so many. A small fleet keeps all.
-func NewSubset(p Member, r Ring, least int) Subset {
-	s := Subset{Share: 1}
-	if !p.HasPeers() || r.Size < 1 {
-		return s
+// NewSubset returns a member's subset, with at least minHolders holders of each shard that has so many. The subsets of
+// a small fleet, and of a coordinator without peers, contain all replicas.
+func NewSubset(m Member, r Ring, minHolders int) Subset {
+	all := Subset{Share: 1}
+	if !m.HasPeers() || r.Size < 1 {
+		return all
 	}
-	holders := r.ReplicationFactor * max(1, r.Replicas/r.Size)
-	fair := 1 / (1 + uneven*uneven/(spread*spread)*float64(p.FleetSize))
-	kept := max(least, int(math.Ceil(fair*float64(holders))))
-	// Whole turns of the circle round the ring, so that its end joins its beginning.
-	if steps := (kept*r.Size + holders - 1) / holders; steps < r.Size {
-		s.Share, s.at = float64(steps)/float64(r.Size), p.at()
+	holders := r.holdersPerShard()
+	evenShare := 1 / (1 + maxLoadDeviation*maxLoadDeviation/(trafficDeviation*trafficDeviation)*float64(m.FleetSize))
+	contained := max(minHolders, int(math.Ceil(evenShare*float64(holders))))
+	// A whole number of rounds on the circle for the whole ring joins the ring's end to its beginning.
+	rounds := (contained*r.Size + holders - 1) / holders
+	if rounds >= r.Size {
+		return all
 	}
-	return s
+	return Subset{Share: float64(rounds) / float64(r.Size), memberAt: m.at()}
 }
 
-// Key is a node's, by its cell and its rank among the nodes there. The keys of a section's holders are also the order in
-// which they are taken into the subset where kept ones fail.
-func (s Subset) Key(cell, rank int) float64 {
+// Key returns a replica's key, by its ring position and its rank among the replicas there. The order of their keys is
+// also that in which the holders of a shard join the subset while contained ones are not ready.
+func (s Subset) Key(ringPosition, rank int) float64 {
 	if s.Share == 1 {
 		return 0
 	}
-	return frac(float64(cell)*s.Share + float64(rank)*golden + s.at)
+	return onCircle(float64(ringPosition)*s.Share + float64(rank)*goldenRatio + s.memberAt)
 }
 
-// Keeps tells whether a node with that key is kept.
+// Contains reports whether the subset contains the replica with a key.
 func (s Subset) Contains(key float64) bool { return key < s.Share }
 
-// Position is the coordinator's among those that keep a node with that key.
-func (s Subset) Position(p Member, key float64) Position {
+// Position returns the member's position among the coordinators whose subsets contain the replica with a key.
+func (s Subset) Position(m Member, key float64) Position {
 	if s.Share == 1 {
-		return p.Position()
+		return m.Position()
 	}
-	return Position(frac(key / s.Share))
+	return Position(onCircle(key / s.Share))
 }
 
-// Among is how many of a section's holders, in the order of their keys, belong to the subset: those that are kept, and as
-// many more as it takes for least of them to be ready. It widens in the step in which one fails and narrows in that in
-// which it is back, with nothing to remember.
-func (s Subset) HolderCount(keys []float64, ready []bool, least int) (n int) {
-	sound := 0
-	for n < len(keys) && (s.Contains(keys[n]) || sound < least) {
-		if ready[n] {
-			sound++
+// HolderCount returns how many of a shard's holders, in the order of their keys, the coordinator sends to: those that
+// the subset contains, and as many more as it takes for minReady of them to be ready. That depends on nothing but the
+// present state, so a holder that fails is made up for at once, and its substitute leaves at once when it is back.
+func (s Subset) HolderCount(keys []float64, ready []bool, minReady int) (count int) {
+	readyCount := 0
+	for count < len(keys) && (s.Contains(keys[count]) || readyCount < minReady) {
+		if ready[count] {
+			readyCount++
 		}
-		n++
+		count++
 	}
-	return n
+	return count
 }
