--- /dev/null
+++ b/internal/decide/settingsdiff/missing.go
@@ -0,0 +1,54 @@
+package settingsdiff
+
+import (
+	"maps"
+	"slices"
+)
+
+// A class has to say for how long its repeats are dropped if they are, and only then.
+const (
+	repeatKey      = "repeat"
+	repeatGuarded  = "guarded" // the value of repeatKey in a class whose repeats are dropped
+	dedupWindowKey = "dedup_window_us"
+)
+
+// Missing returns, in order, the paths that next lacks but has to have because old has them: each path outside the
+// lists, and in each entry of a list the keys that all of the list's entries had and those that the entry itself had.
+// Both are settings by name. The result is empty if next lacks nothing.
+func Missing(old, next map[string]string) (paths []string) {
+	required := map[string]bool{}
+	oldKeys := keysOfEntries(old)
+	for list, entries := range keysOfEntries(next) {
+		for name := range entries {
+			for key := range requiredKeys(list, name, oldKeys, old, next) {
+				required[entryPath{list, name, key}.String()] = true
+			}
+		}
+	}
+	for path := range old {
+		if _, inEntry := parseEntryPath(path); !inEntry {
+			required[path] = true
+		}
+	}
+	for path := range required {
+		if _, ok := next[path]; !ok {
+			paths = append(paths, path)
+		}
+	}
+	slices.Sort(paths)
+	return paths
+}
+
+// requiredKeys returns the keys that an entry of next has to have.
+func requiredKeys(list, name string, oldKeys entryKeys, old, next map[string]string) map[string]bool {
+	keys := oldKeys.shared(list)
+	maps.Copy(keys, oldKeys[list][name])
+	repeat := entryPath{list, name, repeatKey}.String()
+	switch {
+	case next[repeat] != repeatGuarded:
+		delete(keys, dedupWindowKey)
+	case old[repeat] != repeatGuarded:
+		keys[dedupWindowKey] = true
+	}
+	return keys
+}
