--- a/cmd/harepass/wiring.go
+++ b/cmd/harepass/wiring.go
@@ -90,7 +90,7 @@
 		known = platform.List{} // its version means nothing there, so discovery is asked for all of it
 	}
 	p.disc = platform.NewDiscovery(p.config.Discovery, known)
-	p.disc.Schedule = &backoff.Schedule{FleetSize: p.settings.Coordinators, ListMaxAge: p.settings.ListMaxAge, Pushed: p.pushed,
+	p.disc.Schedule = &backoff.Schedule{FleetSize: p.settings.Coordinators, ListMaxAge: p.settings.ListMaxAge, UsesAgent: p.pushed,
 		Rand: rand.New(rand.NewPCG(p.seed, scheduleStream))}
 	p.disc.Grace = p.settings.DrainGrace
 	cfg.Subscribe = p.disc.Subscribe
--- a/internal/decide/backoff/notification.go
+++ b/internal/decide/backoff/notification.go
@@ -57,7 +57,7 @@
 // WatchTimeouts returns how long discovery is asked to hold a watch, and how long after that hold an unanswered watch
 // counts as lost.
 func (s *Schedule) WatchTimeouts() (hold, silence time.Duration) {
-	if s.Pushed {
+	if s.UsesAgent {
 		return agentWatchHold, agentWatchSilence
 	}
 	return WatchHold, WatchSilence
@@ -66,7 +66,7 @@
 // CallTimeout returns how long to wait for the answer to a call that is not a watch.
 func (s *Schedule) CallTimeout() time.Duration {
 	switch {
-	case s.Pushed:
+	case s.UsesAgent:
 		return agentCallTimeout
 	case s.awaitingNewService:
 		return reloadCallTimeout
--- a/internal/decide/backoff/schedule.go
+++ b/internal/decide/backoff/schedule.go
@@ -24,8 +24,8 @@
 	// ListMaxAge is the time after which a coordinator that has not called counts as notified all the same. It bounds
 	// the spreading interval of a fleet that discovery cannot answer within NotifiedAfter; 0 sets no such bound.
 	ListMaxAge time.Duration
-	// Pushed states that the calls go to an agent of this coordinator rather than to the shared service.
-	Pushed bool
+	// UsesAgent states that the calls go to an agent of this coordinator rather than to the shared service.
+	UsesAgent bool
 	// Rand is the source of the drawn delays. Coordinators of a fleet need different ones.
 	Rand *rand.Rand
 
@@ -36,7 +36,7 @@
 // FirstDelay returns how long to wait before the first call of a process that has a stored endpoint list. A process
 // that has none calls at once.
 func (s *Schedule) FirstDelay() time.Duration {
-	if s.Pushed {
+	if s.UsesAgent {
 		return 0
 	}
 	interval := s.spreadingInterval(1) - s.queueTime()
@@ -46,7 +46,7 @@
 // WatchLostDelay returns how long to wait before a call that follows a lost watch. A lost watch says nothing of
 // discovery's load, so it counts neither as a failure nor as a success.
 func (s *Schedule) WatchLostDelay() time.Duration {
-	if s.Pushed {
+	if s.UsesAgent {
 		return agentDelay
 	}
 	return s.draw(min(s.spreadingInterval(watchLostSlots), MaxSpread))
@@ -71,7 +71,7 @@
 // discovery can answer the whole fleet within NotifiedAfter, the next call is early enough to be answered before that.
 // A list that has expired, or that expires before any answer, does not hasten the call.
 func (s *Schedule) FailureDelayBeforeExpiry(took, expiresIn time.Duration) time.Duration {
-	if s.Pushed {
+	if s.UsesAgent {
 		return agentDelay
 	}
 	s.load.failed(took, s.CallTimeout())
--- a/internal/decide/backoff/schedule_test.go
+++ b/internal/decide/backoff/schedule_test.go
@@ -64,7 +64,7 @@
 
 // A coordinator with an agent shares it with nobody, so it neither spreads its calls nor waits long for answers.
 func TestAgentIsCalledWithoutSpreading(t *testing.T) {
-	s := &Schedule{FleetSize: 300, Pushed: true, Rand: rand.New(rand.NewPCG(1, 6))}
+	s := &Schedule{FleetSize: 300, UsesAgent: true, Rand: rand.New(rand.NewPCG(1, 6))}
 	first, lost, failed, timeout := s.FirstDelay(), s.WatchLostDelay(), s.FailureDelay(time.Second), s.CallTimeout()
 	const longest = 100 * time.Millisecond
 	if first > 0 || lost > longest || failed > longest || timeout > 300*time.Millisecond {
--- a/internal/decide/follower/apply_test.go
+++ b/internal/decide/follower/apply_test.go
@@ -71,7 +71,7 @@
 		t.Fatalf("first slice: %+v, %v", c, err)
 	}
 	last := versionlog.Slice{Version: version(2, 9), Head: 9, Entries: []versionlog.Entry{entry("listed", 9)}}
-	if c, err = s.Apply(last); err != nil || fmt.Sprint(c.Removed) != "[unlisted]" || !c.Complete || !c.Completed {
+	if c, err = s.Apply(last); err != nil || fmt.Sprint(c.Removed) != "[unlisted]" || !c.Complete || !c.SnapshotCompleted {
 		t.Fatalf("last slice: %+v, %v", c, err)
 	}
 	first = versionlog.Slice{Version: version(3, 1), Head: 2, Base: 2, Snapshot: true,
--- a/internal/decide/follower/follower.go
+++ b/internal/decide/follower/follower.go
@@ -35,8 +35,8 @@
 	Removed []string
 	// Complete states that the reader has all of the log's state at Version, and knows of no newer one.
 	Complete bool
-	// Completed states that the answer was the last slice of a snapshot.
-	Completed bool
+	// SnapshotCompleted states that the answer was the last slice of a snapshot.
+	SnapshotCompleted bool
 }
 
 // State is where one reader stands. The zero value has no version and no names.
@@ -102,7 +102,7 @@
 		s.newest = v
 	}
 	if s.snapshot.names != nil && slice.Base == 0 {
-		c.Removed, c.Completed = s.completeSnapshot(), true
+		c.Removed, c.SnapshotCompleted = s.completeSnapshot(), true
 	}
 	c.Complete = s.Complete()
 	return c, nil
--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// A node is drained just after discovery confirmed the list, and the coordinator does not learn of it. The platform
-// counts an attempt at the node as a fault once the drain is notified and its grace is over. Whatever else happens:
-// once a call has failed, the lease ends 0.25 s before that, or half of a short grace before it.
+// An endpoint is drained just after discovery confirmed the list, and the coordinator does not learn of it. The
+// platform counts an attempt at the endpoint as a fault once the drain is notified and its grace is over. Whatever else
+// happens: once a call has failed, the lease ends 0.25 s before that, or half of a short grace before it.
 func TestExpiresBeforeNotificationAndGraceAreOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(0, int64(2*second)).Draw(t, "grace"))
--- a/internal/decide/subsetting/doc.go
+++ b/internal/decide/subsetting/doc.go
@@ -22,6 +22,6 @@
 //	member.go    where a coordinator lies among all
 //	subset.go    which replicas a coordinator's subset has, and how many holders of a shard take part
 //	sequence.go  whether a coordinator may spend a budget of which its share is less than one
-//	slots.go     when a coordinator's turn comes for something that all do at a bounded rate
+//	slots.go     when a coordinator may do what all do at a bounded rate together
 //	circle.go    arithmetic on the circle
 package subsetting
--- a/internal/distribution/call.go
+++ b/internal/distribution/call.go
@@ -116,13 +116,13 @@
 		f.refused.Add(1)
 		return err
 	}
-	news := slice.Version != before.Version || slice.Snapshot || change.Completed
+	news := slice.Version != before.Version || slice.Snapshot || change.SnapshotCompleted
 	f.more = news && slice.More()
 	f.sourceAge = ageOf(m)
 	f.note(slice, change, news, f.sourceAge)
 	if news {
 		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Removed: change.Removed,
-			Completed: change.Completed, Complete: change.Complete, Source: source})
+			Completed: change.SnapshotCompleted, Complete: change.Complete, Source: source})
 	}
 	return nil
 }
@@ -133,7 +133,7 @@
 	if news {
 		f.versions.Add(1)
 	}
-	if change.Completed {
+	if change.SnapshotCompleted {
 		f.snapshots.Add(1)
 	}
 	f.mu.Lock()
--- a/internal/platform/agent_test.go
+++ b/internal/platform/agent_test.go
@@ -60,7 +60,7 @@
 					go served.Serve(memory.Listen("d"))
 					d := NewDiscovery("d", List{Index: 7, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Status: "in_service"}}})
 					d.Dial = memory.Dial
-					d.Schedule = &backoff.Schedule{FleetSize: 3, Pushed: true, Rand: rand.New(rand.NewPCG(1, 1))}
+					d.Schedule = &backoff.Schedule{FleetSize: 3, UsesAgent: true, Rand: rand.New(rand.NewPCG(1, 1))}
 					told := make(chan time.Time, 1)
 					d.Listed = func(_ scatter.UpdateKind, nodes []core.Endpoint) {
 						if len(nodes) == 1 && nodes[0].State == scatter.Draining {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -187,7 +187,7 @@
 // reportLease tells the coordinator until when its list may be used. What an agent of the coordinator's own has not
 // learned counts as notified to nobody, so a pushed list has no lease.
 func (d *Discovery) reportLease() {
-	if d.Leased != nil && !d.Schedule.Pushed {
+	if d.Leased != nil && !d.Schedule.UsesAgent {
 		d.Leased(d.lease.Expires())
 	}
 }
