--- a/internal/decide/backoff/schedule.go
+++ b/internal/decide/backoff/schedule.go
@@ -22,7 +22,8 @@
 	// FleetSize is the number of coordinators that call the same discovery service.
 	FleetSize int
 	// ListMaxAge is the time after which a coordinator that has not called counts as notified all the same. It bounds
-	// the spreading interval of a fleet that discovery cannot answer within NotifiedAfter; 0 sets no such bound.
+	// the spreading interval of a fleet that discovery cannot answer within half of NotifiedAfter; 0 sets no such
+	// bound.
 	ListMaxAge time.Duration
 	// UsesAgent states that the calls go to an agent of this coordinator rather than to the shared service.
 	UsesAgent bool
@@ -93,7 +94,10 @@
 }
 
 // Succeeded records that a call or a watch was answered.
-func (s *Schedule) Succeeded() { s.load.slots, s.awaitingNewService = 0, false }
+func (s *Schedule) Succeeded() {
+	s.load.succeeded()
+	s.awaitingNewService = false
+}
 
 // ServiceChanged records that calls go to another service from now on. What was learned of the old one is dropped.
 func (s *Schedule) ServiceChanged() { s.load, s.awaitingNewService = serviceLoad{}, true }
--- a/internal/decide/backoff/spreading.go
+++ b/internal/decide/backoff/spreading.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// callSlot is the time for which one call is assumed to occupy discovery. It cannot be learned from answers: a late
+	// callSlot is the time for which one call is taken to occupy discovery. It cannot be learned from answers: a late
 	// one may have waited in the queue, and an early one may come from an idle service.
 	callSlot = 100 * time.Millisecond
-	// assumedServiceTimeout stands in for the service time-out until discovery has failed a call sooner.
-	assumedServiceTimeout = time.Second
+	// defaultServiceTimeout stands in for the service time-out until discovery has failed a call sooner.
+	defaultServiceTimeout = time.Second
 	// queueShare is the share of the service time-out for which calls may queue at discovery.
 	queueShare = 0.75
 	// ImmediateFailure is the time within which a service fails calls that it does not queue: it is down, or rejects
@@ -41,12 +41,15 @@
 	}
 }
 
+// succeeded records an answered call: the next failure begins with the shortest interval again.
+func (l *serviceLoad) succeeded() { l.slots = 0 }
+
 // serviceTimeout is how long discovery lets a call wait at most.
 func (l *serviceLoad) serviceTimeout() time.Duration {
 	if l.shortestTimeout > 0 {
 		return l.shortestTimeout
 	}
-	return assumedServiceTimeout
+	return defaultServiceTimeout
 }
 
 // spreadingInterval is the time that discovery needs for so many call slots of each coordinator of the fleet.
--- a/internal/decide/failover/probes.go
+++ b/internal/decide/failover/probes.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Nearer returns a source to probe while the current one is not stale: one that is nearer and whose time to return has
-// come. ok is false if there is none.
+// Nearer returns a source to probe for a reader whose current source is not stale: one that is nearer and whose time to
+// return has come. ok is false if there is none.
 func (s *Selector) Nearer(now time.Duration) (source Source, ok bool) {
 	if s.current == none {
 		return Source{}, false
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -35,7 +35,7 @@
 	// replica in all subsets has the mean load of all coordinators. One in a share f of the subsets of n coordinators
 	// deviates by sqrt((1-f)/(f*n)) of the deviation of their traffic.
 	maxLoadDeviation = 0.05
-	// trafficDeviation is the assumed standard deviation of the coordinators' traffic, as a share of the mean. Some
+	// trafficDeviation is the standard deviation of the coordinators' traffic, as a share of the mean. Some
 	// coordinators see several times as much as others.
 	trafficDeviation = 0.8
 )
@@ -48,6 +48,7 @@
 		return all
 	}
 	holders := r.holdersPerShard()
+	// At this share f a replica's load deviates by maxLoadDeviation: it solves the equation there for f.
 	evenShare := 1 / (1 + maxLoadDeviation*maxLoadDeviation/(trafficDeviation*trafficDeviation)*float64(m.FleetSize))
 	contained := max(minHolders, int(math.Ceil(evenShare*float64(holders))))
 	// A whole number of rounds on the circle for the whole ring joins the ring's end to its beginning.
