--- a/cmd/harepass/distribution.go
+++ b/cmd/harepass/distribution.go
@@ -102,10 +102,10 @@
 			slog.Info("list in force", "version", versionText(u.Slice.Version), "source", u.Source)
 		}
 		if u.Complete {
-			logInForce(distribution.Instances, u.Slice.Version)
+			logInForce(distribution.Endpoints, u.Slice.Version)
 		}
 	}
-	f := p.distribution.follower(distribution.Config{Resource: distribution.Instances, Known: p.distributed.Known(),
+	f := p.distribution.follower(distribution.Config{Resource: distribution.Endpoints, KnownNames: p.distributed.Known(),
 		Check: p.distributed.Check, Apply: apply}, p.seed)
 	go f.Run(ctx)
 }
--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -29,7 +29,7 @@
 }
 
 func newRelays(t *testing.T) *relays {
-	budget := relay.NewBudget(1 << 20)
+	budget := relay.NewSnapshotBudget(1 << 20)
 	r := &relays{t: t, instances: relay.NewResource(versionlog.New(7, 100), budget), settings: relay.NewResource(versionlog.New(7, 100), budget)}
 	for range 2 {
 		l := listen(t)
--- a/cmd/harepass/relay.go
+++ b/cmd/harepass/relay.go
@@ -66,12 +66,12 @@
 	if f.Authority != nil {
 		epoch = time.Now().UnixMilli()
 	}
-	budget := relay.NewBudget(f.SnapshotBytes)
+	budget := relay.NewSnapshotBudget(f.SnapshotBytes)
 	instances := relay.NewResource(versionlog.New(epoch, f.Removals), budget)
 	settings := relay.NewResource(versionlog.New(epoch, f.Removals), budget)
 	r := &relayProgram{file: f, server: relay.NewServer(instances, settings, f.Readers)}
 	if a := f.Authority; a != nil {
-		r.authority = &relay.Authority{Instances: instances, Settings: settings, Discovery: a.Discovery, NodesFile: a.Nodes,
+		r.authority = &relay.Authority{Endpoints: instances, Settings: settings, Discovery: a.Discovery, EndpointsFile: a.Nodes,
 			SettingsFile: a.Settings, CheckSettings: checkFleetSettings}
 	}
 	return r
@@ -109,7 +109,7 @@
 		return
 	}
 	for resource, kept := range map[distribution.Resource]*relay.Resource{
-		distribution.Instances: r.server.Instances, distribution.Settings: r.server.Settings} {
+		distribution.Endpoints: r.server.Endpoints, distribution.Settings: r.server.Settings} {
 		config := distribution.Config{Resource: resource, Heartbeat: r.file.Heartbeat, Allowance: r.file.Allowance}
 		config = withSources(config, r.file.Sources, failover.Place{Zone: r.file.Zone, Region: r.file.Region})
 		go kept.Follow(ctx, config)
--- a/cmd/harepass/relay_test.go
+++ b/cmd/harepass/relay_test.go
@@ -140,7 +140,7 @@
 	at := func(list, settings int64) func() bool {
 		return func() bool {
 			s := relayStatus(below)
-			return s.Instances.Index == list && s.Settings.Index == settings && s.Instances.Epoch > 0 && s.Settings.Epoch == s.Instances.Epoch
+			return s.Endpoints.Index == list && s.Settings.Index == settings && s.Endpoints.Epoch > 0 && s.Settings.Epoch == s.Endpoints.Epoch
 		}
 	}
 	eventually(t, "the relay has both", at(2, 1))
--- a/internal/distribution/age.go
+++ b/internal/distribution/age.go
@@ -24,7 +24,7 @@
 			return
 		case <-tick.C:
 		}
-		if s := f.Status(); old != (s.Age > oldAfter) {
+		if s := f.Status(); old != (s.Staleness > oldAfter) {
 			old = !old
 			f.logAge(s, old)
 		}
@@ -32,7 +32,7 @@
 }
 
 func (f *Follower) logAge(s Status, old bool) {
-	attributes := []any{"resource", f.cfg.Resource.Name(), "age", s.Age.Round(time.Millisecond), "epoch", s.Version.Epoch, "index", s.Version.Index, "whole", s.Complete}
+	attributes := []any{"resource", f.cfg.Resource.Name(), "age", s.Staleness.Round(time.Millisecond), "epoch", s.Version.Epoch, "index", s.Version.Index, "whole", s.Complete}
 	if old {
 		slog.Warn("no fresh version", attributes...)
 		return
--- a/internal/distribution/call.go
+++ b/internal/distribution/call.go
@@ -55,11 +55,11 @@
 }
 
 // call asks the source in use for what is new and takes the answer.
-func (f *Follower) call(ctx context.Context, c *http1.Client, hold time.Duration) result {
+func (f *Follower) poll(ctx context.Context, c *http1.Client, hold time.Duration) result {
 	cursor, known := f.state.Cursor()
-	answer, err := f.ask(ctx, c, cursor, known, hold)
+	answer, err := f.request(ctx, c, cursor, known, hold)
 	if err == nil {
-		if err = f.take(c.Address, answer); err != nil {
+		if err = f.apply(c.Address, answer); err != nil {
 			f.failures.Add(1)
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // ask makes a call for what is newer than a cursor.
-func (f *Follower) ask(ctx context.Context, c *http1.Client, cursor versionlog.Cursor, known bool, hold time.Duration) (*http1.Message, error) {
+func (f *Follower) request(ctx context.Context, c *http1.Client, cursor versionlog.Cursor, known bool, hold time.Duration) (*http1.Message, error) {
 	limited, cancel := context.WithTimeout(ctx, f.cfg.Heartbeat+f.cfg.Allowance)
 	defer cancel()
 	f.calls.Add(1)
@@ -97,7 +97,7 @@
 }
 
 // take checks an answer and hands it to the consumer.
-func (f *Follower) take(source string, m *http1.Message) error {
+func (f *Follower) apply(source string, m *http1.Message) error {
 	slice, err := read(m)
 	if err == nil && f.cfg.Check != nil {
 		if bad := f.cfg.Check(slice.Entries); bad != nil {
@@ -105,7 +105,7 @@
 		}
 	}
 	if errors.Is(err, ErrInvalid) {
-		f.refused.Add(1)
+		f.rejected.Add(1)
 	}
 	if err != nil {
 		return err
@@ -113,13 +113,13 @@
 	before, _ := f.state.Cursor()
 	change, err := f.state.Apply(slice)
 	if err != nil {
-		f.refused.Add(1)
+		f.rejected.Add(1)
 		return err
 	}
 	news := slice.Version != before.Version || slice.Snapshot || change.Completed
-	f.more = news && slice.More()
-	f.sourceAge = ageOf(m)
-	f.note(slice, change, news, f.sourceAge)
+	f.moreAvailable = news && slice.More()
+	f.sourceStaleness = ageOf(m)
+	f.note(slice, change, news, f.sourceStaleness)
 	if news {
 		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Removed: change.Removed,
 			Completed: change.Completed, Complete: change.Complete, Source: source})
@@ -138,21 +138,21 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.status.Version, f.status.Known, f.status.Complete, f.status.Entries = slice.Version, true, change.Complete, f.state.Len()
+	f.status.Version, f.status.HasVersion, f.status.Complete, f.status.Entries = slice.Version, true, change.Complete, f.state.Len()
 	if change.Complete && !slice.More() {
 		f.confirmed = time.Now().Add(-age)
 	}
 }
 
 // judge tells the selector what came of a call and tells whether the source is to be followed on.
-func (f *Follower) judge(ctx context.Context, source failover.Source, r result) (stay bool) {
+func (f *Follower) recordOutcome(ctx context.Context, source failover.Source, r result) (stay bool) {
 	if r.err == nil {
 		f.behindSince = time.Time{}
-		if !f.following {
+		if !f.served {
 			f.answered(source)
 		}
 		f.selector.Served(f.now())
-		f.selector.Aged(f.now(), f.sourceAge)
+		f.selector.Aged(f.now(), f.sourceStaleness)
 		return true
 	}
 	if f.bearBehind(ctx, r) {
@@ -166,7 +166,7 @@
 	}
 	reason := r.reason()
 	level := slog.LevelDebug // it may be tried for hours
-	if f.following {
+	if f.served {
 		level = slog.LevelInfo
 	}
 	slog.Log(ctx, level, "source left", "resource", f.cfg.Resource.Name(), "source", source.Address, "reason", reason.String(), "err", r.err)
@@ -176,7 +176,9 @@
 
 // needsSnapshot tells whether a busy source is worth waiting for: the reader has no list yet, or one so old that no other
 // source is likely to have all that changed since. One with a fresh list goes on at the next source.
-func (f *Follower) needsSnapshot() bool { return !f.state.Complete() || f.Status().Age > oldAfter }
+func (f *Follower) needsSnapshot() bool {
+	return !f.state.Complete() || f.Status().Staleness > oldAfter
+}
 
 // bearBehind waits a moment where the source is behind, and has not been so for long.
 func (f *Follower) bearBehind(ctx context.Context, r result) bool {
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -15,14 +15,14 @@
 
 // The resources.
 const (
-	Instances Resource = "/registry/instances" // the node list
+	Endpoints Resource = "/registry/instances" // the node list
 	Settings  Resource = "/registry/settings"
 )
 
 // Name is the resource's name in logs and files.
 func (r Resource) Name() string {
 	switch r {
-	case Instances:
+	case Endpoints:
 		return "instances"
 	case Settings:
 		return "settings"
@@ -56,12 +56,12 @@
 
 // Status is where a Follower stands.
 type Status struct {
-	Version  versionlog.Version
-	Known    bool          // false: it has nothing yet, and Version means nothing
-	Complete bool          // the replica is the log's state at Version
-	Entries  int           // held
-	Age      time.Duration // since Version was last known to be the authority's newest; since the start before that
-	Source   string        // the address that is followed; empty where none answers
+	Version    versionlog.Version
+	HasVersion bool          // false: it has nothing yet, and Version means nothing
+	Complete   bool          // the replica is the log's state at Version
+	Entries    int           // held
+	Staleness  time.Duration // since Version was last known to be the authority's newest; since the start before that
+	Source     string        // the address that is followed; empty where none answers
 }
 
 // Counters count since the start.
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -31,10 +31,10 @@
 	// sources.DefaultStaleAfter, or three heartbeats if that is more.
 	StaleAfter time.Duration
 	// Confirmed is when what the consumer has from before was last known to be the newest; New's time where it is zero.
-	Confirmed time.Time
-	MaxBody   int // bytes; DefaultMaxBody where it is 0
+	ConfirmedAt time.Time
+	MaxBody     int // bytes; DefaultMaxBody where it is 0
 
-	Known []string // names that the consumer has from elsewhere: it is told where the first snapshot does not hold them
+	KnownNames []string // names that the consumer has from elsewhere: it is told where the first snapshot does not hold them
 
 	// AnySnapshot takes every snapshot over, whatever its index is: for the one source of an authority, which is the
 	// discovery service and counts by an index of its own.
@@ -46,17 +46,17 @@
 
 // Follower keeps a replica of one resource. Use New, then Run.
 type Follower struct {
-	cfg       Config
-	selector  *failover.Selector // of Run alone, as state is
-	state     follower.State
-	began     time.Time
-	dial      http1.Dialer // counts bytes
-	more      bool         // the last answer brought news and told of more
-	following bool         // the current source has given a good answer
-	trials    chan trial   // of a better source, once it is over
-	trying    bool         // one is under way, or its result waits in trials
+	cfg           Config
+	selector      *failover.Selector // of Run alone, as state is
+	state         follower.State
+	startedAt     time.Time
+	dial          http1.Dialer // counts bytes
+	moreAvailable bool         // the last answer brought news and told of more
+	served        bool         // the current source has given a good answer
+	probeResults  chan probe   // of a better source, once it is over
+	probing       bool         // one is under way, or its result waits in trials
 	// sourceAge is that of what the current source has, by its last answer.
-	sourceAge time.Duration
+	sourceStaleness time.Duration
 	// behindSince is when the current source's answers began to be older than the replica; zero while they are not.
 	behindSince time.Time
 
@@ -66,7 +66,7 @@
 
 	calls, failures, bytesRead, bytesWritten atomic.Int64
 	versions, entries, snapshots             atomic.Int64
-	switches, refused                        atomic.Int64
+	switches, rejected                       atomic.Int64
 }
 
 // New returns a Follower that does nothing before Run.
@@ -87,13 +87,13 @@
 		cfg.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	now := time.Now()
-	if cfg.Confirmed.IsZero() {
-		cfg.Confirmed = now
+	if cfg.ConfirmedAt.IsZero() {
+		cfg.ConfirmedAt = now
 	}
-	f := &Follower{cfg: cfg, selector: failover.New(cfg.Place, cfg.Sources, cfg.Rand), began: now, confirmed: cfg.Confirmed, trials: make(chan trial, 1)}
+	f := &Follower{cfg: cfg, selector: failover.New(cfg.Place, cfg.Sources, cfg.Rand), startedAt: now, confirmed: cfg.ConfirmedAt, probeResults: make(chan probe, 1)}
 	f.selector.StaleAfter(cfg.StaleAfter)
 	f.state.AcceptAnySnapshot = cfg.AcceptAnySnapshot
-	f.state.Seed(cfg.Known)
+	f.state.Seed(cfg.KnownNames)
 	f.dial = f.countBytes(cfg.Dial)
 	return f
 }
@@ -103,7 +103,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.status
-	s.Age = time.Since(f.confirmed)
+	s.Staleness = time.Since(f.confirmed)
 	return s
 }
 
@@ -112,16 +112,16 @@
 	return Counters{Calls: f.calls.Load(), Failures: f.failures.Load(),
 		BytesRead: f.bytesRead.Load(), BytesWritten: f.bytesWritten.Load(),
 		Versions: f.versions.Load(), Entries: f.entries.Load(), Snapshots: f.snapshots.Load(),
-		Switches: f.switches.Load(), Rejected: f.refused.Load()}
+		Switches: f.switches.Load(), Rejected: f.rejected.Load()}
 }
 
 // now is the time on the selector's clock.
-func (f *Follower) now() time.Duration { return time.Since(f.began) }
+func (f *Follower) now() time.Duration { return time.Since(f.startedAt) }
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	go f.watchAge(ctx)
-	defer f.endTrial()
+	defer f.waitForProbe()
 	for ctx.Err() == nil {
 		source, wait := f.selector.Next(f.now())
 		if wait > 0 {
@@ -138,15 +138,15 @@
 	defer func() { c.Close() }()
 	defer f.left()
 	for first := true; ; {
-		result := f.call(ctx, c, f.hold(first))
+		result := f.poll(ctx, c, f.hold(first))
 		first = false
 		if ctx.Err() != nil {
 			return
 		}
-		if !f.judge(ctx, source, result) {
+		if !f.recordOutcome(ctx, source, result) {
 			return
 		}
-		if nearer, client := f.returnTo(ctx); client != nil {
+		if nearer, client := f.betterSource(ctx); client != nil {
 			c.Close()
 			source, c, first = nearer, client, true
 			f.answered(source)
@@ -157,13 +157,13 @@
 // hold is how long the next call may be held: a reader that has just come, or knows that there is more, does not wait.
 func (f *Follower) hold(first bool) time.Duration {
 	cursor, known := f.state.Cursor()
-	if first || !known || cursor.Base > 0 || f.more || f.behind() {
+	if first || !known || cursor.Base > 0 || f.moreAvailable || f.behind() {
 		return noHold
 	}
 	if !f.selector.Stale() {
 		return f.cfg.Heartbeat
 	}
-	if f.trying {
+	if f.probing {
 		return min(f.cfg.Heartbeat, trialHold)
 	}
 	if wait := f.selector.LookIn(f.now()); wait > 0 {
@@ -185,7 +185,7 @@
 
 // answered notes the first good answer of a source that has been chosen.
 func (f *Follower) answered(source failover.Source) {
-	f.following = true
+	f.served = true
 	f.switches.Add(1)
 	f.mu.Lock()
 	f.status.Source = source.Address
@@ -195,7 +195,7 @@
 
 // left notes that no source is followed.
 func (f *Follower) left() {
-	f.following, f.behindSince = false, time.Time{}
+	f.served, f.behindSince = false, time.Time{}
 	f.mu.Lock()
 	f.status.Source = ""
 	f.mu.Unlock()
--- a/internal/distribution/follower_test.go
+++ b/internal/distribution/follower_test.go
@@ -47,10 +47,10 @@
 
 func followWith(t *testing.T, cfg Config) *member {
 	m := &member{t: t, held: map[string]string{}}
-	for _, name := range cfg.Known {
+	for _, name := range cfg.KnownNames {
 		m.held[name] = "known"
 	}
-	cfg.Resource, cfg.Place, cfg.Heartbeat, cfg.Rand = Instances, inZone, 200*time.Millisecond, rand.New(rand.NewPCG(1, 2))
+	cfg.Resource, cfg.Place, cfg.Heartbeat, cfg.Rand = Endpoints, inZone, 200*time.Millisecond, rand.New(rand.NewPCG(1, 2))
 	cfg.Apply, cfg.Check = m.apply, known
 	m.Follower = New(cfg)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -334,7 +334,7 @@
 		}
 	})
 	far.set(func(s *source) { s.bytes, s.silent = 1200, true })
-	m := followWith(t, Config{Sources: []failover.Source{at(zone, inZone), at(far, elsewhere)}, Known: []string{"n39", "n01", "gone"},
+	m := followWith(t, Config{Sources: []failover.Source{at(zone, inZone), at(far, elsewhere)}, KnownNames: []string{"n39", "n01", "gone"},
 		Allowance: allowance})
 	m.eventually("calls to both", func() bool { return zone.called() > 1 && far.called() > 0 })
 	if m.statusOf("n01") != "in_service" || m.statusOf("gone") != "known" || m.Status().Complete {
@@ -375,13 +375,13 @@
 	zone.stop()
 	far.stop()
 	m.eventually("failed calls", func() bool { return m.Counters().Failures > 6 })
-	if s := m.Status(); !s.Complete || m.names() != "[a]" || s.Age < 500*time.Millisecond {
+	if s := m.Status(); !s.Complete || m.names() != "[a]" || s.Staleness < 500*time.Millisecond {
 		t.Errorf("it has %s, %+v", m.names(), s)
 	}
 	l.put("b", "in_service")
 	far.start(t)
 	m.reaches(l.head())
-	m.eventually("a fresh list", func() bool { return m.Status().Age < time.Second })
+	m.eventually("a fresh list", func() bool { return m.Status().Staleness < time.Second })
 	if c := m.Counters(); c.BytesRead == 0 || c.BytesWritten == 0 || c.Switches < 2 || c.Snapshots != 1 || c.Entries != 2 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/distribution/trial.go
+++ b/internal/distribution/trial.go
@@ -13,7 +13,7 @@
 
 // trial is what came of a call to a nearer or fresher source, beside the one in use: it may be silent, and changes are not to wait for
 // it. Nothing of its answer counts; the calls that follow bring what it has.
-type trial struct {
+type probe struct {
 	source failover.Source
 	client *http1.Client
 	result result
@@ -22,14 +22,14 @@
 }
 
 // returnTo returns a better source with its client where one has answered a trial, and begins a trial where it is time.
-func (f *Follower) returnTo(ctx context.Context) (failover.Source, *http1.Client) {
-	if !f.trying {
-		f.beginTrial(ctx)
+func (f *Follower) betterSource(ctx context.Context) (failover.Source, *http1.Client) {
+	if !f.probing {
+		f.startProbe(ctx)
 		return failover.Source{}, nil
 	}
 	select {
-	case t := <-f.trials:
-		f.trying = false
+	case t := <-f.probeResults:
+		f.probing = false
 		if t.result.err != nil {
 			f.selector.Stay(f.now(), t.source, t.result.reason())
 		} else if f.isBetter(t) {
@@ -42,7 +42,7 @@
 }
 
 // isBetter tells whether the source of a trial that was answered is to be followed.
-func (f *Follower) isBetter(t trial) bool {
+func (f *Follower) isBetter(t probe) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
 	if !f.selector.Return(f.now(), t.source, t.age+time.Since(t.at)) {
@@ -50,13 +50,13 @@
 	}
 	if stale {
 		slog.Info("source left", "resource", f.cfg.Resource.Name(), "source", left.Address, "reason", failover.Stale.String(),
-			"age", f.sourceAge.Round(time.Millisecond))
+			"age", f.sourceStaleness.Round(time.Millisecond))
 	}
 	return true
 }
 
 // beginTrial calls a nearer source, or where the current one is stale any other one, where there is one to try.
-func (f *Follower) beginTrial(ctx context.Context) {
+func (f *Follower) startProbe(ctx context.Context) {
 	if !f.state.Complete() {
 		return
 	}
@@ -68,25 +68,25 @@
 	if !ok {
 		return
 	}
-	f.trying = true
+	f.probing = true
 	cursor, known := f.state.Cursor()
 	go func() {
 		c := f.client(source)
-		t := trial{source: source, client: c}
-		answer, err := f.ask(ctx, c, cursor, known, noHold)
+		t := probe{source: source, client: c}
+		answer, err := f.request(ctx, c, cursor, known, noHold)
 		if err == nil {
 			t.age, t.at = ageOf(answer), time.Now()
 			err = fit(answer, cursor)
 		}
 		t.result = result{err}
-		f.trials <- t
+		f.probeResults <- t
 	}()
 }
 
 // endTrial waits for a trial that is under way, when Run is over.
-func (f *Follower) endTrial() {
-	if f.trying {
-		t := <-f.trials
+func (f *Follower) waitForProbe() {
+	if f.probing {
+		t := <-f.probeResults
 		t.client.Close()
 	}
 }
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -32,10 +32,10 @@
 // Authority gives out versions of its own: of a node list from the discovery service or a file, and of the settings from a
 // file. What it reads is checked whole before any of it is published.
 type Authority struct {
-	Instances     *Resource
+	Endpoints     *Resource
 	Settings      *Resource
 	Discovery     string // address; empty for none
-	NodesFile     string // in the form of discovery's whole list; empty for none
+	EndpointsFile string // in the form of discovery's whole list; empty for none
 	SettingsFile  string // the settings as one JSON object; empty for none
 	CheckSettings SettingsCheck
 
@@ -52,16 +52,16 @@
 	if err != nil {
 		return err
 	}
-	if a.NodesFile != "" {
-		a.Instances.SetAge(always)
-		published, err := a.Instances.Replace(nodes)
+	if a.EndpointsFile != "" {
+		a.Endpoints.SetStaleness(always)
+		published, err := a.Endpoints.Replace(nodes)
 		if err != nil {
-			return fmt.Errorf("%s: %w", a.NodesFile, err)
+			return fmt.Errorf("%s: %w", a.EndpointsFile, err)
 		}
-		logPublished("instances", a.Instances, published)
+		logPublished("instances", a.Endpoints, published)
 	}
 	if a.SettingsFile != "" {
-		a.Settings.SetAge(always)
+		a.Settings.SetStaleness(always)
 		published, err := a.Settings.Publish([]versionlog.Change{settingsChange(settings)})
 		if err != nil {
 			return fmt.Errorf("%s: %w", a.SettingsFile, err)
@@ -84,7 +84,7 @@
 		return
 	}
 	changes := make(chan []versionlog.Change)
-	follower := distribution.New(distribution.Config{Resource: distribution.Instances, AcceptAnySnapshot: true, MaxBody: longestList,
+	follower := distribution.New(distribution.Config{Resource: distribution.Endpoints, AcceptAnySnapshot: true, MaxBody: longestList,
 		Sources: []failover.Source{{Address: a.Discovery}}, Check: checkNodes,
 		Apply: func(update distribution.Update) {
 			select {
@@ -92,7 +92,7 @@
 			case <-ctx.Done():
 			}
 		}})
-	a.Instances.SetAge(func() time.Duration { return follower.Status().Age })
+	a.Endpoints.SetStaleness(func() time.Duration { return follower.Status().Staleness })
 	go follower.Run(ctx)
 	a.gather(ctx, changes)
 }
@@ -108,11 +108,11 @@
 				due = time.After(gatherTime)
 			}
 		case <-due:
-			published, err := a.Instances.Publish(gathered)
+			published, err := a.Endpoints.Publish(gathered)
 			if err != nil {
 				slog.Error("list refused", "err", err)
 			}
-			logPublished("instances", a.Instances, published)
+			logPublished("instances", a.Endpoints, published)
 			gathered, due = nil, nil
 		case <-ctx.Done():
 			return
@@ -188,10 +188,10 @@
 
 // readNodes reads the list's file, where there is one.
 func (a *Authority) readNodes() ([]versionlog.Change, error) {
-	if a.NodesFile == "" {
+	if a.EndpointsFile == "" {
 		return nil, nil
 	}
-	data, err := os.ReadFile(a.NodesFile)
+	data, err := os.ReadFile(a.EndpointsFile)
 	if err != nil {
 		return nil, err
 	}
@@ -200,7 +200,7 @@
 		err = checkWholeList(list.Entries)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", a.NodesFile, err)
+		return nil, fmt.Errorf("%s: %w", a.EndpointsFile, err)
 	}
 	var state []versionlog.Change
 	for _, entry := range list.Entries {
--- a/internal/relay/authority_test.go
+++ b/internal/relay/authority_test.go
@@ -20,8 +20,8 @@
 	dir := t.TempDir()
 	server = authority(5, wideBudget)
 	address, _ = start(t, server)
-	a = &Authority{Instances: server.Instances, Settings: server.Settings,
-		NodesFile: filepath.Join(dir, "nodes.json"), SettingsFile: filepath.Join(dir, "settings.json"),
+	a = &Authority{Endpoints: server.Endpoints, Settings: server.Settings,
+		EndpointsFile: filepath.Join(dir, "nodes.json"), SettingsFile: filepath.Join(dir, "settings.json"),
 		CheckSettings: func(old, next json.RawMessage) ([]string, error) {
 			if strings.Contains(string(next), "bad") {
 				return nil, errors.New("bad settings")
@@ -29,7 +29,7 @@
 			return nil, nil
 		}}
 	return a, server, address, func(nodes, settings string) {
-		for path, text := range map[string]string{a.NodesFile: nodes, a.SettingsFile: settings} {
+		for path, text := range map[string]string{a.EndpointsFile: nodes, a.SettingsFile: settings} {
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -55,7 +55,7 @@
 		if err := a.Load(); err != nil {
 			t.Fatal(err)
 		}
-		if nodes, settings := server.Instances.Head().Index, server.Settings.Head().Index; nodes != 2 || settings != 1 {
+		if nodes, settings := server.Endpoints.Head().Index, server.Settings.Head().Index; nodes != 2 || settings != 1 {
 			t.Errorf("the list is at %d, the settings are at %d", nodes, settings)
 		}
 	}
@@ -76,7 +76,7 @@
 		if err := a.Load(); err == nil {
 			t.Errorf("%s: taken over", what)
 		}
-		if nodes, settings := server.Instances.Head().Index, server.Settings.Head().Index; nodes != 2 || settings != 1 {
+		if nodes, settings := server.Endpoints.Head().Index, server.Settings.Head().Index; nodes != 2 || settings != 1 {
 			t.Fatalf("%s: the list is at %d, the settings are at %d", what, nodes, settings)
 		}
 	}
@@ -116,13 +116,13 @@
 	go registry.Serve(listener, func(string) string { return "127.0.0.1:9" }, func(fake.Listing) {})
 	server := authority(5, wideBudget)
 	address, _ := start(t, server)
-	a := &Authority{Instances: server.Instances, Settings: server.Settings, Discovery: listener.Addr().String()}
+	a := &Authority{Endpoints: server.Endpoints, Settings: server.Settings, Discovery: listener.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { a.Run(ctx) })
 	defer running.Wait()
 	defer cancel()
-	waitFor(t, "the list has not come", func() bool { return server.Instances.Head().Index == list })
+	waitFor(t, "the list has not come", func() bool { return server.Endpoints.Head().Index == list })
 	r := newReader(t, address)
 	r.readAll(t)
 	if len(r.live) != list || !strings.Contains(r.live["node-00001"], `"type":"m2"`) {
--- a/internal/relay/resource.go
+++ b/internal/relay/resource.go
@@ -39,7 +39,7 @@
 	Rejection  Rejection
 	RetryAfter time.Duration // with Empty and Busy
 	Body       []byte        // else; shared by readers, not to be changed
-	Age        time.Duration // since the resource was last known to be current
+	Staleness  time.Duration // since the resource was last known to be current
 }
 
 // Counters count the answers of one resource since the start.
@@ -58,7 +58,7 @@
 
 // Resource is one list of entries and its readers. Use NewResource.
 type Resource struct {
-	budget *Budget
+	budget *SnapshotBudget
 
 	mu       sync.Mutex
 	log      *versionlog.Log
@@ -82,7 +82,7 @@
 }
 
 // NewResource returns a resource with a log: an authority's, or an empty one for Apply.
-func NewResource(log *versionlog.Log, budget *Budget) *Resource {
+func NewResource(log *versionlog.Log, budget *SnapshotBudget) *Resource {
 	return &Resource{log: log, budget: budget, changed: make(chan struct{}), cache: map[sliceKey]encodedSlice{}, current: time.Now()}
 }
 
@@ -132,7 +132,7 @@
 }
 
 // SetAge has the age of what the resource holds told by its source.
-func (r *Resource) SetAge(age func() time.Duration) {
+func (r *Resource) SetStaleness(age func() time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.age = age
@@ -196,7 +196,7 @@
 	if slice.entries == 0 {
 		r.counters.Heartbeats++
 	}
-	return Reply{Body: slice.body, Age: r.ageNow()}, nil
+	return Reply{Body: slice.body, Staleness: r.ageNow()}, nil
 }
 
 // encoded is the reader's next slice as JSON, under the lock.
@@ -238,12 +238,12 @@
 
 // ResourceStatus is where a resource stands.
 type ResourceStatus struct {
-	Epoch   int64   `json:"epoch"`
-	Index   int64   `json:"index"`
-	Entries int     `json:"entries"`
-	Live    int     `json:"live_bytes"`
-	Age     float64 `json:"age_seconds"`
-	Waiting int     `json:"waiting"` // readers that watch
+	Epoch     int64   `json:"epoch"`
+	Index     int64   `json:"index"`
+	Entries   int     `json:"entries"`
+	LiveBytes int     `json:"live_bytes"`
+	Staleness float64 `json:"age_seconds"`
+	Waiting   int     `json:"waiting"` // readers that watch
 	Counters
 }
 
@@ -253,24 +253,24 @@
 	defer r.mu.Unlock()
 	entries, bytes := r.log.Live()
 	head := r.log.Head()
-	return ResourceStatus{Epoch: head.Epoch, Index: head.Index, Entries: entries, Live: bytes, Age: r.ageNow().Seconds(),
+	return ResourceStatus{Epoch: head.Epoch, Index: head.Index, Entries: entries, LiveBytes: bytes, Staleness: r.ageNow().Seconds(),
 		Waiting: r.waiting, Counters: r.counters}
 }
 
 // Budget admits snapshots of all resources of a process. Those that fit into one answer are always admitted: to wait for them
 // would cost more calls than it saves.
-type Budget struct {
+type SnapshotBudget struct {
 	mu    sync.Mutex
 	began time.Time
 	bytes *ratelimit.Budget
 }
 
 // NewBudget returns a budget of so many bytes a second.
-func NewBudget(bytesPerSecond int) *Budget {
-	return &Budget{began: time.Now(), bytes: ratelimit.NewBudget(bytesPerSecond, 0)}
+func NewSnapshotBudget(bytesPerSecond int) *SnapshotBudget {
+	return &SnapshotBudget{began: time.Now(), bytes: ratelimit.NewBudget(bytesPerSecond, 0)}
 }
 
-func (b *Budget) admit(bytes int) (wait time.Duration, admitted bool) {
+func (b *SnapshotBudget) admit(bytes int) (wait time.Duration, admitted bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Since(b.began)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -18,7 +18,7 @@
 
 // The paths that a Server answers.
 const (
-	InstancesPath = "/registry/instances"
+	EndpointsPath = "/registry/instances"
 	SettingsPath  = "/registry/settings"
 	StatusPath    = "/relay/status"
 )
@@ -35,7 +35,7 @@
 
 // Server answers readers. Use NewServer.
 type Server struct {
-	Instances *Resource
+	Endpoints *Resource
 	Settings  *Resource
 
 	maxReaders int64
@@ -52,7 +52,7 @@
 // NewServer returns a server for at most so many open calls.
 func NewServer(instances, settings *Resource, maxReaders int) *Server {
 	ctx, end := context.WithCancel(context.Background())
-	s := &Server{Instances: instances, Settings: settings, maxReaders: int64(maxReaders), began: time.Now(), ctx: ctx, end: end}
+	s := &Server{Endpoints: instances, Settings: settings, maxReaders: int64(maxReaders), began: time.Now(), ctx: ctx, end: end}
 	s.server = &http1.Server{Handler: s.handle, MaxConns: maxReaders + spareConns,
 		Limits: http1.Limits{Head: maxRequestHead, Body: maxRequestBody}}
 	return s
@@ -78,8 +78,8 @@
 	}
 	var resource *Resource
 	switch target.Path {
-	case InstancesPath:
-		resource = s.Instances
+	case EndpointsPath:
+		resource = s.Endpoints
 	case SettingsPath:
 		resource = s.Settings
 	case StatusPath:
@@ -128,8 +128,8 @@
 	case Behind:
 		return plain(409, "this source is behind the reader")
 	}
-	header := textproto.MIMEHeader{"Content-Type": {"application/json"}, "Age": {strconv.Itoa(int(reply.Age / time.Second))},
-		distribution.AgeMillisecondsHeader: {strconv.FormatInt(reply.Age.Milliseconds(), 10)}}
+	header := textproto.MIMEHeader{"Content-Type": {"application/json"}, "Age": {strconv.Itoa(int(reply.Staleness / time.Second))},
+		distribution.AgeMillisecondsHeader: {strconv.FormatInt(reply.Staleness.Milliseconds(), 10)}}
 	return &http1.Message{Status: 200, Header: header, Body: reply.Body}
 }
 
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -70,7 +70,7 @@
 
 // authority is a server with a list of its own, of an epoch.
 func authority(epoch int64, budget int) *Server {
-	b := NewBudget(budget)
+	b := NewSnapshotBudget(budget)
 	return NewServer(NewResource(versionlog.New(epoch, testRemovals), b), NewResource(versionlog.New(epoch, testRemovals), b), testReaders)
 }
 
@@ -93,7 +93,7 @@
 }
 
 func newReader(t *testing.T, address string) *reader {
-	r := &reader{client: http1.Client{Address: address, Limits: http1.DefaultLimits}, path: InstancesPath, live: map[string]string{}}
+	r := &reader{client: http1.Client{Address: address, Limits: http1.DefaultLimits}, path: EndpointsPath, live: map[string]string{}}
 	t.Cleanup(r.client.Close)
 	return r
 }
@@ -191,7 +191,7 @@
 	const long = 7000
 	server := authority(5, wideBudget)
 	address, _ := start(t, server)
-	publish(t, server.Instances, nodes(long, 1))
+	publish(t, server.Endpoints, nodes(long, 1))
 	for range 2 {
 		r := newReader(t, address)
 		r.readAll(t)
@@ -199,7 +199,7 @@
 		if r.slices < 10 || r.cursor.Version != (versionlog.Version{Epoch: 5, Index: long}) {
 			t.Errorf("%d slices to %+v", r.slices, r.cursor)
 		}
-		if status := server.Instances.Status(); int(status.Encoded) != r.slices || status.Waiting != 0 {
+		if status := server.Endpoints.Status(); int(status.Encoded) != r.slices || status.Waiting != 0 {
 			t.Errorf("%d slices were written for readers of %d each, %d wait", status.Encoded, r.slices, status.Waiting)
 		}
 	}
@@ -211,7 +211,7 @@
 	const watchers, list, burst = 40, 500, 368
 	server := authority(5, wideBudget)
 	address, _ := start(t, server)
-	publish(t, server.Instances, nodes(list, 1))
+	publish(t, server.Endpoints, nodes(list, 1))
 	var readers []*reader
 	var watching sync.WaitGroup
 	for range watchers {
@@ -219,7 +219,7 @@
 		r.readAll(t)
 		readers = append(readers, r)
 	}
-	before := server.Instances.Status()
+	before := server.Endpoints.Status()
 	for _, r := range readers {
 		r.slices = 0
 		watching.Go(func() {
@@ -228,17 +228,17 @@
 			}
 		})
 	}
-	waitFor(t, "not all readers watch", func() bool { return server.Instances.Status().Waiting == watchers })
+	waitFor(t, "not all readers watch", func() bool { return server.Endpoints.Status().Waiting == watchers })
 	changes := nodes(burst, 2)
 	changes[0].Removed = true
-	publish(t, server.Instances, append(changes, versionlog.Change{Name: "new", Object: object("new", 2)}))
+	publish(t, server.Endpoints, append(changes, versionlog.Change{Name: "new", Object: object("new", 2)}))
 	watching.Wait()
 	for _, r := range readers {
 		if r.slices != 1 || len(r.live) != list || r.live["new"] == "" || r.live["node-00000"] != "" || !r.cursor.Complete() {
 			t.Fatalf("%d slices, %d entries, at %+v", r.slices, len(r.live), r.cursor)
 		}
 	}
-	after := server.Instances.Status()
+	after := server.Endpoints.Status()
 	if after.Encoded-before.Encoded != 1 || after.Snapshots != before.Snapshots || after.EntriesSent-before.EntriesSent != watchers*(burst+1) {
 		t.Errorf("before the burst %+v, after it %+v", before, after)
 	}
@@ -253,33 +253,33 @@
 	server := authority(5, wideBudget)
 	address, _ := start(t, server)
 	r := newReader(t, address)
-	answer, err := r.get(InstancesPath)
+	answer, err := r.get(EndpointsPath)
 	if err != nil || answer.Status != 503 {
 		t.Fatalf("with nothing to give out: %+v, %v", answer, err)
 	}
 	if wait, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err != nil || wait <= 0 {
 		t.Errorf("Retry-After %q", answer.Header.Get("Retry-After"))
 	}
-	publish(t, server.Instances, nodes(10, 1))
+	publish(t, server.Endpoints, nodes(10, 1))
 	for target, want := range map[string]int{
-		InstancesPath: 200, SettingsPath: 503, StatusPath: 200, "/registry": 404, "/": 404,
-		InstancesPath + "?epoch=5&from=10":                            200,
-		InstancesPath + "?epoch=4&from=900":                           200, // an older epoch's reader begins anew
-		InstancesPath + "?epoch=5&from=11":                            409,
-		InstancesPath + "?epoch=5&from=3&base=11":                     409,
-		InstancesPath + "?epoch=5&from=10&head=11":                    409,
-		InstancesPath + "?epoch=6&from=1&hold_ms=9":                   409,
-		InstancesPath + "?from=x":                                     400,
-		InstancesPath + "?from=-1":                                    400,
-		InstancesPath + "?epoch=99999999999999999999":                 400,
-		InstancesPath + "?hold_ms=1.5":                                400,
-		InstancesPath + "?hold_ms=9223372036854775807&from=2&epoch=5": 200,
+		EndpointsPath: 200, SettingsPath: 503, StatusPath: 200, "/registry": 404, "/": 404,
+		EndpointsPath + "?epoch=5&from=10":                            200,
+		EndpointsPath + "?epoch=4&from=900":                           200, // an older epoch's reader begins anew
+		EndpointsPath + "?epoch=5&from=11":                            409,
+		EndpointsPath + "?epoch=5&from=3&base=11":                     409,
+		EndpointsPath + "?epoch=5&from=10&head=11":                    409,
+		EndpointsPath + "?epoch=6&from=1&hold_ms=9":                   409,
+		EndpointsPath + "?from=x":                                     400,
+		EndpointsPath + "?from=-1":                                    400,
+		EndpointsPath + "?epoch=99999999999999999999":                 400,
+		EndpointsPath + "?hold_ms=1.5":                                400,
+		EndpointsPath + "?hold_ms=9223372036854775807&from=2&epoch=5": 200,
 	} {
 		if answer, err := r.get(target); err != nil || answer.Status != want {
 			t.Errorf("%s: %+v, %v, want %d", target, answer, err, want)
 		}
 	}
-	post := &http1.Message{Method: "POST", Target: InstancesPath, Header: textproto.MIMEHeader{"Host": {"relay"}}}
+	post := &http1.Message{Method: "POST", Target: EndpointsPath, Header: textproto.MIMEHeader{"Host": {"relay"}}}
 	if answer, _, err := r.client.Do(context.Background(), post); err != nil || answer.Status != 405 {
 		t.Errorf("POST: %+v, %v", answer, err)
 	}
@@ -290,7 +290,7 @@
 	const long, stuck, requests = 1000, 5, 8
 	server := authority(5, wideBudget)
 	address, _ := start(t, server)
-	publish(t, server.Instances, nodes(long, 1))
+	publish(t, server.Endpoints, nodes(long, 1))
 	for range stuck {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -298,12 +298,12 @@
 		}
 		defer c.Close()
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
-		fmt.Fprint(c, strings.Repeat("GET "+InstancesPath+" HTTP/1.1\r\nHost: relay\r\n\r\n", requests))
+		fmt.Fprint(c, strings.Repeat("GET "+EndpointsPath+" HTTP/1.1\r\nHost: relay\r\n\r\n", requests))
 	}
-	waitFor(t, "not all have called", func() bool { return server.Instances.Status().Calls >= stuck })
+	waitFor(t, "not all have called", func() bool { return server.Endpoints.Status().Calls >= stuck })
 	r := newReader(t, address)
 	for value := 2; value < 6; value++ {
-		publish(t, server.Instances, nodes(368, value))
+		publish(t, server.Endpoints, nodes(368, value))
 		r.readAll(t)
 	}
 	if len(r.live) != long {
@@ -318,7 +318,7 @@
 func TestShutdownAnswersWatches(t *testing.T) {
 	server := authority(5, wideBudget)
 	address, stop := start(t, server)
-	publish(t, server.Instances, nodes(10, 1))
+	publish(t, server.Endpoints, nodes(10, 1))
 	r := newReader(t, address)
 	r.readAll(t)
 	done := make(chan error)
@@ -326,7 +326,7 @@
 		_, err := r.call(longHold)
 		done <- err
 	}()
-	waitFor(t, "no reader watches", func() bool { return server.Instances.Status().Waiting == 1 })
+	waitFor(t, "no reader watches", func() bool { return server.Endpoints.Status().Waiting == 1 })
 	stop()
 	if err := <-done; err != nil {
 		t.Errorf("the watch ended with %v", err)
@@ -338,23 +338,23 @@
 
 // Watches over the limit are refused and do not displace others; a reader that leaves makes room.
 func TestReadersAreBounded(t *testing.T) {
-	budget := NewBudget(wideBudget)
+	budget := NewSnapshotBudget(wideBudget)
 	server := NewServer(NewResource(versionlog.New(5, testRemovals), budget), NewResource(versionlog.New(5, testRemovals), budget), 2)
 	address, _ := start(t, server)
-	publish(t, server.Instances, nodes(10, 1))
+	publish(t, server.Endpoints, nodes(10, 1))
 	var watching sync.WaitGroup
 	defer watching.Wait()
 	for i := range 2 {
 		r := newReader(t, address)
 		r.readAll(t)
 		watching.Go(func() { r.call(longHold) })
-		waitFor(t, "no reader watches", func() bool { return server.Instances.Status().Waiting == i+1 })
+		waitFor(t, "no reader watches", func() bool { return server.Endpoints.Status().Waiting == i+1 })
 	}
 	third := newReader(t, address)
 	if status, err := third.call(0); status != 503 || err != nil {
 		t.Errorf("the third reader has status %d, %v", status, err)
 	}
-	publish(t, server.Instances, nodes(10, 2))
+	publish(t, server.Endpoints, nodes(10, 2))
 	watching.Wait()
 	if status, err := third.call(0); status != 200 || err != nil {
 		t.Errorf("the third reader, when the others have their news: status %d, %v", status, err)
@@ -366,14 +366,14 @@
 	const long, fleet = 1000, 15
 	server := authority(5, 1_000_000)
 	address, _ := start(t, server)
-	publish(t, server.Instances, nodes(long, 1))
-	_, bytes := server.Instances.log.Live()
+	publish(t, server.Endpoints, nodes(long, 1))
+	_, bytes := server.Endpoints.log.Live()
 	var starting sync.WaitGroup
 	for range fleet {
 		r := newReader(t, address)
 		starting.Go(func() {
 			for !r.cursor.Complete() {
-				answer, err := r.get(fmt.Sprintf("%s?epoch=%d&from=%d&base=%d", InstancesPath, r.cursor.Epoch, r.cursor.Index, r.cursor.Base))
+				answer, err := r.get(fmt.Sprintf("%s?epoch=%d&from=%d&base=%d", EndpointsPath, r.cursor.Epoch, r.cursor.Index, r.cursor.Base))
 				if err != nil || answer.Status != 200 && answer.Status != 503 {
 					t.Errorf("%+v, %v", answer, err)
 					return
@@ -394,7 +394,7 @@
 		})
 	}
 	starting.Wait()
-	status := server.Instances.Status()
+	status := server.Endpoints.Status()
 	if status.Snapshots != fleet || status.SnapshotBytes != int64(fleet*bytes) || status.SnapshotsRejected == 0 || status.SnapshotsRejected > 3*fleet {
 		t.Errorf("%+v", status)
 	}
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -17,7 +17,7 @@
 	RejectedReaders int64          `json:"refused_readers"`
 	BytesIn         int64          `json:"bytes_in"` // of readers' connections, headers included
 	BytesOut        int64          `json:"bytes_out"`
-	Instances       ResourceStatus `json:"instances"`
+	Endpoints       ResourceStatus `json:"instances"`
 	Settings        ResourceStatus `json:"settings"`
 }
 
@@ -26,7 +26,7 @@
 	usage := loadshed.Self()
 	return Status{Uptime: time.Since(s.began).Seconds(), CPU: usage.CPU.Seconds(), LiveHeap: usage.Live,
 		Readers: s.readers.Load(), RejectedReaders: s.refused.Load(), BytesIn: s.bytesIn.Load(), BytesOut: s.bytesOut.Load(),
-		Instances: s.Instances.Status(), Settings: s.Settings.Status()}
+		Endpoints: s.Endpoints.Status(), Settings: s.Settings.Status()}
 }
 
 // LogStatus writes a line on the process and one on each resource every so often until ctx ends.
@@ -47,12 +47,12 @@
 	status := s.Status()
 	slog.Info("relay", "readers", status.Readers, "refused_readers", status.RejectedReaders, "bytes_in", status.BytesIn,
 		"bytes_out", status.BytesOut, "cpu_seconds", status.CPU, "live_heap_bytes", status.LiveHeap)
-	status.Instances.log("instances")
+	status.Endpoints.log("instances")
 	status.Settings.log("settings")
 }
 
 func (r ResourceStatus) log(name string) {
-	slog.Info("resource", "name", name, "epoch", r.Epoch, "index", r.Index, "entries", r.Entries, "age_seconds", r.Age,
+	slog.Info("resource", "name", name, "epoch", r.Epoch, "index", r.Index, "entries", r.Entries, "age_seconds", r.Staleness,
 		"waiting", r.Waiting, "calls", r.Calls, "bytes", r.Bytes, "heartbeats", r.Heartbeats, "snapshots", r.Snapshots,
 		"snapshots_refused", r.SnapshotsRejected, "encoded", r.Encoded)
 }
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -40,8 +40,8 @@
 				"index", update.Slice.Version.Index, "entries", len(update.Slice.Entries), "source", update.Source)
 		}
 	}
-	config.Confirmed = time.Now().Add(-r.currentAge())
+	config.ConfirmedAt = time.Now().Add(-r.currentAge())
 	follower := distribution.New(config)
-	r.SetAge(func() time.Duration { return follower.Status().Age })
+	r.SetStaleness(func() time.Duration { return follower.Status().Staleness })
 	follower.Run(ctx)
 }
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -18,16 +18,16 @@
 // chained serves a relay that follows sources until the test ends, or stop is called.
 func chained(t *testing.T, addresses ...string) (server *Server, address string, stop func()) {
 	t.Helper()
-	budget := NewBudget(wideBudget)
+	budget := NewSnapshotBudget(wideBudget)
 	server = NewServer(NewResource(versionlog.New(0, testRemovals), budget), NewResource(versionlog.New(0, testRemovals), budget), testReaders)
 	address, stopServer := start(t, server)
 	ctx, cancel := context.WithCancel(context.Background())
 	var following sync.WaitGroup
-	config := distribution.Config{Resource: distribution.Instances, Heartbeat: 100 * time.Millisecond, Allowance: 2 * time.Second}
+	config := distribution.Config{Resource: distribution.Endpoints, Heartbeat: 100 * time.Millisecond, Allowance: 2 * time.Second}
 	for _, a := range addresses {
 		config.Sources = append(config.Sources, failover.Source{Address: a})
 	}
-	following.Go(func() { server.Instances.Follow(ctx, config) })
+	following.Go(func() { server.Endpoints.Follow(ctx, config) })
 	stop = sync.OnceFunc(func() { cancel(); stopServer(); following.Wait() })
 	t.Cleanup(stop)
 	return server, address, stop
@@ -44,13 +44,13 @@
 	const list, burst = 600, 368
 	top := authority(5, wideBudget)
 	topAddress, _ := start(t, top)
-	publish(t, top.Instances, nodes(list, 1))
+	publish(t, top.Endpoints, nodes(list, 1))
 	_, firstAddress, _ := chained(t, topAddress)
 	second, secondAddress, kill := chained(t, firstAddress)
-	waitForHead(t, second.Instances, versionlog.Version{Epoch: 5, Index: list})
+	waitForHead(t, second.Endpoints, versionlog.Version{Epoch: 5, Index: list})
 	r := newReader(t, secondAddress)
 	r.readAll(t)
-	publish(t, top.Instances, nodes(burst, 2))
+	publish(t, top.Endpoints, nodes(burst, 2))
 	if status, err := r.call(longHold); status != 200 || err != nil || r.cursor.Version != (versionlog.Version{Epoch: 5, Index: list + burst}) {
 		t.Fatalf("status %d, %v, the reader is at %+v", status, err, r.cursor)
 	}
@@ -60,11 +60,11 @@
 	}
 	r.slices = 0
 	again, againAddress, _ := chained(t, firstAddress, topAddress)
-	waitForHead(t, again.Instances, r.cursor.Version)
-	publish(t, top.Instances, nodes(burst, 3))
+	waitForHead(t, again.Endpoints, r.cursor.Version)
+	publish(t, top.Endpoints, nodes(burst, 3))
 	r.client.Address = againAddress
-	if status, err := r.call(longHold); status != 200 || err != nil || r.slices != 1 || !r.cursor.Complete() || again.Instances.Status().Snapshots != 0 {
-		t.Errorf("status %d, %v, %d slices to %+v, %+v", status, err, r.slices, r.cursor, again.Instances.Status())
+	if status, err := r.call(longHold); status != 200 || err != nil || r.slices != 1 || !r.cursor.Complete() || again.Endpoints.Status().Snapshots != 0 {
+		t.Errorf("status %d, %v, %d slices to %+v, %+v", status, err, r.slices, r.cursor, again.Endpoints.Status())
 	}
 	if len(r.live) != list || !strings.Contains(r.live["node-00000"], ":10003") {
 		t.Errorf("%d entries, the first is %s", len(r.live), r.live["node-00000"])
@@ -77,21 +77,21 @@
 	older, newer := authority(5, wideBudget), authority(6, wideBudget)
 	olderAddress, stopOlder := start(t, older)
 	newerAddress, stopNewer := start(t, newer)
-	publish(t, older.Instances, nodes(list, 1))
+	publish(t, older.Endpoints, nodes(list, 1))
 	below, belowAddress, _ := chained(t, olderAddress, newerAddress)
-	waitFor(t, "the relay has nothing", func() bool { return below.Instances.Head().Index > 0 })
+	waitFor(t, "the relay has nothing", func() bool { return below.Endpoints.Head().Index > 0 })
 	r := newReader(t, belowAddress)
 	r.readAll(t)
-	publish(t, newer.Instances, nodes(list/2, 2))
+	publish(t, newer.Endpoints, nodes(list/2, 2))
 	stopOlder()
-	waitForHead(t, below.Instances, versionlog.Version{Epoch: 6, Index: list / 2})
+	waitForHead(t, below.Endpoints, versionlog.Version{Epoch: 6, Index: list / 2})
 	r.readAll(t)
 	r.wantNodes(t, list/2, 2)
 	stopNewer()
 	again := authority(5, wideBudget)
-	publish(t, again.Instances, nodes(2*list, 1))
+	publish(t, again.Endpoints, nodes(2*list, 1))
 	againAddress, _ := startAt(t, again, olderAddress)
-	waitFor(t, "the relay does not ask", func() bool { return again.Instances.Status().RejectedBehind > 0 })
+	waitFor(t, "the relay does not ask", func() bool { return again.Endpoints.Status().RejectedBehind > 0 })
 	r.client.Address = againAddress
 	r.client.Close()
 	if status, err := r.call(0); status != 409 || err != nil {
@@ -150,7 +150,7 @@
 			source := &scripted{body: whole}
 			address, _ := start(t, &Server{server: &http1.Server{Handler: source.handle, Limits: http1.DefaultLimits}, end: func() {}})
 			below, belowAddress, _ := chained(t, address)
-			waitForHead(t, below.Instances, versionlog.Version{Epoch: 7, Index: 20})
+			waitForHead(t, below.Endpoints, versionlog.Version{Epoch: 7, Index: 20})
 			source.say(body)
 			waitFor(t, "the source is not asked", func() bool { return source.called() >= 2 })
 			r := newReader(t, belowAddress)
--- a/internal/test/capacity/relay.go
+++ b/internal/test/capacity/relay.go
@@ -37,7 +37,7 @@
 }
 
 func newRelaySource(nodes int) (*relaySource, error) {
-	budget := relay.NewBudget(relayBudget)
+	budget := relay.NewSnapshotBudget(relayBudget)
 	r := &relaySource{nodes: nodes, instances: relay.NewResource(versionlog.New(relayEpoch, relayRemovals), budget)}
 	settings := relay.NewResource(versionlog.New(relayEpoch, relayRemovals), budget)
 	var changes []versionlog.Change
@@ -101,7 +101,7 @@
 
 // read has one answer: the whole list's next slice, or what is newer.
 func (r *reader) read(ctx context.Context, hold time.Duration) (more bool, err error) {
-	target := fmt.Sprintf("%s?epoch=%d&from=%d&base=%d&hold_ms=%d", relay.InstancesPath, r.from.Epoch, r.from.Index, r.from.Base, hold.Milliseconds())
+	target := fmt.Sprintf("%s?epoch=%d&from=%d&base=%d&hold_ms=%d", relay.EndpointsPath, r.from.Epoch, r.from.Index, r.from.Base, hold.Milliseconds())
 	answer, _, err := r.client.Do(ctx, &http1.Message{Method: "GET", Target: target, Header: textproto.MIMEHeader{"Host": {r.client.Address}}})
 	if err != nil {
 		return false, err
--- a/internal/test/scaletest/follow.go
+++ b/internal/test/scaletest/follow.go
@@ -38,7 +38,7 @@
 			m.owner.UpdateEndpointsPartially(platform.Source, list)
 		}
 	}
-	m.follower(distribution.Instances, nodes.Check, func(u distribution.Update) {
+	m.follower(distribution.Endpoints, nodes.Check, func(u distribution.Update) {
 		nodes.Apply(u)
 		m.record(List, u, 0, false)
 	}).Run(ctx)
--- a/internal/test/scaletest/watch.go
+++ b/internal/test/scaletest/watch.go
@@ -21,7 +21,7 @@
 			}}).Run(ctx)
 	}
 	var both sync.WaitGroup
-	both.Go(func() { follow(distribution.Instances, f.seenEntry) })
+	both.Go(func() { follow(distribution.Endpoints, f.seenEntry) })
 	both.Go(func() { follow(distribution.Settings, f.seenSettings) })
 	both.Wait()
 }
