--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -15,6 +15,7 @@
 	"testing"
 
 	"harepass/internal/decide/versionlog"
+	"harepass/internal/logmsg"
 	"harepass/internal/relay"
 	"harepass/internal/test/fake"
 	"harepass/internal/test/faultinjection"
@@ -168,8 +169,8 @@
 	}
 
 	r.stops[0]()
-	p.logged(`source followed resource=instances source=` + r.addresses[1])
-	p.logged(`source followed resource=settings source=` + r.addresses[1])
+	p.logged(logmsg.SourceFollowed + ` resource=instances source=` + r.addresses[1])
+	p.logged(logmsg.SourceFollowed + ` resource=settings source=` + r.addresses[1])
 	r.node("f0", "terminating", at[0])
 	p.logged(`version in force resource=instances epoch=7 index=3`)
 	before := len(first.Seen())
@@ -185,7 +186,7 @@
 	p.logged(`settings in force version=7/3`)
 
 	r.stops[1]()
-	p.logged(`source left resource=instances source=` + r.addresses[1])
+	p.logged(logmsg.SourceLeft + ` resource=instances source=` + r.addresses[1])
 	if status := p.classes("route-lookup"); status != 200 || !p.ready() {
 		t.Errorf("without relays: %d", status)
 	}
--- a/internal/distribution/age_test.go
+++ b/internal/distribution/answer_test.go
@@ -8,8 +8,9 @@
 	"harepass/internal/http1"
 )
 
-// The age in milliseconds goes before the one in seconds, which older relays alone give; one that cannot be read is none.
-func TestAgeOf(t *testing.T) {
+// The age in milliseconds takes precedence over the one in seconds, which is all that older relays give. An age that
+// cannot be read counts as none.
+func TestStalenessOfAnswer(t *testing.T) {
 	for _, c := range []struct {
 		seconds, milliseconds string
 		want                  time.Duration
@@ -23,7 +24,7 @@
 		header := textproto.MIMEHeader{}
 		header.Set("Age", c.seconds)
 		header.Set("Age-Ms", c.milliseconds)
-		if got := ageOf(&http1.Message{Header: header}); got != c.want {
+		if got := stalenessOf(&http1.Message{Header: header}); got != c.want {
 			t.Errorf("%q and %q: %v, want %v", c.seconds, c.milliseconds, got, c.want)
 		}
 	}
--- a/internal/distribution/count.go
+++ b/internal/distribution/counting_conn.go
@@ -8,7 +8,18 @@
 	"harepass/internal/http1"
 )
 
-// countingConn counts what goes through a connection.
+// countBytes returns a dialer whose connections count their bytes in the totals.
+func (t *totals) countBytes(dial http1.Dialer) http1.Dialer {
+	return func(ctx context.Context, address string) (net.Conn, error) {
+		c, err := dial.Connect(ctx, address)
+		if err != nil {
+			return nil, err
+		}
+		return countingConn{c, &t.bytesRead, &t.bytesWritten}, nil
+	}
+}
+
+// countingConn is a connection that counts the bytes that go through it.
 type countingConn struct {
 	net.Conn
 	read, written *atomic.Int64
@@ -25,14 +36,3 @@
 	c.written.Add(int64(n))
 	return n, err
 }
-
-// countBytes wraps a dialer such that the follower's counters have the bytes.
-func (f *Follower) countBytes(dial http1.Dialer) http1.Dialer {
-	return func(ctx context.Context, address string) (net.Conn, error) {
-		c, err := dial.Connect(ctx, address)
-		if err != nil {
-			return nil, err
-		}
-		return countingConn{c, &f.bytesRead, &f.bytesWritten}, nil
-	}
-}
--- /dev/null
+++ b/internal/distribution/poll.go
@@ -0,0 +1,122 @@
+package distribution
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/textproto"
+	"time"
+
+	"harepass/internal/decide/follower"
+	"harepass/internal/decide/versionlog"
+	"harepass/internal/http1"
+)
+
+// poll asks the source in use for what is newer than the local copy, and applies its answer. An error says why nothing
+// of the answer was applied.
+func (f *Follower) poll(ctx context.Context, client *http1.Client, maxWait time.Duration) error {
+	cursor, known := f.state.Cursor()
+	answer, err := f.call(ctx, client, cursor, known, maxWait)
+	if err != nil {
+		return err
+	}
+	if err = f.apply(client.Address, answer); err != nil {
+		f.totals.failures.Add(1)
+	}
+	return err
+}
+
+// call sends a source one call for what is newer than a cursor, and returns its answer unread. The error wraps
+// context.DeadlineExceeded where the source was silent for heartbeat and allowance together.
+func (f *Follower) call(ctx context.Context, client *http1.Client, cursor versionlog.Cursor, known bool,
+	maxWait time.Duration) (*http1.Message, error) {
+	limited, cancel := context.WithTimeout(ctx, f.cfg.Heartbeat+f.cfg.Allowance)
+	defer cancel()
+	f.totals.calls.Add(1)
+	answer, _, err := client.Do(limited, &http1.Message{Method: "GET",
+		Target: target(f.cfg.Resource, cursor, known, maxWait), Header: textproto.MIMEHeader{"Host": {client.Address}}})
+	if err == nil {
+		return answer, nil
+	}
+	f.totals.failures.Add(1)
+	if limited.Err() != nil && ctx.Err() == nil {
+		err = fmt.Errorf("%w: %w", context.DeadlineExceeded, err)
+	}
+	return nil, err
+}
+
+// target returns the request target of a call for what is newer than a cursor; known is false where the reader has
+// nothing yet and asks for a snapshot.
+func target(r Resource, c versionlog.Cursor, known bool, maxWait time.Duration) string {
+	if !known {
+		return string(r)
+	}
+	b := append([]byte(r), '?')
+	if c.Epoch > 0 {
+		b = fmt.Appendf(b, "epoch=%d&", c.Epoch)
+	}
+	b = fmt.Appendf(b, "from=%d&hold_ms=%d", c.Index, maxWait.Milliseconds())
+	if c.Base > 0 {
+		b = fmt.Appendf(b, "&base=%d", c.Base)
+	}
+	if c.Head > c.Index {
+		b = fmt.Appendf(b, "&head=%d", c.Head)
+	}
+	return string(b)
+}
+
+// apply checks an answer as a whole, applies it to the local copy, and hands what has changed to the consumer.
+func (f *Follower) apply(source string, m *http1.Message) error {
+	slice, err := parseAnswer(m)
+	if err == nil {
+		err = f.checkEntries(slice)
+	}
+	if errors.Is(err, ErrInvalid) {
+		f.totals.rejected.Add(1)
+	}
+	if err != nil {
+		return err
+	}
+	before, _ := f.state.Cursor()
+	change, err := f.state.Apply(slice)
+	if err != nil {
+		f.totals.rejected.Add(1)
+		return err
+	}
+	updated := slice.Version != before.Version || slice.Snapshot || change.Completed
+	f.current.moreAvailable = updated && slice.More()
+	f.current.staleness = stalenessOf(m)
+	f.totals.recordChange(change, updated)
+	f.status.setVersion(slice, change, f.state.Len(), f.current.staleness)
+	if updated {
+		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Removed: change.Removed,
+			Completed: change.Completed, Complete: change.Complete, Source: source})
+	}
+	return nil
+}
+
+// checkEntries reports what the consumer finds wrong with an answer's entries; the error wraps ErrInvalid.
+func (f *Follower) checkEntries(slice versionlog.Slice) error {
+	if f.cfg.Check == nil {
+		return nil
+	}
+	if err := f.cfg.Check(slice.Entries); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	return nil
+}
+
+// checkUpToDate reports whether an answer shows its source to have what a reader with a cursor has. The error wraps
+// follower.ErrBehind where it has not.
+func checkUpToDate(answer *http1.Message, cursor versionlog.Cursor) error {
+	slice, err := parseAnswer(answer)
+	if err != nil {
+		return err
+	}
+	head := slice.Version
+	head.Index = max(head.Index, slice.Base)
+	if head.Before(cursor.Version) {
+		return follower.ErrBehind
+	}
+	return nil
+}
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -18,6 +18,8 @@
 // Messages about the endpoint list and the settings in force.
 const (
 	VersionInForce = "version in force"
+	SourceFollowed = "source followed"
+	SourceLeft     = "source left"
 )
 
 // Keys.
@@ -36,4 +38,7 @@
 	KeyAttempts  = "attempts"
 	KeyError     = "err"
 	KeySlowStart = "slow_start"
+	KeyResource  = "resource"
+	KeySource    = "source"
+	KeyReason    = "reason"
 )
