--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -52,7 +52,8 @@
 
 // setVersion notes an answer that was applied. entries is how many the local copy has; staleness is that of the source
 // when it answered. Only a complete copy that is at the source's head is confirmed.
-func (s *sharedStatus) setVersion(slice versionlog.Slice, change follower.Change, entries int, staleness time.Duration) {
+func (s *sharedStatus) setVersion(slice versionlog.Slice, change follower.Change, entries int,
+	staleness time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.Version, s.status.HasVersion = slice.Version, true
--- /dev/null
+++ b/internal/relay/slice_cache.go
@@ -0,0 +1,41 @@
+package relay
+
+import "harepass/internal/decide/versionlog"
+
+const (
+	// maxBody is the size limit of an answer's body by the protocol, in bytes.
+	maxBody = 64 << 10
+	// maxSliceBytes is the size limit of an answer's entries, in bytes.
+	maxSliceBytes = maxBody - versionlog.EnvelopeBytes
+	// maxCachedSlices is how many slices of one version are kept encoded.
+	maxCachedSlices = 64
+)
+
+// sliceCache holds the encoded slices of one version of a log. It is cleared when the log changes.
+type sliceCache map[sliceKey]encodedSlice
+
+// sliceKey tells apart the slices that readers of one version of a log are given.
+type sliceKey struct {
+	from versionlog.Version
+	base int64
+}
+
+// encodedSlice is a slice as JSON.
+type encodedSlice struct {
+	body    []byte
+	entries int // how many entries the slice has
+}
+
+// slice returns the next slice of a reader; cached is false where it had to be encoded.
+func (c sliceCache) slice(log *versionlog.Log, from versionlog.Cursor) (slice encodedSlice, cached bool) {
+	key := sliceKey{from.Version, from.Base}
+	if slice, cached := c[key]; cached {
+		return slice, true
+	}
+	read := log.Read(from, maxSliceBytes)
+	slice = encodedSlice{body: read.AppendJSON(nil), entries: len(read.Entries)}
+	if len(c) < maxCachedSlices {
+		c[key] = slice
+	}
+	return slice, false
+}
--- a/internal/relay/stale_test.go
+++ b/internal/relay/staleness_test.go
@@ -12,32 +12,35 @@
 )
 
 const (
-	quickHeartbeat = 100 * time.Millisecond
-	quickStale     = 2 * time.Second // a busy machine may hold a relay up for a while
+	quickHeartbeat  = 100 * time.Millisecond
+	quickStaleAfter = 2 * time.Second // longer than a busy machine delays a heartbeat
 )
 
-// fronts serves one authority at two addresses, so that what is upstream of one relay can be cut without the other.
-func fronts(t *testing.T) (top *Resource, nearAddress, farAddress string, cutNear func()) {
+// startAuthorityTwice serves one authority's list at two addresses, so that the source of one relay can be cut off
+// without that of another.
+func startAuthorityTwice(t *testing.T) (top *Resource, nearAddress, farAddress string, cutNear func()) {
 	t.Helper()
-	near, far := authority(5, wideBudget), authority(5, wideBudget)
+	near, far := newAuthorityServer(5, wideBudget), newAuthorityServer(5, wideBudget)
 	far.Endpoints = near.Endpoints
-	near.Endpoints.SetStaleness(always)
+	near.Endpoints.SetStaleness(alwaysFresh)
 	nearAddress, cutNear = start(t, near)
 	farAddress, _ = start(t, far)
-	publish(t, near.Endpoints, nodes(3, 1))
+	mustPublish(t, near.Endpoints, endpointChanges(3, 1))
 	return near.Endpoints, nearAddress, farAddress, cutNear
 }
 
-// ofTwo is the configuration of a reader with a relay in its zone and one elsewhere.
-func ofTwo(near, far string) distribution.Config {
+// twoSources returns the configuration of a reader with a relay in its zone and one elsewhere.
+func twoSources(near, far string) distribution.Config {
 	own := failover.Place{Zone: "a", Region: "north"}
-	return distribution.Config{Resource: distribution.Endpoints, Place: own, Heartbeat: quickHeartbeat, Allowance: 2 * time.Second,
-		StaleAfter: quickStale, Rand: rand.New(rand.NewPCG(1, 2)),
-		Sources: []failover.Source{{Address: near, Place: own}, {Address: far, Place: failover.Place{Zone: "a", Region: "south"}}}}
+	elsewhere := failover.Place{Zone: "a", Region: "south"}
+	return distribution.Config{Resource: distribution.Endpoints, Place: own, Heartbeat: quickHeartbeat,
+		Allowance:  2 * time.Second,
+		StaleAfter: quickStaleAfter, Rand: rand.New(rand.NewPCG(1, 2)),
+		Sources: []failover.Source{{Address: near, Place: own}, {Address: far, Place: elsewhere}}}
 }
 
-// following runs a follower until the test ends.
-func following(t *testing.T, config distribution.Config) *distribution.Follower {
+// runFollower runs a follower until the test ends.
+func runFollower(t *testing.T, config distribution.Config) *distribution.Follower {
 	t.Helper()
 	config.Apply = func(distribution.Update) {}
 	follower := distribution.New(config)
@@ -48,18 +51,19 @@
 	return follower
 }
 
-// A relay whose own relay is cut off, and still answers, gets the next change from another one.
+// A relay is cut off from its sources and still answers, with heartbeats and an old list. The relay behind it gets
+// the next change from another one.
 func TestStaleRelayIsLeft(t *testing.T) {
 	t.Parallel()
-	top, nearTop, farTop, cut := fronts(t)
-	near, nearAddress, _ := chained(t, nearTop)
-	far, farAddress, _ := chained(t, farTop)
+	top, nearTop, farTop, cut := startAuthorityTwice(t)
+	near, nearAddress, _ := startRelay(t, nearTop)
+	far, farAddress, _ := startRelay(t, farTop)
 	waitForHead(t, near.Endpoints, top.Head())
 	waitForHead(t, far.Endpoints, top.Head())
 	below := NewResource(versionlog.New(0, testRemovals), NewSnapshotBudget(wideBudget))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { below.Follow(ctx, ofTwo(nearAddress, farAddress)); close(done) }()
+	go func() { below.Follow(ctx, twoSources(nearAddress, farAddress)); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
 	waitForHead(t, below, top.Head())
 	if calls := far.Endpoints.Status().Calls; calls > 0 {
@@ -67,33 +71,34 @@
 	}
 	cut()
 	old := top.Head()
-	publish(t, top, nodes(3, 2))
+	mustPublish(t, top, endpointChanges(3, 2))
 	waitForHead(t, below, top.Head())
 	if near.Endpoints.Head() != old {
 		t.Errorf("the cut relay is at %+v", near.Endpoints.Head())
 	}
 }
 
-// A reader returns to the nearer relay once that hears of its sources again, and not before, though it looks.
-func TestReturnToFreshRelay(t *testing.T) {
+// A reader has left the relay in its zone because that was stale. It probes that relay, and returns once the relay
+// hears of its sources again, not before.
+func TestReturnsToFreshRelay(t *testing.T) {
 	t.Parallel()
-	top, nearTop, farTop, cut := fronts(t)
-	near, nearAddress, _ := chained(t, nearTop)
-	far, farAddress, _ := chained(t, farTop)
+	top, nearTop, farTop, cut := startAuthorityTwice(t)
+	near, nearAddress, _ := startRelay(t, nearTop)
+	far, farAddress, _ := startRelay(t, farTop)
 	waitForHead(t, near.Endpoints, top.Head())
 	waitForHead(t, far.Endpoints, top.Head())
-	reader := following(t, ofTwo(nearAddress, farAddress))
+	reader := runFollower(t, twoSources(nearAddress, farAddress))
 	waitFor(t, "the reader does not follow the near relay", func() bool { return reader.Status().Source == nearAddress })
 	cut()
 	waitFor(t, "the reader stays with the stale relay", func() bool { return reader.Status().Source == farAddress })
 	left := near.Endpoints.Status().Calls
-	waitFor(t, "the reader does not look", func() bool { return near.Endpoints.Status().Calls > left })
-	publish(t, top, nodes(3, 2))
+	waitFor(t, "the reader does not probe", func() bool { return near.Endpoints.Status().Calls > left })
+	mustPublish(t, top, endpointChanges(3, 2))
 	waitFor(t, "the change does not come", func() bool { return reader.Status().Version == top.Head() })
 	if c := reader.Counters(); c.Switches != 2 || reader.Status().Source != farAddress {
 		t.Errorf("it follows %s, %+v", reader.Status().Source, c)
 	}
-	again := authority(5, wideBudget)
+	again := newAuthorityServer(5, wideBudget)
 	again.Endpoints = top
 	startAt(t, again, nearTop)
 	waitFor(t, "the reader does not return", func() bool { return reader.Status().Source == nearAddress })
@@ -102,26 +107,27 @@
 	}
 }
 
-// A reader all of whose relays are equally stale stays with the one that it has; it looks at the other one at a bounded pace.
-func TestAllRelaysStale(t *testing.T) {
+// The authority is down, and all relays are equally stale. A reader stays with the one that it follows, and probes
+// the other one at a bounded rate.
+func TestEquallyStaleRelaysAreNotExchanged(t *testing.T) {
 	t.Parallel()
-	// firstLooks come at growing pauses; lastPause is the shortest one later on.
-	const firstLooks, lastPause = 6, 1500 * time.Millisecond
-	near, far := authority(5, wideBudget), authority(5, wideBudget)
+	// The first firstProbes come at growing intervals; probeInterval is the shortest one later on.
+	const firstProbes, probeInterval = 6, 1500 * time.Millisecond
+	near, far := newAuthorityServer(5, wideBudget), newAuthorityServer(5, wideBudget)
 	nearAddress, _ := start(t, near)
 	farAddress, _ := start(t, far)
 	cutAt := time.Now()
 	for _, server := range []*Server{near, far} {
-		publish(t, server.Endpoints, nodes(3, 1))
+		mustPublish(t, server.Endpoints, endpointChanges(3, 1))
 		server.Endpoints.SetStaleness(func() time.Duration { return time.Since(cutAt) })
 	}
-	reader := following(t, ofTwo(nearAddress, farAddress))
-	waitFor(t, "the reader does not look", func() bool { return far.Endpoints.Status().Calls >= 4 })
+	reader := runFollower(t, twoSources(nearAddress, farAddress))
+	waitFor(t, "the reader does not probe", func() bool { return far.Endpoints.Status().Calls >= 4 })
 	heartbeats := near.Endpoints.Status().Heartbeats
 	waitFor(t, "the reader gets no heartbeats", func() bool { return near.Endpoints.Status().Heartbeats > heartbeats+20 })
-	looks := far.Endpoints.Status().Calls
-	if most := firstLooks + int64(time.Since(cutAt)/lastPause); looks > most {
-		t.Errorf("%d looks in %v", looks, time.Since(cutAt))
+	probes := far.Endpoints.Status().Calls
+	if most := firstProbes + int64(time.Since(cutAt)/probeInterval); probes > most {
+		t.Errorf("%d probes in %v", probes, time.Since(cutAt))
 	}
 	if c := reader.Counters(); c.Switches != 1 || reader.Status().Source != nearAddress {
 		t.Errorf("it follows %s, %+v", reader.Status().Source, c)
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -6,23 +6,26 @@
 	"time"
 
 	"harepass/internal/distribution"
+	"harepass/internal/logmsg"
 )
 
-// restartPause is how long a relay waits before it begins anew with its sources.
-const restartPause = 500 * time.Millisecond
+// restartBackoff is the wait before a relay begins anew with a snapshot of its sources.
+const restartBackoff = 500 * time.Millisecond
 
-// Follow keeps a resource at what other relays give out until ctx ends. The configuration's Apply is set here.
+// Follow keeps the resource at the newest version of the sources in config until ctx ends. It sets Apply and
+// ConfirmedAt of config itself.
 func (r *Resource) Follow(ctx context.Context, config distribution.Config) {
 	for ctx.Err() == nil {
 		r.followOnce(ctx, config)
 		select {
 		case <-ctx.Done():
-		case <-time.After(restartPause):
+		case <-time.After(restartBackoff):
 		}
 	}
 }
 
-// followOnce follows until ctx ends, or an answer does not fit the log: then only a snapshot helps.
+// followOnce follows the sources until ctx ends, or the log rejects an answer. The follower's copy and the log disagree
+// then, and only a new follower asks for a snapshot.
 func (r *Resource) followOnce(ctx context.Context, config distribution.Config) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -30,17 +33,19 @@
 		if ctx.Err() != nil {
 			return
 		}
+		version := update.Slice.Version
 		if err := r.Apply(update.Slice); err != nil {
-			slog.Warn("answer refused", "resource", config.Resource.Name(), "source", update.Source, "err", err)
+			slog.Warn("answer rejected", logmsg.KeyResource, config.Resource.Name(), logmsg.KeySource, update.Source,
+				logmsg.KeyError, err)
 			cancel()
 			return
 		}
 		if update.Complete {
-			slog.Info("version taken", "resource", config.Resource.Name(), "epoch", update.Slice.Version.Epoch,
-				"index", update.Slice.Version.Index, "entries", len(update.Slice.Entries), "source", update.Source)
+			slog.Info("version applied", logmsg.KeyResource, config.Resource.Name(), "epoch", version.Epoch,
+				"index", version.Index, "entries", len(update.Slice.Entries), logmsg.KeySource, update.Source)
 		}
 	}
-	config.ConfirmedAt = time.Now().Add(-r.currentAge())
+	config.ConfirmedAt = time.Now().Add(-r.currentStaleness())
 	follower := distribution.New(config)
 	r.SetStaleness(func() time.Duration { return follower.Status().Staleness })
 	follower.Run(ctx)
