--- /dev/null
+++ b/internal/inventory/ansible.go
@@ -0,0 +1,198 @@
+package inventory
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+
+	"go.yaml.in/yaml/v3"
+)
+
+const (
+	// allHosts is the group that every host belongs to.
+	allHosts = "all"
+	// variablePrefix is what the variables begin with that are for harepass alone.
+	variablePrefix = "harepass_"
+)
+
+// variables are the variables of hosts and groups that mean something here, with the columns that they stand for.
+// ansible_port is the port of SSH, so the endpoint's own port has another name.
+var variables = map[string]string{
+	"ansible_host":          columnAddress,
+	variablePrefix + "port": columnPort,
+	variablePrefix + "cell": columnCell,
+	variablePrefix + "zone": columnZone,
+	variablePrefix + "api":  columnAPI,
+}
+
+// The keys of a group.
+const (
+	keyVars     = "vars"
+	keyHosts    = "hosts"
+	keyChildren = "children"
+)
+
+// ansibleHost is a host as collected from all groups that name it.
+type ansibleHost struct {
+	line     int               // where it is named first
+	values   map[string]string // by column
+	selected bool              // it is in the group that is read
+}
+
+// ansibleFile is an Ansible inventory that is being read.
+type ansibleFile struct {
+	*file
+	group      string // the group that is read
+	groupFound bool
+	hosts      map[string]*ansibleHost
+	order      []string // the hosts' names, in the order in which they are named first
+}
+
+// readAnsible reads the hosts of one group of an Ansible inventory; all of them where group is empty.
+func (f *file) readAnsible(data []byte, group string) error {
+	var doc yaml.Node
+	if err := yaml.Unmarshal(data, &doc); err != nil {
+		return f.yamlError(err)
+	}
+	if len(doc.Content) == 0 {
+		return f.errorAt(1, "empty file")
+	}
+	if group == "" {
+		group = allHosts
+	}
+	a := &ansibleFile{file: f, group: group, hosts: map[string]*ansibleHost{}}
+	if err := a.readGroups(doc.Content[0], nil, false); err != nil {
+		return err
+	}
+	if !a.groupFound && group != allHosts {
+		return f.errorAt(1, "no group %q", group)
+	}
+	for _, name := range a.order {
+		if h := a.hosts[name]; h.selected || group == allHosts {
+			if err := f.add(h.line, name, h.values); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// yamlError returns the YAML library's error with its place, which the library gives in its text alone.
+func (f *file) yamlError(err error) error {
+	text := strings.TrimPrefix(err.Error(), "yaml: ")
+	if place, ok := strings.CutPrefix(text, "line "); ok {
+		number, fault, _ := strings.Cut(place, ": ")
+		if line, err := strconv.Atoi(number); err == nil {
+			return f.errorAt(line, "%s", fault)
+		}
+	}
+	return f.errorAt(1, "%s", text)
+}
+
+// eachPair calls do for each pair of a mapping until it returns an error. An empty value counts as an empty mapping;
+// what says in an error which mapping it is.
+func (a *ansibleFile) eachPair(n *yaml.Node, what string, do func(key, value *yaml.Node) error) error {
+	if n.Kind == yaml.AliasNode {
+		n = n.Alias
+	}
+	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
+		return nil
+	}
+	if n.Kind != yaml.MappingNode {
+		return a.errorAt(n.Line, "%s is no mapping", what)
+	}
+	for i := 0; i+1 < len(n.Content); i += 2 {
+		if err := do(n.Content[i], n.Content[i+1]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// readGroups reads a mapping of groups. outer are the values of the group around them; a group's own go before those,
+// and a host's own before either. selected reports that the groups are in the one that is read.
+func (a *ansibleFile) readGroups(n *yaml.Node, outer map[string]string, selected bool) error {
+	return a.eachPair(n, "the list of groups", func(name, body *yaml.Node) error {
+		return a.readGroup(name.Value, body, outer, selected)
+	})
+}
+
+// readGroup reads one group: first its variables, for its hosts and children inherit them.
+func (a *ansibleFile) readGroup(name string, body *yaml.Node, outer map[string]string, selected bool) error {
+	if name == a.group {
+		a.groupFound, selected = true, true
+	}
+	parts, err := a.partsOf(name, body)
+	if err != nil {
+		return err
+	}
+	values := map[string]string{}
+	maps.Copy(values, outer)
+	if vars := parts[keyVars]; vars != nil {
+		if err := a.readVariables(vars, "vars of "+name, values); err != nil {
+			return err
+		}
+	}
+	if hosts := parts[keyHosts]; hosts != nil {
+		if err := a.readHosts(hosts, name, values, selected); err != nil {
+			return err
+		}
+	}
+	if children := parts[keyChildren]; children != nil {
+		return a.readGroups(children, values, selected)
+	}
+	return nil
+}
+
+// partsOf returns the values of a group's keys.
+func (a *ansibleFile) partsOf(group string, body *yaml.Node) (map[string]*yaml.Node, error) {
+	parts := map[string]*yaml.Node{}
+	err := a.eachPair(body, "group "+group, func(key, value *yaml.Node) error {
+		if !slices.Contains([]string{keyVars, keyHosts, keyChildren}, key.Value) {
+			return a.errorAt(key.Line, "group %s: unknown key %q, want hosts, vars or children", group, key.Value)
+		}
+		parts[key.Value] = value
+		return nil
+	})
+	return parts, err
+}
+
+// readHosts reads the hosts of a group. inherited are the group's values; they count where no group before gave the
+// host one.
+func (a *ansibleFile) readHosts(n *yaml.Node, group string, inherited map[string]string, selected bool) error {
+	return a.eachPair(n, "hosts of "+group, func(name, body *yaml.Node) error {
+		if strings.Contains(name.Value, "[") {
+			return a.errorAt(name.Line, "host %q: ranges are not read, each node has a cell of its own", name.Value)
+		}
+		h := a.hosts[name.Value]
+		if h == nil {
+			h = &ansibleHost{line: name.Line, values: map[string]string{}}
+			a.hosts[name.Value] = h
+			a.order = append(a.order, name.Value)
+		}
+		for column, value := range inherited {
+			if h.values[column] == "" {
+				h.values[column] = value
+			}
+		}
+		h.selected = h.selected || selected
+		return a.readVariables(body, "host "+name.Value, h.values)
+	})
+}
+
+// readVariables takes over the variables that mean something here, and leaves the others to the tools that they are
+// for. An unknown one that is for harepass is an error: it is most likely misspelt.
+func (a *ansibleFile) readVariables(n *yaml.Node, what string, values map[string]string) error {
+	return a.eachPair(n, what, func(key, value *yaml.Node) error {
+		if column := variables[key.Value]; column != "" {
+			if value.Kind != yaml.ScalarNode {
+				return a.errorAt(value.Line, "%s: %s is no plain value", what, key.Value)
+			}
+			values[column] = value.Value
+		} else if strings.HasPrefix(key.Value, variablePrefix) {
+			return a.errorAt(key.Line, "%s: unknown variable %s", what, key.Value)
+		}
+		return nil
+	})
+}
--- /dev/null
+++ b/internal/inventory/csv.go
@@ -0,0 +1,82 @@
+package inventory
+
+import (
+	"bytes"
+	"encoding/csv"
+	"errors"
+	"io"
+	"slices"
+	"strings"
+)
+
+var (
+	// columns are all that a CSV file may have.
+	columns = []string{columnName, columnAddress, columnPort, columnCell, columnZone, columnAPI}
+	// requiredColumns are those that a CSV file has to have.
+	requiredColumns = []string{columnName, columnPort, columnCell}
+)
+
+// byteOrderMark is what some spreadsheets begin a file with.
+const byteOrderMark = "\ufeff"
+
+// readCSV reads the hosts of a CSV file, one a row.
+func (f *file) readCSV(data []byte) error {
+	r := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(data, []byte(byteOrderMark))))
+	r.TrimLeadingSpace = true
+	r.Comment = '#'
+	header, err := r.Read()
+	if err != nil {
+		return f.csvError(err)
+	}
+	if err := f.normalizeHeader(header); err != nil {
+		return err
+	}
+	for {
+		row, err := r.Read()
+		if err == io.EOF {
+			return nil
+		}
+		if err != nil {
+			return f.csvError(err)
+		}
+		values := map[string]string{}
+		for i, value := range row {
+			values[header[i]] = strings.TrimSpace(value)
+		}
+		line, _ := r.FieldPos(0)
+		if err := f.add(line, values[columnName], values); err != nil {
+			return err
+		}
+	}
+}
+
+// normalizeHeader brings the names of columns into the form of columns, and checks them.
+func (f *file) normalizeHeader(header []string) error {
+	for i, name := range header {
+		header[i] = strings.ToLower(strings.TrimSpace(name))
+		if !slices.Contains(columns, header[i]) {
+			return f.errorAt(1, "unknown column %q, want %s", name, strings.Join(columns, ", "))
+		}
+		if slices.Contains(header[:i], header[i]) {
+			return f.errorAt(1, "column %q stands twice", name)
+		}
+	}
+	for _, name := range requiredColumns {
+		if !slices.Contains(header, name) {
+			return f.errorAt(1, "no column %q", name)
+		}
+	}
+	return nil
+}
+
+// csvError returns a CSV reader's error with its place in the file.
+func (f *file) csvError(err error) error {
+	var syntax *csv.ParseError
+	switch {
+	case errors.As(err, &syntax):
+		return f.errorAt(syntax.Line, "%v", syntax.Err)
+	case err == io.EOF:
+		return f.errorAt(1, "no header row")
+	}
+	return err
+}
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/host_test.go
@@ -1,12 +1,14 @@
 package inventory
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
+// load writes a file of a name and loads it.
 func load(t *testing.T, name, text, group string) ([]Host, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -20,7 +22,8 @@
 	return hosts, err
 }
 
-const csvText = "\ufeffname, address, port, cell, api\n# the north slope\nnode01, 127.0.0.11, 9200, 0, opensearch\n\nnode02,127.0.0.12,8080,1,\n"
+const csvText = "\ufeffname, address, port, cell, api\n# the north slope\n" +
+	"node01, 127.0.0.11, 9200, 0, opensearch\n\nnode02,127.0.0.12,8080,1,\n"
 
 const yamlText = `
 all:
@@ -43,7 +46,8 @@
             node02: {ansible_host: 127.0.0.12, harepass_cell: 1}
 `
 
-func TestBothFormsGiveTheSameHosts(t *testing.T) {
+// A CSV file and a YAML file of one inventory give equal hosts.
+func TestBothFormatsGiveEqualHosts(t *testing.T) {
 	want := []Host{{Name: "node01", Address: "127.0.0.11:9200", RingPosition: 0, API: "opensearch"},
 		{Name: "node02", Address: "127.0.0.12:8080", RingPosition: 1, API: "frame"}}
 	for _, tc := range []struct{ name, text string }{{"nodes.csv", csvText}, {"nodes.yml", yamlText}} {
@@ -57,6 +61,7 @@
 	}
 }
 
+// A faulty file is an *Error that names the file, the line and the fault.
 func TestFaultsNameFileAndLine(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
 		{"a.csv", "", "a.csv:1: no header row"},
@@ -80,14 +85,16 @@
 		{"a.yml", "all:\n  hosts:\n    a: {harepass_port: [1]}\n", "a.yml:3: host a: harepass_port is no plain value"},
 	} {
 		_, err := load(t, tc.name, tc.text, "")
-		if err == nil || !strings.Contains(err.Error(), tc.want) {
+		var fault *Error
+		if !errors.As(err, &fault) || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q: error %v, want %q in it", tc.text, err, tc.want)
 		}
 	}
-	if _, err := load(t, "a.yml", "all:\n  hosts: {}\n", "map_nodes"); err == nil || !strings.Contains(err.Error(), `no group "map_nodes"`) {
+	_, err := load(t, "a.yml", "all:\n  hosts: {}\n", "map_nodes")
+	if err == nil || !strings.Contains(err.Error(), `no group "map_nodes"`) {
 		t.Errorf("a missing group: %v", err)
 	}
-	if _, err := load(t, "a.ini", "x", ""); err == nil {
-		t.Error("an unknown ending is taken")
+	if _, err := load(t, "a.ini", "x", ""); !errors.Is(err, ErrUnknownFormat) {
+		t.Errorf("an unknown ending: %v", err)
 	}
 }
--- a/internal/inventory/keeper_test.go
+++ b/internal/inventory/reader_test.go
@@ -9,19 +9,19 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A host that leaves the file drains, one that comes later is taken for freshly started, and a file that
-// cannot be read changes nothing.
-func TestReload(t *testing.T) {
-	k := &Reader{Path: filepath.Join(t.TempDir(), "nodes.csv"), RingSize: 4}
+// An operator edits the inventory while the program runs. A host that leaves the file drains, one that comes later
+// counts as just started, and a faulty file changes nothing.
+func TestReadingsOfAnEditedFile(t *testing.T) {
+	r := &Reader{Path: filepath.Join(t.TempDir(), "nodes.csv"), RingSize: 4}
 	read := func(rows string) (string, error) {
-		if err := os.WriteFile(k.Path, []byte("name,port,cell\n"+rows), 0o600); err != nil {
+		if err := os.WriteFile(r.Path, []byte("name,port,cell\n"+rows), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		nodes, err := k.Read(time.Hour)
+		endpoints, err := r.Read(time.Hour)
 		text := ""
-		for _, n := range nodes {
-			text += n.ID + map[scatter.ReplicaState]string{scatter.Ready: "+", scatter.Draining: "-"}[n.State]
-			if n.StartedAt > 0 {
+		for _, e := range endpoints {
+			text += e.ID + map[scatter.ReplicaState]string{scatter.Ready: "+", scatter.Draining: "-"}[e.State]
+			if e.StartedAt > 0 {
 				text += "new"
 			}
 			text += " "
@@ -31,7 +31,7 @@
 	for _, tc := range []struct{ rows, want string }{
 		{"a,1,0\nb,2,1\n", "a+ b+ "},
 		{"b,2,1\nc,3,2\n", "a- b+ c+new "},
-		{"b,2,1\nc,3,9\n", ""}, // refused
+		{"b,2,1\nc,3,9\n", ""}, // rejected
 		{"a,1,0\nb,2,1\nc,3,2\n", "a+new b+ c+new "},
 		{"a,1,0\nb,9,1\n", "a+new b+new c-new "},
 		{"a,1,0\nb,9,1\n", "a+new b+new "}, // c is forgotten
