--- a/internal/decide/subsetting/member.go
+++ b/internal/decide/subsetting/member.go
@@ -8,8 +8,8 @@
 
 import "math"
 
-// Place is a coordinator's in its fleet: the Me-th, from 0, of Of.
-type Place struct{ Index, FleetSize int }
+// Member is a coordinator's in its fleet: the Me-th, from 0, of Of.
+type Member struct{ Index, FleetSize int }
 
 // Salt is a name's, the same at all members (FNV-1a).
 func Salt(name string) (h uint64) {
@@ -20,13 +20,13 @@
 	return h
 }
 
-// Known tells whether the place says anything: a fleet of one, or a member that does not know which it is, is not spread.
-func (p Place) Known() bool { return p.FleetSize > 1 && p.Index >= 0 && p.Index < p.FleetSize }
+// HasPeers tells whether the place says anything: a fleet of one, or a member that does not know which it is, is not spread.
+func (p Member) HasPeers() bool { return p.FleetSize > 1 && p.Index >= 0 && p.Index < p.FleetSize }
 
 // at is where the place lies on a circle of length 1. The places of a fleet lie at equal distances, so any arc of length a
 // holds a times their number of them, rounded up or down.
-func (p Place) at() float64 {
-	if !p.Known() {
+func (p Member) at() float64 {
+	if !p.HasPeers() {
 		return 0
 	}
 	return (float64(p.Index) + 0.5) / float64(p.FleetSize)
@@ -37,7 +37,7 @@
 type Position float64
 
 // Position is the place's among all coordinators.
-func (p Place) Position() Position { return Position(p.at()) }
+func (p Member) Position() Position { return Position(p.at()) }
 
 // frac is the part of x behind the point, in [0, 1).
 func frac(x float64) float64 {
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -33,9 +33,9 @@
 )
 
 // NewSubset is the subset of a place that leaves each section least holders, where it has so many. A small fleet keeps all.
-func NewSubset(p Place, r Ring, least int) Subset {
+func NewSubset(p Member, r Ring, least int) Subset {
 	s := Subset{Share: 1}
-	if !p.Known() || r.Size < 1 {
+	if !p.HasPeers() || r.Size < 1 {
 		return s
 	}
 	holders := r.ReplicationFactor * max(1, r.Replicas/r.Size)
@@ -57,23 +57,23 @@
 	return frac(float64(cell)*s.Share + float64(rank)*golden + s.at)
 }
 
-// Keeps tells whether a node with that key is kept.
-func (s Subset) Keeps(key float64) bool { return key < s.Share }
+// Contains tells whether a node with that key is kept.
+func (s Subset) Contains(key float64) bool { return key < s.Share }
 
 // Position is the coordinator's among those that keep a node with that key.
-func (s Subset) Position(p Place, key float64) Position {
+func (s Subset) Position(p Member, key float64) Position {
 	if s.Share == 1 {
 		return p.Position()
 	}
 	return Position(frac(key / s.Share))
 }
 
-// Among is how many of a section's holders, in the order of their keys, belong to the subset: those that are kept, and as
+// HolderCount is how many of a section's holders, in the order of their keys, belong to the subset: those that are kept, and as
 // many more as it takes for least of them to be ready. It widens in the step in which one fails and narrows in that in
 // which it is back, with nothing to remember.
-func (s Subset) Among(keys []float64, ready []bool, least int) (n int) {
+func (s Subset) HolderCount(keys []float64, ready []bool, least int) (n int) {
 	sound := 0
-	for n < len(keys) && (s.Keeps(keys[n]) || sound < least) {
+	for n < len(keys) && (s.Contains(keys[n]) || sound < least) {
 		if ready[n] {
 			sound++
 		}
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -27,14 +27,14 @@
 }
 
 var (
-	inZone    = failover.Place{Zone: "r1-a", Region: "r1"}
-	inRegion  = failover.Place{Zone: "r1-b", Region: "r1"}
-	elsewhere = failover.Place{Zone: "r2-a", Region: "r2"}
+	inZone    = failover.Locality{Zone: "r1-a", Region: "r1"}
+	inRegion  = failover.Locality{Zone: "r1-b", Region: "r1"}
+	elsewhere = failover.Locality{Zone: "r2-a", Region: "r2"}
 )
 
 // at returns a fake source as configured at a place.
-func at(s *fakeSource, p failover.Place) failover.Source {
-	return failover.Source{Address: s.address, Place: p}
+func at(s *fakeSource, p failover.Locality) failover.Source {
+	return failover.Source{Address: s.address, Locality: p}
 }
 
 // allowance is longer than a source takes to answer on a busy machine.
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -62,7 +62,7 @@
 	f := &Follower{cfg: cfg, startedAt: now, probe: newProbeSlot(),
 		selector: failover.New(cfg.Place, cfg.Sources, cfg.Rand)}
 	f.status.confirmedAt = cfg.ConfirmedAt
-	f.selector.StaleAfter(cfg.StaleAfter)
+	f.selector.SetStaleAfter(cfg.StaleAfter)
 	f.state.AcceptAnySnapshot = cfg.AcceptAnySnapshot
 	f.state.Seed(cfg.KnownNames)
 	f.dial = f.totals.countBytes(cfg.Dial)
--- a/internal/distribution/outcome.go
+++ b/internal/distribution/outcome.go
@@ -36,7 +36,7 @@
 	if errors.As(err, &busy) && f.needsSnapshot() {
 		slog.Debug("source busy", logmsg.KeyResource, f.cfg.Resource.Name(), logmsg.KeySource, source.Address,
 			"retry_after", busy.retryAfter)
-		f.selector.Busy(f.now(), busy.retryAfter)
+		f.selector.Rejected(f.now(), busy.retryAfter)
 		return false
 	}
 	f.leave(ctx, source, err)
@@ -49,8 +49,8 @@
 	if !f.current.served {
 		f.recordFollowed(source)
 	}
-	f.selector.Served(f.now())
-	f.selector.Aged(f.now(), f.current.staleness)
+	f.selector.Succeeded(f.now())
+	f.selector.RecordAge(f.now(), f.current.staleness)
 }
 
 // leave gives up the source in use for an error. One that has never served is logged for debugging only: it may be
@@ -81,7 +81,7 @@
 	case errors.Is(err, follower.ErrBehind):
 		return failover.Behind
 	case errors.Is(err, follower.ErrInvalid), errors.Is(err, ErrInvalid), errors.As(err, &protocol):
-		return failover.Spoilt
+		return failover.Invalid
 	case errors.Is(err, context.DeadlineExceeded), errors.As(err, &timeout) && timeout.Timeout():
 		return failover.Silent
 	}
--- a/internal/distribution/probe.go
+++ b/internal/distribution/probe.go
@@ -40,7 +40,7 @@
 	case p := <-f.probe.done:
 		f.probe.underWay = false
 		if p.err != nil {
-			f.selector.Stay(f.now(), p.source, reasonOf(p.err))
+			f.selector.ProbeFailed(f.now(), p.source, reasonOf(p.err))
 		} else if f.isBetter(p) {
 			return p.source, p.client
 		}
@@ -55,7 +55,7 @@
 func (f *Follower) isBetter(p probe) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
-	if !f.selector.Return(f.now(), p.source, p.staleness+time.Since(p.answeredAt)) {
+	if !f.selector.SwitchTo(f.now(), p.source, p.staleness+time.Since(p.answeredAt)) {
 		return false
 	}
 	if stale {
--- a/internal/distribution/watch.go
+++ b/internal/distribution/watch.go
@@ -23,7 +23,7 @@
 	if f.probe.underWay {
 		return min(f.cfg.Heartbeat, probingWait)
 	}
-	if untilProbe := f.selector.LookIn(f.now()); untilProbe > 0 {
+	if untilProbe := f.selector.FresherIn(f.now()); untilProbe > 0 {
 		return min(f.cfg.Heartbeat, max(untilProbe, noWait))
 	}
 	return f.cfg.Heartbeat
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -111,8 +111,8 @@
 
 // checkSize reports an object that no answer could hold. The error wraps ErrTooLarge.
 func checkSize(object []byte) error {
-	if len(object) > versionlog.MaxObject {
-		return fmt.Errorf("%w: it has %d bytes, at most %d do", ErrTooLarge, len(object), versionlog.MaxObject)
+	if len(object) > versionlog.MaxObjectBytes {
+		return fmt.Errorf("%w: it has %d bytes, at most %d do", ErrTooLarge, len(object), versionlog.MaxObjectBytes)
 	}
 	return nil
 }
--- a/internal/relay/slice_cache.go
+++ b/internal/relay/slice_cache.go
@@ -6,7 +6,7 @@
 	// maxBody is the size limit of an answer's body by the protocol, in bytes.
 	maxBody = 64 << 10
 	// maxSliceBytes is the size limit of an answer's entries, in bytes.
-	maxSliceBytes = maxBody - versionlog.EnvelopeBytes
+	maxSliceBytes = maxBody - versionlog.MaxEnvelopeBytes
 	// maxCachedSlices is how many slices of one version are kept encoded.
 	maxCachedSlices = 64
 )
--- a/internal/relay/snapshot_budget.go
+++ b/internal/relay/snapshot_budget.go
@@ -14,12 +14,12 @@
 	startedAt time.Time // zero of the budget's clock
 
 	mu    sync.Mutex
-	bytes *ratelimit.Budget
+	bytes *ratelimit.TokenBucket
 }
 
 // NewSnapshotBudget returns a full budget.
 func NewSnapshotBudget(bytesPerSecond int) *SnapshotBudget {
-	return &SnapshotBudget{startedAt: time.Now(), bytes: ratelimit.NewBudget(bytesPerSecond, 0)}
+	return &SnapshotBudget{startedAt: time.Now(), bytes: ratelimit.NewTokenBucket(bytesPerSecond, 0)}
 }
 
 // admit reports whether a snapshot of so many bytes may begin now, and else when its reader is to come back. One that
--- a/internal/relay/staleness_test.go
+++ b/internal/relay/staleness_test.go
@@ -31,12 +31,12 @@
 
 // twoSources returns the configuration of a reader with a relay in its zone and one elsewhere.
 func twoSources(near, far string) distribution.Config {
-	own := failover.Place{Zone: "a", Region: "north"}
-	elsewhere := failover.Place{Zone: "a", Region: "south"}
+	own := failover.Locality{Zone: "a", Region: "north"}
+	elsewhere := failover.Locality{Zone: "a", Region: "south"}
 	return distribution.Config{Resource: distribution.Endpoints, Place: own, Heartbeat: quickHeartbeat,
 		Allowance:  2 * time.Second,
 		StaleAfter: quickStaleAfter, Rand: rand.New(rand.NewPCG(1, 2)),
-		Sources: []failover.Source{{Address: near, Place: own}, {Address: far, Place: elsewhere}}}
+		Sources: []failover.Source{{Address: near, Locality: own}, {Address: far, Locality: elsewhere}}}
 }
 
 // runFollower runs a follower until the test ends.
