--- a/cmd/harepass/serve.go
+++ b/cmd/harepass/serve.go
@@ -177,14 +177,14 @@
 // makeRoom lets idle clients go before a connection to a node is opened, so that it finds a descriptor.
 func (p *program) makeRoom() {
 	for _, s := range p.servers {
-		s.TrimIdle()
+		s.EvictExcess()
 	}
 }
 
 // descriptors is the share of the connections that clients may hold which are in use.
 func (p *program) descriptors() (share float64) {
 	for _, s := range p.servers {
-		share = max(share, float64(s.OpenConns())/float64(s.MaxConns))
+		share = max(share, float64(s.BusyConns())/float64(s.MaxConns))
 	}
 	return share
 }
--- a/cmd/harepass/sources.go
+++ b/cmd/harepass/sources.go
@@ -55,7 +55,7 @@
 
 // withSources is a follower's configuration with the sources of a file, for a reader at a place.
 func withSources(c distribution.Config, list []relaySource, own failover.Locality) distribution.Config {
-	c.Place, c.Sources = own, nil
+	c.Locality, c.Sources = own, nil
 	for _, s := range list {
 		c.Sources = append(c.Sources, failover.Source{Address: s.Address, Locality: failover.Locality{Zone: s.Zone, Region: s.Region}})
 	}
--- a/cmd/harepass/wiring.go
+++ b/cmd/harepass/wiring.go
@@ -148,7 +148,7 @@
 func (p *program) fronts() error {
 	if p.search != nil {
 		front := &opensearch.Front{Config: p.search, Coordinator: p.owner, Clock: p.clock, Version: version}
-		if err := p.listen(p.search.Listen, &http1.Server{Handler: front.Handle, Fault: opensearch.ErrorResponse,
+		if err := p.listen(p.search.Listen, &http1.Server{Handler: front.Handle, ErrorAnswer: opensearch.ErrorResponse,
 			Limits: http1.Limits{Head: http1.DefaultLimits.Head, Body: apiBody}}); err != nil {
 			return err
 		}
@@ -164,7 +164,7 @@
 func (p *program) serveFronts() {
 	for _, s := range p.servers {
 		s.MaxConns = max(1, p.clients()/len(p.servers))
-		s.Room = func() int { return max(1, p.room()/len(p.servers)) }
+		s.Capacity = func() int { return max(1, p.room()/len(p.servers)) }
 		s.MaxIdle = max(1, p.limits.idle()/len(p.servers))
 	}
 	p.frames.OnDial(p.makeRoom)
--- a/internal/distribution/config.go
+++ b/internal/distribution/config.go
@@ -26,7 +26,7 @@
 	// Resource is the path that is polled.
 	Resource Resource
 	// Place is where this process runs: nearer sources are preferred.
-	Place failover.Locality
+	Locality failover.Locality
 	// Sources are the relays that may be followed, one at least.
 	Sources []failover.Source
 
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -51,7 +51,7 @@
 	for _, name := range cfg.KnownNames {
 		c.statuses[name] = "known"
 	}
-	cfg.Resource, cfg.Place, cfg.Heartbeat = Endpoints, inZone, 200*time.Millisecond
+	cfg.Resource, cfg.Locality, cfg.Heartbeat = Endpoints, inZone, 200*time.Millisecond
 	cfg.Rand = rand.New(rand.NewPCG(1, 2))
 	cfg.Apply, cfg.Check = c.apply, checkStatuses
 	c.Follower = New(cfg)
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -60,7 +60,7 @@
 	now := time.Now()
 	cfg = cfg.withDefaults(now)
 	f := &Follower{cfg: cfg, startedAt: now, probe: newProbeSlot(),
-		selector: failover.New(cfg.Place, cfg.Sources, cfg.Rand)}
+		selector: failover.New(cfg.Locality, cfg.Sources, cfg.Rand)}
 	f.status.confirmedAt = cfg.ConfirmedAt
 	f.selector.SetStaleAfter(cfg.StaleAfter)
 	f.state.AcceptAnySnapshot = cfg.AcceptAnySnapshot
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -25,23 +25,23 @@
 	Limits  Limits
 	Dial    Dialer // nil for plain TCP
 
-	c net.Conn
-	r *Reader
+	conn   net.Conn
+	reader *Reader
 }
 
 // Do sends a request and returns its answer. written tells whether the request's last byte was
 // written: if not, the server cannot have run it. After an error the connection is closed, and where more
 // has come than the answer too: that would be taken for the next one. An answer that cannot be read is an *Error.
 func (cl *Client) Do(ctx context.Context, req *Message) (answer *Message, written bool, err error) {
-	if cl.c == nil {
+	if cl.conn == nil {
 		if err := cl.Connect(ctx); err != nil {
 			return nil, false, err
 		}
 	}
-	c := cl.c
+	c := cl.conn
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer func() {
-		if !stop() || err != nil || answer.Close || !cl.r.Idle() {
+		if !stop() || err != nil || answer.Close || !cl.reader.Idle() {
 			cl.Close()
 		}
 	}()
@@ -49,7 +49,7 @@
 		return nil, false, err
 	}
 	for {
-		if answer, err = cl.r.Read(c); err != nil || answer.Status >= 200 {
+		if answer, err = cl.reader.Read(c); err != nil || answer.Status >= 200 {
 			return answer, true, err
 		}
 	}
@@ -59,18 +59,18 @@
 func (cl *Client) Connect(ctx context.Context) error {
 	c, err := cl.Dial.Connect(ctx, cl.Address)
 	if err == nil {
-		cl.c, cl.r = c, NewAnswerReader(cl.Limits)
+		cl.conn, cl.reader = c, NewAnswerReader(cl.Limits)
 	}
 	return err
 }
 
 // Alive tells whether the idle connection still stands: nothing has come in, not even its end.
-func (cl *Client) Alive() bool { return cl.c != nil && !socket.Unread(cl.c) }
+func (cl *Client) Alive() bool { return cl.conn != nil && !socket.Unread(cl.conn) }
 
 // Close ends the connection; the next Do opens a new one.
 func (cl *Client) Close() {
-	if cl.c != nil {
-		cl.c.Close()
-		cl.c = nil
+	if cl.conn != nil {
+		cl.conn.Close()
+		cl.conn = nil
 	}
 }
--- a/internal/http1/closing_test.go
+++ b/internal/http1/closing_test.go
@@ -96,7 +96,7 @@
 func parts(s *Server) {
 	for n := 0; n == 0; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		n = len(s.parting)
+		n = len(s.evicted)
 		s.mu.Unlock()
 	}
 }
@@ -105,7 +105,7 @@
 func goesDown(s *Server) {
 	for down := false; !down; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		down = s.down
+		down = s.shuttingDown
 		s.mu.Unlock()
 	}
 }
@@ -188,7 +188,7 @@
 				at <- struct{}{}
 				<-answer
 				return &Message{Status: 200, Body: []byte(strings.Repeat("v", 200))}
-			}, Fault: func(e *Error) *Message {
+			}, ErrorAnswer: func(e *Error) *Message {
 				at <- struct{}{}
 				<-answer
 				return &Message{Status: e.Status, Body: []byte(strings.Repeat("v", 200))}
@@ -226,7 +226,7 @@
 // A client that leaves is noticed while a request of its is answered, however much it has sent behind that; and whoever
 // handles what it sent behind is told so from the start.
 func TestDepartureBehindPipelinedRequests(t *testing.T) {
-	for _, behind := range []int{0, 1, 3, aheadMost + 40} {
+	for _, behind := range []int{0, 1, 3, maxPipelined + 40} {
 		var handled, unaware atomic.Int32
 		noticed := make(chan bool, 1)
 		s := &Server{Limits: small, Handler: func(_ *Message, gone <-chan struct{}) *Message {
@@ -310,7 +310,7 @@
 		t.Fatal(err)
 	}
 	go s.Serve(l)
-	for _, n := range []int{aheadMost, 500} {
+	for _, n := range []int{maxPipelined, 500} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -324,7 +324,7 @@
 			}
 			answers, last = answers+1, m.Close
 		}
-		if last != (n > aheadMost) {
+		if last != (n > maxPipelined) {
 			t.Errorf("%d at once: %d answers, told of the end: %t", n, answers, last)
 		}
 		if last {
@@ -379,7 +379,7 @@
 	c, there := pair()
 	defer c.Close()
 	slow := &slowEnd{there, make(chan struct{}, 10), make(chan struct{})}
-	first := &conn{Conn: slow, s: s}
+	first := &conn{Conn: slow, server: s}
 	s.start(first)
 	c.Write([]byte(whole))
 	<-slow.wrote
@@ -388,10 +388,10 @@
 	goesDown(s)
 	late, accepted := pair()
 	defer late.Close()
-	second := &conn{Conn: accepted, s: s}
+	second := &conn{Conn: accepted, server: s}
 	s.start(second)
 	close(slow.free)
-	for end := time.Now().Add(5 * time.Second); !(first.closing() && second.closing()) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); !(first.isClosing() && second.isClosing()) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	for who, c := range map[string]net.Conn{"answered at the shutdown": c, "accepted at the shutdown": late} {
@@ -428,7 +428,7 @@
 			t.Errorf("connection %d: %+v, %v", i, m, err)
 		}
 		s.mu.Lock()
-		most = max(most, len(s.conns)+len(s.parting))
+		most = max(most, len(s.conns)+len(s.evicted))
 		s.mu.Unlock()
 	}
 	if most > s.MaxConns+1 {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -35,22 +35,22 @@
 	Body           []byte
 	Close          bool // the connection ends after this message
 
-	left net.Conn  // that a request came on; nil for other messages
-	came time.Time // when a request was read whole; zero for other messages
-	head bool      // the answer to a HEAD: its length is told, its body left out
+	client   net.Conn  // that a request came on; nil for other messages
+	readAt   time.Time // when a request was read whole; zero for other messages
+	omitBody bool      // the answer to a HEAD: its length is told, its body left out
 }
 
 // Waited is how long ago a request was read whole: what is pipelined waits for the answers before its own.
-func (m *Message) Waited() time.Duration {
-	if m.came.IsZero() {
+func (m *Message) QueuedFor() time.Duration {
+	if m.readAt.IsZero() {
 		return 0
 	}
-	return time.Since(m.came)
+	return time.Since(m.readAt)
 }
 
 // ClientLeft asks the system whether the client that sent a request has closed its side since. It does not wait for the
 // goroutine that reads the connection, which may not have had its turn.
-func (m *Message) ClientLeft() bool { return m.left != nil && socket.PeerEnded(m.left) }
+func (m *Message) ClientLeft() bool { return m.client != nil && socket.PeerEnded(m.client) }
 
 // Error is a fault in what the peer sent, with the status that says so.
 type Error struct {
@@ -65,35 +65,35 @@
 }
 
 // state is how far a Reader is into a message.
-type state int
+type readerState int
 
 const (
-	inHead    state = iota // start line and headers
-	inBody                 // a body of known length
-	inSize                 // the line before a chunk
-	inChunk                // a chunk and its line end
-	inTrailer              // the lines after the last chunk
-	untilEnd               // a body that ends with the connection
+	inHead    readerState = iota // start line and headers
+	inBody                       // a body of known length
+	inSize                       // the line before a chunk
+	inChunk                      // a chunk and its line end
+	inTrailer                    // the lines after the last chunk
+	untilEnd                     // a body that ends with the connection
 )
 
 // Reader takes messages off one connection. It is a state machine: Parse goes as far as the bytes
 // at hand allow, in whatever pieces they come.
 type Reader struct {
-	Buffer  buffer.Buffer
-	limits  Limits
-	answers bool // reads answers rather than requests
-	state   state
-	msg     *Message
-	seen    int // bytes already searched for the end of what is being read
-	left    int // of the body or chunk
-	trailer int
+	Buffer       buffer.Buffer
+	limits       Limits
+	readsAnswers bool // reads answers rather than requests
+	state        readerState
+	msg          *Message
+	scanned      int // bytes already searched for the end of what is being read
+	remaining    int // of the body or chunk
+	trailerBytes int
 }
 
 // NewRequestReader reads requests.
 func NewRequestReader(l Limits) *Reader { return &Reader{limits: l} }
 
 // NewAnswerReader reads answers.
-func NewAnswerReader(l Limits) *Reader { return &Reader{limits: l, answers: true} }
+func NewAnswerReader(l Limits) *Reader { return &Reader{limits: l, readsAnswers: true} }
 
 // Idle tells that no part of a message has come in.
 func (r *Reader) Idle() bool { return r.state == inHead && r.Buffer.Len() == 0 }
@@ -105,13 +105,13 @@
 			return m, err
 		}
 		if _, err := r.Buffer.Fill(c); err != nil {
-			return r.ended(err)
+			return r.finishAtEnd(err)
 		}
 	}
 }
 
 // ended completes a body that lasts until the connection's end.
-func (r *Reader) ended(err error) (*Message, error) {
+func (r *Reader) finishAtEnd(err error) (*Message, error) {
 	if err == io.EOF && r.state == untilEnd {
 		m := r.msg
 		r.state, r.msg = inHead, nil
@@ -130,17 +130,17 @@
 		var err error
 		switch r.state {
 		case inHead:
-			more, err = r.head()
+			more, err = r.parseHead()
 		case inBody:
-			more, err = r.take(inHead)
+			more, err = r.takeBody(inHead)
 		case inSize:
-			more, err = r.chunkSize()
+			more, err = r.parseChunkSize()
 		case inChunk:
-			more, err = r.chunk()
+			more, err = r.parseChunk()
 		case inTrailer:
-			more, err = r.endChunks()
+			more, err = r.parseTrailer()
 		case untilEnd:
-			more, err = r.rest()
+			more, err = r.takeUntilEnd()
 		}
 		if err != nil || more {
 			return nil, err
@@ -154,27 +154,27 @@
 }
 
 // line returns the next line without its CRLF and consumes it; ok is false while it is not all there.
-func (r *Reader) line() (text string, ok bool, err error) {
+func (r *Reader) takeLine() (text string, ok bool, err error) {
 	b := r.Buffer.Bytes()
-	i, err := r.newline(b, r.limits.Head)
+	i, err := r.findLineEnd(b, r.limits.Head)
 	if i < 0 || err != nil {
 		return "", false, err
 	}
 	text = string(b[:i-1])
 	r.Buffer.Consume(i + 1)
-	r.seen = 0
+	r.scanned = 0
 	return text, true, nil
 }
 
 // newline finds the next line end, which has to come within limit bytes however the bytes come in.
-func (r *Reader) newline(b []byte, limit int) (int, error) {
+func (r *Reader) findLineEnd(b []byte, limit int) (int, error) {
 	window := b[:min(len(b), limit)]
-	i := bytes.IndexByte(window[r.seen:], '\n')
-	switch i += r.seen; {
-	case i < r.seen && len(b) > limit:
+	i := bytes.IndexByte(window[r.scanned:], '\n')
+	switch i += r.scanned; {
+	case i < r.scanned && len(b) > limit:
 		return -1, &Error{431, "header too large"}
-	case i < r.seen:
-		r.seen = len(window)
+	case i < r.scanned:
+		r.scanned = len(window)
 		return -1, nil
 	case i == 0 || b[i-1] != '\r':
 		return -1, malformed("line ends without CR")
@@ -183,38 +183,38 @@
 }
 
 // head reads start line and headers once all are there.
-func (r *Reader) head() (more bool, err error) {
+func (r *Reader) parseHead() (more bool, err error) {
 	b := r.Buffer.Bytes()
-	for r.seen <= 1 && bytes.HasPrefix(b, []byte("\r\n")) { // empty lines before a request are let pass
+	for r.scanned <= 1 && bytes.HasPrefix(b, []byte("\r\n")) { // empty lines before a request are let pass
 		r.Buffer.Consume(2)
-		b, r.seen = r.Buffer.Bytes(), 0
+		b, r.scanned = r.Buffer.Bytes(), 0
 	}
 	end := 0
 	for end == 0 {
-		at, err := r.newline(b, r.limits.Head)
+		at, err := r.findLineEnd(b, r.limits.Head)
 		if at < 0 || err != nil {
 			return true, err
 		}
 		if at >= 3 && b[at-2] == '\n' {
 			end = at + 1
 		}
-		r.seen = at + 1
+		r.scanned = at + 1
 	}
 	head := b[:end]
 	start, fields, _ := bytes.Cut(head, []byte("\r\n"))
 	m := &Message{}
-	if err := m.startLine(string(start), r.answers); err != nil {
+	if err := m.parseStartLine(string(start), r.readsAnswers); err != nil {
 		return false, err
 	}
 	if m.Header, err = parseFields(fields); err != nil {
 		return false, err
 	}
 	r.Buffer.Consume(end)
-	r.seen, r.msg = 0, m
-	return false, r.framing(bytes.Contains(start, []byte("HTTP/1.0")))
+	r.scanned, r.msg = 0, m
+	return false, r.parseFraming(bytes.Contains(start, []byte("HTTP/1.0")))
 }
 
-func (m *Message) startLine(line string, answer bool) error {
+func (m *Message) parseStartLine(line string, answer bool) error {
 	words := strings.SplitN(line, " ", 3)
 	version := words[0]
 	if !answer {
@@ -259,13 +259,13 @@
 }
 
 // framing finds out how the body ends. Whatever two readers could take differently is refused.
-func (r *Reader) framing(old bool) error {
+func (r *Reader) parseFraming(old bool) error {
 	m := r.msg
 	lengths, coding := m.Header["Content-Length"], m.Header["Transfer-Encoding"]
 	m.Close = old && !hasToken(m.Header["Connection"], "keep-alive") || hasToken(m.Header["Connection"], "close")
 	switch {
-	case r.answers && (m.Status < 200 || m.Status == 204 || m.Status == 304):
-		r.left, r.state = 0, inBody
+	case r.readsAnswers && (m.Status < 200 || m.Status == 204 || m.Status == 304):
+		r.remaining, r.state = 0, inBody
 	case len(coding) > 0:
 		if len(lengths) > 0 {
 			return malformed("both a length and a transfer coding")
@@ -285,29 +285,29 @@
 		if int(n) > r.limits.Body {
 			return &Error{413, "body too large"}
 		}
-		r.left, r.state = int(n), inBody
-	case r.answers:
+		r.remaining, r.state = int(n), inBody
+	case r.readsAnswers:
 		m.Close, r.state = true, untilEnd
 	default:
-		r.left, r.state = 0, inBody
+		r.remaining, r.state = 0, inBody
 	}
 	return nil
 }
 
 // take moves what is at hand of a body or chunk into the message.
-func (r *Reader) take(next state) (more bool, err error) {
-	n := min(r.left, r.Buffer.Len())
+func (r *Reader) takeBody(next readerState) (more bool, err error) {
+	n := min(r.remaining, r.Buffer.Len())
 	r.msg.Body = append(r.msg.Body, r.Buffer.Bytes()[:n]...)
 	r.Buffer.Consume(n)
-	if r.left -= n; r.left > 0 {
+	if r.remaining -= n; r.remaining > 0 {
 		return true, nil
 	}
 	r.state = next
 	return false, nil
 }
 
-func (r *Reader) chunkSize() (more bool, err error) {
-	line, ok, err := r.line()
+func (r *Reader) parseChunkSize() (more bool, err error) {
+	line, ok, err := r.takeLine()
 	if !ok {
 		return true, err
 	}
@@ -319,15 +319,15 @@
 	if len(r.msg.Body)+int(n) > r.limits.Body {
 		return false, &Error{413, "body too large"}
 	}
-	if r.left, r.state = int(n), inChunk; n == 0 {
-		r.trailer, r.state = 0, inTrailer
+	if r.remaining, r.state = int(n), inChunk; n == 0 {
+		r.trailerBytes, r.state = 0, inTrailer
 	}
 	return false, nil
 }
 
-func (r *Reader) chunk() (more bool, err error) {
-	if r.left > 0 {
-		return r.take(inChunk)
+func (r *Reader) parseChunk() (more bool, err error) {
+	if r.remaining > 0 {
+		return r.takeBody(inChunk)
 	}
 	b := r.Buffer.Bytes()
 	if !bytes.HasPrefix([]byte("\r\n"), b[:min(2, len(b))]) {
@@ -341,12 +341,12 @@
 	return false, nil
 }
 
-func (r *Reader) endChunks() (more bool, err error) {
-	line, ok, err := r.line()
+func (r *Reader) parseTrailer() (more bool, err error) {
+	line, ok, err := r.takeLine()
 	if !ok {
 		return true, err
 	}
-	if r.trailer += len(line); r.trailer > r.limits.Head {
+	if r.trailerBytes += len(line); r.trailerBytes > r.limits.Head {
 		return false, &Error{431, "trailer too large"}
 	}
 	if line == "" {
@@ -355,7 +355,7 @@
 	return false, nil
 }
 
-func (r *Reader) rest() (more bool, err error) {
+func (r *Reader) takeUntilEnd() (more bool, err error) {
 	if len(r.msg.Body)+r.Buffer.Len() > r.limits.Body {
 		return false, &Error{413, "body too large"}
 	}
@@ -394,7 +394,7 @@
 		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(m.Body))
 	}
 	b = append(b, "\r\n"...)
-	if m.head {
+	if m.omitBody {
 		return b
 	}
 	return append(b, m.Body...)
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -88,7 +88,7 @@
 				idle = 0
 				told = stalled && !draining && whole == handled
 				if open = !draining && (!stalled || whole > handled); !open {
-					time.Sleep(lingerTime)
+					time.Sleep(lingerTimeout)
 					synctest.Wait()
 					select {
 					case <-ended:
@@ -108,16 +108,16 @@
 			s.Drain()
 			draining = true
 		case 5: // half a request for longer than it may take, or a pause, which ends a connection that was never used
-			time.Sleep(requestTime + lingerTime)
+			time.Sleep(requestTimeout + lingerTimeout)
 			synctest.Wait()
-			idle += requestTime + lingerTime
+			idle += requestTimeout + lingerTimeout
 			stalled = stalled || begun > whole
 			told = stalled && whole == handled
-			if open = whole > handled || handled > 0 && !stalled && !blank && idle < keepTime; !open {
+			if open = whole > handled || handled > 0 && !stalled && !blank && idle < keepAliveTimeout; !open {
 				select {
 				case <-ended:
 				default:
-					t.Fatalf("%v: still open after %v", steps, requestTime+lingerTime)
+					t.Fatalf("%v: still open after %v", steps, requestTimeout+lingerTimeout)
 				}
 			}
 		case 6: // a pause is nothing to what is being handled
@@ -173,7 +173,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			here, there := net.Pipe()
 			s := &Server{Limits: small, Handler: func(*Message, <-chan struct{}) *Message { panic("handled") }}
-			s.start(&conn{Conn: there, s: s})
+			s.start(&conn{Conn: there, server: s})
 			go here.Write([]byte(text))
 			got, _ := io.ReadAll(here)
 			if !strings.HasPrefix(string(got), want) || !strings.Contains(string(got), "Connection: close\r\n") {
@@ -199,7 +199,7 @@
 			here, there := net.Pipe()
 			s := &Server{Limits: small, Handler: func(*Message, <-chan struct{}) *Message { panic("handled") }}
 			began := time.Now()
-			s.start(&conn{Conn: there, s: s})
+			s.start(&conn{Conn: there, server: s})
 			go func() {
 				for text := tc.each; text != ""; time.Sleep(100 * time.Millisecond) {
 					if _, err := here.Write([]byte(text)); err != nil {
@@ -294,7 +294,7 @@
 		half := join("GET / HT")
 		var flood []net.Conn
 		for i := range 30 {
-			time.Sleep(stallTime / 10)
+			time.Sleep(stalledAfter / 10)
 			flood = append(flood, join([]string{"", "POST / "}[i%2]))
 			if i == 1 && !alive(half) {
 				t.Error("a request that has just begun was cut off")
@@ -327,7 +327,7 @@
 				t.Fatal(err)
 			}
 			wg.Go(func() {
-				time.Sleep(freshTime / 2) // the way of its first byte
+				time.Sleep(newConnGrace / 2) // the way of its first byte
 				c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 				if m, err := NewAnswerReader(small).Read(c); err == nil && m.Status == 200 {
 					answered.Add(1)
@@ -340,14 +340,14 @@
 			for range 3 {
 				come()
 			}
-			time.Sleep(freshTime)
+			time.Sleep(newConnGrace)
 			synctest.Wait()
 		}
 		if n := answered.Load(); n != 15 {
 			t.Errorf("%d of 15 were answered", n)
 		}
 		l.Close()
-		time.Sleep(2 * keepTime)
+		time.Sleep(2 * keepAliveTimeout)
 		wg.Wait()
 		s.Shutdown()
 	})
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -158,7 +158,7 @@
 	if timeout == 0 || timeout > ix.deadline {
 		timeout = ix.deadline
 	}
-	return &core.Query{ID: fmt.Sprintf("%016x", rand.Uint64()), Class: ix.Class, Tenant: tenant, Deadline: f.Clock() - req.Waited() + timeout,
+	return &core.Query{ID: fmt.Sprintf("%016x", rand.Uint64()), Class: ix.Class, Tenant: tenant, Deadline: f.Clock() - req.QueuedFor() + timeout,
 		IdempotencyKeys: req.Header[retry.IdempotencyKeyHeader], Admitted: true, ClientLeft: req.ClientLeft}
 }
 
--- a/internal/opensearch/keys_test.go
+++ b/internal/opensearch/keys_test.go
@@ -102,7 +102,7 @@
 	}
 	for front, server := range map[string]*http1.Server{
 		platform.Scheme:   {Handler: w.hear((&platform.Front{Coordinator: w.owner, Clock: clock}).Handle), Limits: http1.DefaultLimits},
-		opensearch.Scheme: {Handler: w.hear((&opensearch.Front{Config: c, Coordinator: w.owner, Clock: clock}).Handle), Fault: opensearch.ErrorResponse, Limits: http1.DefaultLimits},
+		opensearch.Scheme: {Handler: w.hear((&opensearch.Front{Config: c, Coordinator: w.owner, Clock: clock}).Handle), ErrorAnswer: opensearch.ErrorResponse, Limits: http1.DefaultLimits},
 	} {
 		l := listen()
 		w.front[front] = l.Addr().String()
--- a/internal/opensearch/parity_test.go
+++ b/internal/opensearch/parity_test.go
@@ -94,7 +94,7 @@
 	owner.UpdateEndpoints("test", scatter.FullUpdate, nodes)
 	s := &http1.Server{Handler: (&platform.Front{Coordinator: owner, Clock: clock}).Handle, Limits: http1.DefaultLimits}
 	if api {
-		s = &http1.Server{Handler: (&opensearch.Front{Config: c, Coordinator: owner, Clock: clock}).Handle, Fault: opensearch.ErrorResponse,
+		s = &http1.Server{Handler: (&opensearch.Front{Config: c, Coordinator: owner, Clock: clock}).Handle, ErrorAnswer: opensearch.ErrorResponse,
 			Limits: http1.DefaultLimits}
 	}
 	l := w.net.Listen("front")
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	q.Deadline = f.Clock() - req.Waited() + budget
+	q.Deadline = f.Clock() - req.QueuedFor() + budget
 	return q, nil
 }
 
--- a/internal/relay/staleness_test.go
+++ b/internal/relay/staleness_test.go
@@ -33,7 +33,7 @@
 func twoSources(near, far string) distribution.Config {
 	own := failover.Locality{Zone: "a", Region: "north"}
 	elsewhere := failover.Locality{Zone: "a", Region: "south"}
-	return distribution.Config{Resource: distribution.Endpoints, Place: own, Heartbeat: quickHeartbeat,
+	return distribution.Config{Resource: distribution.Endpoints, Locality: own, Heartbeat: quickHeartbeat,
 		Allowance:  2 * time.Second,
 		StaleAfter: quickStaleAfter, Rand: rand.New(rand.NewPCG(1, 2)),
 		Sources: []failover.Source{{Address: near, Locality: own}, {Address: far, Locality: elsewhere}}}
--- a/internal/test/coordinatorproc/serve.go
+++ b/internal/test/coordinatorproc/serve.go
@@ -95,7 +95,7 @@
 	if r.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	r.server = &http1.Server{Handler: (&opensearch.Front{Config: front, Coordinator: r.owner, Clock: clock}).Handle, Fault: opensearch.ErrorResponse, Limits: http1.DefaultLimits}
+	r.server = &http1.Server{Handler: (&opensearch.Front{Config: front, Coordinator: r.owner, Clock: clock}).Handle, ErrorAnswer: opensearch.ErrorResponse, Limits: http1.DefaultLimits}
 	go r.server.Serve(r.listener)
 	return r, nil
 }
