--- a/internal/distribution/answer.go
+++ b/internal/distribution/answer.go
@@ -15,13 +15,6 @@
 // seconds. Its name is in the canonical form.
 const AgeMillisecondsHeader = "Age-Ms"
 
-// The status codes of a source's answers that mean more than a failure.
-const (
-	statusOK          = 200
-	statusBehind      = 409 // the reader has a newer version than the source
-	statusUnavailable = 503 // the source has nothing yet, or no capacity for this call
-)
-
 const (
 	// maxNameBytes is the size limit of an entry's name.
 	maxNameBytes = 256
@@ -51,11 +44,11 @@
 // follower.ErrBehind.
 func parseAnswer(m *http1.Message) (versionlog.Slice, error) {
 	switch m.Status {
-	case statusOK:
+	case http1.StatusOK:
 		return decode(m.Body)
-	case statusUnavailable:
+	case http1.StatusServiceUnavailable: // it has nothing yet, or no capacity for this call
 		return versionlog.Slice{}, busyError{retryAfter(m)}
-	case statusBehind:
+	case http1.StatusConflict: // the reader has a newer version than the source
 		return versionlog.Slice{}, fmt.Errorf("%w: it answered with status %d", follower.ErrBehind, m.Status)
 	}
 	return versionlog.Slice{}, statusError{m.Status}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -8,7 +8,7 @@
 	"harepass/internal/socket"
 )
 
-// Dialer opens a connection to an address.
+// Dialer opens a connection to an address; nil opens one by plain TCP.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
 // Connect opens a connection, by plain TCP if d is nil.
@@ -19,19 +19,27 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// Client is one connection to a server, for one request at a time. It dials when it has to.
+// longAgo is a deadline that ends a read or write at once.
+var longAgo = time.Unix(1, 0)
+
+// Client is one connection to a server, for one request and one goroutine at a time. It dials when it has to. Its
+// exported fields are set before the first call.
 type Client struct {
+	// Address is the server's, as Dial takes it.
 	Address string
-	Limits  Limits
-	Dial    Dialer // nil for plain TCP
+	// Limits bound the answers.
+	Limits Limits
+	// Dial opens the connection; nil for plain TCP.
+	Dial Dialer
 
-	conn   net.Conn
-	reader *Reader
+	conn   net.Conn // nil while there is none
+	reader *Reader  // of conn
 }
 
-// Do sends a request and returns its answer. written tells whether the request's last byte was
-// written: if not, the server cannot have run it. After an error the connection is closed, and where more
-// has come than the answer too: that would be taken for the next one. An answer that cannot be read is an *Error.
+// Do sends a request and returns its answer. written reports whether the request's last byte was written: if not, the
+// server cannot have handled it. When ctx ends, so does the call. The error is that of the connection, or an *Error
+// for an answer that cannot be read. After an error the connection is closed, and so it is where more bytes have come
+// than the answer: they would be taken for the next one.
 func (cl *Client) Do(ctx context.Context, req *Message) (answer *Message, written bool, err error) {
 	if cl.conn == nil {
 		if err := cl.Connect(ctx); err != nil {
@@ -39,7 +47,7 @@
 		}
 	}
 	c := cl.conn
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
 	defer func() {
 		if !stop() || err != nil || answer.Close || !cl.reader.Idle() {
 			cl.Close()
@@ -49,13 +57,13 @@
 		return nil, false, err
 	}
 	for {
-		if answer, err = cl.reader.Read(c); err != nil || answer.Status >= 200 {
+		if answer, err = cl.reader.Read(c); err != nil || answer.Status >= firstFinalStatus {
 			return answer, true, err
 		}
 	}
 }
 
-// Connect opens the connection.
+// Connect opens the connection. The error is that of dialling.
 func (cl *Client) Connect(ctx context.Context) error {
 	c, err := cl.Dial.Connect(ctx, cl.Address)
 	if err == nil {
@@ -64,10 +72,10 @@
 	return err
 }
 
-// Alive tells whether the idle connection still stands: nothing has come in, not even its end.
+// Alive reports whether the idle connection may be used: nothing has come on it, not even its end.
 func (cl *Client) Alive() bool { return cl.conn != nil && !socket.Unread(cl.conn) }
 
-// Close ends the connection; the next Do opens a new one.
+// Close closes the connection; the next Do opens a new one.
 func (cl *Client) Close() {
 	if cl.conn != nil {
 		cl.conn.Close()
--- /dev/null
+++ b/internal/http1/conn_answer.go
@@ -0,0 +1,85 @@
+package http1
+
+import (
+	"errors"
+	"time"
+
+	"harepass/internal/counters"
+)
+
+// writeTimeout is the time in which a client has to take an answer.
+const writeTimeout = 3 * time.Second
+
+// serve answers the requests of a connection one by one, while a second goroutine reads them. It returns once the
+// connection is closed and the reader has ended.
+func (c *conn) serve() {
+	results, clientLeft := make(chan readResult, maxPipelined), make(chan struct{})
+	answered, readerEnded := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(readerEnded)
+		c.readRequests(results, clientLeft, answered)
+	}()
+	reason := c.answerRequests(results, clientLeft)
+	c.server.mu.Lock()
+	c.beginClose(reason)
+	c.server.mu.Unlock()
+	close(answered)
+	<-readerEnded
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.finishClose()
+	if c.openRequests > 0 { // the connection ended before the answer
+		c.server.busyConns--
+	}
+}
+
+// answerRequests answers until an answer is the last one or the reading has ended, and returns why the connection ends;
+// nil where its close has begun already.
+func (c *conn) answerRequests(results <-chan readResult, clientLeft <-chan struct{}) (reason *counters.Counter) {
+	for {
+		r := <-results
+		c.server.mu.Lock()
+		c.queuedBytes -= r.size()
+		c.server.mu.Unlock()
+		if r.err != nil {
+			return c.answerReadError(r.err)
+		}
+		answer := c.server.Handler(r.req, clientLeft)
+		answer.Close = answer.Close || r.req.Close
+		answer.omitBody = r.req.Method == "HEAD"
+		switch {
+		case !c.writeAnswer(answer):
+			return closedAnswerNotRead
+		case answer.Close:
+			return closedLastAnswer
+		}
+	}
+}
+
+// answerReadError answers a request that could not be read, and returns why the connection ends; nil where its close
+// has begun already.
+func (c *conn) answerReadError(err error) (reason *counters.Counter) {
+	var fault *Error
+	switch {
+	case errors.As(err, &fault):
+		answer := c.server.errorAnswer(fault)
+		answer.Close = true
+		c.writeAnswer(answer)
+		return closedBadRequest
+	case errors.Is(err, errClosing):
+		return nil
+	}
+	return closedByClient
+}
+
+// writeAnswer writes an answer, and reports whether the client's system has taken all of it. It sets Close for the last
+// answer of a connection that is drained or overflowed.
+func (c *conn) writeAnswer(answer *Message) bool {
+	c.server.mu.Lock()
+	answer.Close = answer.Close || c.server.draining || c.overflowed
+	c.server.mu.Unlock()
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.Write(answer.Append(nil))
+	c.requestAnswered()
+	return err == nil
+}
--- a/internal/http1/counts.go
+++ b/internal/http1/counters.go
@@ -2,20 +2,22 @@
 
 import "harepass/internal/counters"
 
-// This file is what the server counts, with the reason of each close: an operator has to be able to tell why a client's
-// connection ended.
+// What the server counts of its connections.
 var (
 	countAccepted        = counters.New("client_connections", "accepted")
 	countAcceptFailed    = counters.New("client_connections", "accept_failed")
-	countBytesAfterClose = counters.New("client_connections", "bytes_after_close") // connections on which bytes came after our end
+	countBytesAfterClose = counters.New("client_connections", "bytes_after_close") // connections with bytes after our end
+)
 
-	closedNoRequest     = counters.New("client_connections_closed", "no_request")  // none came in time
-	closedIdle          = counters.New("client_connections_closed", "resting")     // used, and idle for long
-	closedSurplus       = counters.New("client_connections_closed", "surplus")     // used, and more of them idle than are kept
-	closedEvicted       = counters.New("client_connections_closed", "room")        // made way for another one
-	closedAtShutdown    = counters.New("client_connections_closed", "shutdown")    // idle when the server ended
-	closedLastAnswer    = counters.New("client_connections_closed", "last_answer") // the answer before said so
-	closedBadRequest    = counters.New("client_connections_closed", "bad_request")
+// Why the server closed a connection. An operator has to be able to tell.
+var (
+	closedNoRequest     = counters.New("client_connections_closed", "no_request")  // no request came in time
+	closedIdle          = counters.New("client_connections_closed", "resting")     // used, and idle for keepAliveTimeout
+	closedSurplus       = counters.New("client_connections_closed", "surplus")     // used, and over MaxIdle
+	closedEvicted       = counters.New("client_connections_closed", "room")        // it made way for another one
+	closedAtShutdown    = counters.New("client_connections_closed", "shutdown")    // idle when the server shut down
+	closedLastAnswer    = counters.New("client_connections_closed", "last_answer") // its last answer said so
+	closedBadRequest    = counters.New("client_connections_closed", "bad_request") // the request could not be read
 	closedByClient      = counters.New("client_connections_closed", "client_left")
-	closedAnswerNotRead = counters.New("client_connections_closed", "answer_not_taken")
+	closedAnswerNotRead = counters.New("client_connections_closed", "answer_not_taken") // writing the answer failed
 )
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,26 +1,19 @@
-// Package http1 speaks HTTP/1.1 on plain connections: requests and answers with a length or in
-// chunks, keep-alive, and limits on all of it. The header syntax is net/textproto's.
 package http1
 
 import (
-	"bufio"
-	"bytes"
 	"fmt"
-	"io"
 	"net"
 	"net/textproto"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 
-	"harepass/internal/buffer"
 	"harepass/internal/socket"
 )
 
-// Limits bound what a peer may send.
+// Limits bound what a peer may send, in bytes.
 type Limits struct {
-	Head int // bytes of start line and headers, and of a trailer
+	// Head bounds the start line with the header fields, and the trailer of a body in chunks.
+	Head int
+	// Body bounds the body.
 	Body int
 }
 
@@ -29,18 +22,26 @@
 
 // Message is a request or an answer.
 type Message struct {
-	Method, Target string // of a request
-	Status         int    // of an answer
-	Header         textproto.MIMEHeader
-	Body           []byte
-	Close          bool // the connection ends after this message
+	// Method is a request's method; empty for an answer.
+	Method string
+	// Target is a request's target; empty for an answer.
+	Target string
+	// Status is an answer's status code; 0 for a request.
+	Status int
+	// Header are the header fields, by their canonical names.
+	Header textproto.MIMEHeader
+	// Body is the complete body.
+	Body []byte
+	// Close says that the connection ends after this message.
+	Close bool
 
-	client   net.Conn  // that a request came on; nil for other messages
-	readAt   time.Time // when a request was read whole; zero for other messages
-	omitBody bool      // the answer to a HEAD: its length is told, its body left out
+	client   net.Conn  // the connection that a request came on; nil for other messages
+	readAt   time.Time // when a request was read completely; zero for other messages
+	omitBody bool      // it answers a HEAD: the length is told, the body left out
 }
 
-// Waited is how long ago a request was read whole: what is pipelined waits for the answers before its own.
+// QueuedFor returns the time since a request was read completely; 0 for other messages. A pipelined request waits for
+// the answers before its own.
 func (m *Message) QueuedFor() time.Duration {
 	if m.readAt.IsZero() {
 		return 0
@@ -49,342 +50,19 @@
 }
 
 // ClientLeft asks the system whether the client that sent a request has closed its side since. It does not wait for the
-// goroutine that reads the connection, which may not have had its turn.
+// goroutine that reads the connection, which may not have been scheduled yet.
 func (m *Message) ClientLeft() bool { return m.client != nil && socket.PeerEnded(m.client) }
 
-// Error is a fault in what the peer sent, with the status that says so.
-type Error struct {
-	Status int
-	Text   string
-}
-
-func (e *Error) Error() string { return "http1: " + e.Text }
-
-func malformed(format string, args ...any) error {
-	return &Error{400, fmt.Sprintf(format, args...)}
-}
-
-// state is how far a Reader is into a message.
-type readerState int
-
-const (
-	inHead    readerState = iota // start line and headers
-	inBody                       // a body of known length
-	inSize                       // the line before a chunk
-	inChunk                      // a chunk and its line end
-	inTrailer                    // the lines after the last chunk
-	untilEnd                     // a body that ends with the connection
-)
-
-// Reader takes messages off one connection. It is a state machine: Parse goes as far as the bytes
-// at hand allow, in whatever pieces they come.
-type Reader struct {
-	Buffer       buffer.Buffer
-	limits       Limits
-	readsAnswers bool // reads answers rather than requests
-	state        readerState
-	msg          *Message
-	scanned      int // bytes already searched for the end of what is being read
-	remaining    int // of the body or chunk
-	trailerBytes int
-}
-
-// NewRequestReader reads requests.
-func NewRequestReader(l Limits) *Reader { return &Reader{limits: l} }
-
-// NewAnswerReader reads answers.
-func NewAnswerReader(l Limits) *Reader { return &Reader{limits: l, readsAnswers: true} }
-
-// Idle tells that no part of a message has come in.
-func (r *Reader) Idle() bool { return r.state == inHead && r.Buffer.Len() == 0 }
-
-// Read returns the next message from c. At the clean end of the connection the error is io.EOF.
-func (r *Reader) Read(c io.Reader) (*Message, error) {
-	for {
-		if m, err := r.Parse(); m != nil || err != nil {
-			return m, err
-		}
-		if _, err := r.Buffer.Fill(c); err != nil {
-			return r.finishAtEnd(err)
-		}
-	}
-}
-
-// ended completes a body that lasts until the connection's end.
-func (r *Reader) finishAtEnd(err error) (*Message, error) {
-	if err == io.EOF && r.state == untilEnd {
-		m := r.msg
-		r.state, r.msg = inHead, nil
-		return m, nil
-	}
-	if err == io.EOF && !r.Idle() {
-		err = io.ErrUnexpectedEOF
-	}
-	return nil, err
-}
-
-// Parse returns the next message if all of it is in the buffer, else nil.
-func (r *Reader) Parse() (*Message, error) {
-	for {
-		var more bool
-		var err error
-		switch r.state {
-		case inHead:
-			more, err = r.parseHead()
-		case inBody:
-			more, err = r.takeBody(inHead)
-		case inSize:
-			more, err = r.parseChunkSize()
-		case inChunk:
-			more, err = r.parseChunk()
-		case inTrailer:
-			more, err = r.parseTrailer()
-		case untilEnd:
-			more, err = r.takeUntilEnd()
-		}
-		if err != nil || more {
-			return nil, err
-		}
-		if r.state == inHead {
-			m := r.msg
-			r.msg = nil
-			return m, nil
-		}
-	}
-}
-
-// line returns the next line without its CRLF and consumes it; ok is false while it is not all there.
-func (r *Reader) takeLine() (text string, ok bool, err error) {
-	b := r.Buffer.Bytes()
-	i, err := r.findLineEnd(b, r.limits.Head)
-	if i < 0 || err != nil {
-		return "", false, err
-	}
-	text = string(b[:i-1])
-	r.Buffer.Consume(i + 1)
-	r.scanned = 0
-	return text, true, nil
-}
-
-// newline finds the next line end, which has to come within limit bytes however the bytes come in.
-func (r *Reader) findLineEnd(b []byte, limit int) (int, error) {
-	window := b[:min(len(b), limit)]
-	i := bytes.IndexByte(window[r.scanned:], '\n')
-	switch i += r.scanned; {
-	case i < r.scanned && len(b) > limit:
-		return -1, &Error{431, "header too large"}
-	case i < r.scanned:
-		r.scanned = len(window)
-		return -1, nil
-	case i == 0 || b[i-1] != '\r':
-		return -1, malformed("line ends without CR")
-	}
-	return i, nil
-}
-
-// head reads start line and headers once all are there.
-func (r *Reader) parseHead() (more bool, err error) {
-	b := r.Buffer.Bytes()
-	for r.scanned <= 1 && bytes.HasPrefix(b, []byte("\r\n")) { // empty lines before a request are let pass
-		r.Buffer.Consume(2)
-		b, r.scanned = r.Buffer.Bytes(), 0
-	}
-	end := 0
-	for end == 0 {
-		at, err := r.findLineEnd(b, r.limits.Head)
-		if at < 0 || err != nil {
-			return true, err
-		}
-		if at >= 3 && b[at-2] == '\n' {
-			end = at + 1
-		}
-		r.scanned = at + 1
-	}
-	head := b[:end]
-	start, fields, _ := bytes.Cut(head, []byte("\r\n"))
-	m := &Message{}
-	if err := m.parseStartLine(string(start), r.readsAnswers); err != nil {
-		return false, err
-	}
-	if m.Header, err = parseFields(fields); err != nil {
-		return false, err
-	}
-	r.Buffer.Consume(end)
-	r.scanned, r.msg = 0, m
-	return false, r.parseFraming(bytes.Contains(start, []byte("HTTP/1.0")))
-}
-
-func (m *Message) parseStartLine(line string, answer bool) error {
-	words := strings.SplitN(line, " ", 3)
-	version := words[0]
-	if !answer {
-		version = words[len(words)-1]
-	}
-	if len(words) < 3 && !(answer && len(words) == 2) || version != "HTTP/1.1" && version != "HTTP/1.0" {
-		if len(words) == 3 && strings.HasPrefix(version, "HTTP/") && version != "HTTP/1.1" {
-			return &Error{505, "version not supported"}
-		}
-		return malformed("bad start line")
-	}
-	if answer {
-		n, err := strconv.Atoi(words[1])
-		if err != nil || len(words[1]) != 3 || n < 100 {
-			return malformed("bad status %q", words[1])
-		}
-		m.Status = n
-		return nil
-	}
-	m.Method, m.Target = words[0], words[1]
-	if m.Method == "" || strings.ContainsFunc(m.Method, func(c rune) bool { return c < 'A' || c > 'Z' }) {
-		return malformed("bad method")
-	}
-	if m.Target == "" || strings.ContainsFunc(m.Target, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
-		return malformed("bad target")
-	}
-	return nil
-}
-
-// parseFields reads headers by net/textproto, which takes folded lines; those are refused here.
-func parseFields(fields []byte) (textproto.MIMEHeader, error) {
-	for line := range bytes.Lines(fields) {
-		if line[0] == ' ' || line[0] == '\t' {
-			return nil, malformed("folded header")
-		}
-	}
-	h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
-	if err != nil {
-		return nil, malformed("bad header")
-	}
-	return h, nil
-}
-
-// framing finds out how the body ends. Whatever two readers could take differently is refused.
-func (r *Reader) parseFraming(old bool) error {
-	m := r.msg
-	lengths, coding := m.Header["Content-Length"], m.Header["Transfer-Encoding"]
-	m.Close = old && !hasToken(m.Header["Connection"], "keep-alive") || hasToken(m.Header["Connection"], "close")
-	switch {
-	case r.readsAnswers && (m.Status < 200 || m.Status == 204 || m.Status == 304):
-		r.remaining, r.state = 0, inBody
-	case len(coding) > 0:
-		if len(lengths) > 0 {
-			return malformed("both a length and a transfer coding")
-		}
-		if len(coding) != 1 || !strings.EqualFold(coding[0], "chunked") || old {
-			return &Error{501, "transfer coding not supported"}
-		}
-		r.state = inSize
-	case len(lengths) > 0:
-		n, err := strconv.ParseUint(lengths[0], 10, 31)
-		if err != nil || strings.HasPrefix(lengths[0], "+") {
-			return malformed("bad length")
-		}
-		if slices.ContainsFunc(lengths, func(s string) bool { return s != lengths[0] }) {
-			return malformed("conflicting lengths")
-		}
-		if int(n) > r.limits.Body {
-			return &Error{413, "body too large"}
-		}
-		r.remaining, r.state = int(n), inBody
-	case r.readsAnswers:
-		m.Close, r.state = true, untilEnd
-	default:
-		r.remaining, r.state = 0, inBody
-	}
-	return nil
-}
-
-// take moves what is at hand of a body or chunk into the message.
-func (r *Reader) takeBody(next readerState) (more bool, err error) {
-	n := min(r.remaining, r.Buffer.Len())
-	r.msg.Body = append(r.msg.Body, r.Buffer.Bytes()[:n]...)
-	r.Buffer.Consume(n)
-	if r.remaining -= n; r.remaining > 0 {
-		return true, nil
-	}
-	r.state = next
-	return false, nil
-}
-
-func (r *Reader) parseChunkSize() (more bool, err error) {
-	line, ok, err := r.takeLine()
-	if !ok {
-		return true, err
-	}
-	size, _, _ := strings.Cut(line, ";")
-	n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 31)
-	if err != nil || strings.HasPrefix(size, "+") {
-		return false, malformed("bad chunk size")
-	}
-	if len(r.msg.Body)+int(n) > r.limits.Body {
-		return false, &Error{413, "body too large"}
-	}
-	if r.remaining, r.state = int(n), inChunk; n == 0 {
-		r.trailerBytes, r.state = 0, inTrailer
-	}
-	return false, nil
-}
-
-func (r *Reader) parseChunk() (more bool, err error) {
-	if r.remaining > 0 {
-		return r.takeBody(inChunk)
-	}
-	b := r.Buffer.Bytes()
-	if !bytes.HasPrefix([]byte("\r\n"), b[:min(2, len(b))]) {
-		return false, malformed("chunk longer than its size")
-	}
-	if len(b) < 2 {
-		return true, nil
-	}
-	r.Buffer.Consume(2)
-	r.state = inSize
-	return false, nil
-}
-
-func (r *Reader) parseTrailer() (more bool, err error) {
-	line, ok, err := r.takeLine()
-	if !ok {
-		return true, err
-	}
-	if r.trailerBytes += len(line); r.trailerBytes > r.limits.Head {
-		return false, &Error{431, "trailer too large"}
-	}
-	if line == "" {
-		r.state = inHead
-	}
-	return false, nil
-}
-
-func (r *Reader) takeUntilEnd() (more bool, err error) {
-	if len(r.msg.Body)+r.Buffer.Len() > r.limits.Body {
-		return false, &Error{413, "body too large"}
-	}
-	r.msg.Body = append(r.msg.Body, r.Buffer.Bytes()...)
-	r.Buffer.Consume(r.Buffer.Len())
-	return true, nil
-}
-
-func hasToken(values []string, token string) bool {
-	for _, v := range values {
-		for t := range strings.SplitSeq(v, ",") {
-			if strings.EqualFold(strings.TrimSpace(t), token) {
-				return true
-			}
-		}
-	}
-	return false
-}
-
-// Append writes a request or an answer with its length, for one write.
+// Append appends a request or an answer, with its length, to b.
 func (m *Message) Append(b []byte) []byte {
 	if m.Method != "" {
 		b = fmt.Appendf(b, "%s %s HTTP/1.1\r\n", m.Method, m.Target)
 	} else {
 		b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\n", m.Status, reasons[m.Status])
 	}
-	for k, vs := range m.Header {
-		for _, v := range vs {
-			b = fmt.Appendf(b, "%s: %s\r\n", k, v)
+	for name, values := range m.Header {
+		for _, value := range values {
+			b = fmt.Appendf(b, "%s: %s\r\n", name, value)
 		}
 	}
 	if m.Close {
@@ -400,8 +78,16 @@
 	return append(b, m.Body...)
 }
 
-var reasons = map[int]string{200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found",
-	403: "Forbidden",
-	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 429: "Too Many Requests",
-	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
+// Error is a fault in what a peer sent.
+type Error struct {
+	Status int    // the status code that answers it
+	Text   string // what is wrong
+}
+
+// Error returns the text after the package's name.
+func (e *Error) Error() string { return "http1: " + e.Text }
+
+// malformed returns an Error for a message that cannot be read.
+func malformed(format string, args ...any) error {
+	return &Error{StatusBadRequest, fmt.Sprintf(format, args...)}
+}
--- /dev/null
+++ b/internal/http1/reader_body.go
@@ -0,0 +1,82 @@
+package http1
+
+import (
+	"bytes"
+	"strconv"
+	"strings"
+)
+
+// takeBody moves what has come of a body or chunk into the message, and goes to the next state once it is complete;
+// more is true before.
+func (r *Reader) takeBody(next readerState) (more bool, err error) {
+	n := min(r.remaining, r.Buffer.Len())
+	r.msg.Body = append(r.msg.Body, r.Buffer.Bytes()[:n]...)
+	r.Buffer.Consume(n)
+	if r.remaining -= n; r.remaining > 0 {
+		return true, nil
+	}
+	r.state = next
+	return false, nil
+}
+
+// parseChunkSize parses the line before a chunk. A size of 0 ends the chunks.
+func (r *Reader) parseChunkSize() (more bool, err error) {
+	line, ok, err := r.takeLine()
+	if !ok {
+		return true, err
+	}
+	size, _, _ := strings.Cut(line, ";")
+	n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 31)
+	if err != nil || strings.HasPrefix(size, "+") {
+		return false, malformed("bad chunk size")
+	}
+	if len(r.msg.Body)+int(n) > r.limits.Body {
+		return false, &Error{StatusContentTooLarge, "body too large"}
+	}
+	if r.remaining, r.state = int(n), inChunk; n == 0 {
+		r.trailerBytes, r.state = 0, inTrailer
+	}
+	return false, nil
+}
+
+// parseChunk takes a chunk and the line end behind it.
+func (r *Reader) parseChunk() (more bool, err error) {
+	if r.remaining > 0 {
+		return r.takeBody(inChunk)
+	}
+	b := r.Buffer.Bytes()
+	if !bytes.HasPrefix([]byte(crlf), b[:min(len(crlf), len(b))]) {
+		return false, malformed("chunk longer than its size")
+	}
+	if len(b) < len(crlf) {
+		return true, nil
+	}
+	r.Buffer.Consume(len(crlf))
+	r.state = inSize
+	return false, nil
+}
+
+// parseTrailer skips the lines behind the last chunk, up to an empty one.
+func (r *Reader) parseTrailer() (more bool, err error) {
+	line, ok, err := r.takeLine()
+	if !ok {
+		return true, err
+	}
+	if r.trailerBytes += len(line); r.trailerBytes > r.limits.Head {
+		return false, &Error{StatusHeaderFieldsTooLarge, "trailer too large"}
+	}
+	if line == "" {
+		r.state = inHead
+	}
+	return false, nil
+}
+
+// takeUntilEnd moves what has come of a body that ends with the connection into the message.
+func (r *Reader) takeUntilEnd() (more bool, err error) {
+	if len(r.msg.Body)+r.Buffer.Len() > r.limits.Body {
+		return false, &Error{StatusContentTooLarge, "body too large"}
+	}
+	r.msg.Body = append(r.msg.Body, r.Buffer.Bytes()...)
+	r.Buffer.Consume(r.Buffer.Len())
+	return true, nil
+}
--- /dev/null
+++ b/internal/http1/reader_head.go
@@ -0,0 +1,161 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"net/textproto"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+const (
+	version11 = "HTTP/1.1"
+	version10 = "HTTP/1.0"
+	// startLineWords is how many words a start line has. An answer's last one, the reason, may be missing.
+	startLineWords = 3
+)
+
+// parseHead parses start line and header fields once all of them are there; more is true before.
+func (r *Reader) parseHead() (more bool, err error) {
+	b := r.Buffer.Bytes()
+	for r.scanned <= 1 && bytes.HasPrefix(b, []byte(crlf)) { // empty lines before a request are skipped
+		r.Buffer.Consume(2)
+		b, r.scanned = r.Buffer.Bytes(), 0
+	}
+	end := 0
+	for end == 0 {
+		at, err := r.findLineEnd(b, r.limits.Head)
+		if at < 0 || err != nil {
+			return true, err
+		}
+		if at >= 3 && b[at-2] == '\n' {
+			end = at + 1
+		}
+		r.scanned = at + 1
+	}
+	head := b[:end]
+	start, fields, _ := bytes.Cut(head, []byte(crlf))
+	m := &Message{}
+	if err := m.parseStartLine(string(start), r.readsAnswers); err != nil {
+		return false, err
+	}
+	if m.Header, err = parseFields(fields); err != nil {
+		return false, err
+	}
+	r.Buffer.Consume(end)
+	r.scanned, r.msg = 0, m
+	return false, r.parseFraming(bytes.Contains(start, []byte(version10)))
+}
+
+// parseStartLine parses the first line of a request or an answer into the message.
+func (m *Message) parseStartLine(line string, answer bool) error {
+	words := strings.SplitN(line, " ", startLineWords)
+	version := words[0]
+	if !answer {
+		version = words[len(words)-1]
+	}
+	complete := len(words) == startLineWords || answer && len(words) == startLineWords-1
+	if !complete || version != version11 && version != version10 {
+		if len(words) == startLineWords && strings.HasPrefix(version, "HTTP/") && version != version11 {
+			return &Error{StatusVersionNotSupported, "version not supported"}
+		}
+		return malformed("bad start line")
+	}
+	if answer {
+		return m.parseStatus(words[1])
+	}
+	return m.parseRequestLine(words[0], words[1])
+}
+
+// parseStatus parses the status code of an answer.
+func (m *Message) parseStatus(word string) error {
+	status, err := strconv.Atoi(word)
+	if err != nil || len(word) != statusDigits || status < firstStatus {
+		return malformed("bad status %q", word)
+	}
+	m.Status = status
+	return nil
+}
+
+// parseRequestLine checks the method and the target of a request.
+func (m *Message) parseRequestLine(method, target string) error {
+	m.Method, m.Target = method, target
+	if method == "" || strings.ContainsFunc(method, func(c rune) bool { return c < 'A' || c > 'Z' }) {
+		return malformed("bad method")
+	}
+	if target == "" || strings.ContainsFunc(target, func(c rune) bool { return c <= ' ' || c == 0x7f }) {
+		return malformed("bad target")
+	}
+	return nil
+}
+
+// parseFields parses header fields. net/textproto takes folded lines; readers differ on them, so they are rejected.
+func parseFields(fields []byte) (textproto.MIMEHeader, error) {
+	for line := range bytes.Lines(fields) {
+		if line[0] == ' ' || line[0] == '\t' {
+			return nil, malformed("folded header")
+		}
+	}
+	h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
+	if err != nil {
+		return nil, malformed("bad header")
+	}
+	return h, nil
+}
+
+// parseFraming finds out how the body ends. Whatever two readers could take differently is rejected: one of them would
+// take a part of the body for the next request. oldVersion is for HTTP/1.0.
+func (r *Reader) parseFraming(oldVersion bool) error {
+	m := r.msg
+	lengths, coding := m.Header["Content-Length"], m.Header["Transfer-Encoding"]
+	connection := m.Header["Connection"]
+	m.Close = oldVersion && !hasToken(connection, "keep-alive") || hasToken(connection, "close")
+	switch {
+	case r.readsAnswers && (m.Status < firstFinalStatus || m.Status == StatusNoContent || m.Status == StatusNotModified):
+		r.remaining, r.state = 0, inBody
+	case len(coding) > 0:
+		if len(lengths) > 0 {
+			return malformed("both a length and a transfer coding")
+		}
+		if len(coding) != 1 || !strings.EqualFold(coding[0], "chunked") || oldVersion {
+			return &Error{StatusNotImplemented, "transfer coding not supported"}
+		}
+		r.state = inSize
+	case len(lengths) > 0:
+		return r.parseLength(lengths)
+	case r.readsAnswers:
+		m.Close, r.state = true, untilEnd
+	default:
+		r.remaining, r.state = 0, inBody
+	}
+	return nil
+}
+
+// parseLength parses the lengths that a head gives for the body; they have to agree.
+func (r *Reader) parseLength(lengths []string) error {
+	n, err := strconv.ParseUint(lengths[0], 10, 31)
+	if err != nil || strings.HasPrefix(lengths[0], "+") {
+		return malformed("bad length")
+	}
+	if slices.ContainsFunc(lengths, func(length string) bool { return length != lengths[0] }) {
+		return malformed("conflicting lengths")
+	}
+	if int(n) > r.limits.Body {
+		return &Error{StatusContentTooLarge, "body too large"}
+	}
+	r.remaining, r.state = int(n), inBody
+	return nil
+}
+
+// hasToken reports whether one of a field's values lists a token.
+func hasToken(values []string, token string) bool {
+	for _, v := range values {
+		for t := range strings.SplitSeq(v, ",") {
+			if strings.EqualFold(strings.TrimSpace(t), token) {
+				return true
+			}
+		}
+	}
+	return false
+}
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -15,17 +15,6 @@
 // maxReaderWait is how long a reader may wait for a new version at most; discovery has the same limit.
 const maxReaderWait = time.Minute
 
-// The status codes of answers.
-const (
-	statusOK               = 200
-	statusBadRequest       = 400
-	statusNotFound         = 404
-	statusMethodNotAllowed = 405
-	statusConflict         = 409 // the reader knows of newer versions
-	statusInternalError    = 500
-	statusUnavailable      = 503
-)
-
 // parameterError is the error of a query parameter that is no number, or a negative one. Its text is the answer's body.
 type parameterError struct{ name, value string }
 
@@ -62,7 +51,7 @@
 	case Empty, Busy:
 		return unavailableAnswer(reply.RetryAfter)
 	case Behind:
-		return plainAnswer(statusConflict, "this source is behind the reader")
+		return plainAnswer(http1.StatusConflict, "this source is behind the reader")
 	}
 	m := jsonAnswer(reply.Body)
 	m.Header.Set("Age", strconv.Itoa(int(reply.Staleness/time.Second)))
@@ -72,7 +61,7 @@
 
 // unavailableAnswer returns the answer to a reader that is to come back.
 func unavailableAnswer(retryAfter time.Duration) *http1.Message {
-	m := plainAnswer(statusUnavailable, "not now")
+	m := plainAnswer(http1.StatusServiceUnavailable, "not now")
 	m.Header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	return m
 }
@@ -85,6 +74,6 @@
 
 // jsonAnswer returns an answer with a JSON body.
 func jsonAnswer(body []byte) *http1.Message {
-	return &http1.Message{Status: statusOK, Header: textproto.MIMEHeader{"Content-Type": {"application/json"}},
+	return &http1.Message{Status: http1.StatusOK, Header: textproto.MIMEHeader{"Content-Type": {"application/json"}},
 		Body: body}
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -73,7 +73,7 @@
 func (s *Server) handle(request *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 	target, err := url.ParseRequestURI(request.Target)
 	if err != nil {
-		return plainAnswer(statusBadRequest, "the target cannot be read")
+		return plainAnswer(http1.StatusBadRequest, "the target cannot be read")
 	}
 	var resource *Resource
 	switch target.Path {
@@ -84,14 +84,14 @@
 	case StatusPath:
 		return s.statusAnswer()
 	default:
-		return plainAnswer(statusNotFound, "there is no such resource")
+		return plainAnswer(http1.StatusNotFound, "there is no such resource")
 	}
 	if request.Method != "GET" {
-		return plainAnswer(statusMethodNotAllowed, "resources are read with GET")
+		return plainAnswer(http1.StatusMethodNotAllowed, "resources are read with GET")
 	}
 	from, maxWait, err := parseCall(target.Query())
 	if err != nil {
-		return plainAnswer(statusBadRequest, err.Error())
+		return plainAnswer(http1.StatusBadRequest, err.Error())
 	}
 	defer s.readers.Add(-1)
 	if s.readers.Add(1) > s.maxReaders {
@@ -105,7 +105,7 @@
 func (s *Server) statusAnswer() *http1.Message {
 	body, err := json.Marshal(s.Status())
 	if err != nil {
-		return plainAnswer(statusInternalError, err.Error())
+		return plainAnswer(http1.StatusInternalServerError, err.Error())
 	}
 	return jsonAnswer(append(body, '\n'))
 }
