--- /dev/null
+++ b/internal/http1/bad_clients_test.go
@@ -0,0 +1,77 @@
+package http1
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// A request that cannot be read gets its status code, and the connection ends.
+func TestInvalidRequestsAreAnswered(t *testing.T) {
+	const post = "POST / HTTP/1.1\r\n"
+	for text, want := range map[string]string{
+		"GET\r\n\r\n":                               "HTTP/1.1 400 ",
+		"GET / HTTP/2.0\r\n\r\n":                    "HTTP/1.1 505 ",
+		post + "Content-Length: 99\r\n\r\n":         "HTTP/1.1 413 ",
+		post + "Content-Length: 3000000000\r\n\r\n": "HTTP/1.1 400 ",
+		post + "Content-Length: -1\r\n\r\n":         "HTTP/1.1 400 ",
+		post + "Content-Length: 1, 2\r\n\r\n":       "HTTP/1.1 400 ",
+		post + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			"0\r\n\r\nPOST /hidden HTTP/1.1\r\n\r\n": "HTTP/1.1 400 ",
+		post + "Transfer-Encoding: chunked, identity\r\nContent-Length: 0\r\n\r\n": "HTTP/1.1 400 ",
+		post + "Transfer-Encoding: chunked\r\n\r\n-5\r\n":                          "HTTP/1.1 400 ",
+		"\x16\x03\x01\x02\x00\x01\r\n\r\n":                                         "HTTP/1.1 400 ",
+		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 300) + "\r\n":                "HTTP/1.1 431 ",
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			here, there := net.Pipe()
+			s := &Server{Limits: small, Handler: func(*Message, <-chan struct{}) *Message { panic("handled") }}
+			s.start(&conn{Conn: there, server: s})
+			go here.Write([]byte(text))
+			got, _ := io.ReadAll(here)
+			if !strings.HasPrefix(string(got), want) || !strings.Contains(string(got), "Connection: close\r\n") {
+				t.Errorf("%q: %q", text, got)
+			}
+			s.Shutdown()
+		})
+	}
+}
+
+// A bad client gets an error or a close within 3 s of connecting, whatever it does: it says nothing, sends half a
+// request, or sends a byte now and then without end.
+func TestBadClientsAreClosedInTime(t *testing.T) {
+	for _, tc := range []struct{ each, want string }{
+		{"", ""},
+		{"\r\n", ""}, // empty lines, which are let pass before a request
+		{"POST / HTTP/1.1\r\n", "HTTP/1.1 408 "},
+		{"POST / HTTP/1.1\r\nContent-Length: 60\r\n\r\n", "HTTP/1.1 408 "},
+		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 408 "},
+		{"G", "HTTP/1.1 408 "},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			here, there := net.Pipe()
+			s := &Server{Limits: small, Handler: func(*Message, <-chan struct{}) *Message { panic("handled") }}
+			began := time.Now()
+			s.start(&conn{Conn: there, server: s})
+			go func() {
+				for text := tc.each; text != ""; time.Sleep(100 * time.Millisecond) {
+					if _, err := here.Write([]byte(text)); err != nil {
+						return
+					}
+					if text = text[:min(1, len(text))]; tc.each == "\r\n" {
+						text = tc.each
+					}
+				}
+			}()
+			got, _ := io.ReadAll(here)
+			if took := time.Since(began); !strings.HasPrefix(string(got), tc.want) || took > 3*time.Second {
+				t.Errorf("%q: %q after %v", tc.each, got, took)
+			}
+			s.Shutdown()
+			time.Sleep(time.Second)
+		})
+	}
+}
--- a/internal/relay/authority_test.go
+++ b/internal/relay/authority_test.go
@@ -41,20 +41,44 @@
 	}
 }
 
+// The contents of an authority's files. The first list has two endpoints; the second drains one and lacks the other.
+const (
+	twoEndpoints = `{"endpoints":[ {"name":"a","address":"127.0.0.1:1","status":"in_service", "weight":1.0},
+		{"name":"b","address":"127.0.0.1:2","status":"in_service"} ]}`
+	oneDraining    = `{"endpoints":[{"name":"a","address":"127.0.0.1:1","status":"terminating"}]}`
+	firstSettings  = `{ "x": 1 }`
+	secondSettings = `{"x":2}`
+)
+
+// faultyFiles are contents that are not published, with the error that says why; nil for any.
+var faultyFiles = map[string]struct {
+	list, settings string
+	err            error
+}{
+	"settings":        {oneDraining, `{"x":"bad"}`, errBadSettings},
+	"long settings":   {oneDraining, `{"x":"` + strings.Repeat("x", 61<<10) + `"}`, ErrTooLarge},
+	"unreadable list": {`{"endpoints":[`, secondSettings, nil},
+	"empty list":      {`{"endpoints":[]}`, secondSettings, ErrEmptyList},
+	"status":          {draining("terminating", "resting"), secondSettings, nil},
+	"removal":         {draining("terminating", "terminated"), secondSettings, ErrTerminatedEndpoint},
+	"address":         {draining("127.0.0.1:1", "127.0.0.1"), secondSettings, nil},
+	"name":            {draining(`"name":"a"`, `"name":""`), secondSettings, nil},
+	"version":         {draining(`"name":"a"`, `"name":"a","version":9`), secondSettings, ErrVersionedEndpoint},
+	"group":           {draining(`"name":"a"`, `"name":"a","group":-1`), secondSettings, ErrInvalidGroup},
+	"duplicate":       {strings.Replace(twoEndpoints, `"b"`, `"a"`, 1), secondSettings, ErrDuplicateEndpoint},
+}
+
+// draining returns oneDraining with one part replaced.
+func draining(part, by string) string { return strings.Replace(oneDraining, part, by, 1) }
+
 // An operator edits the authority's files and has them read again. Both are published, or neither where one of them is
 // faulty. Files without a change publish no version, and an endpoint that has left its file is removed.
 func TestFilesArePublishedTogetherOrNotAtAll(t *testing.T) {
-	const (
-		one = `{"endpoints":[ {"name":"a","address":"127.0.0.1:1","status":"in_service", "weight":1.0},
-			{"name":"b","address":"127.0.0.1:2","status":"in_service"} ]}`
-		other    = `{"endpoints":[{"name":"a","address":"127.0.0.1:1","status":"terminating"}]}`
-		settings = `{ "x": 1 }`
-	)
 	a, server, address, write := newFileAuthority(t)
 	if err := a.Load(); err == nil {
 		t.Error("files that are missing were published")
 	}
-	write(one, settings)
+	write(twoEndpoints, firstSettings)
 	for range 2 {
 		if err := a.Load(); err != nil {
 			t.Fatal(err)
@@ -63,23 +87,7 @@
 			t.Errorf("the list is at %d, the settings are at %d", list, settings)
 		}
 	}
-	for what, c := range map[string]struct {
-		list, settings string
-		err            error // nil for any
-	}{
-		"settings":        {other, `{"x":"bad"}`, errBadSettings},
-		"long settings":   {other, `{"x":"` + strings.Repeat("x", 61<<10) + `"}`, ErrTooLarge},
-		"unreadable list": {`{"endpoints":[`, `{"x":2}`, nil},
-		"empty list":      {`{"endpoints":[]}`, `{"x":2}`, ErrEmptyList},
-		"status":          {strings.Replace(other, "terminating", "resting", 1), `{"x":2}`, nil},
-		"removal":         {strings.Replace(other, "terminating", "terminated", 1), `{"x":2}`, ErrTerminatedEndpoint},
-		"address":         {strings.Replace(other, "127.0.0.1:1", "127.0.0.1", 1), `{"x":2}`, nil},
-		"name":            {strings.Replace(other, `"name":"a"`, `"name":""`, 1), `{"x":2}`, nil},
-		"version": {strings.Replace(other, `"name":"a"`, `"name":"a","version":9`, 1), `{"x":2}`,
-			ErrVersionedEndpoint},
-		"group":     {strings.Replace(other, `"name":"a"`, `"name":"a","group":-1`, 1), `{"x":2}`, ErrInvalidGroup},
-		"duplicate": {strings.Replace(one, `"b"`, `"a"`, 1), `{"x":2}`, ErrDuplicateEndpoint},
-	} {
+	for what, c := range faultyFiles {
 		write(c.list, c.settings)
 		if err := a.Load(); err == nil || c.err != nil && !errors.Is(err, c.err) {
 			t.Errorf("%s: error %v, want %v", what, err, c.err)
@@ -88,7 +96,7 @@
 			t.Fatalf("%s: the list is at %d, the settings are at %d", what, list, settings)
 		}
 	}
-	write(other, `{"x":2}`)
+	write(oneDraining, secondSettings)
 	if err := a.Load(); err != nil {
 		t.Fatal(err)
 	}
