--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -22,6 +22,9 @@
 	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired: queries are served again
 	EndpointListExpired   = "endpoint list expired"           // nothing new is sent until discovery confirms it
 	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas were taken out: queries are refused
+
+	SourceFollowed = "source followed"
+	SourceLeft     = "source left"
 )
 
 // Keys.
@@ -42,6 +45,8 @@
 	KeySlowStart = "slow_start"
 
 	KeyReason          = "reason"
+	KeyResource        = "resource"
+	KeySource          = "source"
 	KeyTenant          = "tenant"
 	KeyQueryAge        = "query_age"
 	KeyTimeLeft        = "time_left"
