--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -13,27 +14,34 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Frames are a length of four bytes, least significant first, a letter, and the rest.
+// A frame is a length of four bytes, least significant first, which counts what follows: a letter for its kind, and the
+// payload.
 const (
-	frameCall   = '1'
-	frameCancel = '2'
-	frameAnswer = '5'
-	frameError  = 'X'
+	frameCall   = '1' // to a replica: parts, one after the other
+	frameCancel = '2' // to a replica: the id of a part that is cancelled
+	frameAnswer = '5' // from a replica: the answer to one part
+	frameError  = 'X' // from a replica: it could not use a frame, and closes the connection
 
-	frameHeader = 4
-	maxFrame    = 68 << 10 // a value, which has to fit a body of 64 KiB, and its line: who claims more is not speaking frames
+	frameHeader = 4 // bytes of the length
+	// maxFrame bounds a frame, in bytes: a value, which has to fit a body of 64 KiB, and its line. Who claims more
+	// does not speak frames.
+	maxFrame = 68 << 10
 )
 
-// nextFrame takes one whole frame off the buffer; ok is false while it is not all there. rest is valid
+// errMalformed is returned for a frame or an answer that cannot be read. Nothing after it on a connection can be
+// trusted.
+var errMalformed = errors.New("platform: malformed frame")
+
+// nextFrame takes one complete frame off the buffer; ok is false while it is not all there. The payload is valid
 // until the buffer is used again.
-func nextFrame(b *buffer.Buffer) (letter byte, rest []byte, ok bool, err error) {
+func nextFrame(b *buffer.Buffer) (kind byte, payload []byte, ok bool, err error) {
 	data := b.Bytes()
 	if len(data) < frameHeader {
 		return 0, nil, false, nil
 	}
 	n := int(binary.LittleEndian.Uint32(data))
 	if n < 1 || n > maxFrame {
-		return 0, nil, false, fmt.Errorf("platform: frame of %d bytes", n)
+		return 0, nil, false, fmt.Errorf("%w: %d bytes", errMalformed, n)
 	}
 	if len(data) < frameHeader+n {
 		return 0, nil, false, nil
@@ -42,15 +50,16 @@
 	return data[frameHeader], data[frameHeader+1 : frameHeader+n], true, nil
 }
 
-func appendFrame(b []byte, letter byte, rest []byte) []byte {
-	b = binary.LittleEndian.AppendUint32(b, uint32(1+len(rest)))
-	return append(append(b, letter), rest...)
+func appendFrame(b []byte, kind byte, payload []byte) []byte {
+	b = binary.LittleEndian.AppendUint32(b, uint32(1+len(payload)))
+	return append(append(b, kind), payload...)
 }
 
 // partID names a part on the frames: the query's id, a dot, the shard.
 func partID(at *core.Attempt) string { return at.QueryID + "." + strconv.Itoa(at.Shard) }
 
-// appendPart writes one part of a call.
+// appendPart writes one part of a call: a line with its id, shard, time left, idempotency key and length, then its
+// body.
 func appendPart(b []byte, at *core.Attempt) []byte {
 	b = fmt.Appendf(b, "%s %d d=%d", partID(at), at.Shard, max(1, at.Remaining().Milliseconds()))
 	if at.IdempotencyKey != "" {
@@ -60,29 +69,34 @@
 	return append(b, at.Body...)
 }
 
-var outcomes = map[string]scatter.Outcome{"S": scatter.Succeeded, "E": scatter.Errored, "B": scatter.Rejected}
+// outcomes maps how an answer says that its part ended.
+var outcomes = map[string]scatter.Outcome{
+	"S": scatter.Succeeded,
+	"E": scatter.Errored,
+	"B": scatter.Rejected,
+}
 
-// answer is what a node sent for a part.
-type answer struct {
+// partAnswer is what a replica sent for a part.
+type partAnswer struct {
 	id      string
 	outcome scatter.Outcome
 	value   []byte
 }
 
-// parseAnswer reads the rest of an answer: a line ID END SCORE REPORT, then the value, which is copied. The
-// report is not read: an answer counts whatever stands there.
-func parseAnswer(rest []byte) (answer, error) {
-	line, value, found := bytes.Cut(rest, []byte("\n"))
-	words := strings.SplitN(string(line), " ", 4)
-	if !found || len(words) < 3 {
-		return answer{}, fmt.Errorf("platform: bad answer line %.80q", line)
+// parseAnswer reads the payload of an answer: a line ID END SCORE REPORT, then the value, which is copied. The
+// report is not read: an answer counts whatever it holds.
+func parseAnswer(payload []byte) (partAnswer, error) {
+	line, value, found := bytes.Cut(payload, []byte("\n"))
+	fields := strings.SplitN(string(line), " ", 4)
+	if !found || len(fields) < 3 {
+		return partAnswer{}, fmt.Errorf("%w: answer line %.80q", errMalformed, line)
 	}
-	outcome, known := outcomes[words[1]]
-	if _, err := strconv.ParseFloat(words[2], 64); !known || err != nil {
-		return answer{}, fmt.Errorf("platform: unknown end or score %.80q", line)
+	outcome, known := outcomes[fields[1]]
+	if _, err := strconv.ParseFloat(fields[2], 64); !known || err != nil {
+		return partAnswer{}, fmt.Errorf("%w: end or score %.80q", errMalformed, line)
 	}
 	if !utf8.Valid(value) { // no client could be given it unchanged
-		return answer{}, fmt.Errorf("platform: value is no text")
+		return partAnswer{}, fmt.Errorf("%w: value is not UTF-8", errMalformed)
 	}
-	return answer{words[0], outcome, append([]byte{}, value...)}, nil
+	return partAnswer{fields[0], outcome, append([]byte{}, value...)}, nil
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -4,6 +4,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"net/textproto"
 	"strconv"
 	"strings"
@@ -16,12 +17,14 @@
 	"harepass/internal/http1"
 )
 
-// Front takes clients' queries.
+// Front takes clients' queries on the platform's protocol. Its fields are to be set before the first request;
+// Handle is for any goroutine.
 type Front struct {
 	Coordinator *core.Coordinator
-	Clock       core.Clock
+	Clock       core.Clock // the coordinator's
 }
 
+// queryBody is the body of a query on the wire.
 type queryBody struct {
 	Slices []struct {
 		Slice *int     `json:"slice"`
@@ -30,6 +33,7 @@
 	Filter *string `json:"filter"`
 }
 
+// answerBody is the body of an answer on the wire.
 type answerBody struct {
 	Entire bool   `json:"entire"`
 	Items  []item `json:"items"`
@@ -40,48 +44,65 @@
 	Body  string `json:"body"`
 }
 
-// Handle answers one request.
-func (f *Front) Handle(req *http1.Message, gone <-chan struct{}) *http1.Message {
+// invalidRequest is what is wrong with a request; the client is told the text.
+type invalidRequest struct{ text string }
+
+func (e *invalidRequest) Error() string { return e.text }
+
+func invalidf(format string, args ...any) error {
+	return &invalidRequest{fmt.Sprintf(format, args...)}
+}
+
+// Handle answers one request. clientLeft is closed when the client has closed its connection.
+func (f *Front) Handle(req *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 	path, _, _ := strings.Cut(req.Target, "?")
 	switch path {
 	case "/api":
-		if req.Method != "POST" {
-			return notAllowed("POST")
+		if req.Method != http.MethodPost {
+			return methodNotAllowed(http.MethodPost)
 		}
-		return f.query(req, gone)
+		return f.query(req, clientLeft)
 	case "/health/ready", "/health/live":
-		if req.Method != "GET" {
-			return notAllowed("GET")
+		if req.Method != http.MethodGet {
+			return methodNotAllowed(http.MethodGet)
 		}
 		if p := f.Coordinator.Phase(); path == "/health/ready" && p != core.Ready {
-			return text(503, p.String())
+			return textReply(http.StatusServiceUnavailable, p.String())
 		}
-		return text(200, "ok")
+		return textReply(http.StatusOK, "ok")
 	}
-	return text(404, "no such path")
+	return textReply(http.StatusNotFound, "no such path")
 }
 
-func (f *Front) query(req *http1.Message, gone <-chan struct{}) *http1.Message {
-	q, err := f.head(req)
+// query answers a query. The coordinator's admission is asked as soon as the head tells class and tenant, before
+// the body is parsed.
+func (f *Front) query(req *http1.Message, clientLeft <-chan struct{}) *http1.Message {
+	q, err := f.parseHead(req)
 	if err != nil {
-		return text(400, err.Error())
+		return textReply(http.StatusBadRequest, err.Error())
 	}
-	ok, retryIn := f.Coordinator.Admit(overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry})
-	if q.Admitted = ok; !ok {
-		return rejection(retryIn)
+	admitted, retryAfter := f.Coordinator.Admit(overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry})
+	if !admitted {
+		return rejection(retryAfter)
 	}
+	q.Admitted = true
 	if err := parseBody(q, req.Body); err != nil {
-		return text(400, err.Error())
+		return textReply(http.StatusBadRequest, err.Error())
 	}
-	a := f.Coordinator.Execute(q, gone)
+	a := f.Coordinator.Execute(q, clientLeft)
 	switch a.Status {
 	case core.Rejected:
 		return rejection(a.RetryAfter)
 	case core.Failed:
-		return text(500, "failed")
+		return textReply(http.StatusInternalServerError, "failed")
 	case core.Invalid:
-		return text(400, a.Reason)
+		return textReply(http.StatusBadRequest, a.Reason)
 	}
+	return answerReply(q, a)
+}
+
+// answerReply is the final answer to a query that was served, completely or in part.
+func answerReply(q *core.Query, a core.Answer) *http1.Message {
 	body := answerBody{Entire: a.Complete, Items: []item{}}
 	for i, v := range a.Values {
 		if v != nil {
@@ -90,82 +111,96 @@
 	}
 	data, err := json.Marshal(body)
 	if err != nil {
-		return text(500, "failed")
+		return textReply(http.StatusInternalServerError, "failed")
 	}
-	return &http1.Message{Status: 200, Header: textproto.MIMEHeader{"Content-Type": {"application/json"}}, Body: data}
+	header := textproto.MIMEHeader{"Content-Type": {"application/json"}}
+	return &http1.Message{Status: http.StatusOK, Header: header, Body: data}
 }
 
-func rejection(retryIn time.Duration) *http1.Message {
-	m := text(429, "refused")
-	if retryIn > 0 {
-		m.Header.Set("Retry-After", strconv.FormatFloat(retryIn.Seconds(), 'f', -1, 64))
+// rejection is the answer to a rejected query. retryAfter is 0 for no advice.
+func rejection(retryAfter time.Duration) *http1.Message {
+	m := textReply(http.StatusTooManyRequests, "refused")
+	if retryAfter > 0 {
+		m.Header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
 	return m
 }
 
-// singleHeaders are those of a query; each stands once at most.
+// singleHeaders are the headers of a query that stand once at most.
 var singleHeaders = []string{"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget", "X-Again"}
 
-// head reads what this protocol alone words, and parseBody the rest; what any query has to be is for the core to check.
-func (f *Front) head(req *http1.Message) (*core.Query, error) {
+// parseHead reads what this protocol has in its headers; what any query has to be is for the core to check.
+func (f *Front) parseHead(req *http1.Message) (*core.Query, error) {
 	for _, h := range singleHeaders {
 		if len(req.Header[h]) > 1 {
-			return nil, fmt.Errorf("%s more than once", h)
+			return nil, invalidf("%s more than once", h)
 		}
 	}
-	q := &core.Query{ID: req.Header.Get("X-Call-Id"), Class: req.Header.Get("X-Call-Class"),
-		Tenant: req.Header.Get("X-Caller"), IsRetry: req.Header.Get("X-Again") == "1", IdempotencyKeys: req.Header[retry.IdempotencyKeyHeader], ClientLeft: req.ClientLeft}
 	budget, err := parseBudget(req.Header.Get("X-Budget"))
 	if err != nil {
 		return nil, err
 	}
-	q.Deadline = f.Clock() - req.QueuedFor() + budget
-	return q, nil
+	return &core.Query{
+		ID:              req.Header.Get("X-Call-Id"),
+		Class:           req.Header.Get("X-Call-Class"),
+		Tenant:          req.Header.Get("X-Caller"),
+		IsRetry:         req.Header.Get("X-Again") == "1",
+		IdempotencyKeys: req.Header[retry.IdempotencyKeyHeader],
+		ClientLeft:      req.ClientLeft,
+		Deadline:        f.Clock() - req.QueuedFor() + budget,
+	}, nil
 }
 
+// parseBody reads a query's body and parts. A body that is not UTF-8 is refused: decoding would change what the
+// parts carry.
 func parseBody(q *core.Query, data []byte) error {
 	var body queryBody
-	if !utf8.Valid(data) { // decoding would change the text that the parts carry
-		return fmt.Errorf("bad body: not UTF-8")
+	if !utf8.Valid(data) {
+		return invalidf("bad body: not UTF-8")
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
-		return fmt.Errorf("bad body: %w", err)
+		return invalidf("bad body: %v", err)
 	}
 	if body.Filter == nil {
-		return fmt.Errorf("no filter")
+		return invalidf("no filter")
 	}
 	q.Body = []byte(*body.Filter)
 	for _, s := range body.Slices {
 		if s.Slice == nil || s.Mass == nil {
-			return fmt.Errorf("a slice without its number or mass")
+			return invalidf("a slice without its number or mass")
 		}
 		q.Parts = append(q.Parts, core.Part{Shard: *s.Slice, Weight: *s.Mass})
 	}
 	return nil
 }
 
+// maxBudget is the longest time that a client may give a query.
 const maxBudget = time.Hour
 
-// parseBudget reads a number followed by m for milliseconds or u for microseconds.
+// budgetUnits are the units of a budget, by their letter.
+var budgetUnits = map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}
+
+// parseBudget reads the time that a client gives: a number followed by the letter of its unit.
 func parseBudget(s string) (time.Duration, error) {
-	units := map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}
-	if s == "" || units[s[len(s)-1]] == 0 || strings.Trim(s[:len(s)-1], "0123456789.") != "" {
-		return 0, fmt.Errorf("bad X-Budget %.40q", s)
+	if s == "" || budgetUnits[s[len(s)-1]] == 0 || strings.Trim(s[:len(s)-1], "0123456789.") != "" {
+		return 0, invalidf("bad X-Budget %.40q", s)
 	}
-	unit := float64(units[s[len(s)-1]])
+	unit := float64(budgetUnits[s[len(s)-1]])
 	n, err := strconv.ParseFloat(s[:len(s)-1], 64)
 	if err != nil || n*unit > float64(maxBudget) {
-		return 0, fmt.Errorf("bad X-Budget %.40q", s)
+		return 0, invalidf("bad X-Budget %.40q", s)
 	}
 	return time.Duration(n * unit), nil
 }
 
-func text(status int, words string) *http1.Message {
-	return &http1.Message{Status: status, Header: textproto.MIMEHeader{"Content-Type": {"text/plain"}}, Body: []byte(words + "\n")}
+// textReply is an answer of one line of text.
+func textReply(status int, line string) *http1.Message {
+	header := textproto.MIMEHeader{"Content-Type": {"text/plain"}}
+	return &http1.Message{Status: status, Header: header, Body: []byte(line + "\n")}
 }
 
-func notAllowed(allow string) *http1.Message {
-	m := text(405, "method not allowed")
+func methodNotAllowed(allow string) *http1.Message {
+	m := textReply(http.StatusMethodNotAllowed, "method not allowed")
 	m.Header.Set("Allow", allow)
 	return m
 }
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -66,7 +66,7 @@
 		}
 	}
 	whole := request("POST", "/api", good, "X-Call-Id", "a", "X-Budget", "250000u", "X-Again", "1", "X-Caller", "acme", "X-Call-Class", "c")
-	q, err := f.head(whole)
+	q, err := f.parseHead(whole)
 	if err == nil {
 		err = parseBody(q, whole.Body)
 	}
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -11,14 +11,14 @@
 	"harepass/internal/decide/scatter"
 )
 
-// List is discovery's form of the list of nodes.
+// List is the endpoint list, or changes of it, in discovery's form.
 type List struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Endpoint is one entry.
+// Endpoint is one entry of a List.
 type Endpoint struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -34,20 +34,27 @@
 var replicaStates = map[string]scatter.ReplicaState{
 	"in_service": scatter.Ready, "terminating": scatter.Draining, statusRemoved: scatter.Removed}
 
-// CoreEndpoints gives the entries as the owner takes them.
+// CoreEndpoints gives the entries as the coordinator takes them. An entry with an unknown status or without a name
+// is an error.
 func (l List) CoreEndpoints() ([]core.Endpoint, error) {
-	nodes := make([]core.Endpoint, 0, len(l.Endpoints))
+	endpoints := make([]core.Endpoint, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
 		if err := e.check(); err != nil {
 			return nil, err
 		}
-		nodes = append(nodes, core.Endpoint{Replica: scatter.Replica{ID: e.Name, RingPosition: e.Group, Zone: e.Zone, State: replicaStates[e.Status],
-			StartedAt: time.Duration(e.SinceMS) * time.Millisecond}, Address: e.Address, Scheme: Scheme})
+		replica := scatter.Replica{
+			ID:           e.Name,
+			RingPosition: e.Group,
+			Zone:         e.Zone,
+			State:        replicaStates[e.Status],
+			StartedAt:    time.Duration(e.SinceMS) * time.Millisecond,
+		}
+		endpoints = append(endpoints, core.Endpoint{Replica: replica, Address: e.Address, Scheme: Scheme})
 	}
-	return nodes, nil
+	return endpoints, nil
 }
 
-// check finds what keeps the entry from being a node.
+// check returns what keeps an entry from being an endpoint.
 func (e Endpoint) check() error {
 	if _, known := replicaStates[e.Status]; !known || e.Name == "" {
 		return fmt.Errorf("platform: entry %q has status %q", e.Name, e.Status)
@@ -55,8 +62,8 @@
 	return nil
 }
 
-// ListCopy is the whole list as the answers so far make it, for a process that takes over. An answer costs what it
-// holds; only Whole goes through the list. It is for any goroutine.
+// ListCopy is the complete list as the answers so far make it, for a process that takes over. An answer costs what it
+// holds; only Snapshot goes through the list. It is for any goroutine.
 type ListCopy struct {
 	mu      sync.Mutex
 	address string
--- a/internal/platform/relayed_list.go
+++ b/internal/platform/relayed_list.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"github.com/go-json-experiment/json"
 
 	"harepass/internal/core"
@@ -14,23 +15,23 @@
 // nobody takes the list's version for one of discovery's.
 const DistributedSource = "distribution"
 
-// RelayedList brings the owner the node list that relays give out, in Discovery's place: Check and Apply are for a
-// distribution.Follower.
+// RelayedList brings the coordinator the endpoint list that relays give out, in Discovery's place: Check and Apply
+// are for a distribution.Follower, whose goroutine alone calls them. Its exported fields are to be set before.
 type RelayedList struct {
-	Listed func(scatter.UpdateKind, []core.Endpoint) // changes, and the last slice of the first snapshot
-	Part   func([]core.Endpoint)                     // slices of the first snapshot before its last one
+	Listed func(scatter.UpdateKind, []core.Endpoint) // takes changes, and the last slice of the first snapshot
+	Part   func([]core.Endpoint)                     // takes slices of the first snapshot before its last one
 
 	complete bool       // the first snapshot is in
-	checked  []Endpoint // of the latest answer, in the order of its entries
-	known    List
-	copy     *ListCopy // nil where nobody wants it
-	changed  func()    // told when kept has changed
+	checked  []Endpoint // the entries of the answer that was checked last, in its order
+	known    List       // what the coordinator was started with
+	copy     *ListCopy  // for a process that takes over; nil where nobody wants it
+	changed  func()     // called when copy has changed
 }
 
-// NewRelayedList returns a Distributed for an owner that has been given the known list.
+// NewRelayedList returns a RelayedList for a coordinator that has been given the known list.
 func NewRelayedList(known List) *RelayedList { return &RelayedList{known: known} }
 
-// Known are the names that the owner has been given.
+// Known are the names of the entries that the coordinator has been given.
 func (d *RelayedList) Known() []string {
 	names := make([]string, 0, len(d.known.Endpoints))
 	for _, e := range d.known.Endpoints {
@@ -39,14 +40,14 @@
 	return names
 }
 
-// KeepCopy keeps the whole list for a process that takes over, and tells when it has changed. It is to be called
-// before the follower runs.
+// KeepCopy keeps the complete list for a process that takes over, and calls changed when it has changed. It is to
+// be called before the follower runs.
 func (d *RelayedList) KeepCopy(changed func()) *ListCopy {
 	d.copy, d.changed = NewListCopy(DistributedSource, d.known), changed
 	return d.copy
 }
 
-// Check finds entries that are no nodes, and keeps the others for the Apply that follows.
+// Check returns an error for an entry that is no endpoint, and keeps the others for the Apply that follows.
 func (d *RelayedList) Check(entries []versionlog.Entry) error {
 	d.checked = d.checked[:0]
 	for _, entry := range entries {
@@ -65,13 +66,13 @@
 	return nil
 }
 
-// Apply brings the owner what has changed. Entries count at once, also before the list is whole.
+// Apply hands on what has changed. Entries count at once, also before the list is complete.
 func (d *RelayedList) Apply(u distribution.Update) {
 	list := List{Index: u.Slice.Version.Index, Endpoints: d.endpoints(u.Entries)}
 	for _, name := range u.Removed {
 		list.Endpoints = append(list.Endpoints, Endpoint{Name: name, Status: statusRemoved})
 	}
-	nodes, err := list.CoreEndpoints()
+	endpoints, err := list.CoreEndpoints()
 	if err != nil {
 		return // Check lets none pass
 	}
@@ -81,9 +82,9 @@
 	}
 	d.complete = d.complete || u.Completed
 	if d.complete {
-		d.Listed(scatter.IncrementalUpdate, nodes)
+		d.Listed(scatter.IncrementalUpdate, endpoints)
 	} else {
-		d.Part(nodes)
+		d.Part(endpoints)
 	}
 }
 
