--- a/internal/opensearch/config.go
+++ b/internal/opensearch/config.go
@@ -1,5 +1,3 @@
-// Package opensearch speaks an OpenSearch-style query API: to clients, whose searches and hazard reports
-// become queries of the core, and to map nodes that offer it.
 package opensearch
 
 import (
@@ -14,40 +12,58 @@
 	"time"
 
 	"go.yaml.in/yaml/v3"
-
-	"harepass/internal/decide/scatter"
 )
 
-// Config is the front's file.
+// Config is the configuration file of the API's front and of the replicas that offer the API. LoadConfig reads it;
+// Check has to accept it before it is used.
 type Config struct {
-	Listen       string            `yaml:"listen"`
-	Inventory    string            `yaml:"inventory"` // path, from the file's own folder
-	Group        string            `yaml:"group"`     // of a YAML inventory, "all" if empty
-	Settings     string            `yaml:"settings"`  // path of the settings, where no platform gives them
-	SectionField string            `yaml:"section_field"`
-	All          string            `yaml:"all"` // the index that a search without one means
-	Indices      map[string]*Index `yaml:"indices"`
-	Callers      map[string]string `yaml:"callers"` // tenants by caller
+	// Listen is the address that the front listens on, host:port.
+	Listen string `yaml:"listen"`
+	// Inventory is the path of the replicas' inventory; a relative one starts at the file's own folder.
+	Inventory string `yaml:"inventory"`
+	// Group is the group of a YAML inventory that lists the replicas; empty stands for "all".
+	Group string `yaml:"group"`
+	// Settings is the path of the settings, for where no platform gives them; a relative one starts at the file's own
+	// folder.
+	Settings string `yaml:"settings"`
+	// SectionField is the field of a document that names its section; "section" if the file does not say.
+	SectionField string `yaml:"section_field"`
+	// All is the index that a search without an index goes to; empty where each search has to name one.
+	All string `yaml:"all"`
+	// Indices are the indices that clients may name, by name.
+	Indices map[string]*Index `yaml:"indices"`
+	// Callers are the tenants by the caller that a request names. Empty has requests of no tenant, from any caller.
+	Callers map[string]string `yaml:"callers"`
 }
 
-// Index maps an index to sections and a class.
+// Index maps an index of the API to shards and a class.
 type Index struct {
-	Class    string          `yaml:"class"`
-	Reports  bool            `yaml:"reports"`   // takes documents, and only these
-	Sections []int           `yaml:"sections"`  // first and last; all if absent
-	Weights  map[int]float64 `yaml:"weights"`   // of sections that do not weigh 1
-	TwoPhase *TwoPhase       `yaml:"two_phase"` // nil: searches are asked in one phase
+	// Class is the class of the index's queries, by its name in the settings.
+	Class string `yaml:"class"`
+	// Reports says that the index takes documents and is not searched.
+	Reports bool `yaml:"reports"`
+	// Shards are the first and the last shard of the index; Check fills in all shards if there are none.
+	Shards []int `yaml:"sections"`
+	// Weights are the weights of shards in an answer, relative to each other; a shard without an entry weighs 1.
+	Weights map[int]float64 `yaml:"weights"`
+	// TwoPhase has the index's searches sent in two phases; nil has them sent in one.
+	TwoPhase *TwoPhase `yaml:"two_phase"`
 
-	name     string
-	deadline time.Duration
+	name     string        // set by Check: the key in Config.Indices
+	deadline time.Duration // set by Check: that of the class
 }
 
-// TwoPhase switches on, for the searches of an index, a cheap first phase that finds which sections matter.
+// TwoPhase has the searches of an index begin with a cheap first phase that finds which shards matter.
 type TwoPhase struct {
-	Version string `yaml:"version"` // numeric field; each change of a document gives it a value above all in its section
+	// Version is a numeric field. Each change of a document gives it a value above all others in its shard.
+	Version string `yaml:"version"`
 }
 
-// LoadConfig reads the file; unknown keys are errors.
+// ErrEmptyFile is the error of LoadConfig for a file without any key.
+var ErrEmptyFile = errors.New("empty file")
+
+// LoadConfig reads the configuration file at a path. Its error is one line: that of the system if the file cannot be
+// read, ErrEmptyFile, or what the YAML decoder says; unknown keys are errors.
 func LoadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -56,11 +72,11 @@
 	c := &Config{SectionField: "section"}
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
-	if err := dec.Decode(c); err != nil {
-		if err == io.EOF {
-			err = errors.New("empty file")
-		}
-		return nil, fmt.Errorf("%s: %s", path, strings.Join(strings.Fields(err.Error()), " "))
+	switch err := dec.Decode(c); {
+	case errors.Is(err, io.EOF):
+		return nil, fmt.Errorf("%s: %w", path, ErrEmptyFile)
+	case err != nil:
+		return nil, fmt.Errorf("%s: %s", path, oneLine(err.Error()))
 	}
 	for _, p := range []*string{&c.Inventory, &c.Settings} {
 		if *p != "" && !filepath.IsAbs(*p) {
@@ -70,82 +86,24 @@
 	return c, nil
 }
 
-// Check holds the file against the settings; shards is how many sections there are.
-func (c *Config) Check(s scatter.Settings, shards int) error {
-	if c.Listen == "" {
-		return errors.New("no listen address")
-	}
-	if len(c.Indices) == 0 {
-		return errors.New("no indices")
-	}
-	for name, ix := range c.Indices {
-		if ix == nil || name == "" || strings.ContainsAny(name, "/,*?\"<>| ") || strings.HasPrefix(name, "_") {
-			return fmt.Errorf("index %q: bad name or nothing said of it", name)
-		}
-		i := slices.IndexFunc(s.Classes, func(k scatter.Class) bool { return k.Name == ix.Class })
-		if i < 0 {
-			return fmt.Errorf("index %s: no class %q in the settings", name, ix.Class)
-		}
-		ix.name, ix.deadline = name, s.Classes[i].Deadline
-		if s.Classes[i].Idempotency == scatter.NonIdempotent && !ix.Reports {
-			return fmt.Errorf("index %s: class %s may not run twice, so the index has to take reports", name, ix.Class)
-		}
-		if t := ix.TwoPhase; t != nil {
-			switch {
-			case ix.Reports:
-				return fmt.Errorf("index %s: two_phase is for searches, and this index takes reports", name)
-			case s.Classes[i].Idempotency != scatter.Idempotent:
-				return fmt.Errorf("index %s: two_phase asks a section twice, which class %s does not bear", name, ix.Class)
-			case t.Version == "":
-				return fmt.Errorf("index %s: two_phase has to name the field that holds a document's version: version: NAME", name)
-			case strings.ContainsAny(t.Version, "*\" \t"):
-				return fmt.Errorf("index %s: two_phase: version %q is no name of a field", name, t.Version)
-			}
-		}
-		if len(ix.Sections) == 0 {
-			ix.Sections = []int{0, shards - 1}
-		}
-		if len(ix.Sections) != 2 || ix.Sections[0] < 0 || ix.Sections[1] < ix.Sections[0] || ix.Sections[1] >= shards {
-			return fmt.Errorf("index %s: sections have to be the first and the last, from 0 to %d", name, shards-1)
-		}
-		for section, w := range ix.Weights {
-			if section < ix.Sections[0] || section > ix.Sections[1] || !(w > 0) {
-				return fmt.Errorf("index %s: weight %g of section %d", name, w, section)
-			}
-		}
-	}
-	if ix := c.Indices[c.All]; c.All != "" && (ix == nil || ix.Reports) {
-		return fmt.Errorf("all: %q is no index to search", c.All)
-	}
-	for caller, tenant := range c.Callers {
-		if !slices.ContainsFunc(s.Tenants, func(t scatter.Tenant) bool { return t.Name == tenant }) {
-			return fmt.Errorf("caller %s: no tenant %q in the settings", caller, tenant)
-		}
-	}
-	return nil
-}
+// oneLine joins the lines of a text.
+func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// TwoPhaseClasses lists the classes of which some index has a first phase.
+// TwoPhaseClasses returns the classes of which some index has a first phase, in the same order at every start: the core
+// numbers them in this order. It is to be called after Check.
 func (c *Config) TwoPhaseClasses() (classes []string) {
 	for _, ix := range c.Indices {
 		if ix.TwoPhase != nil && !slices.Contains(classes, ix.Class) {
 			classes = append(classes, ix.Class)
 		}
 	}
-	slices.Sort(classes) // the module's order of classes is to be the same at every start
+	slices.Sort(classes)
 	return classes
 }
 
-// weight of a section among the index's.
-func (ix *Index) weight(section int) float64 {
-	if w, ok := ix.Weights[section]; ok {
-		return w
-	}
-	return 1
-}
-
-// ofClass is the index that stands for a class whose query came from another front.
-func (c *Config) ofClass(class string) *Index {
+// indexOfClass returns the index that stands for a class whose query came from another front: the first by name. It is
+// nil where no index has the class.
+func (c *Config) indexOfClass(class string) *Index {
 	var found *Index
 	for _, ix := range c.Indices {
 		if ix.Class == class && (found == nil || ix.name < found.name) {
@@ -154,3 +112,14 @@
 	}
 	return found
 }
+
+// weight returns the weight of a shard relative to the index's other shards.
+func (ix *Index) weight(shard int) float64 {
+	if w, ok := ix.Weights[shard]; ok {
+		return w
+	}
+	return 1
+}
+
+// holds reports whether a shard is one of the index's.
+func (ix *Index) holds(shard int) bool { return shard >= ix.Shards[0] && shard <= ix.Shards[1] }
--- /dev/null
+++ b/internal/opensearch/config_check.go
@@ -0,0 +1,117 @@
+package opensearch
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"harepass/internal/decide/scatter"
+)
+
+// The errors of Check that concern no single entry of the file.
+var (
+	ErrNoListenAddress = errors.New("no listen address")
+	ErrNoIndices       = errors.New("no indices")
+)
+
+// EntryError is the error of Check for one entry of the configuration file.
+type EntryError struct {
+	Entry  string // kind and name of the entry, such as "index trails"
+	Reason string // what is wrong with it
+}
+
+// Error returns the entry and the reason in one line.
+func (e *EntryError) Error() string { return e.Entry + ": " + e.Reason }
+
+// entryErrorf returns an EntryError with a formatted reason.
+func entryErrorf(entry, format string, args ...any) error {
+	return &EntryError{Entry: entry, Reason: fmt.Sprintf(format, args...)}
+}
+
+// Check checks the file against the settings; shards is the number of shards. It fills in what the file leaves to
+// the settings, and has to be called before the first request. Its error is ErrNoListenAddress, ErrNoIndices or an
+// EntryError.
+func (c *Config) Check(s scatter.Settings, shards int) error {
+	if c.Listen == "" {
+		return ErrNoListenAddress
+	}
+	if len(c.Indices) == 0 {
+		return ErrNoIndices
+	}
+	for name, ix := range c.Indices {
+		if ix == nil || !validIndexName(name) {
+			return entryErrorf(fmt.Sprintf("index %q", name), "bad name or nothing said of it")
+		}
+		ix.name = name
+		if err := ix.check(s.Classes, shards); err != nil {
+			return err
+		}
+	}
+	if ix := c.Indices[c.All]; c.All != "" && (ix == nil || ix.Reports) {
+		return entryErrorf("all", "%q is no index to search", c.All)
+	}
+	for caller, tenant := range c.Callers {
+		if !slices.ContainsFunc(s.Tenants, func(t scatter.Tenant) bool { return t.Name == tenant }) {
+			return entryErrorf("caller "+caller, "no tenant %q in the settings", tenant)
+		}
+	}
+	return nil
+}
+
+// validIndexName reports whether clients can name an index so in a path: a leading underscore is the API's own.
+func validIndexName(name string) bool {
+	return name != "" && !strings.ContainsAny(name, "/,*?\"<>| ") && !strings.HasPrefix(name, "_")
+}
+
+// check checks an index whose name is set, and takes over its class's deadline.
+func (ix *Index) check(classes []scatter.Class, shards int) error {
+	entry := "index " + ix.name
+	i := slices.IndexFunc(classes, func(k scatter.Class) bool { return k.Name == ix.Class })
+	if i < 0 {
+		return entryErrorf(entry, "no class %q in the settings", ix.Class)
+	}
+	class := classes[i]
+	ix.deadline = class.Deadline
+	if class.Idempotency == scatter.NonIdempotent && !ix.Reports {
+		return entryErrorf(entry, "class %s may not run twice, so the index has to take reports", ix.Class)
+	}
+	if err := ix.checkTwoPhase(entry, class); err != nil {
+		return err
+	}
+	return ix.checkShards(entry, shards)
+}
+
+// checkTwoPhase checks the first phase, if there is one. It is for searches of an idempotent class: both phases
+// reach the replicas of a shard.
+func (ix *Index) checkTwoPhase(entry string, class scatter.Class) error {
+	switch t := ix.TwoPhase; {
+	case t == nil:
+		return nil
+	case ix.Reports:
+		return entryErrorf(entry, "two_phase is for searches, and this index takes reports")
+	case class.Idempotency != scatter.Idempotent:
+		return entryErrorf(entry, "two_phase asks a section twice, which class %s does not bear", ix.Class)
+	case t.Version == "":
+		return entryErrorf(entry, "two_phase has to name the field that holds a document's version: version: NAME")
+	case strings.ContainsAny(t.Version, "*\" \t"):
+		return entryErrorf(entry, "two_phase: version %q is no name of a field", t.Version)
+	}
+	return nil
+}
+
+// checkShards checks the range of shards and their weights; an index without a range has all shards.
+func (ix *Index) checkShards(entry string, shards int) error {
+	if len(ix.Shards) == 0 {
+		ix.Shards = []int{0, shards - 1}
+	}
+	if len(ix.Shards) != 2 || ix.Shards[0] < 0 || ix.Shards[1] < ix.Shards[0] || ix.Shards[1] >= shards {
+		return entryErrorf(entry, "sections have to be the first and the last, from 0 to %d", shards-1)
+	}
+	for shard, w := range ix.Weights {
+		if !ix.holds(shard) || !(w > 0) {
+			return entryErrorf(entry, "weight %g of section %d", w, shard)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/opensearch/front_query.go
@@ -0,0 +1,186 @@
+package opensearch
+
+import (
+	"encoding/base64"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"net/textproto"
+	"strings"
+	"time"
+
+	"harepass/internal/core"
+	"harepass/internal/decide/overload"
+	"harepass/internal/decide/retry"
+	"harepass/internal/http1"
+)
+
+// A search and a report take one way: the head of the request is checked, the coordinator's admission is asked, the
+// body is parsed, the query is executed. Admission is asked before the body is parsed, so that shedding load is cheap.
+
+// Reasons of a query that was given up, promising nothing.
+const (
+	searchFailedReason = "too few sections answered in time"
+	reportFailedReason = "the report may or may not be stored"
+)
+
+// search answers a search of an index.
+func (f *Front) search(r *apiRequest, index string) (*http1.Message, error) {
+	if err := r.checkMethod(http.MethodGet, http.MethodPost); err != nil {
+		return nil, err
+	}
+	ix, tenant, err := f.indexAndTenant(r, index)
+	if err != nil {
+		return nil, err
+	}
+	if ix.Reports {
+		return nil, badRequestf(typeIllegalArgument, "index [%s] takes reports and is not searched", index)
+	}
+	if err := r.checkParams(searchParams); err != nil {
+		return nil, err
+	}
+	if err := f.admit(overload.Arrival{Class: ix.Class, Tenant: tenant}); err != nil {
+		return nil, err
+	}
+	s, err := f.Config.parseSearch(ix, r.params, r.Body)
+	if err != nil {
+		return nil, err
+	}
+	startedAt := f.Clock()
+	q := f.newQuery(r, ix, tenant, s.timeout)
+	q.RequireComplete, q.Body, q.Origin = !s.partialAllowed, s.body, s
+	if ix.TwoPhase != nil {
+		q.Index, q.EmptyValue = ix.name, emptyHits
+	}
+	q.Parts = ix.parts(s.shards)
+	if len(q.Parts) == 0 { // nothing can match
+		return searchReply(s, q, core.Answer{Complete: true}, 0), nil
+	}
+	a, err := f.execute(q, r.clientLeft, searchFailedReason)
+	if err != nil {
+		return nil, err
+	}
+	return searchReply(s, q, a, f.Clock()-startedAt), nil
+}
+
+// report answers a report: a document under an id that the API gives (INDEX/_doc, POST only) or the client's own.
+func (f *Front) report(r *apiRequest) (*http1.Message, error) {
+	allowed := []string{http.MethodPost, http.MethodPut}
+	if len(r.path) == 2 {
+		allowed = allowed[:1]
+	}
+	if err := r.checkMethod(allowed...); err != nil {
+		return nil, err
+	}
+	index := r.path[0]
+	ix, tenant, err := f.indexAndTenant(r, index)
+	if err != nil {
+		return nil, err
+	}
+	if !ix.Reports {
+		return nil, badRequestf(typeIllegalArgument, "index [%s] takes no documents", index)
+	}
+	if err := r.checkParams(reportParams); err != nil {
+		return nil, err
+	}
+	if err := f.admit(overload.Arrival{Class: ix.Class, Tenant: tenant, Parts: 1}); err != nil {
+		return nil, err
+	}
+	doc, err := f.Config.parseReport(ix, r.path, r.params, r.Body)
+	if err != nil {
+		return nil, err
+	}
+	q := f.newQuery(r, ix, tenant, doc.timeout)
+	if doc.id == "" {
+		doc.id = q.ID
+	}
+	q.Body, q.Origin, q.Parts = doc.document, doc, []core.Part{{Shard: doc.shard, Weight: 1}}
+	a, err := f.execute(q, r.clientLeft, reportFailedReason)
+	if err != nil {
+		return nil, err
+	}
+	return reportReply(doc, a.Values[0]), nil
+}
+
+// indexAndTenant returns the index of a name, and the tenant of the request's caller.
+func (f *Front) indexAndTenant(r *apiRequest, index string) (ix *Index, tenant string, err error) {
+	if tenant, err = f.tenant(r.Header); err != nil {
+		return nil, "", err
+	}
+	if ix = f.Config.Indices[index]; ix == nil {
+		reason := fmt.Sprintf("no such index [%s]", index)
+		return nil, "", &apiError{http.StatusNotFound, typeIndexNotFound, reason}
+	}
+	return ix, tenant, nil
+}
+
+// tenant returns the tenant of the caller: the user of basic authentication, else the X-Opaque-Id. This tells callers
+// apart; it does not prove who they are.
+func (f *Front) tenant(h textproto.MIMEHeader) (string, error) {
+	if len(f.Config.Callers) == 0 {
+		return "", nil
+	}
+	caller := h.Get("X-Opaque-Id")
+	if auth, ok := strings.CutPrefix(h.Get("Authorization"), "Basic "); ok {
+		if credentials, err := base64.StdEncoding.DecodeString(auth); err == nil {
+			caller, _, _ = strings.Cut(string(credentials), ":")
+		}
+	}
+	tenant, known := f.Config.Callers[caller]
+	if !known {
+		return "", &apiError{http.StatusForbidden, typeSecurity, fmt.Sprintf("no tenant for caller [%s]", caller)}
+	}
+	return tenant, nil
+}
+
+// admit asks the coordinator's admission, and returns a rejectedError if it sheds the load.
+func (f *Front) admit(a overload.Arrival) error {
+	if admitted, retryAfter := f.Coordinator.Admit(a); !admitted {
+		return &rejectedError{retryAfter}
+	}
+	return nil
+}
+
+// newQuery returns the core's query for an admitted request, without its body and parts. timeout is the client's own;
+// 0, or one beyond the class's deadline, leaves the query that deadline.
+func (f *Front) newQuery(r *apiRequest, ix *Index, tenant string, timeout time.Duration) *core.Query {
+	if timeout == 0 || timeout > ix.deadline {
+		timeout = ix.deadline
+	}
+	return &core.Query{
+		ID:              fmt.Sprintf("%016x", rand.Uint64()),
+		Class:           ix.Class,
+		Tenant:          tenant,
+		Deadline:        f.Clock() - r.QueuedFor() + timeout,
+		IdempotencyKeys: r.Header[retry.IdempotencyKeyHeader],
+		Admitted:        true,
+		ClientLeft:      r.ClientLeft,
+	}
+}
+
+// parts returns a part for each of the shards, with the shard's share of their weight.
+func (ix *Index) parts(shards []int) (parts []core.Part) {
+	sum := 0.0
+	for _, shard := range shards {
+		sum += ix.weight(shard)
+	}
+	for _, shard := range shards {
+		parts = append(parts, core.Part{Shard: shard, Weight: ix.weight(shard) / sum})
+	}
+	return parts
+}
+
+// execute has the coordinator execute a query, and returns its answer if it was served. failedReason is what the
+// client of a query that was given up is told.
+func (f *Front) execute(q *core.Query, clientLeft <-chan struct{}, failedReason string) (core.Answer, error) {
+	switch a := f.Coordinator.Execute(q, clientLeft); a.Status {
+	case core.Rejected:
+		return core.Answer{}, &rejectedError{a.RetryAfter}
+	case core.Invalid:
+		return core.Answer{}, badRequestf(typeIllegalArgument, "%s", a.Reason)
+	case core.Failed:
+		return core.Answer{}, failedError(failedReason)
+	default:
+		return a, nil
+	}
+}
--- a/internal/opensearch/nodes_test.go
+++ b/internal/opensearch/nodes_test.go
@@ -67,8 +67,8 @@
 			}
 			n.CloseIdleConnections("n")
 			synctest.Wait()
-			if len(n.nodes) > 0 || len(n.sends) > 0 || n.idle > 0 || len(n.slots) > 0 {
-				t.Errorf("%d nodes, %d sends, %d idle and %d slots remain", len(n.nodes), len(n.sends), n.idle, len(n.slots))
+			if len(n.replicas) > 0 || len(n.cancels) > 0 || n.idleCount > 0 || len(n.slots) > 0 {
+				t.Errorf("%d nodes, %d sends, %d idle and %d slots remain", len(n.replicas), len(n.cancels), n.idleCount, len(n.slots))
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 		{500, `{"error":{"type":"exception"},"status":500}`, scatter.Errored},
 		{400, `{"error":{"type":"parsing_exception"},"status":400}`, scatter.Errored},
 	} {
-		if got, _ := outcome(&http1.Message{Status: tc.status, Body: []byte(tc.body)}, false); got != tc.want {
+		if got, _ := outcomeOf(&http1.Message{Status: tc.status, Body: []byte(tc.body)}, false); got != tc.want {
 			t.Errorf("%d %s: outcome %d, want %d", tc.status, tc.body, got, tc.want)
 		}
 	}
--- a/internal/opensearch/phases_test.go
+++ b/internal/opensearch/phases_test.go
@@ -51,11 +51,11 @@
 				t.Fatalf("%s changes nothing", tc.name)
 			}
 		}
-		if got := evidence(&http1.Message{Status: 200, Body: []byte(body)}); got != tc.want {
+		if got := evidenceOf(&http1.Message{Status: 200, Body: []byte(body)}); got != tc.want {
 			t.Errorf("%s: %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
-	if got := evidence(&http1.Message{Status: 500, Body: []byte(good)}); got.Readable {
+	if got := evidenceOf(&http1.Message{Status: 500, Body: []byte(good)}); got.Readable {
 		t.Error("an error is read for evidence")
 	}
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1 << 54} {
@@ -68,23 +68,23 @@
 // The first phase asks for the client's query and no hit; the full form is the plain one with the version.
 func TestPhaseBodies(t *testing.T) {
 	c := &Config{SectionField: "section"}
-	ix := &Index{name: "conditions", Sections: []int{0, 3}, TwoPhase: &TwoPhase{Version: "updated"}}
+	ix := &Index{name: "conditions", Shards: []int{0, 3}, TwoPhase: &TwoPhase{Version: "updated"}}
 	s, err := c.parseSearch(ix, url.Values{"size": {"7"}}, []byte(`{"query":{"term":{"open":true}},"_source":["name"]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var first, signed, plain map[string]any
-	for body, v := range map[string]*map[string]any{string(s.first): &first, string(s.signed): &signed, string(s.body): &plain} {
+	for body, v := range map[string]*map[string]any{string(s.firstPhaseBody): &first, string(s.versionedBody): &signed, string(s.body): &plain} {
 		if err := json.Unmarshal([]byte(body), v); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if fmt.Sprint(first["query"]) != fmt.Sprint(plain["query"]) || first["size"] != 0.0 || first["track_total_hits"] != true || first["_source"] != nil ||
-		!strings.Contains(string(s.first), `"field":"updated"`) {
-		t.Errorf("first phase: %s", s.first)
+		!strings.Contains(string(s.firstPhaseBody), `"field":"updated"`) {
+		t.Errorf("first phase: %s", s.firstPhaseBody)
 	}
 	if fmt.Sprint(signed["aggs"]) != fmt.Sprint(first["aggs"]) || plain["aggs"] != nil {
-		t.Errorf("with the version: %s", s.signed)
+		t.Errorf("with the version: %s", s.versionedBody)
 	}
 	if delete(signed, "aggs"); fmt.Sprint(signed) != fmt.Sprint(plain) {
 		t.Errorf("%v and %v differ in more than the version", signed, plain)
--- /dev/null
+++ b/internal/opensearch/report_answer.go
@@ -0,0 +1,65 @@
+package opensearch
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+
+	"harepass/internal/http1"
+)
+
+// resultCreated is the result of a report whose document is new.
+const resultCreated = "created"
+
+// reportAnswer is the body that tells a client that its document is stored, on the wire.
+type reportAnswer struct {
+	Index       string      `json:"_index"`
+	ID          string      `json:"_id"`
+	Version     int64       `json:"_version"`
+	Result      string      `json:"result"`
+	Shards      shardCounts `json:"_shards"`
+	SeqNo       int64       `json:"_seq_no"`
+	PrimaryTerm int64       `json:"_primary_term"`
+}
+
+// reportReply is the answer to a report that was served. A replica that offers the API words it itself; for others the
+// document counts as new.
+func reportReply(r *report, value []byte) *http1.Message {
+	if m := replicaFault(value); m != nil {
+		return m
+	}
+	var stored struct {
+		Result string `json:"result"`
+	}
+	if bytes.HasPrefix(value, []byte("{")) && json.Unmarshal(value, &stored) == nil && stored.Result != "" {
+		status := http.StatusOK
+		if stored.Result == resultCreated {
+			status = http.StatusCreated
+		}
+		return jsonReply(status, json.RawMessage(value))
+	}
+	return jsonReply(http.StatusCreated, reportAnswer{
+		Index:       r.index.name,
+		ID:          r.id,
+		Version:     1,
+		Result:      resultCreated,
+		Shards:      shardCounts{Total: 1, Successful: 1},
+		PrimaryTerm: 1,
+	})
+}
+
+// replicaFault returns the answer to a request in which a replica that offers the API has found a fault, as the replica
+// words it. It is nil for a value that is no such error.
+func replicaFault(value []byte) *http1.Message {
+	var fault struct {
+		Error  json.RawMessage `json:"error"`
+		Status int             `json:"status"`
+	}
+	if !bytes.HasPrefix(value, []byte(`{"error"`)) || json.Unmarshal(value, &fault) != nil {
+		return nil
+	}
+	if fault.Status != http.StatusBadRequest && fault.Status != http.StatusConflict {
+		return nil
+	}
+	return jsonReply(fault.Status, json.RawMessage(value))
+}
--- /dev/null
+++ b/internal/opensearch/search.go
@@ -0,0 +1,188 @@
+package opensearch
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// search is a client's search of an index: which shards it needs, and what their replicas are sent.
+type search struct {
+	index          *Index
+	sectionField   string        // field of a document that names its section
+	shards         []int         // that can have hits, ascending
+	from           int           // hits before the wanted page
+	size           int           // hits on the wanted page
+	partialAllowed bool          // the client takes an answer that lacks shards
+	timeout        time.Duration // that the client gives; 0 for none given
+
+	body           []byte // search for each replica
+	firstPhaseBody []byte // first phase, where the index has one; else nil
+	versionedBody  []byte // body with the shard's version asked for, where the index has a first phase; else nil
+}
+
+const (
+	defaultSize     = 10    // hits on a page if the client does not say, the API's own default
+	maxResultWindow = 10000 // the largest from + size, the API's own default
+)
+
+// searchParams are the parameters of a search that the front takes. Those that it does not read concern what it has
+// no choice in.
+var searchParams = []string{"q", "from", "size", "timeout", "allow_partial_search_results", "preference",
+	"pretty", "track_total_hits", "ignore_unavailable", "allow_no_indices", "expand_wildcards", "typed_keys"}
+
+// searchKeys are the keys that the body of a search may have. Aggregations are not among them, so a client's own
+// cannot meet those of the first phase.
+var searchKeys = []string{"query", "from", "size", "timeout", "track_total_hits", "_source"}
+
+// parseSearch reads a search of an index from its parameters and body. Its errors are the client's.
+func (c *Config) parseSearch(ix *Index, params url.Values, data []byte) (*search, error) {
+	s := &search{index: ix, sectionField: c.SectionField, size: defaultSize, partialAllowed: true}
+	body, err := searchBody(params, data)
+	if err != nil {
+		return nil, err
+	}
+	if err := s.selectShards(params, body["query"]); err != nil {
+		return nil, err
+	}
+	if err := s.parseOptions(params, body); err != nil {
+		return nil, err
+	}
+	// Each replica is asked for all that could be among the wanted hits.
+	body["from"], body["size"] = json.RawMessage("0"), json.RawMessage(strconv.Itoa(s.from+s.size))
+	delete(body, "timeout")        // each attempt has its own, in the path
+	s.body, _ = json.Marshal(body) // raw parts of what was JSON: cannot fail
+	if ix.TwoPhase != nil {
+		s.firstPhaseBody, s.versionedBody = twoPhaseBodies(ix.TwoPhase.Version, body)
+	}
+	return s, nil
+}
+
+// searchBody reads the body of a search. It has a query in any case: the parameter q goes ahead of the body's own, and
+// a search without a query matches all.
+func searchBody(params url.Values, data []byte) (map[string]json.RawMessage, error) {
+	body := map[string]json.RawMessage{}
+	if len(bytes.TrimSpace(data)) > 0 {
+		if err := json.Unmarshal(data, &body); err != nil || body == nil {
+			return nil, badRequestf(typeParsing, "the body is no JSON object")
+		}
+	}
+	for key := range body {
+		if !slices.Contains(searchKeys, key) {
+			return nil, badRequestf(typeParsing, "unknown key [%s] in a search", key)
+		}
+	}
+	if q := params.Get("q"); q != "" {
+		query := map[string]any{"query_string": map[string]string{"query": q}}
+		body["query"], _ = json.Marshal(query) // strings only: cannot fail
+	}
+	if body["query"] == nil {
+		body["query"] = json.RawMessage(`{"match_all":{}}`)
+	}
+	return body, nil
+}
+
+// selectShards sets the shards of the index that the query can match and the preference allows.
+func (s *search) selectShards(params url.Values, query json.RawMessage) error {
+	matched, err := shardsOfQuery(s.sectionField, query, 0)
+	if err != nil {
+		return err
+	}
+	preferred, err := parsePreference(params.Get("preference"))
+	if err != nil {
+		return err
+	}
+	for shard := s.index.Shards[0]; shard <= s.index.Shards[1]; shard++ {
+		if matched.contains(shard) && (preferred == nil || slices.Contains(preferred, shard)) {
+			s.shards = append(s.shards, shard)
+		}
+	}
+	return nil
+}
+
+// parsePreference returns the shards that a preference of the form _shards:1,2 names, and nil for all shards. Other
+// preferences choose among replicas, which is for the decisions to do.
+func parsePreference(v string) ([]int, error) {
+	list, ok := strings.CutPrefix(v, "_shards:")
+	if !ok {
+		return nil, nil
+	}
+	list, _, _ = strings.Cut(list, "|")
+	shards := []int{}
+	for number := range strings.SplitSeq(list, ",") {
+		shard, err := strconv.Atoi(number)
+		if err != nil || shard < 0 {
+			return nil, badRequestf(typeIllegalArgument, "bad shard [%s] in the preference", number)
+		}
+		shards = append(shards, shard)
+	}
+	return shards, nil
+}
+
+// parseOptions reads what stands in the parameters or, unless there, in the body.
+func (s *search) parseOptions(params url.Values, body map[string]json.RawMessage) error {
+	get := func(key string) string {
+		if params.Has(key) {
+			return params.Get(key)
+		}
+		return strings.Trim(string(body[key]), `"`)
+	}
+	for key, field := range map[string]*int{"from": &s.from, "size": &s.size} {
+		if v := get(key); v != "" {
+			n, err := strconv.Atoi(v)
+			if err != nil || n < 0 {
+				return badRequestf(typeIllegalArgument, "[%s] parameter cannot be [%s]", key, v)
+			}
+			*field = n
+		}
+	}
+	if s.from+s.size > maxResultWindow {
+		return badRequestf(typeIllegalArgument, "result window is too large: from + size is over [%d]", maxResultWindow)
+	}
+	var err error
+	if s.timeout, err = parseTimeout(get("timeout")); err != nil {
+		return err
+	}
+	switch v := params.Get("allow_partial_search_results"); v {
+	case "", "true":
+	case "false":
+		s.partialAllowed = false
+	default:
+		return badRequestf(typeIllegalArgument, "failed to parse value [%s] as only [true] or [false] are allowed", v)
+	}
+	return nil
+}
+
+// maxTimeout bounds a time-out, so that no number of units overflows; the class's deadline is far below it.
+const maxTimeout = 24 * time.Hour
+
+// timeUnits are the units of the API's time values. A suffix stands before any other that it ends in.
+var timeUnits = []struct {
+	suffix string
+	unit   time.Duration
+}{
+	{"nanos", time.Nanosecond}, {"micros", time.Microsecond}, {"ms", time.Millisecond}, {"s", time.Second},
+	{"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour},
+}
+
+// parseTimeout reads a time-out of the API; 0 stands for none given.
+func parseTimeout(v string) (time.Duration, error) {
+	if v == "" || v == "-1" {
+		return 0, nil
+	}
+	for _, u := range timeUnits {
+		if number, ok := strings.CutSuffix(v, u.suffix); ok {
+			n, err := strconv.ParseUint(number, 10, 32)
+			if err != nil || n == 0 {
+				break
+			}
+			return min(time.Duration(n), maxTimeout/u.unit+1) * u.unit, nil
+		}
+	}
+	return 0, badRequestf(typeIllegalArgument,
+		"failed to parse setting [timeout] with value [%s] as a time value: unit is missing or unrecognized", v)
+}
--- /dev/null
+++ b/internal/opensearch/search_answer.go
@@ -0,0 +1,188 @@
+package opensearch
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"slices"
+	"strconv"
+	"time"
+
+	"harepass/internal/core"
+	"harepass/internal/http1"
+)
+
+// searchAnswer is the body of the answer to a search, on the wire.
+type searchAnswer struct {
+	Took     int64       `json:"took"` // milliseconds
+	TimedOut bool        `json:"timed_out"`
+	Shards   shardCounts `json:"_shards"`
+	Hits     hits        `json:"hits"`
+}
+
+// shardCounts says how many shards an answer has, on the wire.
+type shardCounts struct {
+	Total      int            `json:"total"`
+	Successful int            `json:"successful"` // skipped ones included
+	Skipped    int            `json:"skipped"`
+	Failed     int            `json:"failed"`
+	Failures   []shardFailure `json:"failures,omitempty"`
+}
+
+// shardFailure is why a shard is missing in an answer, on the wire.
+type shardFailure struct {
+	Shard  int    `json:"shard"`
+	Index  string `json:"index"`
+	Reason cause  `json:"reason"`
+}
+
+// hits are the hits of a search, on the wire: of all shards in an answer to a client, of one shard in the value of a
+// part.
+type hits struct {
+	Total    *hitCount         `json:"total,omitempty"`
+	MaxScore *float64          `json:"max_score"`
+	Hits     []json.RawMessage `json:"hits"`
+}
+
+// hitCount is how many documents match, on the wire.
+type hitCount struct {
+	Value    int64  `json:"value"`
+	Relation string `json:"relation"` // countExact, or countAtLeast if there may be more
+}
+
+// The relations of a hitCount to the number of documents.
+const (
+	countExact   = "eq"
+	countAtLeast = "gte"
+)
+
+// emptyHits is the value of a shard without any hit, as a replica would give it.
+var emptyHits = []byte(`{"total":{"value":0,"relation":"eq"},"max_score":null,"hits":[]}`)
+
+// searchReply is the answer to a search that was served: the hits of all shards, merged. If a replica found a fault in
+// the request, that is the answer. The answer is marked complete, by timed_out false and no failed shards, only if the
+// core says that it is.
+func searchReply(s *search, q *core.Query, a core.Answer, took time.Duration) *http1.Message {
+	for _, v := range a.Values {
+		if m := replicaFault(v); m != nil {
+			return m
+		}
+	}
+	merged := mergeHits(s, q, a)
+	return jsonReply(http.StatusOK, searchAnswer{
+		Took:     took.Milliseconds(),
+		TimedOut: !a.Complete,
+		Shards:   countShards(s, q, a),
+		Hits:     merged.page(s.from, s.size),
+	})
+}
+
+// countShards says what became of each part of a query.
+func countShards(s *search, q *core.Query, a core.Answer) shardCounts {
+	counts := shardCounts{Total: len(q.Parts)}
+	for i, p := range q.Parts {
+		switch {
+		case a.Values[i] != nil:
+			counts.Successful++
+			if a.Pruned[i] {
+				counts.Skipped++
+			}
+		case a.Complete: // the class counts an answer as complete without the part
+			counts.Skipped++
+		default:
+			counts.Failed++
+			reason := cause{typeNoShardAvailable, "the section gave no answer in time"}
+			counts.Failures = append(counts.Failures, shardFailure{p.Shard, s.index.name, reason})
+		}
+	}
+	return counts
+}
+
+// rankedHit is a hit as a replica gave it.
+type rankedHit struct {
+	raw   json.RawMessage
+	score *float64 // nil for a hit without a score
+}
+
+// compare orders hits by their scores, those without one first.
+func (h rankedHit) compare(o rankedHit) int {
+	switch {
+	case h.score == nil && o.score == nil:
+		return 0
+	case h.score == nil:
+		return -1
+	case o.score == nil:
+		return 1
+	case *h.score < *o.score:
+		return -1
+	case *h.score > *o.score:
+		return 1
+	}
+	return 0
+}
+
+// mergedHits are the hits of all shards that answered.
+type mergedHits struct {
+	total  hitCount
+	ranked []rankedHit
+}
+
+// mergeHits merges the values of a query's parts: best scores first, equal ones in the order of the parts.
+func mergeHits(s *search, q *core.Query, a core.Answer) *mergedHits {
+	m := &mergedHits{total: hitCount{Relation: countExact}}
+	for i, p := range q.Parts {
+		if v := a.Values[i]; v != nil {
+			m.add(s, p.Shard, q.ID, v)
+		}
+	}
+	slices.SortStableFunc(m.ranked, func(x, y rankedHit) int { return y.compare(x) })
+	return m
+}
+
+// page returns the hits of a page of a size that begins after the first from hits.
+func (m *mergedHits) page(from, size int) hits {
+	page := hits{Total: &m.total, Hits: []json.RawMessage{}}
+	for _, h := range m.ranked[min(from, len(m.ranked)):min(from+size, len(m.ranked))] {
+		page.Hits = append(page.Hits, h.raw)
+	}
+	if len(m.ranked) > 0 && size > 0 {
+		page.MaxScore = m.ranked[0].score
+	}
+	return page
+}
+
+// add adds the value of a shard. Hits that are no JSON objects are left out.
+func (m *mergedHits) add(s *search, shard int, queryID string, value []byte) {
+	var v hits
+	if !bytes.HasPrefix(value, []byte("{")) || json.Unmarshal(value, &v) != nil || v.Hits == nil {
+		m.total.Value++
+		m.ranked = append(m.ranked, wrapValue(s, shard, queryID, value))
+		return
+	}
+	if v.Total != nil {
+		m.total.Value += v.Total.Value
+		if v.Total.Relation == countAtLeast {
+			m.total.Relation = countAtLeast
+		}
+	}
+	for _, raw := range v.Hits {
+		var scored struct {
+			Score *float64 `json:"_score"`
+		}
+		if json.Unmarshal(raw, &scored) == nil {
+			m.ranked = append(m.ranked, rankedHit{raw, scored.Score})
+		}
+	}
+}
+
+// wrapValue makes one hit of a value that is not hits, as replicas give it that speak the platform's protocol.
+func wrapValue(s *search, shard int, queryID string, value []byte) rankedHit {
+	score := 1.0
+	raw, _ := json.Marshal(map[string]any{ // strings and numbers: cannot fail
+		"_index":  s.index.name,
+		"_id":     queryID + "." + strconv.Itoa(shard),
+		"_score":  score,
+		"_source": map[string]any{s.sectionField: shard, "body": string(value)},
+	})
+	return rankedHit{raw, &score}
+}
