--- /dev/null
+++ b/internal/opensearch/replica_answer_test.go
@@ -0,0 +1,127 @@
+package opensearch
+
+import (
+	"context"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/http1"
+)
+
+// endedAttempt is what a Caller reports of an attempt.
+type endedAttempt struct {
+	outcome scatter.Outcome
+	value   string
+}
+
+// endedAttempts takes the one outcome of each attempt.
+type endedAttempts chan endedAttempt
+
+func (c endedAttempts) AttemptEnded(_ *core.Attempt, outcome scatter.Outcome, value []byte) {
+	c <- endedAttempt{outcome, string(value)}
+}
+
+const (
+	firstAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 82\r\n\r\n" +
+		`{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"n":1}}`
+	secondAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 82\r\n\r\n" +
+		`{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"n":2}}`
+)
+
+// dialAnswering returns a dialer to a replica that writes the first answer on the first connection and secondAnswer on
+// all later ones, then closes. dials counts the connections.
+func dialAnswering(first string, dials *int) http1.Dialer {
+	return func(context.Context, string) (net.Conn, error) {
+		client, server := net.Pipe()
+		*dials++
+		answer := first
+		if *dials > 1 {
+			answer = secondAnswer
+		}
+		go func() {
+			server.Read(make([]byte, 4<<10))
+			server.Write([]byte(answer))
+			server.Close()
+		}()
+		return client, nil
+	}
+}
+
+// A replica answers with bytes that cannot be read, with a length that no answer may have, or with more bytes than its
+// answer. That is an error of a replica that runs, not a broken connection; and what comes behind an answer is never
+// taken for the next one, which has a connection of its own.
+func TestUnreadableAnswerIsNoBrokenConnection(t *testing.T) {
+	served, errored := endedAttempt{scatter.Succeeded, `{"n":1}`}, endedAttempt{outcome: scatter.Errored}
+	for _, tc := range []struct {
+		answer string
+		want   endedAttempt
+	}{
+		{firstAnswer + "noise", served},
+		{firstAnswer + secondAnswer, served},
+		{"noise\r\n\r\n", errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", errored},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 2000000000\r\n\r\n", errored},
+		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 20<<10), errored},
+		{strings.Replace(firstAnswer, `"hits"`, `"h\xffts"`, 1), errored},
+		{"HTTP/1.1 200 OK\r\n", endedAttempt{outcome: scatter.ConnectionReset}}, // the connection ends
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			ended, dials := make(endedAttempts, 2), 0
+			caller := &Caller{Reporter: ended, Config: &Config{SectionField: "section"}, MaxConns: 4,
+				ConnectTimeout: time.Second, KeepAlive: time.Minute, Dial: dialAnswering(tc.answer, &dials)}
+			call := func() endedAttempt {
+				at := &core.Attempt{Endpoint: "n", Timeout: time.Second, Origin: &search{index: &Index{name: "i"}}}
+				caller.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}, []*core.Attempt{at})
+				return <-ended
+			}
+			if got := call(); got != tc.want {
+				t.Errorf("%.60q: %+v, want %+v", tc.answer, got, tc.want)
+			}
+			if got := call(); got != (endedAttempt{scatter.Succeeded, `{"n":2}`}) || dials != 2 {
+				t.Errorf("%.60q: the next answer is %+v on connection %d", tc.answer, got, dials)
+			}
+			caller.CloseIdleConnections("n")
+			synctest.Wait()
+			if len(caller.replicas) > 0 || len(caller.cancels) > 0 || caller.idleCount > 0 || len(caller.slots) > 0 {
+				t.Errorf("%d replicas, %d attempts, %d idle and %d slots remain",
+					len(caller.replicas), len(caller.cancels), caller.idleCount, len(caller.slots))
+			}
+		})
+	}
+}
+
+// Only a rejection that proves that the request never began counts as one, since a rejected part may run again in any
+// class. Only an answer that the replica itself calls complete counts as served.
+func TestOutcomeOfReplicaAnswer(t *testing.T) {
+	for _, tc := range []struct {
+		status int
+		body   string
+		want   scatter.Outcome
+	}{
+		{200, `{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"hits":[]}}`,
+			scatter.Succeeded},
+		{200, `{"timed_out":true,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"hits":[]}}`, scatter.Errored},
+		{200, `{"timed_out":false,"_shards":{"total":1,"successful":0,"failed":1},"hits":{"hits":[]}}`,
+			scatter.Errored},
+		{200, `{"timed_out":false,"hits":{"hits":[]}}`, scatter.Errored},
+		{200, `{"timed_out":false,`, scatter.Errored},
+		{201, `{"_id":"a","result":"created"}`, scatter.Succeeded},
+		{409, `{"error":{"type":"version_conflict_engine_exception"},"status":409}`, scatter.Succeeded},
+		{429, `{"error":{"type":"rejected_execution_exception"},"status":429}`, scatter.Rejected},
+		{429, `{"error":{"type":"circuit_breaking_exception"},"status":429}`, scatter.Errored},
+		{429, `too many`, scatter.Errored},
+		{503, `{"error":{"type":"rejected_execution_exception"},"status":503}`, scatter.Errored},
+		{500, `{"error":{"type":"exception"},"status":500}`, scatter.Errored},
+		{400, `{"error":{"type":"parsing_exception"},"status":400}`, scatter.Errored},
+	} {
+		if got, _ := outcomeOf(&http1.Message{Status: tc.status, Body: []byte(tc.body)}, false); got != tc.want {
+			t.Errorf("%d %s: outcome %d, want %d", tc.status, tc.body, got, tc.want)
+		}
+	}
+}
