--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -1,6 +1,6 @@
-// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes and the
-// tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit where the value
-// has none of its own.
+// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes and
+// the tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit where the
+// value has none of its own.
 package logmsg
 
 // Messages of a coordinator about single queries, under "serve -trace" unless a query ended badly.
@@ -20,6 +20,10 @@
 	VersionInForce = "version in force"
 	SourceFollowed = "source followed"
 	SourceLeft     = "source left"
+
+	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired: queries are served again
+	EndpointListExpired   = "endpoint list expired"           // nothing new is sent until discovery confirms it
+	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas were taken out: queries are refused
 )
 
 // Keys.
@@ -40,5 +44,23 @@
 	KeySlowStart = "slow_start"
 	KeyResource  = "resource"
 	KeySource    = "source"
-	KeyReason    = "reason"
+
+	KeyReason          = "reason"
+	KeyTenant          = "tenant"
+	KeyQueryAge        = "query_age"
+	KeyTimeLeft        = "time_left"
+	KeyParts           = "parts"
+	KeyPartsServed     = "parts_served"
+	KeyLinesSuppressed = "lines_suppressed"
+	KeyOpenQueries     = "open_queries"
+	KeyShards          = "shards"
+	KeyRemedy          = "remedy"
+)
+
+// Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names are
+// wire: these values stay.
+const (
+	StateReady     = "ready"
+	StatusServed   = "served"
+	StatusRejected = "refused"
 )
--- a/internal/operator/register.go
+++ b/internal/operator/register.go
@@ -36,8 +36,8 @@
 type Coordinator interface {
 	SetMaintenance(maintenance.Register)
 	HasEndpoint(id string) bool
-	CheckReady() error // why it does not
-	SetShared(bool)    // whether another process of the coordinator serves beside it, so that limits hold for both
+	CheckReady() error    // why it does not
+	SetLimitsShared(bool) // whether another process of the coordinator serves beside it, so that limits hold for both
 }
 
 // Store keeps what operators have said, and shares it with the coordinator's other processes. It is the Door's Desk.
@@ -205,7 +205,7 @@
 	}
 	if shared := r.heard > 0 && now-r.heard < sharedFor; shared != r.shared {
 		r.shared = shared
-		r.Coordinator.SetShared(shared)
+		r.Coordinator.SetLimitsShared(shared)
 	}
 }
 
