--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -50,7 +50,7 @@
 
 // currentSource is what the answers of the source in use have shown.
 type currentSource struct {
-	served        bool          // it has given a good answer since it was chosen
+	served        bool          // it has given a good answer since it became the current one
 	moreAvailable bool          // its last answer brought a new version, and announced another slice
 	staleness     time.Duration // of what it had at its last good answer
 }
@@ -117,7 +117,7 @@
 		Limits: http1.Limits{Head: http1.DefaultLimits.Head, Body: f.cfg.MaxBody}}
 }
 
-// recordFollowed notes the first good answer of a source that was chosen.
+// recordFollowed notes the first good answer of a new current source.
 func (f *Follower) recordFollowed(source failover.Source) {
 	f.current.served = true
 	f.totals.switches.Add(1)
--- a/internal/http1/counters.go
+++ b/internal/http1/counters.go
@@ -6,13 +6,13 @@
 var (
 	countAccepted        = counters.New("client_connections", "accepted")
 	countAcceptFailed    = counters.New("client_connections", "accept_failed")
-	countBytesAfterClose = counters.New("client_connections", "bytes_after_close") // connections with bytes after our end
+	countBytesAfterClose = counters.New("client_connections", "bytes_after_close") // connections on which some came
 )
 
 // Why the server closed a connection. An operator has to be able to tell.
 var (
 	closedNoRequest     = counters.New("client_connections_closed", "no_request")  // no request came in time
-	closedIdle          = counters.New("client_connections_closed", "resting")     // used, and idle for keepAliveTimeout
+	closedIdle          = counters.New("client_connections_closed", "resting")     // idle for keepAliveTimeout
 	closedSurplus       = counters.New("client_connections_closed", "surplus")     // used, and over MaxIdle
 	closedEvicted       = counters.New("client_connections_closed", "room")        // it made way for another one
 	closedAtShutdown    = counters.New("client_connections_closed", "shutdown")    // idle when the server shut down
--- a/internal/http1/reader_head.go
+++ b/internal/http1/reader_head.go
@@ -112,7 +112,7 @@
 	connection := m.Header["Connection"]
 	m.Close = oldVersion && !hasToken(connection, "keep-alive") || hasToken(connection, "close")
 	switch {
-	case r.readsAnswers && (m.Status < firstFinalStatus || m.Status == StatusNoContent || m.Status == StatusNotModified):
+	case r.readsAnswers && m.hasNoBody():
 		r.remaining, r.state = 0, inBody
 	case len(coding) > 0:
 		if len(lengths) > 0 {
@@ -132,6 +132,11 @@
 	return nil
 }
 
+// hasNoBody reports whether an answer has no body by its status code, whatever its header fields say.
+func (m *Message) hasNoBody() bool {
+	return m.Status < firstFinalStatus || m.Status == StatusNoContent || m.Status == StatusNotModified
+}
+
 // parseLength parses the lengths that a head gives for the body; they have to agree.
 func (r *Reader) parseLength(lengths []string) error {
 	n, err := strconv.ParseUint(lengths[0], 10, 31)
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -110,7 +110,8 @@
 // checkSize reports an object that no answer could hold. The error wraps versionlog.ErrTooLarge.
 func checkSize(object []byte) error {
 	if len(object) > versionlog.MaxObjectBytes {
-		return fmt.Errorf("%w: %d bytes, at most %d fit into an answer", versionlog.ErrTooLarge, len(object), versionlog.MaxObjectBytes)
+		return fmt.Errorf("%w: %d bytes, at most %d fit into an answer", versionlog.ErrTooLarge, len(object),
+			versionlog.MaxObjectBytes)
 	}
 	return nil
 }
