--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -18,12 +18,13 @@
 // Messages about the endpoint list and the settings in force.
 const (
 	VersionInForce = "version in force"
-	SourceFollowed = "source followed"
-	SourceLeft     = "source left"
 
 	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired: queries are served again
 	EndpointListExpired   = "endpoint list expired"           // nothing new is sent until discovery confirms it
 	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas were taken out: queries are refused
+
+	SourceFollowed = "source followed"
+	SourceLeft     = "source left"
 )
 
 // Keys.
@@ -42,10 +43,10 @@
 	KeyAttempts  = "attempts"
 	KeyError     = "err"
 	KeySlowStart = "slow_start"
-	KeyResource  = "resource"
-	KeySource    = "source"
 
 	KeyReason          = "reason"
+	KeyResource        = "resource"
+	KeySource          = "source"
 	KeyTenant          = "tenant"
 	KeyQueryAge        = "query_age"
 	KeyTimeLeft        = "time_left"
