--- a/internal/http1/eviction_test.go
+++ b/internal/http1/eviction_test.go
@@ -14,6 +14,16 @@
 	"harepass/internal/test/fake"
 )
 
+// dial connects a client to the server that listens as s in memory.
+func dial(t *testing.T, memory *fake.Net) net.Conn {
+	t.Helper()
+	c, err := memory.Dial(context.Background(), "s")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
 // A server has as many connections as it may, and another client connects. The idle connection is evicted, and the
 // busy one stays; nothing is evicted before.
 func TestFullServerEvictsTheIdleConnection(t *testing.T) {
@@ -32,10 +42,7 @@
 			return err == io.EOF
 		}
 		for i := range 3 {
-			c, err := memory.Dial(context.Background(), "s")
-			if err != nil {
-				t.Fatal(err)
-			}
+			c := dial(t, &memory)
 			conns = append(conns, c)
 			time.Sleep(time.Second)
 			if i == 0 { // the first is busy, so the second goes, but not before there is a third
@@ -71,10 +78,7 @@
 		}}
 		go s.Serve(l)
 		join := func(text string) net.Conn {
-			c, err := memory.Dial(context.Background(), "s")
-			if err != nil {
-				t.Fatal(err)
-			}
+			c := dial(t, &memory)
 			c.Write([]byte(text))
 			synctest.Wait()
 			return c
@@ -117,10 +121,7 @@
 		var answered atomic.Int32
 		var wg sync.WaitGroup
 		connect := func() {
-			c, err := memory.Dial(context.Background(), "s")
-			if err != nil {
-				t.Fatal(err)
-			}
+			c := dial(t, &memory)
 			wg.Go(func() {
 				time.Sleep(newConnGrace / 2) // its first byte is on the way
 				c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
@@ -165,10 +166,7 @@
 		var conns []net.Conn
 		open := make([]atomic.Bool, 7)
 		for i, text := range []string{"GET /slow HTTP/1.1\r\n\r\n", "", request, request, request, request, request} {
-			c, err := memory.Dial(context.Background(), "s")
-			if err != nil {
-				t.Fatal(err)
-			}
+			c := dial(t, &memory)
 			conns = append(conns, c)
 			open[i].Store(true)
 			go func() {
--- a/internal/http1/reader_head.go
+++ b/internal/http1/reader_head.go
@@ -20,19 +20,12 @@
 func (r *Reader) parseHead() (more bool, err error) {
 	b := r.Buffer.Bytes()
 	for r.scanned <= 1 && bytes.HasPrefix(b, []byte(crlf)) { // empty lines before a request are skipped
-		r.Buffer.Consume(2)
+		r.Buffer.Consume(len(crlf))
 		b, r.scanned = r.Buffer.Bytes(), 0
 	}
-	end := 0
-	for end == 0 {
-		at, err := r.findLineEnd(b, r.limits.Head)
-		if at < 0 || err != nil {
-			return true, err
-		}
-		if at >= 3 && b[at-2] == '\n' {
-			end = at + 1
-		}
-		r.scanned = at + 1
+	end, err := r.findHeadEnd(b)
+	if end == 0 || err != nil {
+		return true, err
 	}
 	head := b[:end]
 	start, fields, _ := bytes.Cut(head, []byte(crlf))
@@ -48,6 +41,20 @@
 	return false, r.parseFraming(bytes.Contains(start, []byte(version10)))
 }
 
+// findHeadEnd returns how many bytes the head has with the empty line that ends it; 0 while it is incomplete.
+func (r *Reader) findHeadEnd(b []byte) (end int, err error) {
+	for {
+		at, err := r.findLineEnd(b, r.limits.Head)
+		if at < 0 || err != nil {
+			return 0, err
+		}
+		r.scanned = at + 1
+		if at >= 3 && b[at-2] == '\n' {
+			return at + 1, nil
+		}
+	}
+}
+
 // parseStartLine parses the first line of a request or an answer into the message.
 func (m *Message) parseStartLine(line string, answer bool) error {
 	words := strings.SplitN(line, " ", startLineWords)
--- a/internal/relay/staleness_test.go
+++ b/internal/relay/staleness_test.go
@@ -16,17 +16,32 @@
 	quickStaleAfter = 2 * time.Second // longer than a busy machine delays a heartbeat
 )
 
-// startAuthorityTwice serves one authority's list at two addresses, so that the source of one relay can be cut off
-// without that of another.
-func startAuthorityTwice(t *testing.T) (top *Resource, nearAddress, farAddress string, cutNear func()) {
+// twoRelays are two relays behind one authority. The authority's list is served at two addresses, so that the near
+// relay can be cut off from its source while the far one is not.
+type twoRelays struct {
+	top         *Resource // the authority's list
+	nearTop     string    // the address that the near relay follows
+	cutNear     func()    // ends the service at nearTop
+	near, far   *Server
+	nearAddress string
+	farAddress  string
+}
+
+// startTwoRelays starts two relays, and waits until both have the list.
+func startTwoRelays(t *testing.T) *twoRelays {
 	t.Helper()
 	near, far := newAuthorityServer(5, wideBudget), newAuthorityServer(5, wideBudget)
 	far.Endpoints = near.Endpoints
 	near.Endpoints.SetStaleness(alwaysFresh)
-	nearAddress, cutNear = start(t, near)
-	farAddress, _ = start(t, far)
-	mustPublish(t, near.Endpoints, endpointChanges(3, 1))
-	return near.Endpoints, nearAddress, farAddress, cutNear
+	r := &twoRelays{top: near.Endpoints}
+	r.nearTop, r.cutNear = start(t, near)
+	farTop, _ := start(t, far)
+	mustPublish(t, r.top, endpointChanges(3, 1))
+	r.near, r.nearAddress, _ = startRelay(t, r.nearTop)
+	r.far, r.farAddress, _ = startRelay(t, farTop)
+	waitForHead(t, r.near.Endpoints, r.top.Head())
+	waitForHead(t, r.far.Endpoints, r.top.Head())
+	return r
 }
 
 // twoSources returns the configuration of a reader with a relay in its zone and one elsewhere.
@@ -55,26 +70,22 @@
 // the next change from another one.
 func TestStaleRelayIsLeft(t *testing.T) {
 	t.Parallel()
-	top, nearTop, farTop, cut := startAuthorityTwice(t)
-	near, nearAddress, _ := startRelay(t, nearTop)
-	far, farAddress, _ := startRelay(t, farTop)
-	waitForHead(t, near.Endpoints, top.Head())
-	waitForHead(t, far.Endpoints, top.Head())
+	relays := startTwoRelays(t)
 	below := NewResource(versionlog.New(0, testRemovals), NewSnapshotBudget(wideBudget))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { below.Follow(ctx, twoSources(nearAddress, farAddress)); close(done) }()
+	go func() { below.Follow(ctx, twoSources(relays.nearAddress, relays.farAddress)); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	waitForHead(t, below, top.Head())
-	if calls := far.Endpoints.Status().Calls; calls > 0 {
+	waitForHead(t, below, relays.top.Head())
+	if calls := relays.far.Endpoints.Status().Calls; calls > 0 {
 		t.Fatalf("%d calls to the far relay", calls)
 	}
-	cut()
-	old := top.Head()
-	mustPublish(t, top, endpointChanges(3, 2))
-	waitForHead(t, below, top.Head())
-	if near.Endpoints.Head() != old {
-		t.Errorf("the cut relay is at %+v", near.Endpoints.Head())
+	relays.cutNear()
+	old := relays.top.Head()
+	mustPublish(t, relays.top, endpointChanges(3, 2))
+	waitForHead(t, below, relays.top.Head())
+	if relays.near.Endpoints.Head() != old {
+		t.Errorf("the cut relay is at %+v", relays.near.Endpoints.Head())
 	}
 }
 
@@ -82,28 +93,25 @@
 // hears of its sources again, not before.
 func TestReturnsToFreshRelay(t *testing.T) {
 	t.Parallel()
-	top, nearTop, farTop, cut := startAuthorityTwice(t)
-	near, nearAddress, _ := startRelay(t, nearTop)
-	far, farAddress, _ := startRelay(t, farTop)
-	waitForHead(t, near.Endpoints, top.Head())
-	waitForHead(t, far.Endpoints, top.Head())
-	reader := runFollower(t, twoSources(nearAddress, farAddress))
-	waitFor(t, "the reader does not follow the near relay", func() bool { return reader.Status().Source == nearAddress })
-	cut()
-	waitFor(t, "the reader stays with the stale relay", func() bool { return reader.Status().Source == farAddress })
-	left := near.Endpoints.Status().Calls
-	waitFor(t, "the reader does not probe", func() bool { return near.Endpoints.Status().Calls > left })
-	mustPublish(t, top, endpointChanges(3, 2))
-	waitFor(t, "the change does not come", func() bool { return reader.Status().Version == top.Head() })
-	if c := reader.Counters(); c.Switches != 2 || reader.Status().Source != farAddress {
+	relays := startTwoRelays(t)
+	reader := runFollower(t, twoSources(relays.nearAddress, relays.farAddress))
+	follows := func(address string) func() bool { return func() bool { return reader.Status().Source == address } }
+	waitFor(t, "the reader does not follow the near relay", follows(relays.nearAddress))
+	relays.cutNear()
+	waitFor(t, "the reader stays with the stale relay", follows(relays.farAddress))
+	left := relays.near.Endpoints.Status().Calls
+	waitFor(t, "the reader does not probe", func() bool { return relays.near.Endpoints.Status().Calls > left })
+	mustPublish(t, relays.top, endpointChanges(3, 2))
+	waitFor(t, "the change does not come", func() bool { return reader.Status().Version == relays.top.Head() })
+	if c := reader.Counters(); c.Switches != 2 || reader.Status().Source != relays.farAddress {
 		t.Errorf("it follows %s, %+v", reader.Status().Source, c)
 	}
 	again := newAuthorityServer(5, wideBudget)
-	again.Endpoints = top
-	startAt(t, again, nearTop)
-	waitFor(t, "the reader does not return", func() bool { return reader.Status().Source == nearAddress })
-	if c := reader.Counters(); c.Switches != 3 || near.Endpoints.Head() != top.Head() {
-		t.Errorf("%+v, the near relay is at %+v", c, near.Endpoints.Head())
+	again.Endpoints = relays.top
+	startAt(t, again, relays.nearTop)
+	waitFor(t, "the reader does not return", follows(relays.nearAddress))
+	if c := reader.Counters(); c.Switches != 3 || relays.near.Endpoints.Head() != relays.top.Head() {
+		t.Errorf("%+v, the near relay is at %+v", c, relays.near.Endpoints.Head())
 	}
 }
 
