--- a/internal/distribution/poll.go
+++ b/internal/distribution/poll.go
@@ -83,14 +83,14 @@
 		f.totals.rejected.Add(1)
 		return err
 	}
-	updated := slice.Version != before.Version || slice.Snapshot || change.Completed
+	updated := slice.Version != before.Version || slice.Snapshot || change.SnapshotCompleted
 	f.current.moreAvailable = updated && slice.More()
 	f.current.staleness = stalenessOf(m)
 	f.totals.recordChange(change, updated)
 	f.status.setVersion(slice, change, f.state.Len(), f.current.staleness)
 	if updated {
 		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Removed: change.Removed,
-			Completed: change.Completed, Complete: change.Complete, Source: source})
+			Completed: change.SnapshotCompleted, Complete: change.Complete, Source: source})
 	}
 	return nil
 }
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -89,7 +89,7 @@
 	if updated {
 		t.versions.Add(1)
 	}
-	if change.Completed {
+	if change.SnapshotCompleted {
 		t.snapshots.Add(1)
 	}
 }
