--- a/cmd/harepass/wiring.go
+++ b/cmd/harepass/wiring.go
@@ -43,7 +43,7 @@
 	}
 	go owner.Run() // its first turn has the lists and who is out of them
 	if p.watch != nil {
-		p.watch.RelieveMemory, p.watch.TickElapsed, p.watch.Descriptors = owner.RelieveMemory, owner.TickElapsed, p.descriptors
+		p.watch.RelieveMemory, p.watch.TickElapsed, p.watch.DescriptorFraction = owner.RelieveMemory, owner.TickElapsed, p.descriptors
 		go p.watch.Run(ctx)
 	}
 	p.runSources(ctx)
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -20,6 +20,18 @@
 	VersionInForce = "version in force"
 )
 
+// Messages about overload.
+const (
+	OverloadLevelChanged = "overload level changed"
+)
+
+// Keys of OverloadLevelChanged.
+const (
+	KeyOverloadLevel   = "level"
+	KeyOverloadReasons = "reasons"
+	KeyMeanWait        = "mean_wait"
+)
+
 // Keys.
 const (
 	KeyQuery     = "query_id"
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -23,8 +23,8 @@
 
 // Status tells where the process stands.
 func (s *Server) Status() Status {
-	usage := loadshed.Self()
-	return Status{Uptime: time.Since(s.began).Seconds(), CPU: usage.CPU.Seconds(), LiveHeap: usage.Live,
+	usage := loadshed.ReadUsage()
+	return Status{Uptime: time.Since(s.began).Seconds(), CPU: usage.CPU.Seconds(), LiveHeap: usage.LiveBytes,
 		Readers: s.readers.Load(), RejectedReaders: s.refused.Load(), BytesIn: s.bytesIn.Load(), BytesOut: s.bytesOut.Load(),
 		Instances: s.Instances.Status(), Settings: s.Settings.Status()}
 }
--- a/internal/test/coordinatorproc/meter.go
+++ b/internal/test/coordinatorproc/meter.go
@@ -11,6 +11,7 @@
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
 	"harepass/internal/loadshed"
+	"harepass/internal/logmsg"
 	"harepass/internal/test/loadgen"
 )
 
@@ -33,7 +34,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stats.Wait99MS = float64(m.waits.ValueAtPercentile(99)) / 1000
-	m.stats.CPU = loadshed.Self().CPU.Seconds()
+	m.stats.CPU = loadshed.ReadUsage().CPU.Seconds()
 	return m.stats
 }
 
@@ -84,7 +85,7 @@
 // watchHeap keeps the most that was live.
 func (m *meter) watchHeap(ctx context.Context) {
 	for ctx.Err() == nil {
-		live := float64(loadshed.Self().Live) / (1 << 20)
+		live := float64(loadshed.ReadUsage().LiveBytes) / (1 << 20)
 		m.mu.Lock()
 		m.stats.LiveMB = max(m.stats.LiveMB, live)
 		m.mu.Unlock()
@@ -101,12 +102,12 @@
 // Handle implements slog.Handler.
 func (l levelLog) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == "level" {
+		if a.Key == logmsg.KeyOverloadLevel {
 			l.m.mu.Lock()
 			l.m.stats.Levels = append(l.m.stats.Levels, loadgen.LevelChange{At: time.Since(l.m.began).Seconds(), Level: a.Value.String()})
 			l.m.mu.Unlock()
 		}
-		return a.Key != "level"
+		return a.Key != logmsg.KeyOverloadLevel
 	})
 	return nil
 }
