--- a/cmd/harepass/upgrade.go
+++ b/cmd/harepass/upgrade.go
@@ -27,16 +27,16 @@
 	if p.config.Operator == "" {
 		return known, p.config.Discovery
 	}
-	var files *operator.Files
+	var files *operator.SnapshotDir
 	err := errors.New("TMPDIR is not set")
 	if dir := os.Getenv("TMPDIR"); dir != "" {
-		files, err = operator.OpenFiles(filepath.Join(dir, stateFolder), time.Now())
+		files, err = operator.OpenSnapshotDir(filepath.Join(dir, stateFolder), time.Now())
 	}
 	if err != nil {
 		slog.Error("calls of operators will not outlive this process", "err", err)
 	}
 	p.staff = operator.NewStore(p.config.Name, files, p.clock)
-	data, from := p.staff.FoundList()
+	data, from := p.staff.InheritedList()
 	if len(data) == 0 {
 		return known, p.config.Discovery
 	}
@@ -64,7 +64,7 @@
 	}
 	p.staff.Coordinator = p.owner
 	kept := p.keepList(p.staff.ListChanged)
-	p.staff.List = func() (string, json.RawMessage, error) {
+	p.staff.EncodeList = func() (string, json.RawMessage, error) {
 		address, whole := kept.Snapshot()
 		data, err := json.Marshal(whole)
 		return address, data, err
--- /dev/null
+++ b/internal/operator/endpoint_list.go
@@ -0,0 +1,46 @@
+package operator
+
+import (
+	"encoding/json"
+	"log/slog"
+	"time"
+)
+
+// encodingIntervalPerByte is how long the endpoint list is not encoded again, for each byte that it had. Encoding takes
+// a time in proportion to the length, whatever has changed: so a list of 70 replicas is encoded at each poll, one of
+// 7,000 once a second. A new process asks discovery for what came later, for the list has its version with it.
+const encodingIntervalPerByte = time.Microsecond
+
+// SetList keeps the endpoint list, in discovery's form, for a new process, with the discovery address that it came
+// from.
+func (s *Store) SetList(discovery string, list json.RawMessage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.own.At, s.own.List, s.own.Discovery, s.unsaved = s.Clock(), list, discovery, true
+}
+
+// ListChanged has Run encode and keep the endpoint list, now or when its pause is over.
+func (s *Store) ListChanged() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.listTodo = true
+}
+
+// encodeList keeps the endpoint list where it has changed and its pause is over. Only Run calls it.
+func (s *Store) encodeList() {
+	now := s.Clock()
+	s.mu.Lock()
+	due := s.listTodo && s.EncodeList != nil && now >= s.nextEncoding
+	s.listTodo = s.listTodo && !due
+	s.mu.Unlock()
+	if !due {
+		return
+	}
+	discovery, list, err := s.EncodeList()
+	s.nextEncoding = now + time.Duration(len(list))*encodingIntervalPerByte
+	if err != nil {
+		slog.Error("endpoint list not kept", "err", err)
+		return
+	}
+	s.SetList(discovery, list)
+}
--- /dev/null
+++ b/internal/operator/endpoint_list_test.go
@@ -0,0 +1,58 @@
+package operator
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"os"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// The endpoint list changes all the time. A short one is encoded at each poll, a long one as often as its length
+// allows; the last change is written in the end, and nothing is encoded where nothing has changed.
+func TestListIsEncodedAsOftenAsItsLengthAllows(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		dir, err := os.MkdirTemp("", "")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer os.RemoveAll(dir)
+		for name, c := range map[string]struct{ bytes, encodings int }{"short": {7_000, 21}, "long": {700_000, 4}} {
+			var version, encoded atomic.Int64
+			s := NewStore(name, openDir(t, dir), wallClock)
+			s.Coordinator = &fakeCoordinator{}
+			s.EncodeList = func() (string, json.RawMessage, error) {
+				encoded.Add(1)
+				list := bytes.Repeat([]byte{byte('a' + version.Load()%26)}, c.bytes)
+				return "d:1", json.RawMessage(`"` + string(list) + `"`), nil
+			}
+			ctx, cancel := context.WithCancel(context.Background())
+			done := make(chan struct{})
+			go func() { s.Run(ctx); close(done) }()
+			for range 205 {
+				version.Add(1)
+				s.ListChanged()
+				time.Sleep(pollInterval / 10)
+			}
+			if n := int(encoded.Load()); n < c.encodings-1 || n > c.encodings+1 {
+				t.Errorf("%s: encoded %d times, want %d", name, n, c.encodings)
+			}
+			time.Sleep(2 * time.Second)
+			before := encoded.Load()
+			next := startProcess(t, dir, name)
+			next.end()
+			list, from := next.InheritedList()
+			if from != "d:1" || len(list) != c.bytes+2 || list[1] != byte('a'+version.Load()%26) {
+				t.Errorf("%s: found %d bytes from %s", name, len(list), from)
+			}
+			if time.Sleep(5 * time.Second); encoded.Load() != before {
+				t.Errorf("%s: encoded %d times more", name, encoded.Load()-before)
+			}
+			cancel()
+			<-done
+		}
+	})
+}
--- /dev/null
+++ b/internal/operator/maintenance.go
@@ -0,0 +1,62 @@
+package operator
+
+import (
+	"fmt"
+	"log/slog"
+	"time"
+
+	"harepass/internal/decide/maintenance"
+)
+
+// callBackLifetime is how long a call back is remembered. By then the replica is warmed up, and as any other.
+const callBackLifetime = 10 * time.Minute
+
+// NotListedError says that a call names a replica that is not listed. Its text is wire.
+type NotListedError struct{ ID string }
+
+// Error implements error.
+func (e *NotListedError) Error() string { return fmt.Sprintf("no node %.40q is listed", e.ID) }
+
+// Status implements Handler.
+func (s *Store) Status() error { return s.Coordinator.CheckReady() }
+
+// StartMaintenance implements Handler. An error is a *NotListedError.
+func (s *Store) StartMaintenance(id, by string) error { return s.setMaintenance(id, true, by) }
+
+// EndMaintenance implements Handler. An error is a *NotListedError.
+func (s *Store) EndMaintenance(id, by string) error { return s.setMaintenance(id, false, by) }
+
+// setMaintenance takes a replica out or calls it back. That binds here at once. Other processes' calls are read
+// first, for they came before. Files that cannot be read or written in time do not stop the call: it is written at a
+// later poll.
+func (s *Store) setMaintenance(id string, out bool, by string) error {
+	if err := s.sync(); err != nil {
+		slog.Warn("maintenance call without other processes' snapshots", "replica", id, "err", err)
+	}
+	changed, err := s.applyCall(id, out, by)
+	if err != nil {
+		return err
+	}
+	slog.Info("maintenance call applied", "replica", id, "out", out, "by", by, "changed", changed)
+	if err := s.sync(); err != nil {
+		slog.Error("maintenance call not written yet", "replica", id, "err", err)
+	}
+	return nil
+}
+
+// applyCall enters a call and notifies the coordinator, and reports whether anything changed.
+func (s *Store) applyCall(id string, out bool, by string) (changed bool, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, known := s.own.Maintenance[id]; !known && !s.Coordinator.HasEndpoint(id) {
+		return false, &NotListedError{id}
+	}
+	now := s.Clock()
+	s.own.Maintenance.Prune(now - callBackLifetime)
+	changed = s.own.Maintenance.Apply(id, maintenance.Entry{Out: out, At: now, By: by})
+	if changed {
+		s.unsaved = true
+		s.notify()
+	}
+	return changed, nil
+}
--- /dev/null
+++ b/internal/operator/snapshot_test.go
@@ -0,0 +1,76 @@
+package operator
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"reflect"
+	"testing"
+	"time"
+
+	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
+)
+
+// A snapshot is cut at any byte, has any one byte altered, or is in the form of another version. It must not be read
+// as another snapshot: replicas that are out would be back.
+func TestTornSnapshotsAreRefused(t *testing.T) {
+	s := Snapshot{
+		Name: "n1", At: time.Second, Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour, By: "x"}},
+		Discovery: "d", List: json.RawMessage(`{"index":1}`),
+		Checkpoint: &scatter.Checkpoint{At: 1, Replicas: []scatter.ReplicaCheckpoint{{ID: "a", LatencyRatio: 2}}},
+	}
+	good, err := Encode(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := Decode(good); err != nil || !reflect.DeepEqual(got, s) {
+		t.Fatalf("%v %v", got, err)
+	}
+	for n := range good {
+		if _, err := Decode(good[:n]); err == nil {
+			t.Errorf("the first %d bytes pass", n)
+		}
+		bad := bytes.Clone(good)
+		bad[n] ^= 1
+		if got, err := Decode(bad); err == nil && !reflect.DeepEqual(got, s) {
+			t.Errorf("with byte %d altered it passes as %v", n, got)
+		}
+	}
+	for _, v := range []string{"0", "1", "999"} {
+		other := bytes.Replace(good, []byte(magic+" 2"), []byte(magic+" "+v), 1)
+		if _, err := Decode(other); !errors.Is(err, ErrVersion) {
+			t.Errorf("version %s: %v", v, err)
+		}
+	}
+}
+
+// Whatever a file holds, it is refused or is a snapshot that can be written again.
+func FuzzDecode(f *testing.F) {
+	good, _ := Encode(Snapshot{
+		Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: 1}}, List: json.RawMessage(`{}`),
+	})
+	f.Add(good)
+	f.Add([]byte("harepass-state 2 0 00000000\n"))
+	f.Add([]byte("harepass-state 1 0 00000000\n{}"))
+	f.Add([]byte("harepass-state -1 -1 -1\n"))
+	for _, body := range []string{`{"name":"n1","book":null}`, `{"at":-1}`, `{"book":{"a":{"at":1e99}}}`, `{}{}`} {
+		f.Add(fmt.Appendf(nil, "%s %d %d %08x\n%s", magic, formatVersion, len(body), crc32.ChecksumIEEE([]byte(body)), body))
+	}
+	f.Fuzz(func(t *testing.T, data []byte) {
+		s, err := Decode(data)
+		if err != nil {
+			return
+		}
+		again, err := Encode(s)
+		if err != nil {
+			t.Fatalf("%+v: %v", s, err)
+		}
+		got, err := Decode(again)
+		if err != nil || got.Name != s.Name || got.At != s.At || len(got.Maintenance) != len(s.Maintenance) {
+			t.Errorf("%+v became %+v: %v", s, got, err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/operator/store.go
@@ -0,0 +1,212 @@
+package operator
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"maps"
+	"sync"
+	"time"
+
+	"harepass/internal/decide/maintenance"
+	"harepass/internal/decide/scatter"
+)
+
+const (
+	// pollInterval is the time between two polls of other processes' snapshots. A call at one binds all within a
+	// second.
+	pollInterval = 100 * time.Millisecond
+	// syncTimeout is how long a caller waits for files to be read or written; a maintenance call does so twice.
+	syncTimeout = 300 * time.Millisecond
+	// writeErrorInterval is the time between two log lines while the snapshot cannot be written.
+	writeErrorInterval = 10 * time.Second
+	// checkpointLifetime is how old a checkpoint may be: its rates hold for a few rebalances of a second each.
+	checkpointLifetime = 5 * time.Second
+)
+
+// msgWriteFailed is the log message for a snapshot that could not be written.
+const msgWriteFailed = "snapshot write failed"
+
+var errSyncTimeout = errors.New("operator: snapshots not read and written in time")
+
+// Coordinator is what a Store notifies. None of its methods may block.
+type Coordinator interface {
+	// SetMaintenance replaces the replicas that are out. The register must not be changed any more.
+	SetMaintenance(maintenance.Register)
+	// HasEndpoint reports whether a replica is listed.
+	HasEndpoint(id string) bool
+	// CheckReady returns nil where the coordinator is ready for queries, else why not.
+	CheckReady() error
+	// SetShared says whether another process of the coordinator serves beside it, so that limits hold for both.
+	SetShared(bool)
+}
+
+// Store keeps what the processes of a coordinator have to know of each other. It is the Handler of an AdminServer.
+// Use NewStore, set Coordinator and EncodeList, call Publish, then start Run. The methods that have no other rule may
+// be called from any goroutine.
+type Store struct {
+	Name        string               // of the coordinator; snapshots of another one are not used
+	Coordinator Coordinator          // is notified of other processes' calls
+	Clock       func() time.Duration // wall clock, since the Unix epoch
+	Snapshots   *SnapshotDir         // nil keeps nothing beyond this process
+
+	// EncodeList returns the endpoint list, in discovery's form, and the discovery address that it came from. Run
+	// calls it some time after ListChanged. Nil where SetList alone brings lists.
+	EncodeList func() (discovery string, list json.RawMessage, err error)
+
+	syncs chan chan struct{} // requests to Run to read and write files now; each is closed when that is done
+
+	mu       sync.Mutex
+	own      Snapshot
+	unsaved  bool // own has changed since it was written
+	listTodo bool // the endpoint list has changed since it was encoded
+
+	// Only Run uses these.
+	nextEncoding time.Duration // the endpoint list is not encoded before
+	peers        peerWatch
+	writeErrorAt time.Duration // when a failed write was last logged; 0 for never
+}
+
+// NewStore returns a Store that begins with what other processes have left. files is nil where nothing is shared.
+func NewStore(name string, files *SnapshotDir, clock func() time.Duration) *Store {
+	s := &Store{
+		Name: name, Snapshots: files, Clock: clock, syncs: make(chan chan struct{}),
+		own: Snapshot{Name: name, Maintenance: maintenance.Register{}},
+	}
+	if files != nil {
+		files.Prune()
+		s.merge(files.ReadChanged())
+		s.unsaved = true
+	}
+	return s
+}
+
+// InheritedList returns the latest endpoint list that another process left, in discovery's form, and the discovery
+// address that it came from; nil where there is none. It has to be called before Run.
+func (s *Store) InheritedList() (list json.RawMessage, discovery string) {
+	return s.own.List, s.own.Discovery
+}
+
+// Checkpoint returns what another process had last learned, unless it is too old. It has to be called before Run.
+func (s *Store) Checkpoint() (c scatter.Checkpoint, ok bool) {
+	if latest := s.own.Checkpoint; latest != nil && s.Clock()-latest.At < checkpointLifetime {
+		return *latest, true
+	}
+	return c, false
+}
+
+// SetCheckpoint keeps what this process has learned for a new one.
+func (s *Store) SetCheckpoint(c scatter.Checkpoint) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.own.Checkpoint, s.unsaved = &c, true
+}
+
+// Publish notifies the coordinator of what other processes have left. It is called once, before the coordinator runs.
+func (s *Store) Publish() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.notify()
+}
+
+// notify gives the coordinator the present register. It is called with the lock held, so that registers arrive in
+// order.
+func (s *Store) notify() { s.Coordinator.SetMaintenance(maps.Clone(s.own.Maintenance)) }
+
+// merge takes over what is later in other processes' snapshots, and reports whether the register has changed. It is
+// called with the lock held, or before Run.
+func (s *Store) merge(others []Snapshot) (registerChanged bool) {
+	for _, o := range others {
+		if o.Name != s.Name {
+			slog.Warn(msgNotUsed, "coordinator", o.Name, "err", "it is another coordinator's")
+			continue
+		}
+		registerChanged = s.own.Maintenance.Merge(o.Maintenance) || registerChanged
+		if c := o.Checkpoint; c != nil && (s.own.Checkpoint == nil || c.At > s.own.Checkpoint.At) {
+			s.own.Checkpoint = c
+		}
+		if len(o.List) > 0 && o.At > s.own.At {
+			s.own.At, s.own.List, s.own.Discovery = o.At, o.List, o.Discovery
+		}
+	}
+	return registerChanged
+}
+
+// Run reads and writes files until ctx is done. It is called once; its caller owns the goroutine.
+func (s *Store) Run(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for {
+		var done chan struct{}
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		case done = <-s.syncs:
+		}
+		s.syncFiles()
+		if done != nil {
+			close(done)
+		}
+	}
+}
+
+// syncFiles reads what other processes have written and writes what has changed here.
+func (s *Store) syncFiles() {
+	if s.Snapshots == nil {
+		return
+	}
+	others := s.Snapshots.ReadChanged()
+	if changed, shared := s.peers.observe(s.Name, others, s.Clock()); changed {
+		s.Coordinator.SetShared(shared)
+	}
+	s.encodeList()
+	own, unsaved := s.mergeAndTake(others)
+	if !unsaved {
+		return
+	}
+	if err := s.Snapshots.Write(own); err != nil {
+		s.writeFailed(err)
+	}
+}
+
+// mergeAndTake merges other processes' snapshots, and returns the own one and whether it has to be written.
+func (s *Store) mergeAndTake(others []Snapshot) (own Snapshot, unsaved bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.merge(others) {
+		s.unsaved = true
+		s.notify()
+	}
+	own, unsaved = s.own, s.unsaved
+	own.Maintenance, s.unsaved = maps.Clone(own.Maintenance), false
+	return own, unsaved
+}
+
+// writeFailed has the snapshot written again at the next poll. A disk that stays full would fill the log with a line
+// for each poll, so only some failures are logged.
+func (s *Store) writeFailed(err error) {
+	if now := s.Clock(); s.writeErrorAt == 0 || now-s.writeErrorAt >= writeErrorInterval {
+		s.writeErrorAt = now
+		slog.Error(msgWriteFailed, "err", err)
+	}
+	s.mu.Lock()
+	s.unsaved = true
+	s.mu.Unlock()
+}
+
+// sync has Run read and write files now, and waits for syncTimeout at most.
+func (s *Store) sync() error {
+	done, timeout := make(chan struct{}), time.After(syncTimeout)
+	for requests := s.syncs; ; {
+		select {
+		case requests <- done:
+			requests = nil
+		case <-done:
+			return nil
+		case <-timeout:
+			return errSyncTimeout
+		}
+	}
+}
