--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,49 +1,60 @@
-// Package buffer holds the one read buffer of a connection.
+// Package buffer holds the read buffer of a connection.
 package buffer
 
 import "io"
 
 const (
-	least = 4 << 10 // room for most messages in one read
-	keep  = 64 << 10
+	// initialSize is the size of a new buffer in bytes: most messages fit in one read.
+	initialSize = 4 << 10
+	// maxIdleSize is the size in bytes up to which an empty buffer is kept for the next message.
+	maxIdleSize = 64 << 10
 )
 
-// Buffer collects what a connection has brought and has not used yet. It grows as needed and is
-// compacted in place. The zero value is ready for use.
+// Buffer holds the bytes that a connection has brought and that have not been consumed. It grows as needed. The zero
+// value is ready for use. It is for one goroutine at a time.
 type Buffer struct {
-	data       []byte
-	start, end int
+	data       []byte // all of the memory
+	start, end int    // data[start:end] is not consumed
 }
 
-// Bytes is what has come in and is not consumed; it is valid until the next call of a method.
+// Bytes returns what is not consumed. It is valid until the next call of Consume or Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Len is the number of bytes not consumed.
+// Len returns the number of bytes that are not consumed.
 func (b *Buffer) Len() int { return b.end - b.start }
 
-// Consume drops the first n bytes.
+// Consume drops the first n bytes; n is at most Len. An empty buffer gives a large memory back, so that one large
+// message does not take its memory for the connection's life.
 func (b *Buffer) Consume(n int) {
-	if b.start += n; b.start == b.end {
-		b.start, b.end = 0, 0
-		if len(b.data) > keep { // one large message does not hold its memory for the connection's life
-			b.data = nil
-		}
+	b.start += n
+	if b.start != b.end {
+		return
+	}
+	b.start, b.end = 0, 0
+	if len(b.data) > maxIdleSize {
+		b.data = nil
 	}
 }
 
-// Fill reads once from r. A full buffer is compacted first and, where that frees nothing, doubled.
-func (b *Buffer) Fill(r io.Reader) (int, error) {
+// Fill reads once from r and returns what that read returned. Memory grows only where no more can be read otherwise,
+// so it is in proportion to what has arrived, not to a length that a message claims.
+func (b *Buffer) Fill(r io.Reader) (n int, err error) {
 	if b.end == len(b.data) {
-		if b.start > 0 {
-			b.end = copy(b.data, b.data[b.start:b.end])
-			b.start = 0
-		} else {
-			grown := make([]byte, max(least, 2*len(b.data)))
-			copy(grown, b.data[:b.end])
-			b.data = grown
-		}
+		b.makeSpace()
 	}
-	n, err := r.Read(b.data[b.end:])
+	n, err = r.Read(b.data[b.end:])
 	b.end += n
 	return n, err
 }
+
+// makeSpace moves what is not consumed to the front, or doubles a buffer that is full with it.
+func (b *Buffer) makeSpace() {
+	if b.start > 0 {
+		b.end = copy(b.data, b.data[b.start:b.end])
+		b.start = 0
+		return
+	}
+	grown := make([]byte, max(initialSize, 2*len(b.data)))
+	copy(grown, b.data[:b.end])
+	b.data = grown
+}
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -7,7 +7,8 @@
 	"testing/iotest"
 )
 
-// FuzzBuffer fills and consumes in turn; what is left is always what came in and was not consumed.
+// A buffer is filled and consumed in turn, by whole and by short reads. What is left is always what came in and was not
+// consumed.
 func FuzzBuffer(f *testing.F) {
 	f.Add([]byte{200, 100, 3, 200, 200, 7, 255, 0, 255, 255}, true)
 	f.Add(bytes.Repeat([]byte{255, 1}, 300), false)
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,5 @@
-// Package counters holds the running totals of a process: what it accepted, closed, retried, refused and withheld, each
-// with its reason. They are written to the log and told at the operators' door.
+// Package counters holds the running totals of a process. They are written to the log, where operators and dashboards
+// read them, so the names of counters are fixed. All functions and methods may be called from any goroutine.
 package counters
 
 import (
@@ -10,58 +10,58 @@
 	"sync/atomic"
 )
 
-// Counter is one total. It only grows.
+// Counter is one total since the start of the process. It only grows.
 type Counter struct {
 	name  string
 	total atomic.Int64
 }
 
-// Total is a counter's name and value at one moment.
+// Total is a counter's name and value at one time.
 type Total struct {
 	Name  string
 	Value int64
 }
 
 var registry struct {
-	mu  sync.Mutex
-	all []*Counter
+	mu       sync.Mutex
+	counters []*Counter
 }
 
-// New registers a counter: what is counted, and the reason or kind that tells it from its siblings. It is meant for
-// package variables; two of one name are told apart by nobody.
-func New(what, kind string) *Counter {
-	c := &Counter{name: what + "." + kind}
+// New registers a counter for what is counted and the kind or reason that tells it from its siblings. It is meant for
+// package variables: a counter is never removed, and two with the same name are not told apart in the log.
+func New(counted, kind string) *Counter {
+	c := &Counter{name: counted + "." + kind}
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	registry.all = append(registry.all, c)
+	registry.counters = append(registry.counters, c)
 	return c
 }
 
 // Inc adds one.
 func (c *Counter) Inc() { c.total.Add(1) }
 
-// Name is what is counted, a dot, and the reason or kind.
+// Name returns what is counted, a dot, and the kind or reason.
 func (c *Counter) Name() string { return c.name }
 
-// Value is the total so far.
+// Value returns the total so far.
 func (c *Counter) Value() int64 { return c.total.Load() }
 
-// Totals lists the counters above zero, by name.
-func Totals() (list []Total) {
+// Totals returns the counters above zero, sorted by name.
+func Totals() (totals []Total) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	for _, c := range registry.all {
+	for _, c := range registry.counters {
 		if v := c.Value(); v > 0 {
-			list = append(list, Total{c.name, v})
+			totals = append(totals, Total{c.name, v})
 		}
 	}
-	slices.SortFunc(list, func(x, y Total) int { return strings.Compare(x.Name, y.Name) })
-	return list
+	slices.SortFunc(totals, func(x, y Total) int { return strings.Compare(x.Name, y.Name) })
+	return totals
 }
 
-// Attrs words totals for a log line.
-func Attrs(list []Total) (attrs []any) {
-	for _, t := range list {
+// Attrs returns totals as the attributes of a log line.
+func Attrs(totals []Total) (attrs []any) {
+	for _, t := range totals {
 		attrs = append(attrs, slog.Int64(t.Name, t.Value))
 	}
 	return attrs
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-func TestTotals(t *testing.T) {
-	closed, refused := New("test_closed", "idle"), New("test_refused", "full")
-	New("test_refused", "never")
+// Counters are raised by several goroutines at once. The totals are exact and sorted, and list no counter at zero.
+func TestTotalsListCountersAboveZero(t *testing.T) {
+	closed, rejected := New("test_closed", "idle"), New("test_rejected", "full")
+	New("test_rejected", "never")
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -18,8 +19,8 @@
 		})
 	}
 	wg.Wait()
-	refused.Inc()
-	want := []Total{{"test_closed.idle", 800}, {"test_refused.full", 1}}
+	rejected.Inc()
+	want := []Total{{"test_closed.idle", 800}, {"test_rejected.full", 1}}
 	if got := Totals(); !slices.Equal(got, want) {
 		t.Errorf("totals %v, want %v", got, want)
 	}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -65,7 +65,7 @@
 }
 
 // Alive tells whether the idle connection still stands: nothing has come in, not even its end.
-func (cl *Client) Alive() bool { return cl.c != nil && !socket.Unread(cl.c) }
+func (cl *Client) Alive() bool { return cl.c != nil && !socket.HasUnread(cl.c) }
 
 // Close ends the connection; the next Do opens a new one.
 func (cl *Client) Close() {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -303,7 +303,7 @@
 	switch {
 	case c.state != taking:
 		return false
-	case socket.Unread(c.Conn):
+	case socket.HasUnread(c.Conn):
 		c.SetReadDeadline(time.Now().Add(lookTime))
 		return true
 	case idle && c.open == 0:
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -50,7 +50,7 @@
 
 // ClientLeft asks the system whether the client that sent a request has closed its side since. It does not wait for the
 // goroutine that reads the connection, which may not have had its turn.
-func (m *Message) ClientLeft() bool { return m.left != nil && socket.PeerEnded(m.left) }
+func (m *Message) ClientLeft() bool { return m.left != nil && socket.PeerClosed(m.left) }
 
 // Error is a fault in what the peer sent, with the status that says so.
 type Error struct {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -66,7 +66,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && socket.Waiting(l):
+		case errors.Is(err, os.ErrDeadlineExceeded) && socket.HasPendingConn(l):
 			setDeadline(l, lookTime)
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
@@ -189,7 +189,7 @@
 	for c := range s.conns {
 		waited, r := time.Since(c.since), 1
 		switch {
-		case c.whole > 0 || c.open > 0 && (waited < stallTime || socket.Unread(c.Conn)) || !c.used && waited < freshTime:
+		case c.whole > 0 || c.open > 0 && (waited < stallTime || socket.HasUnread(c.Conn)) || !c.used && waited < freshTime:
 			continue
 		case waited >= stallTime && (!c.used || c.open > 0):
 			r = 0
--- a/internal/operator/admin_server.go
+++ b/internal/operator/admin_server.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// ensureFreeConn reports whether one more connection may be accepted. Callers that send nothing could take all connections,
-// and an operator would wait for their timeouts. So where all are taken the oldest one is closed, unless it is very
-// young.
+// ensureFreeConn reports whether one more connection may be accepted. Callers that send nothing could take all
+// connections, and an operator would wait for their timeouts. So where all are taken the oldest one is closed, unless
+// it is very young.
 func (s *AdminServer) ensureFreeConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/replica_reader.go
+++ b/internal/platform/replica_reader.go
@@ -48,7 +48,7 @@
 		}
 		_, err := b.Fill(conn)
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
-		case late && socket.Unread(conn): // we were held up: what came in time counts
+		case late && socket.HasUnread(conn): // we were held up: what came in time counts
 			conn.SetReadDeadline(time.Now().Add(lateReadTime))
 		case late && b.Len() > 0:
 			c.rejectAnswer(b.Bytes(), errors.New("platform: frame does not end"))
--- a/internal/platform/replica_writer.go
+++ b/internal/platform/replica_writer.go
@@ -210,7 +210,7 @@
 // the replica. It is called under the lock.
 func (c *replicaConn) peerEndedWhileIdle(conn net.Conn) bool {
 	written := slices.ContainsFunc(c.outstanding, func(s *sentAttempt) bool { return s.state != queued })
-	if written || !socket.PeerEnded(conn) {
+	if written || !socket.PeerClosed(conn) {
 		return false
 	}
 	connsEndedWhileIdle.Inc()
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -6,48 +6,50 @@
 	"time"
 )
 
-// What the system tells of a connection, of one whose peer has gone behind unread bytes, and of a listener.
-func TestWhatASocketHolds(t *testing.T) {
+// A client connects, sends a byte and closes before the byte is read. Each of these shows without a read, also while
+// another goroutine reads; before it happens nothing shows.
+func TestSocketStateShowsWithoutReading(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if Waiting(l) {
-		t.Error("somebody waits at a listener that nobody called")
+	if HasPendingConn(l) {
+		t.Error("a connection is pending at a listener to which nobody connected")
 	}
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a connection waits", func() bool { return Waiting(l) })
+	eventually(t, "a connection is pending", func() bool { return HasPendingConn(l) })
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	go c.Read(nil) // a reader does not keep others from asking
-	if Waiting(l) || Unread(c) || PeerEnded(c) {
-		t.Errorf("a new connection: waits %t, unread %t, ended %t", Waiting(l), Unread(c), PeerEnded(c))
+	go c.Read(nil) // a reader does not block the functions
+	if HasPendingConn(l) || HasUnread(c) || PeerClosed(c) {
+		t.Errorf("a new connection: pending %t, unread %t, closed %t", HasPendingConn(l), HasUnread(c), PeerClosed(c))
 	}
 	client.Write([]byte("x"))
-	eventually(t, "a byte is unread", func() bool { return Unread(c) })
-	if PeerEnded(c) {
-		t.Error("the peer is there and counts as gone")
+	eventually(t, "a byte is unread", func() bool { return HasUnread(c) })
+	if PeerClosed(c) {
+		t.Error("the peer is there and counts as closed")
 	}
 	client.Close()
-	eventually(t, "the end is seen behind the byte", func() bool { return PeerEnded(c) })
-	here, there := net.Pipe()
-	defer there.Close()
-	if Unread(here) || PeerEnded(here) {
-		t.Error("something is told of what is no socket")
+	eventually(t, "the end shows behind the byte", func() bool { return PeerClosed(c) })
+	near, far := net.Pipe()
+	defer far.Close()
+	if HasUnread(near) || PeerClosed(near) {
+		t.Error("a connection that is no socket shows something")
 	}
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
-	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+// eventually waits until a condition holds.
+func eventually(t *testing.T, condition string, holds func() bool) {
+	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("never: %s", condition)
 		}
 	}
 }
--- a/internal/test/faultinjection/judged.go
+++ b/internal/test/faultinjection/judged.go
@@ -151,7 +151,7 @@
 	j.asked++
 	j.f.records.asks(id, began.Add(j.budget()))
 	_, err := io.WriteString(j.client.conn, q.requestWithin(j.budget(), id, j.f.site.tenant))
-	crossed := err != nil || socket.PeerEnded(j.client.conn)
+	crossed := err != nil || socket.PeerClosed(j.client.conn)
 	var a answer
 	var status string
 	if err == nil {
