--- a/internal/operator/admin_call_test.go
+++ b/internal/operator/admin_call_test.go
@@ -1,6 +1,7 @@
 package operator
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
@@ -16,6 +17,10 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		call, id, err := parseCall(line)
 		if err != nil {
+			var callError *CallError
+			if !errors.As(err, &callError) {
+				t.Errorf("%q: %v is no CallError", line, err)
+			}
 			return
 		}
 		again := call
--- a/internal/operator/endpoint_list.go
+++ b/internal/operator/endpoint_list.go
@@ -19,19 +19,19 @@
 	s.own.At, s.own.List, s.own.Discovery, s.unsaved = s.Clock(), list, discovery, true
 }
 
-// ListChanged has Run encode and keep the endpoint list, now or when its pause is over.
+// ListChanged has Run encode and keep the endpoint list, at the next poll or, for a long list, some polls later.
 func (s *Store) ListChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listTodo = true
+	s.listDirty = true
 }
 
-// encodeList keeps the endpoint list where it has changed and its pause is over. Only Run calls it.
+// encodeList keeps the endpoint list where it has changed and may be encoded again. Only Run calls it.
 func (s *Store) encodeList() {
 	now := s.Clock()
 	s.mu.Lock()
-	due := s.listTodo && s.EncodeList != nil && now >= s.nextEncoding
-	s.listTodo = s.listTodo && !due
+	due := s.listDirty && s.EncodeList != nil && now >= s.nextEncoding
+	s.listDirty = s.listDirty && !due
 	s.mu.Unlock()
 	if !due {
 		return
--- a/internal/operator/snapshot_test.go
+++ b/internal/operator/snapshot_test.go
@@ -30,8 +30,8 @@
 		t.Fatalf("%v %v", got, err)
 	}
 	for n := range good {
-		if _, err := Decode(good[:n]); err == nil {
-			t.Errorf("the first %d bytes pass", n)
+		if _, err := Decode(good[:n]); !errors.Is(err, ErrNotSnapshot) && !errors.Is(err, ErrTorn) {
+			t.Errorf("the first %d bytes: %v, want not a snapshot, or a torn one", n, err)
 		}
 		bad := bytes.Clone(good)
 		bad[n] ^= 1
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -57,26 +57,26 @@
 
 	syncs chan chan struct{} // requests to Run to read and write files now; each is closed when that is done
 
-	mu       sync.Mutex
-	own      Snapshot
-	unsaved  bool // own has changed since it was written
-	listTodo bool // the endpoint list has changed since it was encoded
+	mu        sync.Mutex
+	own       Snapshot // what this process leaves, with what it has merged
+	unsaved   bool     // own has changed since it was written
+	listDirty bool     // the endpoint list has changed since it was encoded
 
 	// Only Run uses these.
-	nextEncoding time.Duration // the endpoint list is not encoded before
-	peers        peerWatch
+	nextEncoding time.Duration // until then the endpoint list is not encoded again
+	peers        peerWatch     // whether another process serves
 	writeErrorAt time.Duration // when a failed write was last logged; 0 for never
 }
 
-// NewStore returns a Store that begins with what other processes have left. files is nil where nothing is shared.
-func NewStore(name string, files *SnapshotDir, clock func() time.Duration) *Store {
+// NewStore returns a Store that begins with what other processes have left. dir is nil where nothing is shared.
+func NewStore(name string, dir *SnapshotDir, clock func() time.Duration) *Store {
 	s := &Store{
-		Name: name, Snapshots: files, Clock: clock, syncs: make(chan chan struct{}),
+		Name: name, Snapshots: dir, Clock: clock, syncs: make(chan chan struct{}),
 		own: Snapshot{Name: name, Maintenance: maintenance.Register{}},
 	}
-	if files != nil {
-		files.Prune()
-		s.merge(files.ReadChanged())
+	if dir != nil {
+		dir.Prune()
+		s.merge(dir.ReadChanged())
 		s.unsaved = true
 	}
 	return s
--- a/internal/operator/store_test.go
+++ b/internal/operator/store_test.go
@@ -26,17 +26,17 @@
 	shared   []bool               // all, in order
 }
 
-func (c *fakeCoordinator) SetMaintenance(b maintenance.Register) {
+func (c *fakeCoordinator) SetMaintenance(r maintenance.Register) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.register = b
+	c.register = r
 }
 func (c *fakeCoordinator) HasEndpoint(id string) bool { return id == "a" || id == "b" }
 func (c *fakeCoordinator) CheckReady() error          { return errors.New("draining") }
-func (c *fakeCoordinator) SetShared(yes bool) {
+func (c *fakeCoordinator) SetShared(shared bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.shared = append(c.shared, yes)
+	c.shared = append(c.shared, shared)
 }
 
 // out lists the replicas that are out.
@@ -101,6 +101,10 @@
 		call(old.StartMaintenance, "a", true)
 		call(old.StartMaintenance, "a", true)
 		call(old.StartMaintenance, "nobody", false)
+		var notListed *NotListedError
+		if err := old.EndMaintenance("nobody", "test"); !errors.As(err, &notListed) || notListed.ID != "nobody" {
+			t.Errorf("%v, want that nobody is not listed", err)
+		}
 		old.SetList("d:1", json.RawMessage(`{"index":7}`))
 		old.SetCheckpoint(scatter.Checkpoint{At: old.Clock(), WarmRate: 3})
 		time.Sleep(2 * pollInterval)
