--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -1,6 +1,6 @@
-// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes and the
-// tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit where the value
-// has none of its own.
+// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes and
+// the tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit where the
+// value has none of its own.
 package logmsg
 
 // Messages of a coordinator about single queries, under "serve -trace" unless a query ended badly.
@@ -18,6 +18,13 @@
 // Messages about the endpoint list and the settings in force.
 const (
 	VersionInForce = "version in force"
+
+	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired: queries are served again
+	EndpointListExpired   = "endpoint list expired"           // nothing new is sent until discovery confirms it
+	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas were taken out: queries are refused
+
+	SourceFollowed = "source followed"
+	SourceLeft     = "source left"
 )
 
 // Messages about overload.
@@ -48,4 +55,25 @@
 	KeyAttempts  = "attempts"
 	KeyError     = "err"
 	KeySlowStart = "slow_start"
+
+	KeyReason          = "reason"
+	KeyResource        = "resource"
+	KeySource          = "source"
+	KeyTenant          = "tenant"
+	KeyQueryAge        = "query_age"
+	KeyTimeLeft        = "time_left"
+	KeyParts           = "parts"
+	KeyPartsServed     = "parts_served"
+	KeyLinesSuppressed = "lines_suppressed"
+	KeyOpenQueries     = "open_queries"
+	KeyShards          = "shards"
+	KeyRemedy          = "remedy"
+)
+
+// Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names are
+// wire: these values stay.
+const (
+	StateReady     = "ready"
+	StatusServed   = "served"
+	StatusRejected = "refused"
 )
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -38,8 +38,8 @@
 	HasEndpoint(id string) bool
 	// CheckReady returns nil where the coordinator is ready for queries, else why not.
 	CheckReady() error
-	// SetShared says whether another process of the coordinator serves beside it, so that limits hold for both.
-	SetShared(bool)
+	// SetLimitsShared says whether another process of the coordinator serves beside it, so that limits hold for both.
+	SetLimitsShared(bool)
 }
 
 // Store keeps what the processes of a coordinator have to know of each other. It is the Handler of an AdminServer.
@@ -159,7 +159,7 @@
 	}
 	others := s.Snapshots.ReadChanged()
 	if changed, shared := s.peers.observe(s.Name, others, s.Clock()); changed {
-		s.Coordinator.SetShared(shared)
+		s.Coordinator.SetLimitsShared(shared)
 	}
 	s.encodeList()
 	own, unsaved := s.mergeAndTake(others)
--- a/internal/operator/store_test.go
+++ b/internal/operator/store_test.go
@@ -33,7 +33,7 @@
 }
 func (c *fakeCoordinator) HasEndpoint(id string) bool { return id == "a" || id == "b" }
 func (c *fakeCoordinator) CheckReady() error          { return errors.New("draining") }
-func (c *fakeCoordinator) SetShared(shared bool) {
+func (c *fakeCoordinator) SetLimitsShared(shared bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shared = append(c.shared, shared)
@@ -106,14 +106,14 @@
 			t.Errorf("%v, want that nobody is not listed", err)
 		}
 		old.SetList("d:1", json.RawMessage(`{"index":7}`))
-		old.SetCheckpoint(scatter.Checkpoint{At: old.Clock(), WarmRate: 3})
+		old.SetCheckpoint(scatter.Checkpoint{At: old.Clock(), WarmedUpRate: 3})
 		time.Sleep(2 * pollInterval)
 
 		fresh := startProcess(t, dir, "n1")
 		if list, from := fresh.InheritedList(); string(list) != `{"index":7}` || from != "d:1" {
 			t.Errorf("found %s from %s", list, from)
 		}
-		if m, ok := fresh.Checkpoint(); !ok || m.WarmRate != 3 {
+		if m, ok := fresh.Checkpoint(); !ok || m.WarmedUpRate != 3 {
 			t.Errorf("checkpoint %+v, %t", m, ok)
 		}
 		synctest.Wait()
--- a/internal/platform/cost_test.go
+++ b/internal/platform/cost_test.go
@@ -49,7 +49,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	for b.Loop() {
 		id := fmt.Sprint("q", clock().Nanoseconds())
-		a := owner.Ask(&core.Query{ID: id, Class: "summary", Deadline: clock() + 2*time.Second, Body: []byte("c41e77d0"), Parts: parts}, nil)
+		a := owner.Execute(&core.Query{ID: id, Class: "summary", Deadline: clock() + 2*time.Second, Body: []byte("c41e77d0"), Parts: parts}, nil)
 		if a.Status != core.Served {
 			b.Fatalf("%+v", a.Status)
 		}
