--- a/internal/relay/settings.go
+++ b/internal/relay/settings.go
@@ -16,7 +16,7 @@
 type SettingsCheck func(old, next json.RawMessage) (changes []string, err error)
 
 // readSettings reads the settings' file, if there is one, and lists what it changes. The errors have the file's path,
-// and wrap those of CheckSettings, or ErrTooLarge.
+// and wrap those of CheckSettings, or versionlog.ErrTooLarge.
 func (a *Authority) readSettings() (settings json.RawMessage, changes []string, err error) {
 	if a.SettingsFile == "" {
 		return nil, nil, nil
