--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -73,7 +73,7 @@
 }
 
 // Alive reports whether the idle connection may be used: nothing has come on it, not even its end.
-func (cl *Client) Alive() bool { return cl.conn != nil && !socket.Unread(cl.conn) }
+func (cl *Client) Alive() bool { return cl.conn != nil && !socket.HasUnread(cl.conn) }
 
 // Close closes the connection; the next Do opens a new one.
 func (cl *Client) Close() {
--- a/internal/platform/replica_reader.go
+++ b/internal/platform/replica_reader.go
@@ -41,7 +41,7 @@
 		}
 		_, err := b.Fill(conn)
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
-		case late && socket.Unread(conn): // this process was held up: bytes that came in time are read
+		case late && socket.HasUnread(conn): // this process was held up: bytes that came in time are read
 			conn.SetReadDeadline(time.Now().Add(lateReadTime))
 		case late && b.Len() > 0:
 			c.rejectAnswer(b.Bytes(), fmt.Errorf("%w: it does not end", errMalformed))
