--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -66,7 +66,7 @@
 		}
 		c.finish(q, answer)
 	}
-	c.releaseDeferred(c.firstPhases[a.Query])
+	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
 func (c *Coordinator) rejectQuery(a scatter.Reject) {
@@ -74,14 +74,14 @@
 		rejectedByModule.Inc()
 		c.finish(q, Answer{Status: Rejected, RetryAfter: a.RetryAfter})
 	}
-	c.releaseDeferred(c.firstPhases[a.Query])
+	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
 func (c *Coordinator) failQuery(a scatter.Fail) {
 	if q := c.open.byID[a.Query]; q != nil {
 		c.finish(q, Answer{Status: Failed})
 	}
-	c.releaseDeferred(c.firstPhases[a.Query])
+	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
 // closeIdleConnections closes the idle connections to a replica, if a Caller speaks its scheme.
--- a/internal/core/admitter.go
+++ b/internal/core/admitter.go
@@ -13,7 +13,7 @@
 	Admit(overload.Arrival) (ok bool, retryIn time.Duration)
 	// ObserveTick is called by the coordinator's goroutine at the end of each tick.
 	ObserveTick(Tick)
-	// QueryDone is called by the coordinator's goroutine when a query that it accepted is over, with its number of
+	// QueryDone is called by the coordinator's goroutine when an accepted query is over, with its number of
 	// parts.
 	QueryDone(parts int)
 }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -12,12 +12,12 @@
 
 // Attempt is one send of a part to a replica. Callers read the exported fields and hand it back to AttemptEnded.
 type Attempt struct {
-	QueryID        string
-	Class          string
-	Shard          int
-	Body           []byte
-	IdempotencyKey string        // of the query, the same for all its attempts; empty in a class that is not keyed
-	Origin         any           // of the query
+	QueryID        string        // Query.ID
+	Class          string        // Query.Class
+	Shard          int           // the shard that the part is of
+	Body           []byte        // Query.Body
+	IdempotencyKey string        // one for all attempts of a query; empty in a class that is not keyed
+	Origin         any           // Query.Origin
 	Timeout        time.Duration // from when the module decided the attempt; Remaining is what is left of it
 	Endpoint       string        // id of the replica
 	FirstPhase     bool          // asks what the shard could add, rather than for its value
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -28,10 +28,10 @@
 // Config is what New makes a Coordinator of. Settings, Clock and Subscribe are required; so is a Caller for every
 // endpoint that is to be sent to.
 type Config struct {
-	Seed         uint64           // of the module's random choices
-	Settings     scatter.Settings // in force until Configure
-	Limits       Limits           // in force until Configure
-	Clock        Clock
+	Seed         uint64            // of the module's random choices
+	Settings     scatter.Settings  // in force until Configure
+	Limits       Limits            // in force until Configure
+	Clock        Clock             // of all instants
 	Callers      map[string]Caller // by Endpoint.Scheme; attempts at endpoints of other schemes are not sent
 	Subscribe    func()            // asks PolledSource for its list; must not block
 	PolledSource string            // the source that Subscribe asks; other sources send their lists unasked
--- a/internal/core/coordinator.go
+++ b/internal/core/coordinator.go
@@ -24,10 +24,9 @@
 	deadlines deadlines
 	wake      *deadline // when the module wants to be stepped; nil before it has asked
 
-	lifecycle   lifecycle
-	load        tickLoad
-	open        openQueries
-	firstPhases map[string]*firstPhase // first phases that are under way, by the module's id
+	lifecycle lifecycle
+	load      tickLoad
+	open      openQueries
 
 	endpoints   endpointTable
 	updates     pendingUpdates
@@ -57,7 +56,6 @@
 		deadlines:   newDeadlines(),
 		lifecycle:   newLifecycle(),
 		open:        newOpenQueries(),
-		firstPhases: map[string]*firstPhase{},
 		endpoints:   newEndpointTable(cfg.Settings.RingSize, cfg.Settings.ReplicationFactor),
 		maintenance: newMaintenanceInForce(),
 	}
--- a/internal/core/deadlines.go
+++ b/internal/core/deadlines.go
@@ -11,15 +11,15 @@
 
 // deadlines holds everything that is to happen at an instant, sorted by it.
 type deadlines struct {
-	tree   *btree.BTreeG[*deadline]
-	lastNo uint64
+	tree   *btree.BTreeG[*deadline] // by instant, then by number
+	lastNo uint64                   // number of the deadline that was added last
 }
 
 // deadline is something to be done at an instant.
 type deadline struct {
-	at  time.Duration
-	no  uint64 // order of adding, which is the order among deadlines of the same instant
-	run func()
+	at  time.Duration // instant at which run is due
+	no  uint64        // order of adding, which is the order among deadlines of one instant
+	run func()        // called once, by the coordinator's goroutine
 }
 
 func newDeadlines() deadlines {
--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -16,8 +16,8 @@
 
 // firstPhase is the first phase of a query.
 type firstPhase struct {
-	query   *query
-	id      string    // the module's
+	query   *query    // query whose parts are asked first
+	id      string    // the module's id of the first phase
 	parts   []*part   // one for each deferred part of the query
 	timeout *deadline // when the parts that are still deferred are released
 	ended   bool      // the query is over
@@ -73,8 +73,8 @@
 	for _, p := range q.parts {
 		request.Shards = append(request.Shards, p.shard)
 	}
-	if limit := c.openLimit(); limit > 0 && c.open.count+openSize(len(q.parts)) > limit {
-		request.Capable = func(int) bool { return false } // a first phase would exceed the limit
+	if c.exceedsOpenLimit(len(q.parts)) { // a first phase of all parts would
+		request.Capable = func(int) bool { return false }
 	}
 	return request
 }
@@ -106,7 +106,6 @@
 		return
 	}
 	f, number := q.firstPhase, c.open.nextNumber()
-	c.firstPhases[f.id] = f
 	c.notify(scatter.QueryArrived{ID: f.id, Number: number, Class: q.Class + firstPhaseSuffix, Expires: q.Deadline,
 		Parts: len(deferred)})
 	for _, full := range deferred {
@@ -114,10 +113,9 @@
 		p := &part{id: id, index: full.index, shard: full.shard, query: q, full: full}
 		full.firstPhase = p
 		f.parts = append(f.parts, p)
-		c.open.parts[p.id] = p
 		c.notify(scatter.PartArrived{ID: p.id, Number: number, Shard: p.shard, Weight: 1 / float64(len(deferred))})
 	}
-	c.open.count += openSize(len(f.parts))
+	c.open.addFirstPhase(f)
 }
 
 // releaseDeferred releases all parts that are still deferred: the first phase has had its time, or the module has ended
@@ -154,9 +152,8 @@
 	}
 	f.ended = true
 	c.deadlines.remove(f.timeout)
-	delete(c.firstPhases, f.id)
+	c.open.removeFirstPhase(f)
 	c.notify(scatter.QueryCancelled{ID: f.id})
-	c.open.count -= openSize(len(f.parts))
 	c.closeParts(f.parts)
 }
 
--- a/internal/core/first_phase_test.go
+++ b/internal/core/first_phase_test.go
@@ -191,7 +191,7 @@
 	h := newTwoPhaseHarness(t, true, nil)
 	h.CancelQuery(h.search())
 	h.pass(0)
-	if n := len(h.outstanding(true)); n != 0 || h.open.count != 0 || len(h.firstPhases) != 0 {
+	if n := len(h.outstanding(true)); n != 0 || h.open.count != 0 || len(h.open.firstPhases) != 0 {
 		t.Errorf("after its client left: %d first phases outstanding, %d queries and parts open", n, h.open.count)
 	}
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -133,9 +133,9 @@
 	t.Helper()
 	o := &h.open
 	if o.count != 0 || o.bytes != 0 || len(o.parts) != 0 || len(o.byQuery) != 0 || len(o.byID) != 0 ||
-		len(h.firstPhases) != 0 {
+		len(h.open.firstPhases) != 0 {
 		t.Errorf("%d queries and parts count as open with %d bytes; %d parts, %d queries, %d first phases remain",
-			o.count, o.bytes, len(o.parts), len(o.byQuery), len(h.firstPhases))
+			o.count, o.bytes, len(o.parts), len(o.byQuery), len(h.open.firstPhases))
 	}
 }
 
--- a/internal/core/open_queries.go
+++ b/internal/core/open_queries.go
@@ -11,21 +11,22 @@
 // openQueries holds the queries that have not been answered, and the parts that are under way. A part stays until its
 // query is over and its last attempt has ended, for outcomes of attempts still reach the module.
 type openQueries struct {
-	byID       map[string]*query   // by the module's id
-	byQuery    map[*Query]*query   // by what the front handed over
-	clientIDs  map[string]struct{} // ids that clients gave to queries whose time is not over, answered or not
-	parts      map[string]*part    // by the module's id; first phases of parts too
-	lastNumber int64               // of the query or first phase that was opened last
-	count      int                 // queries and parts that are open; a first phase counts as a query
-	bytes      int64               // that open queries take, as far as they are counted
+	byID        map[string]*query      // open queries by the module's id
+	byQuery     map[*Query]*query      // open queries by what the front handed over
+	firstPhases map[string]*firstPhase // first phases of open queries by the module's id
+	parts       map[string]*part       // parts by the module's id, and first phases of parts
+	clientIDs   map[string]struct{}    // ids that clients gave to queries whose time is not over, answered or not
+	lastNumber  int64                  // number of the query or first phase that was opened last
+	count       int                    // open queries and parts; a first phase counts as a query with parts of its own
+	bytes       int64                  // bytes that open queries take, as far as they are counted
 
 	// limitsShared tells that another process of the same coordinator serves beside this one. Any goroutine may use it.
 	limitsShared atomic.Bool
 }
 
 func newOpenQueries() openQueries {
-	return openQueries{byID: map[string]*query{}, byQuery: map[*Query]*query{}, clientIDs: map[string]struct{}{},
-		parts: map[string]*part{}}
+	return openQueries{byID: map[string]*query{}, byQuery: map[*Query]*query{}, firstPhases: map[string]*firstPhase{},
+		parts: map[string]*part{}, clientIDs: map[string]struct{}{}}
 }
 
 // openSize is what a query of so many parts counts toward the limit.
@@ -44,11 +45,27 @@
 	o.addBytes(q, int64(queryBytes+len(q.Body)+partBytes*len(q.Parts)))
 }
 
+// addPart adds a part to its query.
 func (o *openQueries) addPart(p *part) {
 	p.query.parts = append(p.query.parts, p)
 	o.parts[p.id] = p
 }
 
+// addFirstPhase opens a first phase with its parts.
+func (o *openQueries) addFirstPhase(f *firstPhase) {
+	o.firstPhases[f.id] = f
+	for _, p := range f.parts {
+		o.parts[p.id] = p
+	}
+	o.count += openSize(len(f.parts))
+}
+
+// removeFirstPhase ends a first phase; its parts stay until removePart.
+func (o *openQueries) removeFirstPhase(f *firstPhase) {
+	delete(o.firstPhases, f.id)
+	o.count -= openSize(len(f.parts))
+}
+
 // addBytes counts bytes that an open query takes.
 func (o *openQueries) addBytes(q *query, bytes int64) {
 	q.bytes += bytes
@@ -104,3 +121,9 @@
 	}
 	return limit
 }
+
+// exceedsOpenLimit reports whether a query or first phase of so many parts may not be opened for the limit.
+func (c *Coordinator) exceedsOpenLimit(parts int) bool {
+	limit := c.openLimit()
+	return limit > 0 && c.open.count+openSize(parts) > limit
+}
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -34,7 +34,7 @@
 
 // Part is a query's share in one shard.
 type Part struct {
-	Shard  int
+	Shard  int     // number of the shard, from 0
 	Weight float64 // share of the query's value; the weights of a query sum to 1
 }
 
@@ -62,31 +62,31 @@
 // query is a Query that was accepted.
 type query struct {
 	*Query
-	id             string       // the module's
-	number         int64        // the module's; queries that were accepted later have higher ones
-	retryPolicy    retry.Policy // of the query's class when it was accepted
-	idempotencyKey string       // empty in a class that was not keyed
-	acceptedAt     time.Duration
-	bytes          int64 // that it takes, as far as they are counted
-	parts          []*part
-	expiry         *deadline   // when the query is given up, should the module not have answered it
-	firstPhase     *firstPhase // nil in one phase
+	id             string        // the module's id of the query
+	number         int64         // the module's number of the query; queries that were accepted later have higher ones
+	retryPolicy    retry.Policy  // policy of the query's class when it was accepted
+	idempotencyKey string        // key that all attempts carry; empty in a class that was not keyed
+	acceptedAt     time.Duration // instant of the tick that accepted the query
+	bytes          int64         // bytes that the query takes, as far as they are counted
+	parts          []*part       // in the order of Query.Parts
+	expiry         *deadline     // when the query is given up, should the module not have answered it
+	firstPhase     *firstPhase   // nil in one phase
 }
 
 // part is a part of an accepted query, or its first phase.
 type part struct {
-	id       string // the module's
-	index    int    // in Query.Parts
-	shard    int
-	query    *query
-	value    []byte // nil before it is in
-	attempts []*Attempt
+	id       string     // the module's id of the part
+	index    int        // place in Query.Parts
+	shard    int        // shard that the part asks
+	query    *query     // query that the part belongs to
+	value    []byte     // what the shard answered; nil before the answer is in
+	attempts []*Attempt // all attempts of the part, in the order of their numbers
 
 	full         *part // set in a first phase: the part in full that it goes ahead of
 	firstPhase   *part // set in a part in full while its first phase is under way
-	deferred     bool  // not to be sent before its first phase has ended or has had its time
-	wantsVersion bool  // its value is wanted with its version
-	pruned       bool  // its value came of the first phase
+	deferred     bool  // the part is not to be sent before its first phase has ended or has had its time
+	wantsVersion bool  // the value is wanted with its version
+	pruned       bool  // the value came of the first phase
 }
 
 // topic is what the Planner learns the query's costs by.
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -83,7 +83,7 @@
 	if c.open.reserved(q.ID) {
 		return Answer{Status: Invalid, Reason: ErrDuplicateID.Error()}, true
 	}
-	if limit := c.openLimit(); limit > 0 && c.open.count+openSize(len(q.Parts)) > limit {
+	if c.exceedsOpenLimit(len(q.Parts)) {
 		rejectedOpenLimit.Inc()
 		return Answer{Status: Rejected, RetryAfter: c.inForce().RetryAfter}, true
 	}
