--- a/internal/http1/conn_read.go
+++ b/internal/http1/conn_read.go
@@ -88,7 +88,7 @@
 	switch {
 	case c.state != connOpen:
 		return false
-	case socket.Unread(c.Conn):
+	case socket.HasUnread(c.Conn):
 		c.SetReadDeadline(time.Now().Add(lateReadGrace))
 		return true
 	case idle && c.openRequests == 0:
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -115,7 +115,7 @@
 	switch {
 	case c.completeRequests > 0:
 		return 0, false
-	case c.openRequests > 0 && (waited < stalledAfter || socket.Unread(c.Conn)):
+	case c.openRequests > 0 && (waited < stalledAfter || socket.HasUnread(c.Conn)):
 		return 0, false
 	case !c.used && waited < newConnGrace:
 		return 0, false
--- a/internal/relay/authority_test.go
+++ b/internal/relay/authority_test.go
@@ -12,6 +12,7 @@
 	"sync"
 	"testing"
 
+	"harepass/internal/decide/versionlog"
 	"harepass/internal/test/fake"
 )
 
@@ -56,7 +57,7 @@
 	err            error
 }{
 	"settings":        {oneDraining, `{"x":"bad"}`, errBadSettings},
-	"long settings":   {oneDraining, `{"x":"` + strings.Repeat("x", 61<<10) + `"}`, ErrTooLarge},
+	"long settings":   {oneDraining, `{"x":"` + strings.Repeat("x", 61<<10) + `"}`, versionlog.ErrTooLarge},
 	"unreadable list": {`{"endpoints":[`, secondSettings, nil},
 	"empty list":      {`{"endpoints":[]}`, secondSettings, ErrEmptyList},
 	"status":          {draining("terminating", "resting"), secondSettings, nil},
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -50,8 +50,8 @@
 
 // Status returns where the process stands. It is for any goroutine, at any time.
 func (s *Server) Status() Status {
-	usage := loadshed.Self()
-	return Status{Uptime: time.Since(s.startedAt).Seconds(), CPU: usage.CPU.Seconds(), LiveHeap: usage.Live,
+	usage := loadshed.ReadUsage()
+	return Status{Uptime: time.Since(s.startedAt).Seconds(), CPU: usage.CPU.Seconds(), LiveHeap: usage.LiveBytes,
 		Readers: s.readers.Load(), RejectedReaders: s.rejectedReaders.Load(),
 		BytesIn: s.bytesIn.Load(), BytesOut: s.bytesOut.Load(),
 		Endpoints: s.Endpoints.Status(), Settings: s.Settings.Status()}
