--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 	go test ./internal/http1 -run '^$$' -fuzz '^FuzzReader$$' -fuzztime 20s
 	go test ./internal/http1 -run '^$$' -fuzz '^FuzzBytes$$' -fuzztime 20s
 	go test ./internal/http1 -run '^$$' -fuzz '^FuzzServer$$' -fuzztime 20s
-	go test ./internal/platform -run '^$$' -fuzz '^FuzzNodes$$' -fuzztime 20s
+	go test ./internal/platform -run '^$$' -fuzz '^FuzzCaller$$' -fuzztime 20s
 	go test ./internal/platform -run '^$$' -fuzz '^FuzzFrames$$' -fuzztime 20s
 	go test ./internal/operator -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s
 	go test ./internal/operator -run '^$$' -fuzz '^FuzzSnapshot$$' -fuzztime 20s
