--- a/internal/platform/silent_conns_test.go
+++ b/internal/platform/silent_conns_test.go
@@ -47,8 +47,8 @@
 
 // The outcomes of an attempt, as a list.
 var (
-	ok        = []scatter.Outcome{scatter.Succeeded}
-	cancelled = []scatter.Outcome{scatter.Cancelled}
+	endedServed    = []scatter.Outcome{scatter.Succeeded}
+	endedCancelled = []scatter.Outcome{scatter.Cancelled}
 )
 
 var silentConnCases = []struct {
@@ -63,7 +63,8 @@
 			p.call()
 			p.answer(i, 1)
 		}
-	}, silentConnResult{2, []string{"1q0.0", "1q1.0", "1q2.0", "1q3.0"}, [][]scatter.Outcome{cancelled, ok, ok, ok}}},
+	}, silentConnResult{2, []string{"1q0.0", "1q1.0", "1q2.0", "1q3.0"},
+		[][]scatter.Outcome{endedCancelled, endedServed, endedServed, endedServed}}},
 	{"not closed: what was answered was sent before the silence", func(p *silentConnPlay) {
 		p.call()
 		time.Sleep(untilSilent)
@@ -77,7 +78,7 @@
 			p.answer(i, 1)
 		}
 	}, silentConnResult{2, []string{"1q0.0", "1q1.0", "1q2.0", "1q3.0", "1q4.0"},
-		[][]scatter.Outcome{ok, ok, ok, ok, nil}}},
+		[][]scatter.Outcome{endedServed, endedServed, endedServed, endedServed, nil}}},
 	{"a replica that is silent on all connections", func(p *silentConnPlay) {
 		for range maxSilentConns + 3 {
 			p.call()
@@ -91,7 +92,8 @@
 		time.Sleep(untilSilent)
 		p.cancel(0)
 		p.call()
-	}, silentConnResult{2, []string{"1q0.0", "1q1.0", "1q2.0"}, [][]scatter.Outcome{cancelled, cancelled, nil}}},
+	}, silentConnResult{2, []string{"1q0.0", "1q1.0", "1q2.0"},
+		[][]scatter.Outcome{endedCancelled, endedCancelled, nil}}},
 	{"cancelled before the silence, and after another answer", func(p *silentConnPlay) {
 		p.call()
 		p.call()
@@ -102,7 +104,7 @@
 		p.cancel(2)
 		p.call()
 	}, silentConnResult{1, []string{"1q0.0", "1q1.0", "1q2.0", "2q0.0", "2q2.0", "1q3.0"},
-		[][]scatter.Outcome{cancelled, ok, cancelled, nil}}},
+		[][]scatter.Outcome{endedCancelled, endedServed, endedCancelled, nil}}},
 }
 
 // A connection falls silent without any error, while its replica answers on others. New calls go on another connection,
