--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 	go test ./internal/platform -run '^$$' -fuzz '^FuzzFrames$$' -fuzztime 20s
 	go test ./internal/operator -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s
 	go test ./internal/operator -run '^$$' -fuzz '^FuzzSnapshot$$' -fuzztime 20s
-	go test ./cmd/harepass -run '^$$' -fuzz '^FuzzReload$$' -fuzztime 20s
+	go test ./internal/config -run '^$$' -fuzz '^FuzzReload$$' -fuzztime 20s
 
 # Both take their configuration from PROXY_CONFIG, from the file that SEARCH names, or from both.
 SEARCH ?= deploy/opensearch.example.yaml
--- /dev/null
+++ b/cmd/harepass/discovery_server_test.go
@@ -0,0 +1,107 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strconv"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// poll is a call for discovery's list.
+type poll struct {
+	hold time.Duration // for how long the answer may wait while nothing changes
+	from int           // the version that the caller has; -1 for none
+}
+
+func parsePoll(r *http.Request) poll {
+	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	from, err := strconv.Atoi(r.URL.Query().Get("from"))
+	if err != nil {
+		from = -1
+	}
+	return poll{time.Duration(hold) * time.Millisecond, from}
+}
+
+// isWatch reports whether the answer is to wait for a change.
+func (p poll) isWatch() bool { return p.hold > time.Millisecond }
+
+// waitFor waits for a condition as long as the answer may wait, and reports whether it has come true.
+func (p poll) waitFor(interval time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(p.hold); time.Now().Before(end); time.Sleep(interval) {
+		if condition() {
+			return true
+		}
+	}
+	return condition()
+}
+
+// answer writes that nothing has changed, or a version of the list of a process's replicas.
+func (p poll) answer(w http.ResponseWriter, process *limitedProcess, version int, state func(replica int) string) {
+	if p.from == version {
+		fmt.Fprintf(w, `{"index":%d,"snapshot":false,"endpoints":[]}`, version)
+		return
+	}
+	w.Write(process.listing(version, state))
+}
+
+// crowdedDiscovery answers polls until it becomes crowded or goes down. After that its list has changed: the first two
+// replicas drain.
+type crowdedDiscovery struct {
+	process     *limitedProcess
+	crowded     atomic.Bool   // standing watches stay silent, and each poll waits before its connection is reset
+	down        atomic.Bool   // each poll is rejected at once
+	resetDelay  time.Duration // how long a poll waits while discovery is crowded
+	failedPolls atomic.Int32  // while it was crowded or down
+}
+
+// ServeHTTP implements http.Handler.
+func (d *crowdedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if d.down.Load() {
+		d.failedPolls.Add(1)
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	if d.crowded.Load() {
+		d.failedPolls.Add(1)
+		time.Sleep(d.resetDelay)
+		if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
+			c.(*net.TCPConn).SetLinger(0)
+			c.Close()
+		}
+		return
+	}
+	version, state := 1, inService
+	if d.failedPolls.Load() > 0 {
+		version, state = 2, drainingBefore(2)
+	}
+	p := parsePoll(r)
+	if p.from == version {
+		for end := time.Now().Add(p.hold); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+			if d.crowded.Load() || d.down.Load() {
+				<-r.Context().Done()
+				return
+			}
+		}
+	}
+	p.answer(w, d.process, version, state)
+}
+
+// startFleetMember starts one coordinator of a fleet of some size before a discovery, waits until it serves, and
+// returns discovery's address.
+func startFleetMember(t *testing.T, p *limitedProcess, discovery http.Handler, fleet int) (address string) {
+	p.adaptSettings = func(settings map[string]any) {
+		settings["balancers"], settings["me"] = fleet, 7
+		settings["rules"].(map[string]any)["ask_every_us"] = (10 * time.Second).Microseconds()
+		for _, customer := range settings["customers"].([]any) {
+			customer.(map[string]any)["quota_per_s"] = 100000
+		}
+	}
+	l := listen(t)
+	go http.Serve(l, discovery)
+	p.start(p.listing(1, inService), l.Addr().String())
+	p.waitServing(0)
+	return l.Addr().String()
+}
--- a/cmd/harepass/fleet_test.go
+++ b/cmd/harepass/fleet_test.go
@@ -9,13 +9,9 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// The scenarios of the rig, each on as many real processes as it names. What has to hold is the same in all of them: see
-// rig.Scenario. `bin/lab fleet FILE` plays one by hand.
+// The scenarios of fault injection, each on as many real processes as it names. What has to hold is the same in all of
+// them: see faultinjection.Scenario. `bin/lab fleet FILE` plays one by hand.
 func TestFleets(t *testing.T) {
-	settings, err := os.ReadFile("../../deploy/settings.example.json")
-	if err != nil {
-		t.Fatal(err)
-	}
 	files, err := filepath.Glob("../../internal/test/faultinjection/scenarios/*.yaml")
 	if err != nil || len(files) < 4 {
 		t.Fatalf("scenarios %v, %v", files, err)
@@ -26,14 +22,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			playFleet(t, settings, s)
+			playFleet(t, s)
 		})
 	}
 }
 
-// playFleet plays a scenario on processes of the test's own binary, and shows all that happened where something did not hold.
-func playFleet(t *testing.T, settings []byte, s *faultinjection.Scenario) {
-	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"}, Env: []string{"HAREPASS_TEST_RUN=1"}, Settings: settings}, s)
+// playFleet plays a scenario on processes of the test's own binary, and logs everything that happened if a check
+// fails.
+func playFleet(t *testing.T, s *faultinjection.Scenario) {
+	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: t.TempDir(),
+		Command: []string{os.Args[0], "serve"}, Env: []string{asProgram}, Settings: exampleSettings(t)}, s)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/cmd/harepass/limited_process_test.go
@@ -0,0 +1,142 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"harepass/internal/logmsg"
+	"harepass/internal/test/fake"
+	"harepass/internal/test/faultinjection"
+)
+
+// emptyList is a list of discovery without endpoints.
+const emptyList = `{"index":0,"snapshot":true,"endpoints":[]}`
+
+// limitedProcess is a process of its own under a limit of descriptors that the system holds it to.
+type limitedProcess struct {
+	*program
+	t               *testing.T
+	sockets         int // descriptors
+	address         string
+	unusedDiscovery string // an address that nobody listens on yet
+	replicas        []*fake.Fleet
+	addresses       []string // of the replicas
+	listMode        string   // of discovery: "ask" or "push"
+	adaptSettings   func(settings map[string]any)
+	configPath      string
+}
+
+// newLimitedProcess makes replicas, and a process that is yet to be configured and started.
+func newLimitedProcess(t *testing.T, sockets, replicas int) *limitedProcess {
+	p := &limitedProcess{t: t, sockets: sockets, address: ownAddress(t), unusedDiscovery: ownAddress(t),
+		listMode: "ask", adaptSettings: func(map[string]any) {}, configPath: filepath.Join(t.TempDir(), "config.json")}
+	for range replicas {
+		f, l := &fake.Fleet{}, listen(t)
+		go f.Frames(l)
+		p.replicas = append(p.replicas, f)
+		p.addresses = append(p.addresses, l.Addr().String())
+	}
+	limited := fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, sockets)
+	cmd := exec.Command("/bin/sh", "-c", limited, os.Args[0], "serve")
+	p.program = &program{Cmd: cmd, log: &faultinjection.Log{}}
+	cmd.Env = append(os.Environ(), asProgram, "PROXY_CONFIG="+p.configPath)
+	cmd.Stderr = p.log
+	t.Cleanup(func() {
+		if p.Process != nil {
+			p.Process.Kill()
+			p.Wait()
+		}
+	})
+	return p
+}
+
+// listing is a version of discovery's list of the replicas, with their states.
+func (p *limitedProcess) listing(version int, state func(replica int) string) []byte {
+	l := fake.Listing{Index: int64(version), Snapshot: true}
+	for i, a := range p.addresses {
+		l.Endpoints = append(l.Endpoints, fake.Entry{Name: fmt.Sprint("f", i), Address: a, Zone: "z", Group: i % 3,
+			Status: state(i), Weight: 1})
+	}
+	data, err := json.Marshal(l)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return data
+}
+
+// inService is the state of replicas in service.
+func inService(int) string { return "in_service" }
+
+// drainingBefore is the states in which the replicas before n drain, and the others are in service.
+func drainingBefore(n int) func(replica int) string {
+	return func(replica int) string {
+		if replica < n {
+			return "terminating"
+		}
+		return inService(replica)
+	}
+}
+
+// writeConfig writes the platform's file: a known list, and discovery's address.
+func (p *limitedProcess) writeConfig(known []byte, discovery string) {
+	var settings map[string]any
+	if err := json.Unmarshal(exampleSettings(p.t), &settings); err != nil {
+		p.t.Fatal(err)
+	}
+	settings["discovery"] = p.listMode
+	p.adaptSettings(settings)
+	fileWriter(p.t, filepath.Dir(p.configPath))(filepath.Base(p.configPath), platformFile(p.t, map[string]any{
+		"listen": p.address, "discovery": discovery, "seed": "1f", "known": json.RawMessage(known), "settings": settings,
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": p.sockets}}))
+}
+
+// start starts the process with a known list and discovery's address.
+func (p *limitedProcess) start(known []byte, discovery string) {
+	p.t.Helper()
+	p.writeConfig(known, discovery)
+	if err := p.Start(); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// waitServing waits until a query for shards is served.
+func (p *limitedProcess) waitServing(shards ...int) {
+	p.t.Helper()
+	eventually(p.t, "it serves", func() bool {
+		return p.logged(logmsg.ListenerOpened) && query(p.t, p.address, shards...) == http.StatusOK
+	})
+}
+
+// load sends queries for all shards for a while, one after the other, and checks that each is served.
+func (p *limitedProcess) load(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if status := query(p.t, p.address, 0, 1, 2, 3, 4, 5); status != http.StatusOK {
+			p.t.Errorf("a query ended with %d", status)
+		}
+	}
+}
+
+// partsToFirst is how many parts the first two replicas have been sent.
+func (p *limitedProcess) partsToFirst() int {
+	return len(p.replicas[0].Seen()) + len(p.replicas[1].Seen())
+}
+
+// checkNoPartToDraining lets load run for a while, and checks that the first two replicas, which have had parts and
+// drain now, get none.
+func (p *limitedProcess) checkNoPartToDraining(d time.Duration) {
+	p.t.Helper()
+	before := p.partsToFirst()
+	if before == 0 {
+		p.t.Error("nothing ever went to the replicas that drain")
+	}
+	p.load(d)
+	if n := p.partsToFirst() - before; n > 0 {
+		p.t.Errorf("%d parts went to replicas that had been announced as draining", n)
+	}
+}
--- a/cmd/harepass/main.go
+++ b/cmd/harepass/main.go
@@ -1,4 +1,8 @@
-// Command harepass is the coordinator of Hokkaido Snowfield Maps Co-operative.
+// Command harepass is the coordinator of Hokkaido Snowfield Maps Co-operative: it scatters queries over the replicas
+// that hold the maps' shards and gathers their answers.
+//
+// Its sub-commands are serve, check, relay and version. The exit status is 0 for success, 2 for bad usage or
+// configuration, and 1 for any other failure, which is named in one line on standard error.
 package main
 
 import (
@@ -7,21 +11,35 @@
 	"fmt"
 	"io"
 	"os"
-)
 
-const version = "0.1.0"
+	"harepass/internal/config"
+)
 
 const usage = "usage: harepass serve | check | relay | version"
 
+// Exit statuses.
+const (
+	statusOK      = 0
+	statusFailed  = 1
+	statusInvalid = 2
+)
+
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// usageError is a fault of the command line or the configuration.
+// errUsage means that no sub-command was named, or one that does not exist.
+var errUsage = errors.New(usage)
+
+// usageError is a fault of the command line.
 type usageError struct{ error }
 
-// run is the program; it returns the exit status: 2 for bad usage or configuration, 1 for other failures.
+// command is a sub-command with its own arguments; what it reports goes to out.
+type command func(args []string, out io.Writer) error
+
+// run runs the sub-command that the arguments name, and returns the exit status.
 func run(args []string, out, errs io.Writer) int {
-	commands := map[string]func([]string, io.Writer) error{"serve": serve, "check": check, "relay": runRelay, "version": printVersion}
-	err := error(usageError{errors.New(usage)})
+	commands := map[string]command{"serve": runServe, "check": runCheck, "relay": runRelay,
+		"version": runVersion}
+	err := error(usageError{errUsage})
 	if len(args) > 0 {
 		if cmd := commands[args[0]]; cmd != nil {
 			err = cmd(args[1:], out)
@@ -31,39 +49,13 @@
 		}
 	}
 	if err == nil || errors.Is(err, flag.ErrHelp) {
-		return 0
+		return statusOK
 	}
 	fmt.Fprintf(errs, "harepass: %v\n", err)
-	if _, bad := err.(usageError); bad {
-		return 2
-	}
-	return 1
-}
-
-// parse reads a sub-command's flags; none takes further arguments. Asked for help, it prints them to out
-// and returns flag.ErrHelp.
-func parse(fs *flag.FlagSet, args []string, out io.Writer) error {
-	fs.SetOutput(io.Discard)
-	err := fs.Parse(args)
-	if errors.Is(err, flag.ErrHelp) {
-		fmt.Fprintf(out, "usage of harepass %s:\n", fs.Name())
-		fs.SetOutput(out)
-		fs.PrintDefaults()
-		return err
-	}
-	if err != nil {
-		return usageError{fmt.Errorf("%s: %w", fs.Name(), err)}
-	}
-	if fs.NArg() > 0 {
-		return usageError{fmt.Errorf("%s takes no arguments, got %q", fs.Name(), fs.Arg(0))}
-	}
-	return nil
-}
-
-func printVersion(args []string, out io.Writer) error {
-	if err := parse(flag.NewFlagSet("version", flag.ContinueOnError), args, out); err != nil {
-		return err
+	var badUsage usageError
+	var badConfig *config.InvalidError
+	if errors.As(err, &badUsage) || errors.As(err, &badConfig) {
+		return statusInvalid
 	}
-	_, err := fmt.Fprintln(out, "harepass", version)
-	return err
+	return statusFailed
 }
--- a/cmd/harepass/scale_test.go
+++ b/cmd/harepass/scale_test.go
@@ -15,16 +15,13 @@
 // playPlan plays a plan with real processes of this test binary.
 func playPlan(t *testing.T, ctx context.Context, plan *scaletest.Plan, log io.Writer) (*scaletest.Result, error) {
 	t.Helper()
-	settings, err := os.ReadFile("../../deploy/settings.example.json")
-	if err != nil {
-		t.Fatal(err)
-	}
 	self := []string{os.Args[0]}
-	return scaletest.Run(ctx, plan, scaletest.Config{Dir: t.TempDir(), Program: self, Lab: self, Env: []string{"HAREPASS_TEST_RUN=1"}, Settings: settings, Log: log})
+	return scaletest.Run(ctx, plan, scaletest.Config{Dir: t.TempDir(), Program: self, Lab: self,
+		Env: []string{asProgram}, Settings: exampleSettings(t), Log: log})
 }
 
-// The scale run at small size: real coordinators, relays and an authority beside hollow coordinators, through a killed relay,
-// a region that is cut off and a zone that goes. Every change reaches every member, and no rule is broken.
+// The scale run at small size: real coordinators, relays and an authority beside hollow coordinators, through a killed
+// relay, a region that is cut off and a zone that goes. Every change reaches every member, and no rule is broken.
 func TestScaleRun(t *testing.T) {
 	plan, err := scaletest.Load("../../internal/test/scaletest/plans/small.yaml")
 	if err != nil {
@@ -38,7 +35,8 @@
 	if len(result.Missed) > 0 || result.List.Never+result.Settings.Never > 0 {
 		t.Errorf("missed %q, list %+v, settings %+v", result.Missed, result.List, result.Settings)
 	}
-	if result.Started.Samples != plan.Coordinators || result.List.Changes == 0 || result.List.Samples != result.List.Changes*plan.Coordinators {
+	if result.Started.Samples != plan.Coordinators || result.List.Changes == 0 ||
+		result.List.Samples != result.List.Changes*plan.Coordinators {
 		t.Errorf("of %d members: started %+v, list %+v", plan.Coordinators, result.Started, result.List)
 	}
 	for _, trouble := range result.Troubles {
@@ -51,28 +49,28 @@
 	}
 }
 
-// canceller cancels a run once its log has a line.
-type canceller struct {
+// lineCanceller cancels a run once its log has a line.
+type lineCanceller struct {
 	line   string
 	cancel func()
 }
 
 // Write implements io.Writer.
-func (c canceller) Write(p []byte) (int, error) {
+func (c lineCanceller) Write(p []byte) (int, error) {
 	if strings.Contains(string(p), c.line) {
 		c.cancel()
 	}
 	return len(p), nil
 }
 
-// A run that is interrupted amid its changes ends all that it has started.
+// A run is interrupted amid its changes. It ends every process that it has started.
 func TestScaleRunEndsItsProcesses(t *testing.T) {
 	plan, err := scaletest.Load("../../internal/test/scaletest/plans/small.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	if _, err := playPlan(t, ctx, plan, canceller{"trouble: ", cancel}); !errors.Is(err, context.Canceled) {
+	if _, err := playPlan(t, ctx, plan, lineCanceller{"trouble: ", cancel}); !errors.Is(err, context.Canceled) {
 		t.Errorf("an interrupted run ends with %v", err)
 	}
 	lists, err := filepath.Glob("/proc/self/task/*/children")
--- /dev/null
+++ b/internal/config/decode.go
@@ -0,0 +1,57 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"strings"
+
+	"go.yaml.in/yaml/v3"
+)
+
+// stableTypeNames replaces the names of Go types in the decoders' messages by names that stay. Operators and scripts
+// read these messages, so a type that is renamed or moved must not change them.
+var stableTypeNames = strings.NewReplacer(
+	"config.DistributionFile", "main.distributionFile",
+	"config.OverloadFile", "main.overloadFile",
+	"config.RelaySource", "main.relaySource",
+	"config.RelayFile", "main.relayFile",
+	"config.AuthorityFile", "main.authorityFile",
+	"config.Platform", "main.config",
+	"config.Limits", "main.limits",
+	"Go struct field Platform.", "Go struct field config.",
+	"Go struct field Limits.", "Go struct field limits.",
+)
+
+// renderedError is an error with a text of its own.
+type renderedError struct {
+	text string
+	err  error
+}
+
+// Error implements error.
+func (e *renderedError) Error() string { return e.text }
+
+// Unwrap returns the error that the text is of.
+func (e *renderedError) Unwrap() error { return e.err }
+
+// decodeYAML reads a file's contents into a struct that holds the defaults. Unknown keys are errors, and an empty file
+// leaves the defaults. The error is a *FileError of one line.
+func decodeYAML(path string, data []byte, into any) error {
+	dec := yaml.NewDecoder(bytes.NewReader(data))
+	dec.KnownFields(true)
+	err := dec.Decode(into)
+	if err == nil || err == io.EOF {
+		return nil
+	}
+	text := strings.Join(strings.Fields(err.Error()), " ")
+	return &FileError{path, &renderedError{stableTypeNames.Replace(text), err}}
+}
+
+// decodeJSON reads JSON into a struct that holds the defaults; unknown keys are skipped.
+func decodeJSON(data []byte, into any) error {
+	if err := json.Unmarshal(data, into); err != nil {
+		return &renderedError{stableTypeNames.Replace(err.Error()), err}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/config/distribution_test.go
@@ -0,0 +1,71 @@
+package config
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// A file with a fault is named in one line, by check and by serve; a good one is read, and so is the example.
+func TestDistributionFile(t *testing.T) {
+	t.Setenv("PROXY_CONFIG", "")
+	dir := t.TempDir()
+	for what, tc := range map[string]struct{ text, want string }{
+		"the least":      {"sources: [{address: 'h:1'}]", ""},
+		"no sources":     {"zone: a", "no sources"},
+		"a bad address":  {"sources: [{address: h}]", "missing port"},
+		"a source twice": {"sources: [{address: 'h:1'}, {address: 'h:1'}]", "source h:1 stands twice"},
+		"an unknown key": {"sources: [{address: 'h:1'}]\nsorces: 1", "field sorces not found"},
+		"resources": {"sources: [{address: 'h:1'}]\nresources: [lists]",
+			`resource "lists" is neither nodes nor settings`},
+		"none":         {"sources: [{address: 'h:1'}]\nresources: []", "no resources"},
+		"a heartbeat":  {"sources: [{address: 'h:1'}]\nheartbeat: 1ms", "heartbeat 1ms has to be from"},
+		"an allowance": {"sources: [{address: 'h:1'}]\nallowance: 1h", "allowance 1h0m0s has to be from"},
+	} {
+		path := filepath.Join(dir, "d.yaml")
+		if err := os.WriteFile(path, []byte(tc.text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		f, err := loadDistribution(path)
+		switch {
+		case tc.want == "" && (err != nil || !f.Takes(ResourceEndpoints) || !f.Takes(ResourceSettings)):
+			t.Errorf("%s: %+v, %v", what, f, err)
+		case tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want) ||
+			strings.Contains(err.Error(), "\n")):
+			t.Errorf("%s: %v, want %s", what, err, tc.want)
+		}
+	}
+	if f, err := loadDistribution("../../deploy/distribution.example.yaml"); err != nil || len(f.Sources) < 3 {
+		t.Errorf("the example: %+v, %v", f, err)
+	}
+	if f, err := loadDistribution(DefaultDistributionPath); f != nil || err != nil || f.Takes(ResourceEndpoints) {
+		t.Errorf("no file: %+v, %v", f, err)
+	}
+}
+
+// Scripts read the decoders' messages, in which the library names the Go type. A message keeps the name that it always
+// had, and the caller can still reach the cause.
+func TestDecodeErrorsKeepTypeNames(t *testing.T) {
+	for want, decode := range map[string]func() error{
+		"d: yaml: unmarshal errors: line 1: field x not found in type main.distributionFile": func() error {
+			return decodeYAML("d", []byte("x: 1"), &DistributionFile{})
+		},
+		"d: yaml: unmarshal errors: line 1: cannot unmarshal !!int `5` into main.relaySource": func() error {
+			return decodeYAML("d", []byte("sources: [5]"), &RelayFile{})
+		},
+		"json: cannot unmarshal number into Go struct field config.name of type string": func() error {
+			return decodeJSON([]byte(`{"name":5}`), &Platform{})
+		},
+	} {
+		err := decode()
+		if err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+		var rendered *renderedError
+		if !errors.As(err, &rendered) || rendered.Unwrap() == nil {
+			t.Errorf("%v hides its cause", err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/config/doc.go
@@ -0,0 +1,27 @@
+// Package config reads what a harepass program is told at its start and at a reload, and checks it where it is read.
+//
+// # Contract
+//
+// Load reads everything that a coordinator needs: the platform's file, the PROXY_* variables and the installation's
+// files for the OpenSearch front, overload control and distribution. LoadRelay reads a relay's file. Both return
+// either a complete value or an *InvalidError; nothing is started, and no socket is opened. A missing file is an
+// error, unless it is the one at the default path of a part that may be off.
+//
+// A Config is a plain struct. Whoever owns it may replace Settings and ProtocolLimits by those of another Config that
+// Changes has accepted; no method of this package writes to one after it is returned.
+//
+// # Where each rule stands
+//
+//	config.go           which files are read, and what is needed to serve at all
+//	platform.go         the platform's file and the variables that override it
+//	limits.go           how descriptors and memory are divided
+//	opensearch.go       the OpenSearch front's file, its settings and its inventory
+//	overload.go         the overload-control file
+//	distribution.go     the distribution file of a coordinator
+//	relay.go            the file of a relay or an authority
+//	upstream.go         the relays that are followed, in both of those files
+//	changes.go          what a reload would change, and what it is refused for
+//	fleet_settings.go   settings that relays give out to a whole fleet
+//	decode.go           strict decoding, and the names of types in its messages
+//	errors.go           the errors that a caller can tell apart
+package config
--- /dev/null
+++ b/internal/config/platform.go
@@ -0,0 +1,137 @@
+package config
+
+import (
+	"encoding/json"
+	"net"
+	"os"
+	"strconv"
+
+	"harepass/internal/platform"
+	"harepass/internal/wire"
+)
+
+// Variables of the environment. All but varConfig and varListenerFD override a field of the platform's file.
+const (
+	varConfig     = "PROXY_CONFIG" // path of the platform's file
+	varName       = "PROXY_NAME"
+	varListen     = "PROXY_LISTEN"
+	varDiscovery  = "PROXY_DISCOVERY"
+	varOperator   = "PROXY_OPERATOR"
+	varListenerFD = "PROXY_FD" // descriptor of the clients' listener, where the platform holds it
+)
+
+// firstHandedDown is the lowest descriptor that can be handed down: those below are the standard streams.
+const firstHandedDown = 3
+
+// Platform is the file in which the platform configures one coordinator.
+type Platform struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`    // address for clients
+	Discovery string          `json:"discovery"` // address of the service that gives out the endpoint list
+	Operator  string          `json:"operator"`  // address of the admin endpoint; empty where there is none
+	Seed      string          `json:"seed"`      // hexadecimal number of 64 bits
+	Limits    Limits          `json:"limits"`
+	Known     platform.List   `json:"known"`    // the endpoint list to begin with
+	Settings  json.RawMessage `json:"settings"` // as internal/wire reads them
+
+	data []byte // the file itself
+}
+
+// LoadPlatform reads the file that PROXY_CONFIG names, as a reload does. The variables override what the file says.
+// The error is an *InvalidError.
+func LoadPlatform(env Environment) (*Config, error) {
+	c, err := loadPlatform(env)
+	return c, invalid(err)
+}
+
+// WithoutDiscovery is env without the address of discovery. That variable holds for the start only; from the first
+// reload on, the file decides.
+func WithoutDiscovery(env Environment) Environment {
+	return func(name string) string {
+		if name == varDiscovery {
+			return ""
+		}
+		return env(name)
+	}
+}
+
+// loadPlatform is LoadPlatform with an error that is not marked yet.
+func loadPlatform(env Environment) (*Config, error) {
+	path := env(varConfig)
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	c, err := readPlatform(data, env)
+	if err != nil {
+		return nil, &FileError{path, err}
+	}
+	return c, nil
+}
+
+// readPlatform makes a Config of the platform's file and the variables.
+func readPlatform(data []byte, env Environment) (*Config, error) {
+	p := &Platform{Limits: defaultLimits, data: data}
+	if err := decodeJSON(data, p); err != nil {
+		return nil, err
+	}
+	p.override(env)
+	if err := p.checkAddresses(); err != nil {
+		return nil, err
+	}
+	c := &Config{Platform: p}
+	var err error
+	if c.Seed, err = strconv.ParseUint(p.Seed, 16, 64); err != nil {
+		return nil, &SeedError{p.Seed}
+	}
+	if c.Settings, c.ProtocolLimits, err = wire.JSONSettings(p.Settings); err != nil {
+		return nil, err
+	}
+	// On sockets a list reaches only who subscribes, whether the settings say that it is pushed or polled.
+	c.ListPushed, c.Settings.Subscribe = !c.Settings.Subscribe, true
+	if err := p.Limits.check(); err != nil {
+		return nil, err
+	}
+	c.Limits = p.Limits
+	if fd := env(varListenerFD); fd != "" {
+		if c.ListenerFD, err = strconv.Atoi(fd); err != nil || c.ListenerFD < firstHandedDown {
+			return nil, &DescriptorError{fd}
+		}
+		c.Limits = c.Limits.half()
+	}
+	if c.KnownEndpoints, err = p.Known.CoreEndpoints(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// override puts the variables that are set in the place of the file's fields.
+func (p *Platform) override(env Environment) {
+	for name, field := range map[string]*string{varName: &p.Name, varListen: &p.Listen,
+		varDiscovery: &p.Discovery, varOperator: &p.Operator} {
+		if v := env(name); v != "" {
+			*field = v
+		}
+	}
+}
+
+// checkAddresses refuses addresses that are no host and port. Only the operators' one may be missing.
+func (p *Platform) checkAddresses() error {
+	for _, a := range []struct {
+		name, address string
+		optional      bool
+	}{
+		{"listen", p.Listen, false}, {"discovery", p.Discovery, false}, {"operator", p.Operator, true},
+	} {
+		if a.address == "" && a.optional {
+			continue
+		}
+		if a.address == "" {
+			return &AddressError{Name: a.name}
+		}
+		if _, _, err := net.SplitHostPort(a.address); err != nil {
+			return &AddressError{a.name, err}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/config/upstream.go
@@ -0,0 +1,78 @@
+package config
+
+import (
+	"fmt"
+	"net"
+	"time"
+
+	"harepass/internal/decide/failover"
+	"harepass/internal/distribution"
+)
+
+// Upstream is what the files of coordinators and relays say of the relays that are followed.
+type Upstream struct {
+	Zone      string        `yaml:"zone"` // where this process runs
+	Region    string        `yaml:"region"`
+	Sources   []RelaySource `yaml:"sources"`   // relays, or the authority
+	Heartbeat time.Duration `yaml:"heartbeat"` // how long a call stays open where nothing has changed
+	Allowance time.Duration `yaml:"allowance"` // how much later than the heartbeat an answer may come
+}
+
+// RelaySource is a relay that may be followed.
+type RelaySource struct {
+	Address string `yaml:"address"`
+	Zone    string `yaml:"zone"`
+	Region  string `yaml:"region"`
+}
+
+// Bounds of the heartbeat and of its allowance.
+const (
+	minHeartbeat = 50 * time.Millisecond
+	maxHeartbeat = 20 * time.Second
+)
+
+// defaultUpstream holds where the file says nothing of the calls' times.
+func defaultUpstream() Upstream {
+	return Upstream{Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultAllowance}
+}
+
+// checkSources refuses a list of sources that is empty, has one twice, or one that is no host and port.
+func (u *Upstream) checkSources() error {
+	if len(u.Sources) == 0 {
+		return ErrNoSources
+	}
+	seen := map[string]bool{}
+	for _, s := range u.Sources {
+		if _, _, err := net.SplitHostPort(s.Address); err != nil {
+			return fmt.Errorf("source: %w", err)
+		}
+		if seen[s.Address] {
+			return &DuplicateSourceError{s.Address}
+		}
+		seen[s.Address] = true
+	}
+	return nil
+}
+
+// checkHeartbeat refuses times of calls that are out of their bounds.
+func (u *Upstream) checkHeartbeat() error {
+	allowed := fmt.Sprintf("from %v to %v", minHeartbeat, maxHeartbeat)
+	switch {
+	case u.Heartbeat < minHeartbeat || u.Heartbeat > maxHeartbeat:
+		return &RangeError{"heartbeat", u.Heartbeat, allowed}
+	case u.Allowance < minHeartbeat || u.Allowance > maxHeartbeat:
+		return &RangeError{"allowance", u.Allowance, allowed}
+	}
+	return nil
+}
+
+// Follower returns the configuration of a follower, c, with the sources, the place and the times of the file.
+func (u *Upstream) Follower(c distribution.Config) distribution.Config {
+	c.Place, c.Sources = failover.Place{Zone: u.Zone, Region: u.Region}, nil
+	for _, s := range u.Sources {
+		place := failover.Place{Zone: s.Zone, Region: s.Region}
+		c.Sources = append(c.Sources, failover.Source{Address: s.Address, Place: place})
+	}
+	c.Heartbeat, c.Allowance = u.Heartbeat, u.Allowance
+	return c
+}
--- a/cmd/harepass/count.go
+++ b/internal/lifecycle/counters.go
@@ -1,4 +1,4 @@
-package main
+package lifecycle
 
 import (
 	"context"
@@ -8,15 +8,16 @@
 
 	"harepass/internal/core"
 	"harepass/internal/counters"
+	"harepass/internal/logmsg"
 )
 
-// This file writes the totals of the process to the log, so that what a coordinator did can be told when it is gone.
+// countersInterval is the time between two log lines with the totals.
+const countersInterval = 10 * time.Second
 
-const countersEvery = 10 * time.Second
-
-// logCounters writes all totals now and then, where any has changed, until ctx ends.
+// logCounters writes all totals periodically, if any has changed, until ctx ends. What a process did is then known
+// when it is gone.
 func logCounters(ctx context.Context) {
-	ticker := time.NewTicker(countersEvery)
+	ticker := time.NewTicker(countersInterval)
 	defer ticker.Stop()
 	var last []counters.Total
 	for {
@@ -32,11 +33,12 @@
 	}
 }
 
-// logReady writes when a coordinator that was started at a time has left the phase Starting.
-func logReady(owner *core.Coordinator, started time.Time) {
-	<-owner.Started()
-	slog.Info("phase", "is", owner.Phase().String(), "after", time.Since(started).Round(time.Millisecond))
-}
-
 // logTotals writes all totals once.
 func logTotals() { slog.Info("counters", counters.Attrs(counters.Totals())...) }
+
+// logReady writes when a coordinator that was started at a time has left the phase Starting.
+func logReady(coordinator *core.Coordinator, started time.Time) {
+	<-coordinator.Started()
+	slog.Info(logmsg.PhaseChanged, "phase", coordinator.Phase().String(),
+		"after", time.Since(started).Round(time.Millisecond))
+}
--- /dev/null
+++ b/internal/lifecycle/doc.go
@@ -0,0 +1,28 @@
+// Package lifecycle runs a harepass program from its start to its end: a coordinator, with RunCoordinator, or a relay,
+// with RunRelay.
+//
+// # Contract
+//
+// A caller takes the signals first, with NotifySignals, then reads the configuration, then runs the program. Signals
+// that come while files are read are so heard once the program runs. Both Run functions return when they are told to
+// end and everything that was taken is answered, or with an error if the program cannot start. A
+// *config.InvalidError says that the configuration is at fault; any other error is the system's.
+//
+// One goroutine, the caller's, starts, reloads and drains; the fields of a process are its own. The goroutines that it
+// starts end with the process: the core's with Stop, listeners' when they are closed, all others with the context.
+//
+// # Where each step stands
+//
+//	process.go           a coordinator from start to end
+//	start.go             how its components are put together, and in which order they begin
+//	replicas.go          the callers of replicas
+//	endpoints.go         where the endpoint list comes from: discovery, relays, an inventory
+//	relayed_settings.go  settings that relays give out
+//	listeners.go         the fronts, and how descriptors are divided among clients and replicas
+//	takeover.go          what passes from one process to the next, and the admin endpoint
+//	reload.go            what a running process takes over from files and relays
+//	drain.go             the end: what is still answered, and by when
+//	signals.go           signals, and their order
+//	counters.go          the totals in the log
+//	relay.go             a relay or an authority from start to end
+package lifecycle
--- /dev/null
+++ b/internal/lifecycle/drain_test.go
@@ -0,0 +1,96 @@
+package lifecycle
+
+import (
+	"context"
+	"fmt"
+	"net/textproto"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"harepass/internal/config"
+	"harepass/internal/core"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/http1"
+	"harepass/internal/platform"
+	"harepass/internal/test/fake"
+)
+
+// drainingProcess is a process with one front in memory, at the address "c", and one class, whose shard no replica
+// holds.
+func drainingProcess(t *testing.T, memory *fake.Net) *process {
+	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 1,
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second,
+			CompleteFraction: 1, MinFraction: 1}}}
+	p := &process{Config: &config.Config{Settings: settings}, clock: core.SystemClock()}
+	limits := core.Limits{DrainTimeout: drainTimesOf(settings.Classes).lastAnswer}
+	var err error
+	p.coordinator, err = core.New(core.Config{Settings: settings, Clock: p.clock, Subscribe: func() {}, Limits: limits})
+	if err != nil {
+		t.Fatal(err)
+	}
+	go p.coordinator.Run()
+	l := memory.Listen("c")
+	handler := &platform.Front{Coordinator: p.coordinator, Clock: p.clock}
+	s := &http1.Server{Handler: handler.Handle, Limits: http1.DefaultLimits}
+	go s.Serve(l)
+	p.fronts = []front{{l, s}}
+	return p
+}
+
+// A coordinator drains while others may not be up yet, so its clients go on using their connections. A connection that
+// closes under a request loses it. Connections are closed only with an answer given after the listener is closed, or
+// when they have nothing open then.
+func TestDrainKeepsConnections(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var memory fake.Net
+		p := drainingProcess(t, &memory)
+		dial := func() *http1.Client {
+			return &http1.Client{Address: "c", Dial: memory.Dial, Limits: http1.DefaultLimits}
+		}
+		id := 0
+		ask := func(c *http1.Client) string { // no replica holds the shard: it is rejected when its time is over
+			id++
+			a, _, err := c.Do(context.Background(), &http1.Message{Method: "POST", Target: "/api",
+				Body: []byte(`{"slices":[{"slice":0,"mass":1}],"filter":""}`),
+				Header: textproto.MIMEHeader{"X-Call-Id": {fmt.Sprint(id)}, "X-Call-Class": {"c"},
+					"X-Budget": {"50m"}}})
+			if err != nil {
+				return "none"
+			}
+			return fmt.Sprint(a.Status, " ", a.Close)
+		}
+		used, idle := dial(), dial()
+		ask(used)
+		ask(idle)
+		began := time.Now()
+		ended := make(chan struct{})
+		go func() { p.drain(); close(ended) }()
+		time.Sleep(time.Millisecond)
+		got := []string{ask(used), ask(used), ask(dial())}
+		time.Sleep(AcceptAfterTerm - time.Since(began) + time.Millisecond)
+		got = append(got, ask(used), ask(used), ask(dial()))
+		<-ended
+		got = append(got, ask(idle))
+		if want := "[429 false 429 false 429 false 429 true none none none]"; fmt.Sprint(got) != want {
+			t.Errorf("answers and whether they close: %v, want %s", got, want)
+		}
+		if took := time.Since(began); took != AcceptAfterTerm+MaxCloseIdleDelay {
+			t.Errorf("it took %v", took)
+		}
+	})
+}
+
+// The platform kills 0.7 s and the longest deadline after SIGTERM, at most 3.7 s. The last answer is due before that,
+// and idle connections close before the last answer, also where deadlines are short.
+func TestDrainEndsBeforeTheKill(t *testing.T) {
+	for _, longest := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
+		time.Second, 3 * time.Second, 8 * time.Second} {
+		times := drainTimesOf([]scatter.Class{{Deadline: longest / 2}, {Deadline: longest}})
+		kill := AcceptAfterTerm + min(longest, 3*time.Second)
+		if times.closeIdle < AcceptAfterTerm || times.closeIdle >= times.lastAnswer || times.lastAnswer >= kill {
+			t.Errorf("deadlines up to %v: idle connections close at %v, the last answer by %v, the kill at %v",
+				longest, times.closeIdle, times.lastAnswer, kill)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/endpoints.go
@@ -0,0 +1,97 @@
+package lifecycle
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"time"
+
+	"harepass/internal/config"
+	"harepass/internal/core"
+	"harepass/internal/decide/backoff"
+	"harepass/internal/decide/scatter"
+	"harepass/internal/decide/versionlog"
+	"harepass/internal/distribution"
+	"harepass/internal/logmsg"
+	"harepass/internal/platform"
+)
+
+// pollScheduleStream keeps the poll schedule's draws apart from others of the same seed.
+const pollScheduleStream = 0x70616365
+
+// newEndpointSource makes the source of the platform's endpoint list: relays where the distribution file says so, else
+// discovery. Either begins with the list that is known.
+func (p *process) newEndpointSource(cfg *core.Config) {
+	known, from := p.takeOverList()
+	cfg.PolledSource = platform.Source
+	if p.store != nil {
+		cfg.OnCheckpoint = p.store.SetCheckpoint
+	}
+	if p.Distribution.Takes(config.ResourceEndpoints) {
+		p.relayedList = platform.NewRelayedList(known)
+		return
+	}
+	if from != p.Platform.Discovery {
+		known = platform.List{} // its version counts at another service, so all of the list is polled
+	}
+	p.discovery = platform.NewDiscovery(p.Platform.Discovery, known)
+	p.discovery.Schedule = &backoff.Schedule{FleetSize: p.Settings.Coordinators, ListMaxAge: p.Settings.ListMaxAge,
+		Pushed: p.ListPushed, Rand: rand.New(rand.NewPCG(p.Seed, pollScheduleStream))}
+	p.discovery.Grace = p.Settings.DrainGrace
+	cfg.Subscribe = p.discovery.Subscribe
+}
+
+// runSources starts what brings endpoints and settings.
+func (p *process) runSources(ctx context.Context) {
+	update := func(kind scatter.UpdateKind, endpoints []core.Endpoint) {
+		p.coordinator.UpdateEndpoints(platform.Source, kind, endpoints)
+	}
+	if p.discovery != nil {
+		p.discovery.Listed, p.discovery.Clock = update, p.clock
+		p.discovery.Leased = func(expires time.Duration) { p.coordinator.SetListExpiry(platform.Source, expires) }
+		go p.discovery.Run(ctx)
+	}
+	if p.relayedList != nil {
+		p.relayedList.Listed = update
+		p.relayedList.Part = func(endpoints []core.Endpoint) {
+			p.coordinator.UpdateEndpointsPartially(platform.Source, endpoints)
+		}
+		p.followEndpoints(ctx)
+	}
+	if p.Distribution.Takes(config.ResourceSettings) {
+		p.followSettings(ctx)
+	}
+}
+
+// newFollower returns a follower of a resource at the relays of the distribution file.
+func (p *process) newFollower(c distribution.Config) *distribution.Follower {
+	c = p.Distribution.Follower(c)
+	c.Rand = rand.New(rand.NewPCG(p.Seed, rand.Uint64()))
+	return distribution.New(c)
+}
+
+// followEndpoints keeps the endpoint list up to date from the relays.
+func (p *process) followEndpoints(ctx context.Context) {
+	apply := func(u distribution.Update) {
+		p.relayedList.Apply(u)
+		if u.Completed {
+			slog.Info(logmsg.EndpointListInForce, "version", versionText(u.Slice.Version), "source", u.Source)
+		}
+		if u.Complete {
+			logInForce(distribution.Instances, u.Slice.Version)
+		}
+	}
+	f := p.newFollower(distribution.Config{Resource: distribution.Instances, Known: p.relayedList.Known(),
+		Check: p.relayedList.Check, Apply: apply})
+	go f.Run(ctx)
+}
+
+// logInForce writes from when on a version of a resource is in force in this process.
+func logInForce(r distribution.Resource, v versionlog.Version) {
+	slog.Info(logmsg.VersionInForce, "resource", r.Name(), "epoch", v.Epoch, "index", v.Index,
+		"at_unix_ms", time.Now().UnixMilli())
+}
+
+// versionText is a version for logs: epoch and index.
+func versionText(v versionlog.Version) string { return fmt.Sprintf("%d/%d", v.Epoch, v.Index) }
--- /dev/null
+++ b/internal/lifecycle/relay.go
@@ -0,0 +1,106 @@
+package lifecycle
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"runtime"
+	"runtime/debug"
+	"time"
+
+	"harepass/internal/config"
+	"harepass/internal/decide/versionlog"
+	"harepass/internal/distribution"
+	"harepass/internal/logmsg"
+	"harepass/internal/relay"
+)
+
+// relayShutdownTimeout is how long answers that are being written may take at the end.
+const relayShutdownTimeout = time.Second
+
+// RunRelay gives out the endpoint list and the settings by a relay's file until a signal says to end.
+func RunRelay(f *config.RelayFile, signals *Signals) error {
+	debug.SetMemoryLimit(config.HeapBytes(f.MemoryMB))
+	if f.Cores > 0 {
+		runtime.GOMAXPROCS(f.Cores)
+	}
+	r := newRelayProcess(f)
+	if r.authority != nil {
+		if err := r.authority.Load(); err != nil {
+			return &config.InvalidError{Err: err}
+		}
+	}
+	return r.run(signals)
+}
+
+// relayProcess is a running relay or authority.
+type relayProcess struct {
+	file      *config.RelayFile
+	server    *relay.Server
+	authority *relay.Authority // nil for a relay
+}
+
+// newRelayProcess returns a relay or an authority with empty version logs. An authority's epoch is its start in Unix
+// milliseconds, so that its versions supersede those of the process before.
+func newRelayProcess(f *config.RelayFile) *relayProcess {
+	epoch := int64(0) // a relay adopts that of its source
+	if f.Authority != nil {
+		epoch = time.Now().UnixMilli()
+	}
+	budget := relay.NewBudget(f.SnapshotBytes)
+	instances := relay.NewResource(versionlog.New(epoch, f.Removals), budget)
+	settings := relay.NewResource(versionlog.New(epoch, f.Removals), budget)
+	r := &relayProcess{file: f, server: relay.NewServer(instances, settings, f.Readers)}
+	if a := f.Authority; a != nil {
+		r.authority = &relay.Authority{Instances: instances, Settings: settings, Discovery: a.Discovery,
+			NodesFile: a.Nodes, SettingsFile: a.Settings, CheckSettings: config.CheckFleetSettings}
+	}
+	return r
+}
+
+// run serves until a signal says to end; at a reload the authority reads its files again.
+func (r *relayProcess) run(signals *Signals) error {
+	listener, err := net.Listen("tcp", r.file.Listen)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	slog.Info("relay listener opened", "address", listener.Addr().String(), "authority", r.authority != nil)
+	go r.server.Serve(listener)
+	go r.server.LogStatus(ctx, r.file.LogEvery)
+	r.follow(ctx)
+	untilEnd(signals, nil, r.reload, nil)
+	cancel()
+	listener.Close()
+	ended := make(chan struct{})
+	go func() { r.server.Shutdown(); close(ended) }()
+	select {
+	case <-ended:
+	case <-time.After(relayShutdownTimeout):
+	}
+	slog.Info("relay stopped")
+	return nil
+}
+
+// follow starts what brings the endpoint list and the settings: the authority's sources, or the relays upstream.
+func (r *relayProcess) follow(ctx context.Context) {
+	if r.authority != nil {
+		go r.authority.Run(ctx)
+		return
+	}
+	for name, resource := range map[distribution.Resource]*relay.Resource{
+		distribution.Instances: r.server.Instances, distribution.Settings: r.server.Settings} {
+		go resource.Follow(ctx, r.file.Follower(distribution.Config{Resource: name}))
+	}
+}
+
+// reload has the authority read its files again; a relay has none.
+func (r *relayProcess) reload() {
+	if r.authority == nil {
+		return
+	}
+	if err := r.authority.Load(); err != nil {
+		slog.Error(logmsg.AuthorityFilesRejected, "err", err)
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/relayed_settings.go
@@ -0,0 +1,60 @@
+package lifecycle
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+
+	"harepass/internal/config"
+	"harepass/internal/decide/versionlog"
+	"harepass/internal/distribution"
+	"harepass/internal/logmsg"
+)
+
+// relayedSettings is the state of the settings that relays give out.
+type relayedSettings struct {
+	updates <-chan settingsUpdate // nil where no relay gives out settings
+	inForce bool                  // the settings in force came from a relay, so the file's no longer count
+}
+
+// settingsUpdate is one complete version of the settings.
+type settingsUpdate struct {
+	version  versionlog.Version
+	settings json.RawMessage
+}
+
+// followSettings has the relays' settings handed to handleEvents, each version that is complete.
+func (p *process) followSettings(ctx context.Context) {
+	updates := make(chan settingsUpdate)
+	p.relayedSettings.updates = updates
+	apply := func(u distribution.Update) {
+		for _, e := range u.Entries {
+			settings, ok := config.EntrySettings(e)
+			if !ok {
+				continue
+			}
+			select {
+			case updates <- settingsUpdate{u.Slice.Version, settings}:
+			case <-ctx.Done():
+			}
+		}
+	}
+	f := p.newFollower(distribution.Config{Resource: distribution.Settings, Check: config.CheckSettingsEntries,
+		Apply: apply})
+	go f.Run(ctx)
+}
+
+// applySettingsUpdate puts a version of the settings in force as a whole, or none of it.
+func (p *process) applySettingsUpdate(u settingsUpdate) {
+	next, err := p.WithFleetSettings(u.settings, p.env)
+	if err == nil {
+		err = p.replaceConfig(next)
+	}
+	if err != nil {
+		slog.Error(logmsg.SettingsRejected, "version", versionText(u.version), "reason", err)
+		return
+	}
+	p.relayedSettings.inForce = true
+	slog.Info(logmsg.SettingsInForce, "version", versionText(u.version))
+	logInForce(distribution.Settings, u.version)
+}
--- /dev/null
+++ b/internal/lifecycle/takeover.go
@@ -0,0 +1,103 @@
+package lifecycle
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"path/filepath"
+	"time"
+
+	"harepass/internal/core"
+	"harepass/internal/logmsg"
+	"harepass/internal/operator"
+	"harepass/internal/platform"
+)
+
+// StateFolder is the folder of the stored state, below the one that TMPDIR names. The platform leaves that one as it
+// was when it starts a new version beside the old one.
+const StateFolder = "harepass"
+
+// ErrNoStateFolder means that TMPDIR is not set, so nothing can be stored for the process that comes next.
+var ErrNoStateFolder = errors.New("TMPDIR is not set")
+
+// takeOverList returns the endpoint list to begin with, and the address of the discovery that it came from. It is the
+// list that another process has stored, unless the configuration's is a later one of the same discovery. The stored
+// state is opened for this, where there is an admin endpoint.
+func (p *process) takeOverList() (list platform.List, from string) {
+	known := p.Platform.Known
+	if p.Platform.Operator == "" {
+		return known, p.Platform.Discovery
+	}
+	files, err := p.openState()
+	if err != nil {
+		slog.Error("operator calls not persisted", "err", err)
+	}
+	p.store = operator.NewStore(p.Platform.Name, files, p.clock)
+	data, from := p.store.FoundList()
+	if len(data) == 0 {
+		return known, p.Platform.Discovery
+	}
+	stored, endpoints, err := readStoredList(data)
+	if err != nil {
+		slog.Warn("stored endpoint list rejected", "err", err)
+		return known, p.Platform.Discovery
+	}
+	if from == p.Platform.Discovery && known.Index > stored.Index {
+		slog.Info("stored endpoint list outdated", "version", stored.Index, "configured_version", known.Index)
+		return known, from
+	}
+	p.KnownEndpoints = endpoints
+	slog.Info(logmsg.EndpointListTakenOver, "endpoints", len(endpoints), "version", stored.Index)
+	return stored, from
+}
+
+// openState opens the folder of the stored state. Without one the calls of operators end with this process.
+func (p *process) openState() (*operator.Files, error) {
+	dir := p.env("TMPDIR")
+	if dir == "" {
+		return nil, ErrNoStateFolder
+	}
+	return operator.OpenFiles(filepath.Join(dir, StateFolder), time.Now())
+}
+
+// readStoredList reads an endpoint list from stored state.
+func readStoredList(data []byte) (platform.List, []core.Endpoint, error) {
+	var list platform.List
+	err := json.Unmarshal(data, &list)
+	endpoints, invalid := list.CoreEndpoints()
+	return list, endpoints, errors.Join(err, invalid)
+}
+
+// openAdminEndpoint accepts operators' calls. From then on what they say, and the endpoint list, is stored for the
+// process that comes next.
+func (p *process) openAdminEndpoint(ctx context.Context) error {
+	l, err := net.Listen("tcp", p.Platform.Operator)
+	if err != nil {
+		return fmt.Errorf("operators' door: %w", err)
+	}
+	p.store.Coordinator = p.coordinator
+	list := p.copyList(p.store.ListChanged)
+	p.store.List = func() (string, json.RawMessage, error) {
+		address, snapshot := list.Snapshot()
+		data, err := json.Marshal(snapshot)
+		return address, data, err
+	}
+	p.store.Publish()
+	go p.store.Run(ctx)
+	server := &operator.AdminServer{Handler: p.store}
+	go server.Serve(l)
+	p.onStop = append(p.onStop, func() { l.Close(); server.Close() })
+	slog.Info("admin endpoint opened", "address", l.Addr().String())
+	return nil
+}
+
+// copyList has a copy of the endpoint list kept up to date; changed is called after each change.
+func (p *process) copyList(changed func()) *platform.ListCopy {
+	if p.relayedList != nil {
+		return p.relayedList.KeepCopy(changed)
+	}
+	return p.discovery.KeepCopy(changed)
+}
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -1,6 +1,6 @@
-// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes and the
-// tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit where the value
-// has none of its own.
+// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes
+// and the tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit
+// where the value has none of its own.
 package logmsg
 
 // Messages of a coordinator about single queries, under "serve -trace" unless a query ended badly.
@@ -37,3 +37,29 @@
 	KeyError     = "err"
 	KeySlowStart = "slow_start"
 )
+
+// Messages about a coordinator's life, from the first listener to the end.
+const (
+	ListenerOpened        = "listener opened"
+	PhaseChanged          = "phase changed"
+	ConfigurationReloaded = "configuration reloaded"
+	ConfigurationRejected = "configuration rejected"
+	FileSettingsIgnored   = "file settings ignored"
+	SettingsChanged       = "settings changed"
+	InventoryReloaded     = "inventory reloaded"
+	InventoryRejected     = "inventory rejected"
+	CoordinatorStopped    = "coordinator stopped"
+)
+
+// Messages about endpoint lists and settings that relays or another process give out.
+const (
+	EndpointListInForce   = "endpoint list in force"
+	EndpointListTakenOver = "endpoint list taken over"
+	SettingsInForce       = "settings in force"
+	SettingsRejected      = "settings rejected"
+)
+
+// Messages of a relay or an authority.
+const (
+	AuthorityFilesRejected = "authority files rejected"
+)
--- a/internal/test/capacity/rows_relay.go
+++ b/internal/test/capacity/rows_relay.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// What the relays' files say where they say nothing else (cmd/harepass/relay_config.go).
+// What the relays' files say where they say nothing else (internal/config/relay.go).
 const (
 	snapshotBudget = 18e6 // bytes a second, for whole lists of all readers
 	relayMB        = 128
