--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -25,7 +25,7 @@
 }
 
 func newRelays(t *testing.T) *relays {
-	budget := relay.NewBudget(1 << 20)
+	budget := relay.NewSnapshotBudget(1 << 20)
 	r := &relays{t: t, instances: relay.NewResource(versionlog.New(7, 100), budget),
 		settings: relay.NewResource(versionlog.New(7, 100), budget)}
 	for range 2 {
@@ -138,8 +138,8 @@
 	p.changeSettings(r, settings)
 
 	r.stops[0]()
-	p.waitForLine(`source followed resource=instances source=` + r.addresses[1])
-	p.waitForLine(`source followed resource=settings source=` + r.addresses[1])
+	p.waitForLine(logmsg.SourceFollowed + ` resource=instances source=` + r.addresses[1])
+	p.waitForLine(logmsg.SourceFollowed + ` resource=settings source=` + r.addresses[1])
 	r.publishEndpoint("f0", "terminating", at[0])
 	p.waitForLine(logmsg.VersionInForce + ` resource=instances epoch=7 index=3`)
 	before := len(first.Seen())
@@ -155,7 +155,7 @@
 	p.waitForLine(logmsg.SettingsInForce + ` version=7/3`)
 
 	r.stops[1]()
-	p.waitForLine(`source left resource=instances source=` + r.addresses[1])
+	p.waitForLine(logmsg.SourceLeft + ` resource=instances source=` + r.addresses[1])
 	if status := queryClass(t, p.address, "route-lookup", 0); status != 200 || !p.ready() {
 		t.Errorf("without relays: %d", status)
 	}
--- a/cmd/harepass/relay_test.go
+++ b/cmd/harepass/relay_test.go
@@ -94,8 +94,8 @@
 	hasVersions := func(list, settings int64) func() bool {
 		return func() bool {
 			s := relayStatus(relayAt)
-			return s.Instances.Index == list && s.Settings.Index == settings && s.Instances.Epoch > 0 &&
-				s.Settings.Epoch == s.Instances.Epoch
+			return s.Endpoints.Index == list && s.Settings.Index == settings && s.Endpoints.Epoch > 0 &&
+				s.Settings.Epoch == s.Endpoints.Epoch
 		}
 	}
 	eventually(t, "the relay has both", hasVersions(2, 1))
--- a/internal/config/changes.go
+++ b/internal/config/changes.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	settings, nextSettings = settingsdiff.Named(settings), settingsdiff.Named(nextSettings)
+	settings, nextSettings = settingsdiff.ByName(settings), settingsdiff.ByName(nextSettings)
 	if missing := settingsdiff.Missing(settings, nextSettings); len(missing) > 0 {
 		return nil, &MissingSettingsError{missing}
 	}
--- a/internal/config/upstream.go
+++ b/internal/config/upstream.go
@@ -66,12 +66,12 @@
 	return nil
 }
 
-// Follower returns the configuration of a follower, c, with the sources, the place and the times of the file.
+// Follower returns the configuration of a follower, c, with the sources, the locality and the times of the file.
 func (u *Upstream) Follower(c distribution.Config) distribution.Config {
-	c.Place, c.Sources = failover.Place{Zone: u.Zone, Region: u.Region}, nil
+	c.Locality, c.Sources = failover.Locality{Zone: u.Zone, Region: u.Region}, nil
 	for _, s := range u.Sources {
-		place := failover.Place{Zone: s.Zone, Region: s.Region}
-		c.Sources = append(c.Sources, failover.Source{Address: s.Address, Place: place})
+		locality := failover.Locality{Zone: s.Zone, Region: s.Region}
+		c.Sources = append(c.Sources, failover.Source{Address: s.Address, Locality: locality})
 	}
 	c.Heartbeat, c.Allowance = u.Heartbeat, u.Allowance
 	return c
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// minKeptHolders is how many holders of each shard a coordinator of a large fleet keeps: one, and another
+	// minSubsetHolders is how many holders of each shard a coordinator of a large fleet keeps: one, and another
 	// beside it.
-	minKeptHolders = 2
-	// smallFleet is the number of coordinators up to which each meets a replica often. In larger fleets pauses grow
+	minSubsetHolders = 2
+	// smallFleet is the number of coordinators up to which each meets a replica often. In larger fleets backoffs grow
 	// with the number.
 	smallFleet = 5.0
 )
@@ -28,24 +28,26 @@
 // placementBasis is what the keys of all replicas go by.
 type placementBasis struct {
 	subset subsetting.Subset
-	place  subsetting.Place
+	place  subsetting.Member
 }
 
 // place is this coordinator's; the zero value where it would change nothing.
-func (m *Machine) place() subsetting.Place {
+func (m *Machine) place() subsetting.Member {
 	if m.placement.fleetFactor <= 1 {
-		return subsetting.Place{}
+		return subsetting.Member{}
 	}
 	return m.settingsPlace()
 }
 
 // settingsPlace is this coordinator's place by the settings.
-func (m *Machine) settingsPlace() subsetting.Place {
-	return subsetting.Place{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
+func (m *Machine) settingsPlace() subsetting.Member {
+	return subsetting.Member{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
 }
 
-// keeps reports whether a replica takes part in the routing shares and this coordinator sends to it.
-func (m *Machine) keeps(r *replica) bool { return r.ready() && m.placement.subset.Keeps(r.subsetKey) }
+// sendsTo reports whether a replica takes part in the routing shares and this coordinator sends to it.
+func (m *Machine) sendsTo(r *replica) bool {
+	return r.ready() && m.placement.subset.Contains(r.subsetKey)
+}
 
 // updatePlacement finds this coordinator's subset of the replicas that are listed as running, and the key of each.
 func (m *Machine) updatePlacement() {
@@ -53,9 +55,9 @@
 	nodes := subsetting.Ring{
 		Size:              m.settings.RingSize,
 		ReplicationFactor: m.settings.ReplicationFactor,
-		Replicas:          m.replicas.running,
+		Replicas:          m.replicas.listedReady,
 	}
-	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minKeptHolders)
+	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minSubsetHolders)
 	p.fleetFactor = max(1, p.subset.Share*float64(m.settings.Coordinators)/smallFleet)
 	basis := placementBasis{p.subset, m.place()}
 	if basis != p.basis {
@@ -119,6 +121,6 @@
 	for _, r := range s.holders {
 		keys, ready = append(keys, r.subsetKey), append(ready, r.ready())
 	}
-	s.kept = m.placement.subset.Among(keys, ready, minKeptHolders)
+	s.subsetSize = m.placement.subset.HolderCount(keys, ready, minSubsetHolders)
 	m.scratch.keys, m.scratch.ready = keys, ready
 }
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -79,10 +79,10 @@
 			slog.Info(logmsg.EndpointListInForce, "version", versionText(u.Slice.Version), "source", u.Source)
 		}
 		if u.Complete {
-			logInForce(distribution.Instances, u.Slice.Version)
+			logInForce(distribution.Endpoints, u.Slice.Version)
 		}
 	}
-	f := p.newFollower(distribution.Config{Resource: distribution.Instances, Known: p.relayedList.Known(),
+	f := p.newFollower(distribution.Config{Resource: distribution.Endpoints, KnownNames: p.relayedList.Known(),
 		Check: p.relayedList.Check, Apply: apply})
 	go f.Run(ctx)
 }
--- a/internal/lifecycle/listeners.go
+++ b/internal/lifecycle/listeners.go
@@ -27,7 +27,7 @@
 	if p.OpenSearch != nil {
 		handler := &opensearch.Front{Config: p.OpenSearch, Coordinator: p.coordinator, Clock: p.clock,
 			Version: p.version}
-		server := &http1.Server{Handler: handler.Handle, Fault: opensearch.ErrorResponse,
+		server := &http1.Server{Handler: handler.Handle, ErrorAnswer: opensearch.ErrorResponse,
 			Limits: http1.Limits{Head: http1.DefaultLimits.Head, Body: maxAPIBody}}
 		if err := p.openFront(p.OpenSearch.Listen, server); err != nil {
 			return err
@@ -91,7 +91,7 @@
 	n := len(p.fronts)
 	for _, f := range p.fronts {
 		f.server.MaxConns = max(1, p.maxClientConns()/n)
-		f.server.Room = func() int { return max(1, p.availableClientConns()/n) }
+		f.server.Capacity = func() int { return max(1, p.availableClientConns()/n) }
 		f.server.MaxIdle = max(1, p.Limits.IdleClientConns()/n)
 	}
 	p.frameCaller.OnDial(p.trimIdleClients)
@@ -122,14 +122,14 @@
 // trimIdleClients closes idle clients' connections before a replica is dialled, so that a descriptor is free for it.
 func (p *process) trimIdleClients() {
 	for _, f := range p.fronts {
-		f.server.TrimIdle()
+		f.server.EvictExcess()
 	}
 }
 
 // clientConnUse is the used share of the connections that clients may have, from 0 to 1, at the front that is fullest.
 func (p *process) clientConnUse() (share float64) {
 	for _, f := range p.fronts {
-		share = max(share, float64(f.server.OpenConns())/float64(f.server.MaxConns))
+		share = max(share, float64(f.server.BusyConns())/float64(f.server.MaxConns))
 	}
 	return share
 }
--- a/internal/lifecycle/relay.go
+++ b/internal/lifecycle/relay.go
@@ -47,13 +47,13 @@
 	if f.Authority != nil {
 		epoch = time.Now().UnixMilli()
 	}
-	budget := relay.NewBudget(f.SnapshotBytes)
-	instances := relay.NewResource(versionlog.New(epoch, f.Removals), budget)
+	budget := relay.NewSnapshotBudget(f.SnapshotBytes)
+	endpoints := relay.NewResource(versionlog.New(epoch, f.Removals), budget)
 	settings := relay.NewResource(versionlog.New(epoch, f.Removals), budget)
-	r := &relayProcess{file: f, server: relay.NewServer(instances, settings, f.Readers)}
+	r := &relayProcess{file: f, server: relay.NewServer(endpoints, settings, f.Readers)}
 	if a := f.Authority; a != nil {
-		r.authority = &relay.Authority{Instances: instances, Settings: settings, Discovery: a.Discovery,
-			NodesFile: a.Nodes, SettingsFile: a.Settings, CheckSettings: config.CheckFleetSettings}
+		r.authority = &relay.Authority{Endpoints: endpoints, Settings: settings, Discovery: a.Discovery,
+			EndpointsFile: a.Nodes, SettingsFile: a.Settings, CheckSettings: config.CheckFleetSettings}
 	}
 	return r
 }
@@ -90,7 +90,7 @@
 		return
 	}
 	for name, resource := range map[distribution.Resource]*relay.Resource{
-		distribution.Instances: r.server.Instances, distribution.Settings: r.server.Settings} {
+		distribution.Endpoints: r.server.Endpoints, distribution.Settings: r.server.Settings} {
 		go resource.Follow(ctx, r.file.Follower(distribution.Config{Resource: name}))
 	}
 }
--- a/internal/opensearch/begin_test.go
+++ b/internal/opensearch/begin_test.go
@@ -122,7 +122,7 @@
 				go p.owner.Run()
 				p.owner.UpdateEndpoints("test", scatter.FullUpdate, p.nodes)
 				go func() {
-					p.done <- p.owner.Ask(&core.Query{ID: "q", Class: tc.class, Deadline: clock() + 9*time.Second, Body: []byte("t"),
+					p.done <- p.owner.Execute(&core.Query{ID: "q", Class: tc.class, Deadline: clock() + 9*time.Second, Body: []byte("t"),
 						Parts: []core.Part{{Shard: 0, Weight: 1}}}, p.gone)
 				}()
 				address := <-sl.came
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -158,7 +158,7 @@
 	if timeout == 0 || timeout > ix.deadline {
 		timeout = ix.deadline
 	}
-	return &core.Query{ID: fmt.Sprintf("%016x", rand.Uint64()), Class: ix.Class, Tenant: tenant, Deadline: f.Clock() - req.Waited() + timeout,
+	return &core.Query{ID: fmt.Sprintf("%016x", rand.Uint64()), Class: ix.Class, Tenant: tenant, Deadline: f.Clock() - req.QueuedFor() + timeout,
 		IdempotencyKeys: req.Header[retry.IdempotencyKeyHeader], Admitted: true, ClientLeft: req.ClientLeft}
 }
 
@@ -199,7 +199,7 @@
 	if len(q.Parts) == 0 { // nothing can match
 		return searchReply(s, q, core.Answer{Complete: true}, 0), nil
 	}
-	switch a := f.Coordinator.Ask(q, gone); a.Status {
+	switch a := f.Coordinator.Execute(q, gone); a.Status {
 	case core.Rejected:
 		return refusal(a.RetryAfter), nil
 	case core.Invalid:
@@ -243,7 +243,7 @@
 		r.id = q.ID
 	}
 	q.Body, q.Origin, q.Parts = r.doc, r, []core.Part{{Shard: r.section, Weight: 1}}
-	switch a := f.Coordinator.Ask(q, gone); a.Status {
+	switch a := f.Coordinator.Execute(q, gone); a.Status {
 	case core.Rejected:
 		return refusal(a.RetryAfter), nil
 	case core.Invalid:
--- a/internal/test/logsummary/summary.go
+++ b/internal/test/logsummary/summary.go
@@ -57,7 +57,7 @@
 		s.warmWithin, _ = time.ParseDuration(l.Attrs[logmsg.KeySlowStart])
 	case logmsg.EndpointUpdated:
 		age, err := time.ParseDuration(l.Attrs[logmsg.KeyAge])
-		if err == nil && age > 0 && l.Attrs[logmsg.KeyState] == "ready" {
+		if err == nil && age > 0 && l.Attrs[logmsg.KeyState] == logmsg.StateReady {
 			replica := l.Attrs[logmsg.KeyReplica]
 			s.started[replica] = max(s.started[replica], l.At-age)
 		}
@@ -122,9 +122,9 @@
 	case logmsg.QueryEnded:
 		end := l.Attrs[logmsg.KeyStatus]
 		switch {
-		case end == "served" && l.Attrs[logmsg.KeyComplete] == "false":
+		case end == logmsg.StatusServed && l.Attrs[logmsg.KeyComplete] == "false":
 			end = "in part"
-		case end == "refused" && l.Attrs[logmsg.KeyAttempts] == "0":
+		case end == logmsg.StatusRejected && l.Attrs[logmsg.KeyAttempts] == "0":
 			end = "refused unsent"
 		}
 		kinds.add("queries "+l.Attrs[logmsg.KeyClass], end)
