--- a/cmd/harepass/reload_test.go
+++ b/cmd/harepass/reload_test.go
@@ -35,8 +35,8 @@
 	next := bytes.Replace(good, []byte(`"name":"route-lookup"`), []byte(`"name":"lift-status"`), 1)
 	next = bytes.Replace(next, []byte(`"most_tries":4`), []byte(`"most_tries":2`), 1)
 	reload(next, logmsg.ConfigurationReloaded)
-	for _, line := range []string{`what="classes: lift-status is new"`, `what="classes: route-lookup is gone"`,
-		`what="caps.most_tries: 2, was 4"`} {
+	for _, line := range []string{`change="classes: lift-status is new"`, `change="classes: route-lookup is gone"`,
+		`change="caps.most_tries: 2, was 4"`} {
 		if !strings.Contains(r.Log(), line) {
 			t.Errorf("no line %s", line)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -41,7 +41,7 @@
 
 	KnownEndpoints []core.Endpoint // those of the platform's file
 
-	OpenSearchPath     string
+	OpenSearchPath     string             // of that front's file, which a reload checks again
 	OpenSearch         *opensearch.Config // nil where that front is off
 	Inventory          *inventory.Reader  // nil where no file lists endpoints
 	InventoryEndpoints []core.Endpoint    // as Inventory was read at the start
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -23,6 +23,7 @@
 // newEndpointSource makes the source of the platform's endpoint list: relays where the distribution file says so, else
 // discovery. Either begins with the list that is known.
 func (p *process) newEndpointSource(cfg *core.Config) {
+	p.openStore()
 	known, from := p.takeOverList()
 	cfg.PolledSource = platform.Source
 	if p.store != nil {
@@ -76,7 +77,7 @@
 	apply := func(u distribution.Update) {
 		p.relayedList.Apply(u)
 		if u.Completed {
-			slog.Info(logmsg.EndpointListInForce, "version", versionText(u.Slice.Version), "source", u.Source)
+			slog.Info(logmsg.EndpointListInForce, "version", versionText(u.Slice.Version), logmsg.KeySource, u.Source)
 		}
 		if u.Complete {
 			logInForce(distribution.Endpoints, u.Slice.Version)
@@ -89,7 +90,7 @@
 
 // logInForce writes from when on a version of a resource is in force in this process.
 func logInForce(r distribution.Resource, v versionlog.Version) {
-	slog.Info(logmsg.VersionInForce, "resource", r.Name(), "epoch", v.Epoch, "index", v.Index,
+	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, r.Name(), "epoch", v.Epoch, "index", v.Index,
 		"at_unix_ms", time.Now().UnixMilli())
 }
 
--- a/internal/lifecycle/relay.go
+++ b/internal/lifecycle/relay.go
@@ -101,6 +101,6 @@
 		return
 	}
 	if err := r.authority.Load(); err != nil {
-		slog.Error(logmsg.AuthorityFilesRejected, "err", err)
+		slog.Error(logmsg.AuthorityFilesRejected, logmsg.KeyError, err)
 	}
 }
--- a/internal/lifecycle/relayed_settings.go
+++ b/internal/lifecycle/relayed_settings.go
@@ -51,7 +51,7 @@
 		err = p.replaceConfig(next)
 	}
 	if err != nil {
-		slog.Error(logmsg.SettingsRejected, "version", versionText(u.version), "reason", err)
+		slog.Error(logmsg.SettingsRejected, "version", versionText(u.version), logmsg.KeyReason, err)
 		return
 	}
 	p.relayedSettings.inForce = true
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -17,7 +17,7 @@
 func (p *process) reload() {
 	if p.Platform != nil {
 		if err := p.reloadPlatform(); err != nil {
-			slog.Error(logmsg.ConfigurationRejected, "err", err)
+			slog.Error(logmsg.ConfigurationRejected, logmsg.KeyError, err)
 		}
 	}
 	if p.Inventory != nil {
@@ -29,7 +29,7 @@
 func (p *process) reloadInventory() {
 	endpoints, err := p.Inventory.Read(p.clock())
 	if err != nil {
-		slog.Error(logmsg.InventoryRejected, "err", err)
+		slog.Error(logmsg.InventoryRejected, logmsg.KeyError, err)
 		return
 	}
 	slog.Info(logmsg.InventoryReloaded, "endpoints", len(endpoints))
@@ -41,7 +41,7 @@
 func (p *process) reloadPlatform() error {
 	next, err := config.LoadPlatform(config.WithoutDiscovery(p.env))
 	if err == nil && p.relayedSettings.inForce {
-		slog.Info(logmsg.FileSettingsIgnored, "reason", "relays' settings are in force")
+		slog.Info(logmsg.FileSettingsIgnored, logmsg.KeyReason, "relays' settings are in force")
 		next, err = next.WithSettings(p.Platform.Settings, p.env)
 	}
 	if err != nil {
@@ -97,6 +97,6 @@
 			slog.Info(logmsg.SettingsChanged, "changes_omitted", len(changes)-i)
 			return
 		}
-		slog.Info(logmsg.SettingsChanged, "what", c)
+		slog.Info(logmsg.SettingsChanged, logmsg.KeyChange, c)
 	}
 }
--- a/internal/lifecycle/takeover.go
+++ b/internal/lifecycle/takeover.go
@@ -23,26 +23,42 @@
 // ErrNoStateFolder means that TMPDIR is not set, so nothing can be stored for the process that comes next.
 var ErrNoStateFolder = errors.New("TMPDIR is not set")
 
-// takeOverList returns the endpoint list to begin with, and the address of the discovery that it came from. It is the
-// list that another process has stored, unless the configuration's is a later one of the same discovery. The stored
-// state is opened for this, where there is an admin endpoint.
-func (p *process) takeOverList() (list platform.List, from string) {
-	known := p.Platform.Known
+// openStore opens the stored state, where there is an admin endpoint. Where the folder cannot be opened, operators' calls
+// are answered all the same, but end with this process.
+func (p *process) openStore() {
 	if p.Platform.Operator == "" {
-		return known, p.Platform.Discovery
+		return
 	}
-	files, err := p.openState()
+	files, err := p.openStateFolder()
 	if err != nil {
-		slog.Error("operator calls not persisted", "err", err)
+		slog.Error("operator calls not persisted", logmsg.KeyError, err)
 	}
 	p.store = operator.NewStore(p.Platform.Name, files, p.clock)
+}
+
+// openStateFolder opens the folder of the stored state.
+func (p *process) openStateFolder() (*operator.Files, error) {
+	dir := p.env("TMPDIR")
+	if dir == "" {
+		return nil, ErrNoStateFolder
+	}
+	return operator.OpenFiles(filepath.Join(dir, StateFolder), time.Now())
+}
+
+// takeOverList returns the endpoint list to begin with, and the address of the discovery that it came from. It is the
+// list that another process has stored, unless the configuration's is a later one of the same discovery.
+func (p *process) takeOverList() (list platform.List, from string) {
+	known := p.Platform.Known
+	if p.store == nil {
+		return known, p.Platform.Discovery
+	}
 	data, from := p.store.FoundList()
 	if len(data) == 0 {
 		return known, p.Platform.Discovery
 	}
 	stored, endpoints, err := readStoredList(data)
 	if err != nil {
-		slog.Warn("stored endpoint list rejected", "err", err)
+		slog.Warn("stored endpoint list rejected", logmsg.KeyError, err)
 		return known, p.Platform.Discovery
 	}
 	if from == p.Platform.Discovery && known.Index > stored.Index {
@@ -54,15 +70,6 @@
 	return stored, from
 }
 
-// openState opens the folder of the stored state. Without one the calls of operators end with this process.
-func (p *process) openState() (*operator.Files, error) {
-	dir := p.env("TMPDIR")
-	if dir == "" {
-		return nil, ErrNoStateFolder
-	}
-	return operator.OpenFiles(filepath.Join(dir, StateFolder), time.Now())
-}
-
 // readStoredList reads an endpoint list from stored state.
 func readStoredList(data []byte) (platform.List, []core.Endpoint, error) {
 	var list platform.List
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -56,6 +56,7 @@
 	KeyOpenQueries     = "open_queries"
 	KeyShards          = "shards"
 	KeyRemedy          = "remedy"
+	KeyChange          = "change"
 )
 
 // Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names are
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -85,7 +85,7 @@
 	}
 	a.settings = settings
 	for _, change := range changes {
-		slog.Info("settings changed", "what", change)
+		slog.Info(logmsg.SettingsChanged, logmsg.KeyChange, change)
 	}
 	logPublished(distribution.Settings, a.Settings, published)
 	return nil
--- a/internal/test/scaletest/real.go
+++ b/internal/test/scaletest/real.go
@@ -90,7 +90,7 @@
 // The lines of a coordinator's log that are read.
 const (
 	inForceLine = logmsg.VersionInForce
-	changedLine = "settings changed"
+	changedLine = logmsg.SettingsChanged
 )
 
 // logReader makes records of a coordinator's own log.
--- a/internal/test/scaletest/verdict_test.go
+++ b/internal/test/scaletest/verdict_test.go
@@ -108,8 +108,8 @@
 		t.Errorf("%+v, %d, %d, %q", got, read, written, r.strays)
 	}
 	l := &logReader{member: "c1", records: r}
-	l.read(strings.NewReader(`x INFO settings changed what="caps.max_retry_after_us: 1000003, was 1000000"
-x INFO settings changed what="caps.keepalive_us: 30000002, was 30000000"
+	l.read(strings.NewReader(`x INFO settings changed change="caps.max_retry_after_us: 1000003, was 1000000"
+x INFO settings changed change="caps.keepalive_us: 30000002, was 30000000"
 x INFO version in force resource=settings epoch=1 index=2 at_unix_ms=1790000000000
 x INFO version in force resource=instances epoch=1 index=9 at_unix_ms=1790000000001
 `))
