--- a/internal/decide/scatter/admission_test.go
+++ b/internal/decide/scatter/admission_test.go
@@ -12,44 +12,44 @@
 func TestOverQuotaTrafficIsShedFirst(t *testing.T) {
 	s := base()
 	s.Tenants = []Tenant{{Name: "within", Quota: 100}, {Name: "beyond", Quota: 1}}
-	b := start(t, s, names("a")...)
-	b.m.classes.list[0].meanLatency = 0.35 * 2 // between the two thresholds
-	refused := map[string]int{}
+	h := start(t, s, names("a")...)
+	h.m.classes.list[0].meanLatency = 0.35 * 2 // between the two thresholds
+	rejected := map[string]int{}
 	for i := range int64(20) {
 		for _, tenant := range []string{"within", "beyond"} {
 			id := fmt.Sprint(tenant, i)
-			acts := b.step(ms, QueryArrived{ID: id, Number: i, Class: "c", Tenant: tenant, Parts: 1,
-				Expires: b.now + 6*sec}, PartArrived{ID: id + "p", Number: i, Weight: 1})
-			refused[tenant] += len(of[Reject](acts))
+			acts := h.step(ms, QueryArrived{ID: id, Number: i, Class: "c", Tenant: tenant, Parts: 1,
+				Expires: h.now + 6*sec}, PartArrived{ID: id + "p", Number: i, Weight: 1})
+			rejected[tenant] += len(of[Reject](acts))
 		}
 	}
-	if refused["within"] > 0 || refused["beyond"] < 15 {
-		t.Errorf("refused %v", refused)
+	if rejected["within"] > 0 || rejected["beyond"] < 15 {
+		t.Errorf("rejected %v", rejected)
 	}
 }
 
 // A tenant within its quota is not rejected for it, however small one coordinator's part of the quota is. Arrivals
 // are at random; the pressure lies where traffic beyond the quota is rejected and other traffic is not.
 func TestQuotaIsFairForAnyNumberOfCoordinators(t *testing.T) {
-	for _, roots := range []int{1, 30, 90} {
+	for _, coordinators := range []int{1, 30, 90} {
 		s := base()
-		s.Coordinators, s.Tenants = roots, []Tenant{{Name: "x", Quota: 20}}
-		rng := rand.New(rand.NewPCG(7, uint64(roots)))
-		for load, most := range map[float64]float64{0.8: 0.1, 3: 0.75} { // of the quota; refused at most
-			b := start(t, s, names("a")...)
-			refused, all := 0, 400
+		s.Coordinators, s.Tenants = coordinators, []Tenant{{Name: "x", Quota: 20}}
+		rng := rand.New(rand.NewPCG(7, uint64(coordinators)))
+		for load, most := range map[float64]float64{0.8: 0.1, 3: 0.75} { // of the quota; rejected at most
+			h := start(t, s, names("a")...)
+			rejected, all := 0, 400
 			for i := range int64(all) {
-				gap := rng.ExpFloat64() / (20 * load / float64(roots))
-				b.m.classes.list[0].meanLatency = 0.35 * 2
+				gap := rng.ExpFloat64() / (20 * load / float64(coordinators))
+				h.m.classes.list[0].meanLatency = 0.35 * 2
 				id := fmt.Sprint(i)
-				acts := b.step(time.Duration(gap*float64(sec)), QueryArrived{ID: id, Number: i, Class: "c", Tenant: "x",
-					Parts: 1, Expires: b.now + 10*time.Hour}, PartArrived{ID: id + "p", Number: i, Weight: 1})
-				refused += len(of[Reject](acts))
-				b.step(0, QueryCancelled{ID: id})
+				acts := h.step(time.Duration(gap*float64(sec)), QueryArrived{ID: id, Number: i, Class: "c", Tenant: "x",
+					Parts: 1, Expires: h.now + 10*time.Hour}, PartArrived{ID: id + "p", Number: i, Weight: 1})
+				rejected += len(of[Reject](acts))
+				h.step(0, QueryCancelled{ID: id})
 			}
-			part := float64(refused) / float64(all)
+			part := float64(rejected) / float64(all)
 			if part > most || load > 1 && part < 0.5 {
-				t.Errorf("%d roots, %.1f of the quota: %.2f refused", roots, load, part)
+				t.Errorf("%d coordinators, %.1f of the quota: %.2f rejected", coordinators, load, part)
 			}
 		}
 	}
@@ -60,14 +60,14 @@
 func TestClientWithLittleTime(t *testing.T) {
 	for _, tc := range []struct {
 		patience time.Duration
-		refused  bool
+		rejected bool
 	}{{300 * ms, true}, {600 * ms, false}} {
-		b := start(t, base(), names("a", "b")...)
-		b.m.classes.list[0].meanLatency = 0.4
-		acts := b.step(0, QueryArrived{ID: "q", Number: 1, Class: "c", Parts: 1, Expires: b.now + tc.patience},
+		h := start(t, base(), names("a", "b")...)
+		h.m.classes.list[0].meanLatency = 0.4
+		acts := h.step(0, QueryArrived{ID: "q", Number: 1, Class: "c", Parts: 1, Expires: h.now + tc.patience},
 			PartArrived{ID: "p", Number: 1, Weight: 1})
-		if got := len(of[Reject](acts)) == 1; got != tc.refused {
-			t.Errorf("%v left: refused %v", tc.patience, got)
+		if got := len(of[Reject](acts)) == 1; got != tc.rejected {
+			t.Errorf("%v left: rejected %v", tc.patience, got)
 		}
 		for _, x := range of[Send](acts) {
 			if x.Timeout > tc.patience {
@@ -75,9 +75,9 @@
 			}
 		}
 		ends := 0
-		for until := b.now + tc.patience; b.now < until; {
+		for until := h.now + tc.patience; h.now < until; {
 			ends += len(of[Reject](acts)) + len(of[Answer](acts)) + len(of[Fail](acts))
-			acts = b.step(5*ms, TimerFired{})
+			acts = h.step(5*ms, TimerFired{})
 		}
 		if ends != 1 {
 			t.Errorf("%v left: %d final answers in time", tc.patience, ends)
@@ -92,41 +92,41 @@
 	for i := range 30 {
 		ids = append(ids, fmt.Sprint("r", i))
 	}
-	b := start(t, base(), names(ids...)...)
-	c := b.m.classes.list[0]
-	for _, r := range b.m.replicas.all {
-		at := &attempt{part: &part{query: &query{class: c}}, replica: r, sentAt: b.now}
-		r.health.lastSuccess, r.classHealth[0].lastSuccess = b.now+ms, b.now+ms
-		b.m.recordOutcome(r, c, at, ended("", 0, r.ID, TimedOut, 2*sec))
+	h := start(t, base(), names(ids...)...)
+	c := h.m.classes.list[0]
+	for _, r := range h.m.replicas.all {
+		at := &attempt{part: &part{query: &query{class: c}}, replica: r, sentAt: h.now}
+		r.health.lastSuccess, r.classHealth[0].lastSuccess = h.now+ms, h.now+ms
+		h.m.recordOutcome(r, c, at, ended("", 0, r.ID, TimedOut, 2*sec))
 	}
-	refused := 0
+	rejected := 0
 	for range 400 {
-		refused += len(of[Reject](b.query("c", 0)))
-		for _, q := range slices.Clone(b.m.queries.open) {
-			b.step(0, QueryCancelled{ID: q.ID})
+		rejected += len(of[Reject](h.query("c", 0)))
+		for _, q := range slices.Clone(h.m.queries.open) {
+			h.step(0, QueryCancelled{ID: q.ID})
 		}
 	}
-	if refused < 10 {
-		t.Errorf("%d refusals under strain", refused)
+	if rejected < 10 {
+		t.Errorf("%d rejections under load", rejected)
 	}
-	if b.m.loadFactor > 1.2 {
-		t.Errorf("strain %.2f after %d refusals", b.m.loadFactor, refused)
+	if h.m.loadFactor > 1.2 {
+		t.Errorf("load factor %.2f after %d rejections", h.m.loadFactor, rejected)
 	}
 }
 
 // One overloaded shard rejects no query that may be answered without it.
 func TestAdmittedByTheLeastAnswer(t *testing.T) {
-	for _, floor := range []float64{0.5, 1} {
-		refused := 0
+	for _, minFraction := range []float64{0.5, 1} {
+		rejected := 0
 		for range 20 {
 			s := base()
-			s.Classes[0].MinFraction, s.RingSize = floor, 4
-			b := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
-			b.m.replicas.byID["d"].latencyRatio = 10 // its mean is twice the aim
-			refused += len(of[Reject](b.query("c", 0, 1, 2, 3)))
+			s.Classes[0].MinFraction, s.RingSize = minFraction, 4
+			h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
+			h.m.replicas.byID["d"].latencyRatio = 10 // its mean is twice the objective
+			rejected += len(of[Reject](h.query("c", 0, 1, 2, 3)))
 		}
-		if floor < 1 && refused > 0 || floor == 1 && refused < 10 {
-			t.Errorf("floor %.1f: %d of 20 refused", floor, refused)
+		if minFraction < 1 && rejected > 0 || minFraction == 1 && rejected < 10 {
+			t.Errorf("minimum %.1f: %d of 20 rejected", minFraction, rejected)
 		}
 	}
 }
@@ -136,24 +136,24 @@
 // are needed.
 func TestOverloadedShardIsSpared(t *testing.T) {
 	for _, tc := range []struct {
-		floor, ratio float64
-		least, most  int
+		minFraction, ratio float64
+		least, most        int
 	}{
 		{0.4, 10, 1, 10}, {0.4, 1.5, 40, 40}, {1, 1.5, 40, 40},
 	} {
 		s := base()
-		s.Classes[0].MinFraction, s.RingSize = tc.floor, 4
-		b := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
+		s.Classes[0].MinFraction, s.RingSize = tc.minFraction, 4
+		h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
 		sent := 0
 		for range 40 {
-			b.m.replicas.byID["d"].latencyRatio = tc.ratio // at 10 its mean is twice the aim
-			for _, x := range of[Send](b.query("c", 0, 1, 2, 3)) {
+			h.m.replicas.byID["d"].latencyRatio = tc.ratio // at 10 its mean is twice the objective
+			for _, x := range of[Send](h.query("c", 0, 1, 2, 3)) {
 				sent += int(toInt(x.Replica == "d"))
-				b.step(0, ended(x.Part, 0, x.Replica, Succeeded, 400*ms))
+				h.step(0, ended(x.Part, 0, x.Replica, Succeeded, 400*ms))
 			}
 		}
 		if sent < tc.least || sent > tc.most {
-			t.Errorf("floor %v, ratio %v: %v of 40 parts sent to the crowded shard", tc.floor, tc.ratio, sent)
+			t.Errorf("minimum %v, ratio %v: %v of 40 parts sent to the overloaded shard", tc.minFraction, tc.ratio, sent)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 func TestLightPartsAreSkippedUnderLoad(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		base    float64 // of the class, seconds; its aim is 2
+		base    float64 // of the class, seconds; its objective is 2
 		weights []float64
 		sent    int
 	}{
@@ -174,13 +174,13 @@
 	} {
 		s := base()
 		s.Classes[0].MinFraction = 0.6
-		b := start(t, s, names("a", "b")...)
-		b.m.classes.list[0].meanLatency = tc.base
-		evs := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Expires: b.now + 6*sec}}
+		h := start(t, s, names("a", "b")...)
+		h.m.classes.list[0].meanLatency = tc.base
+		evs := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Expires: h.now + 6*sec}}
 		for i, w := range tc.weights {
 			evs = append(evs, PartArrived{ID: fmt.Sprint("q.", i), Number: 1, Weight: w})
 		}
-		if got := len(of[Send](b.step(0, evs...))); got != tc.sent {
+		if got := len(of[Send](h.step(0, evs...))); got != tc.sent {
 			t.Errorf("%s: %d parts sent, want %d", tc.name, got, tc.sent)
 		}
 	}
@@ -196,24 +196,24 @@
 		ratio       float64
 		failing     bool
 		least, most int // sent of 40
-	}{{"crowded", 12, false, 0, 12}, {"silent", 1, false, 40, 40}, {"failing at once", 12, true, 40, 40}} {
-		a, err := New(1, base())
+	}{{"overloaded", 12, false, 0, 12}, {"silent", 1, false, 40, 40}, {"failing at once", 12, true, 40, 40}} {
+		m, err := New(1, base())
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := 100 * sec
-		a.Step(now, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r"}}}})
+		m.Step(now, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r"}}}})
 		sent := 0
 		for i := range 40 {
-			r := a.replicas.byID["r"]
+			r := m.replicas.byID["r"]
 			r.health.ejected, r.latencyRatio, r.health.failsFast, r.health.nextProbe = true, tc.ratio, tc.failing, now+sec
 			now += sec / 10
 			q := fmt.Sprint("q", i)
-			for _, act := range a.Step(now, []Event{QueryArrived{ID: q, Number: int64(i), Class: "c", Parts: 1, Expires: now + 5*sec},
+			for _, act := range m.Step(now, []Event{QueryArrived{ID: q, Number: int64(i), Class: "c", Parts: 1, Expires: now + 5*sec},
 				PartArrived{ID: q + ".0", Number: int64(i), Weight: 1}}) {
 				if s, ok := act.(Send); ok {
 					sent++
-					a.Step(now, []Event{AttemptEnded{Part: s.Part, Replica: "r", Outcome: Cancelled}, QueryCancelled{ID: q}})
+					m.Step(now, []Event{AttemptEnded{Part: s.Part, Replica: "r", Outcome: Cancelled}, QueryCancelled{ID: q}})
 				}
 			}
 		}
--- a/internal/decide/scatter/attempts_test.go
+++ b/internal/decide/scatter/attempts_test.go
@@ -13,21 +13,20 @@
 		outcome Outcome
 		after   time.Duration
 		again   bool
-		refused bool // the final answer says that a repeat is harmless
 	}{
-		{"free after an error", Idempotent, Errored, 100 * ms, true, true},
-		{"guarded within its window", Keyed, ConnectionReset, 400 * ms, true, false},
-		{"guarded at its edge", Keyed, ConnectionReset, 500 * ms, true, false},
-		{"guarded past its window", Keyed, ConnectionReset, 505 * ms, false, false},
-		{"single shot that may have run", NonIdempotent, ConnectionReset, 100 * ms, false, false},
-		{"single shot that never ran", NonIdempotent, ConnectFailed, 100 * ms, true, true},
+		{"free after an error", Idempotent, Errored, 100 * ms, true},
+		{"guarded within its window", Keyed, ConnectionReset, 400 * ms, true},
+		{"guarded at its edge", Keyed, ConnectionReset, 500 * ms, true},
+		{"guarded past its window", Keyed, ConnectionReset, 505 * ms, false},
+		{"single shot that may have run", NonIdempotent, ConnectionReset, 100 * ms, false},
+		{"single shot that never ran", NonIdempotent, ConnectFailed, 100 * ms, true},
 	} {
 		s := base()
 		s.Classes[0].Idempotency, s.Classes[0].DedupWindow = tc.repeat, 500*ms
-		b := start(t, s, names("a", "b")...)
-		b.m.hedges.tokens = 0
-		first := of[Send](b.query("c", 0))[0]
-		acts := b.step(tc.after, ended(first.Part, 0, first.Replica, tc.outcome, tc.after))
+		h := start(t, s, names("a", "b")...)
+		h.m.hedges.tokens = 0
+		first := of[Send](h.query("c", 0))[0]
+		acts := h.step(tc.after, ended(first.Part, 0, first.Replica, tc.outcome, tc.after))
 		if got := len(of[Send](acts)) == 1; got != tc.again {
 			t.Errorf("%s: sent again %v, want %v", tc.name, got, tc.again)
 		}
@@ -40,28 +39,28 @@
 func TestNonIdempotentIsNeverRejectedWhileItMayRun(t *testing.T) {
 	s := base()
 	s.Classes[0].Idempotency = NonIdempotent
-	b := start(t, s, names("a", "b")...)
-	acts := b.query("c", 0)
+	h := start(t, s, names("a", "b")...)
+	acts := h.query("c", 0)
 	for range 1200 {
-		if len(of[Reject](acts)) > 0 || len(of[Send](acts)) > 0 && b.now > 100*sec {
-			t.Fatalf("at %v: %v", b.now, acts)
+		if len(of[Reject](acts)) > 0 || len(of[Send](acts)) > 0 && h.now > 100*sec {
+			t.Fatalf("at %v: %v", h.now, acts)
 		}
-		acts = b.step(5*ms, TimerFired{})
+		acts = h.step(5*ms, TimerFired{})
 	}
 }
 
 // All replicas reject for a moment: a part does not spend its last attempt at once.
 func TestThirdAttemptWaits(t *testing.T) {
-	b := start(t, base(), names("a", "b", "c", "d")...)
-	x := of[Send](b.query("c", 0))[0]
-	y := of[Send](b.step(ms, ended(x.Part, 0, x.Replica, Rejected, ms)))
+	h := start(t, base(), names("a", "b", "c", "d")...)
+	x := of[Send](h.query("c", 0))[0]
+	y := of[Send](h.step(ms, ended(x.Part, 0, x.Replica, Rejected, ms)))
 	if len(y) != 1 {
 		t.Fatalf("the second attempt: %v", y)
 	}
-	if z := of[Send](b.step(ms, ended(x.Part, 1, y[0].Replica, Rejected, ms))); len(z) != 0 {
+	if z := of[Send](h.step(ms, ended(x.Part, 1, y[0].Replica, Rejected, ms))); len(z) != 0 {
 		t.Errorf("the third attempt follows at once: %v", z)
 	}
-	if z := of[Send](b.step(400*ms, TimerFired{})); len(z) != 1 {
+	if z := of[Send](h.step(400*ms, TimerFired{})); len(z) != 1 {
 		t.Errorf("the third attempt never comes: %v", z)
 	}
 }
--- a/internal/decide/scatter/benchmark_test.go
+++ b/internal/decide/scatter/benchmark_test.go
@@ -9,7 +9,7 @@
 func BenchmarkStep(b *testing.B) {
 	s := base()
 	s.Coordinators, s.RingSize, s.ReplicationFactor, s.PartsPerCall = 90, 150, 4, 8
-	a, err := New(1, s)
+	m, err := New(1, s)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 		list.Replicas = append(list.Replicas, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 	}
 	now := 100 * sec
-	a.Step(now, []Event{list})
+	m.Step(now, []Event{list})
 	for i := range int64(b.N) {
 		evs := []Event{QueryArrived{ID: fmt.Sprint(i), Number: i, Class: "c", Parts: 40, Expires: now + 6*sec}}
 		for k := range 40 {
@@ -26,10 +26,10 @@
 		}
 		now += 300 * ms
 		var done []Event
-		for _, x := range of[Send](a.Step(now, evs)) {
+		for _, x := range of[Send](m.Step(now, evs)) {
 			done = append(done, ended(x.Part, 0, x.Replica, Succeeded, 100*ms))
 		}
 		now += 100 * ms
-		a.Step(now, done)
+		m.Step(now, done)
 	}
 }
--- a/internal/decide/scatter/completeness_test.go
+++ b/internal/decide/scatter/completeness_test.go
@@ -9,17 +9,17 @@
 // A query has one final answer before its client's time is up, and nothing is sent after it.
 func TestQueryEndsInTimeWhenNothingAnswers(t *testing.T) {
 	for _, list := range [][]Replica{nil, names("a", "b")} {
-		b := start(t, base(), list...)
-		acts := b.query("c", 0)
-		until := b.now + 6*sec
+		h := start(t, base(), list...)
+		acts := h.query("c", 0)
+		until := h.now + 6*sec
 		finals := 0
-		for b.now < until {
+		for h.now < until {
 			n := len(of[Reject](acts)) + len(of[Fail](acts)) + len(of[Answer](acts))
 			if finals > 0 && len(of[Send](acts)) > 0 {
 				t.Error("sent after the final answer")
 			}
 			finals += n
-			acts = b.step(5*ms, TimerFired{})
+			acts = h.step(5*ms, TimerFired{})
 		}
 		if finals != 1 {
 			t.Errorf("%d replicas: %d final answers before the time was up", len(list), finals)
@@ -30,19 +30,19 @@
 // A query whose time is over, or as good as over, when it comes ends in that step, and nothing is sent.
 func TestExpiredQueryEndsAtOnce(t *testing.T) {
 	for _, left := range []time.Duration{-sec, 0, 5 * ms} {
-		b := start(t, base(), names("a")...)
-		acts := b.step(0, QueryArrived{ID: "q", Number: 9, Class: "c", Expires: b.now + left},
+		h := start(t, base(), names("a")...)
+		acts := h.step(0, QueryArrived{ID: "q", Number: 9, Class: "c", Expires: h.now + left},
 			PartArrived{ID: "p", Number: 9, Weight: 1})
 		if len(of[Reject](acts)) != 1 || len(of[Send](acts)) != 0 {
 			t.Errorf("%v left: %v", left, acts)
 		}
-		if acts = b.step(5*ms, QueryCancelled{ID: "q"}); len(acts) != 0 && (len(of[Reject](acts)) > 0 || len(of[Send](acts)) > 0) {
+		if acts = h.step(5*ms, QueryCancelled{ID: "q"}); len(acts) != 0 && (len(of[Reject](acts)) > 0 || len(of[Send](acts)) > 0) {
 			t.Errorf("%v left, afterwards: %v", left, acts)
 		}
 	}
-	b := start(t, base(), names("a")...) // the answer comes in the very step in which the client's time ends
-	x := of[Send](b.query("c", 0))[0]
-	acts := b.step(6*sec, ended(x.Part, 0, "a", Succeeded, 6*sec), TimerFired{})
+	h := start(t, base(), names("a")...) // the answer comes in the very step in which the client's time ends
+	x := of[Send](h.query("c", 0))[0]
+	acts := h.step(6*sec, ended(x.Part, 0, "a", Succeeded, 6*sec), TimerFired{})
 	if n := len(of[Answer](acts)) + len(of[Reject](acts)) + len(of[Fail](acts)); n != 1 {
 		t.Errorf("%d final answers: %v", n, acts)
 	}
@@ -51,30 +51,30 @@
 // An answer is complete only from the complete fraction on, and there is none under the minimum fraction.
 func TestAnswerSaysWhetherItIsComplete(t *testing.T) {
 	for _, tc := range []struct {
-		name        string
-		need, floor float64
-		served      int
-		answer      bool
-		whole       bool
+		name                          string
+		completeFraction, minFraction float64
+		served                        int
+		answer                        bool
+		whole                         bool
 	}{
 		{"all needed, one missing", 1, 1, 3, false, false},
 		{"all needed, all in", 1, 1, 4, true, true},
 		{"three quarters needed, all of them in", .75, .75, 3, true, true},
-		{"below the need, at the floor", 1, .5, 2, true, false},
-		{"below the floor", 1, .5, 1, false, false},
+		{"below the complete fraction, at the minimum", 1, .5, 2, true, false},
+		{"below the minimum", 1, .5, 1, false, false},
 	} {
 		s := base()
-		s.Classes[0].CompleteFraction, s.Classes[0].MinFraction, s.Classes[0].LateWeight = tc.need, tc.floor, 0
-		b := start(t, s, names("a", "b")...)
-		b.m.hedges.tokens = 0
-		all := b.query("c", 0, 1, 2, 3)
+		s.Classes[0].CompleteFraction, s.Classes[0].MinFraction, s.Classes[0].LateWeight = tc.completeFraction, tc.minFraction, 0
+		h := start(t, s, names("a", "b")...)
+		h.m.hedges.tokens = 0
+		all := h.query("c", 0, 1, 2, 3)
 		for i, x := range of[Send](all) {
 			if i < tc.served {
-				all = append(all, b.step(ms, ended(x.Part, 0, x.Replica, Succeeded, 10*ms))...)
+				all = append(all, h.step(ms, ended(x.Part, 0, x.Replica, Succeeded, 10*ms))...)
 			}
 		}
 		for range 500 {
-			all = append(all, b.step(5*ms, TimerFired{})...)
+			all = append(all, h.step(5*ms, TimerFired{})...)
 		}
 		ans := of[Answer](all)
 		if got := len(ans) == 1; got != tc.answer || got && ans[0].Complete != tc.whole {
@@ -86,20 +86,20 @@
 func TestSecondRound(t *testing.T) {
 	s := base()
 	s.Classes[0].SecondRoundParts = 1
-	b := start(t, s, names("a")...)
-	x := of[Send](b.query("c", 0))[0]
-	acts := b.step(ms, ended(x.Part, 0, "a", Succeeded, ms))
+	h := start(t, s, names("a")...)
+	x := of[Send](h.query("c", 0))[0]
+	acts := h.step(ms, ended(x.Part, 0, "a", Succeeded, ms))
 	if a := of[Answer](acts); len(a) != 1 || !a[0].Complete {
-		t.Fatalf("first step: %v", acts)
+		t.Fatalf("first round: %v", acts)
 	}
-	acts = b.step(5*ms, PartArrived{ID: "second", Number: 1, Shard: 0, Weight: 1})
+	acts = h.step(5*ms, PartArrived{ID: "second", Number: 1, Shard: 0, Weight: 1})
 	y := of[Send](acts)
 	if len(y) != 1 {
-		t.Fatalf("second step sent %v", acts)
+		t.Fatalf("second round sent %v", acts)
 	}
-	acts = b.step(ms, ended("second", 0, "a", Succeeded, ms))
+	acts = h.step(ms, ended("second", 0, "a", Succeeded, ms))
 	if a := of[Answer](acts); len(a) != 1 || !a[0].Complete {
-		t.Fatalf("second step: %v", acts)
+		t.Fatalf("second round: %v", acts)
 	}
 }
 
@@ -108,13 +108,13 @@
 	for _, whole := range []bool{false, true} {
 		s := base()
 		s.Classes[0].MinFraction = 0.7
-		b := start(t, s, names("r1", "r2")...)
-		b.step(0, QueryArrived{ID: "q", Number: 1, Class: "c", Parts: 2, Expires: b.now + 6*sec, RequireComplete: whole},
+		h := start(t, s, names("r1", "r2")...)
+		h.step(0, QueryArrived{ID: "q", Number: 1, Class: "c", Parts: 2, Expires: h.now + 6*sec, RequireComplete: whole},
 			PartArrived{ID: "p0", Number: 1, Shard: 0, Weight: 0.8}, PartArrived{ID: "p1", Number: 1, Shard: 1, Weight: 0.2})
-		b.step(100*ms, ended("p0", 0, "r1", Succeeded, 100*ms), ended("p0", 0, "r2", Succeeded, 100*ms))
+		h.step(100*ms, ended("p0", 0, "r1", Succeeded, 100*ms), ended("p0", 0, "r2", Succeeded, 100*ms))
 		var answers []Answer
 		for range 500 { // until past the client's time
-			answers = append(answers, of[Answer](b.step(20*ms))...)
+			answers = append(answers, of[Answer](h.step(20*ms))...)
 		}
 		if got := len(answers) == 1 && !answers[0].Complete; got == whole {
 			t.Errorf("whole wanted %v: answers %v", whole, answers)
@@ -134,8 +134,8 @@
 		{10, 7, 0.1, "[false]"}, {48, 34, 0.020833, "[false]"}, {48, 33, 0.020833, "[]"}, {5, 5, 0.1999, "[false]"}} {
 		s := base()
 		s.Classes[0].MinFraction = 0.7
-		b := start(t, s, names("r1", "r2")...)
-		events := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Parts: tc.parts, Expires: b.now + 6*sec}}
+		h := start(t, s, names("r1", "r2")...)
+		events := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Parts: tc.parts, Expires: h.now + 6*sec}}
 		for i := range tc.parts {
 			events = append(events, PartArrived{ID: fmt.Sprint("p", i), Number: 1, Shard: i, Weight: tc.weight})
 		}
@@ -147,7 +147,7 @@
 				}
 			}
 		}
-		acts := b.m.Step(b.now, events)
+		acts := h.m.Step(h.now, events)
 		note(acts)
 		served := 0
 		var ends []Event
@@ -157,10 +157,10 @@
 				ends = append(ends, AttemptEnded{Part: send.Part, Replica: send.Replica, Latency: 10 * ms})
 			}
 		}
-		note(b.m.Step(b.now+10*ms, ends))
+		note(h.m.Step(h.now+10*ms, ends))
 		for range 400 {
-			b.now += 20 * ms
-			note(b.m.Step(b.now, nil))
+			h.now += 20 * ms
+			note(h.m.Step(h.now, nil))
 		}
 		if got := fmt.Sprint(answers); got != tc.want {
 			t.Errorf("%d of %d parts of %v: answers %s, want %s", tc.in, tc.parts, tc.weight, got, tc.want)
@@ -172,11 +172,11 @@
 func TestLostPartIsReplaced(t *testing.T) {
 	s := base()
 	s.Classes[0].CompleteFraction, s.MaxAttempts = 0.75, 1
-	b := start(t, s, names("a", "b")...)
-	sends := of[Send](b.query("c", 0, 1, 2, 3))
-	more := of[Send](b.step(ms, ended(sends[0].Part, 0, sends[0].Replica, Errored, ms)))
+	h := start(t, s, names("a", "b")...)
+	sends := of[Send](h.query("c", 0, 1, 2, 3))
+	more := of[Send](h.step(ms, ended(sends[0].Part, 0, sends[0].Replica, Errored, ms)))
 	if len(more) != 1 || more[0].Part == sends[0].Part {
-		t.Errorf("the lost part is followed by %v, want the spare part", more)
+		t.Errorf("the lost part is followed by %v, want the other part", more)
 	}
 }
 
@@ -193,15 +193,15 @@
 		acts = f.step(5*ms, TimerFired{})
 	}
 	if left := asked + 1900*ms - f.now; left < scale(s.Classes[0].LatencyObjective, minOverdue)-10*ms {
-		t.Fatalf("the first step's answer leaves %v before the aim", left)
+		t.Fatalf("the first round's answer leaves %v before the objective", left)
 	}
 	acts = f.step(5*ms, PartArrived{ID: "next", Number: f.n, Weight: 1})
 	if len(of[Send](acts)) != 1 {
-		t.Fatalf("the second step is not sent: %v", acts)
+		t.Fatalf("the second round is not sent: %v", acts)
 	}
 	acts = f.step(200*ms, ended("next", 0, of[Send](acts)[0].Replica, Succeeded, 200*ms))
 	if got := of[Answer](acts); len(got) != 1 || got[0].Complete {
-		t.Errorf("second step: %v", acts)
+		t.Errorf("second round: %v", acts)
 	}
 }
 
@@ -209,15 +209,15 @@
 func TestPartialAnswerLeavesTimeForItsWay(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction = 0.5
-	b := start(t, s, names("a", "b")...)
-	b.m.hedges.tokens = 0
-	acts := b.query("c", 0, 0)
-	asked := b.now
-	acts = b.step(5*ms, ended(of[Send](acts)[0].Part, 0, of[Send](acts)[0].Replica, Succeeded, 5*ms))
-	for len(of[Answer](acts)) == 0 && b.now < asked+3*sec {
-		acts = b.step(5*ms, TimerFired{})
-	}
-	if got := b.now - asked; got > 2*sec-15*ms || got < 1900*ms {
-		t.Errorf("answered in part after %v, the aim being 2 s", got)
+	h := start(t, s, names("a", "b")...)
+	h.m.hedges.tokens = 0
+	acts := h.query("c", 0, 0)
+	asked := h.now
+	acts = h.step(5*ms, ended(of[Send](acts)[0].Part, 0, of[Send](acts)[0].Replica, Succeeded, 5*ms))
+	for len(of[Answer](acts)) == 0 && h.now < asked+3*sec {
+		acts = h.step(5*ms, TimerFired{})
+	}
+	if got := h.now - asked; got > 2*sec-15*ms || got < 1900*ms {
+		t.Errorf("answered in part after %v, the objective being 2 s", got)
 	}
 }
--- a/internal/decide/scatter/coordinators_test.go
+++ b/internal/decide/scatter/coordinators_test.go
@@ -48,11 +48,11 @@
 	s.Coordinators = n
 	for i := range n {
 		s.Ordinal = i + 1
-		a, err := New(uint64(i), s)
+		m, err := New(uint64(i), s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.all = append(f.all, &coordinator{machine: a, tries: map[string]int{}})
+		f.all = append(f.all, &coordinator{machine: m, tries: map[string]int{}})
 	}
 	return f
 }
@@ -69,7 +69,7 @@
 		switch x := act.(type) {
 		case SetTimer:
 			heap.Push(&f.due, fleetEvent{f.now + x.After, TimerFired{}, r})
-		case CancelAttempt: // what is called off goes on at its node
+		case CancelAttempt: // what is cancelled goes on at its replica
 			heap.Push(&f.due, fleetEvent{f.now, AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Latency: 200 * ms}, r})
 		case Answer:
 			f.onEnd(x.Query, f.now-f.arrivals[x.Query])
@@ -115,9 +115,9 @@
 func TestFleetUsesReplicaInSlowStart(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
-		roots, fresh, nodes int
-		gap                 time.Duration // between queries, a part for each node
-		capacity            float64       // parts a second of a warm node, which has more than one core
+		coordinators, fresh, nodes int
+		gap                        time.Duration // between queries, a part for each node
+		capacity                   float64       // parts a second of a warm node, which has more than one core
 	}{
 		{80, 0, 6, 10 * ms, 150},
 		{300, 0, 30, 25 * ms, 90},
@@ -126,7 +126,7 @@
 		s := Settings{RingSize: tc.nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 			Classes:   []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}},
 			SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}}
-		f := newCoordinators(t, tc.roots, s)
+		f := newCoordinators(t, tc.coordinators, s)
 		var list []Replica
 		for i := range tc.nodes {
 			list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
@@ -141,7 +141,7 @@
 				sent = append(sent, f.now)
 			}
 		}
-		fresh := newCoordinators(t, tc.roots, s)
+		fresh := newCoordinators(t, tc.coordinators, s)
 		for i := range tc.fresh {
 			f.all[i].machine = fresh.all[i].machine // what is out of the old one ends as unknown to the new
 		}
@@ -158,12 +158,12 @@
 		}
 		// Of what it can do for certain in the 8 s, or of what there is for it, where that is less.
 		least := 0.55 * min(tc.capacity*ramp(list[0].StartedAt+4*sec), 1/tc.gap.Seconds()) * 8
-		t.Logf("%d roots, %d fresh: %d parts, %.0f wanted; at worst %.2f of what makes it fall", tc.roots, tc.fresh, len(sent), least, worst)
+		t.Logf("%d coordinators, %d fresh: %d parts, %.0f wanted; at worst %.2f of what overloads it", tc.coordinators, tc.fresh, len(sent), least, worst)
 		if worst > slowStartSafety {
-			t.Errorf("%d roots, %d fresh: a window brought %.2f of what makes it fall", tc.roots, tc.fresh, worst)
+			t.Errorf("%d coordinators, %d fresh: a window brought %.2f of what overloads it", tc.coordinators, tc.fresh, worst)
 		}
 		if float64(len(sent)) < least {
-			t.Errorf("%d roots, %d fresh: %d parts in 8 s, %.0f at least could be served", tc.roots, tc.fresh, len(sent), least)
+			t.Errorf("%d coordinators, %d fresh: %d parts in 8 s, %.0f at least could be served", tc.coordinators, tc.fresh, len(sent), least)
 		}
 	}
 }
@@ -175,9 +175,9 @@
 func TestLastHolderIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	const (
-		nodes, sections = 30, 5
-		service         = time.Second / 80 // of a part, one at a time
-		queue           = 450 * ms         // of work, and full beyond it
+		nodes, shards = 30, 5
+		service       = time.Second / 80 // of a part, one at a time
+		queue         = 450 * ms         // of work, and full beyond it
 	)
 	f := newCoordinators(t, 300, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 		Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}}})
@@ -197,19 +197,19 @@
 		return Succeeded, free[node] - f.now
 	}
 	f.updateAll(FullUpdate, list...)
-	f.run(4*sec, 3*ms, sections, nodes) // 55 parts a second for each node
+	f.run(4*sec, 3*ms, shards, nodes) // 55 parts a second for each node
 	silent["r1"], silent["r2"] = true, true
-	f.run(4*sec, 3*ms, sections, nodes)
+	f.run(4*sec, 3*ms, shards, nodes)
 	begun, served := f.queries, map[bool]int{}
 	f.onEnd = func(query string, took time.Duration) {
 		var n int64
 		if fmt.Sscanf(query, "q%d", &n); n > begun && took <= 380*ms {
 			first := int(n) * 11 % nodes
-			served[first >= nodes-sections+1 || first <= 1]++ // it needs section 0 or 1, whose last holders are r0 and r3
+			served[first >= nodes-shards+1 || first <= 1]++ // it needs shard 0 or 1, whose last holders are r0 and r3
 		}
 	}
-	f.run(8*sec, 3*ms, sections, nodes)
-	asked := 8 * 333 / nodes // from each section
+	f.run(8*sec, 3*ms, shards, nodes)
+	asked := 8 * 333 / nodes // from each shard
 	hard, easy := float64(served[true])/float64(6*asked), float64(served[false])/float64(24*asked)
 	t.Logf("served: %.2f of those that need a last holder, %.2f of the others", hard, easy)
 	if hard < 0.35 || easy < 0.95 {
@@ -261,7 +261,7 @@
 	}
 	for s := range nodes {
 		if n := count3(before, s, nodes); n != 2 {
-			t.Errorf("section %d: %d holders used", s, n)
+			t.Errorf("shard %d: %d holders used", s, n)
 		}
 	}
 	bad := ""
--- a/internal/decide/scatter/deferred_test.go
+++ b/internal/decide/scatter/deferred_test.go
@@ -8,35 +8,35 @@
 func TestDeferredParts(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction = 0.7
-	b := start(t, s, names("r1", "r2")...)
-	b.n++
-	acts := b.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 4, Expires: b.now + 6*sec},
+	h := start(t, s, names("r1", "r2")...)
+	h.n++
+	acts := h.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 4, Expires: h.now + 6*sec},
 		PartArrived{ID: "q1.0", Number: 1, Weight: 0.25}, PartArrived{ID: "q1.1", Number: 1, Weight: 0.25, Deferred: true},
 		PartArrived{ID: "q1.2", Number: 1, Weight: 0.25, Deferred: true}, PartArrived{ID: "q1.3", Number: 1, Weight: 0.25, Deferred: true})
 	if sends := of[Send](acts); len(sends) != 1 || sends[0].Part != "q1.0" {
 		t.Fatalf("%v, want only the part that is not held", acts)
 	}
 	for range 100 { // overdue as it is, no held part is taken for a spare one
-		for _, x := range of[Send](b.step(10 * ms)) {
+		for _, x := range of[Send](h.step(10 * ms)) {
 			if x.Part != "q1.0" {
 				t.Fatalf("held part %s was sent", x.Part)
 			}
 		}
 	}
-	acts = b.step(0, PartReleased{ID: "q1.1", Resolved: true}, PartReleased{ID: "q1.2"})
+	acts = h.step(0, PartReleased{ID: "q1.1", Resolved: true}, PartReleased{ID: "q1.2"})
 	if sends := of[Send](acts); len(sends) != 1 || sends[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
 		t.Fatalf("%v, want the part that was let out", acts)
 	}
-	// A part that is out and turns out to be known is called off, and its late outcome changes nothing.
-	acts = b.step(0, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q9.9", Resolved: true})
+	// A part that is out and turns out to be known is cancelled, and its late outcome changes nothing.
+	acts = h.step(0, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q9.9", Resolved: true})
 	if off := of[CancelAttempt](acts); len(off) != 1 || off[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
-		t.Fatalf("%v, want the attempt called off and no answer from half of the weight", acts)
+		t.Fatalf("%v, want the attempt cancelled and no answer from half of the weight", acts)
 	}
-	acts = b.step(0, ended("q1.2", 0, "r1", Succeeded, 5*ms), PartReleased{ID: "q1.3", Resolved: true})
+	acts = h.step(0, ended("q1.2", 0, "r1", Succeeded, 5*ms), PartReleased{ID: "q1.3", Resolved: true})
 	if len(of[Answer](acts)) > 0 {
 		t.Fatalf("%v: three quarters are no whole answer", acts)
 	}
-	acts = b.step(0, PartReleased{ID: "q1.0", Resolved: true})
+	acts = h.step(0, PartReleased{ID: "q1.0", Resolved: true})
 	if ans := of[Answer](acts); len(ans) != 1 || !ans[0].Complete {
 		t.Fatalf("%v, want one whole answer", acts)
 	}
@@ -47,18 +47,18 @@
 	for _, in := range []float64{0.6, 0.8} {
 		s := base()
 		s.Classes[0].MinFraction = 0.7
-		b := start(t, s, names("r1", "r2")...)
-		b.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 2, Expires: b.now + sec},
+		h := start(t, s, names("r1", "r2")...)
+		h.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 2, Expires: h.now + sec},
 			PartArrived{ID: "q1.0", Number: 1, Weight: in, Deferred: true}, PartArrived{ID: "q1.1", Number: 1, Weight: 1 - in, Deferred: true})
-		b.step(0, PartReleased{ID: "q1.0", Resolved: true})
-		answers, refusals := 0, 0
+		h.step(0, PartReleased{ID: "q1.0", Resolved: true})
+		answers, rejections := 0, 0
 		for range 200 {
-			acts := b.step(5 * ms)
+			acts := h.step(5 * ms)
 			answers += len(of[Answer](acts))
-			refusals += len(of[Reject](acts))
+			rejections += len(of[Reject](acts))
 		}
-		if answers+refusals != 1 || (answers == 1) != (in > 0.7) {
-			t.Errorf("%g in: %d answers and %d refusals", in, answers, refusals)
+		if answers+rejections != 1 || (answers == 1) != (in > 0.7) {
+			t.Errorf("%g in: %d answers and %d rejections", in, answers, rejections)
 		}
 	}
 }
--- a/internal/decide/scatter/endpoint_cost_test.go
+++ b/internal/decide/scatter/endpoint_cost_test.go
@@ -136,9 +136,9 @@
 		t.Skip("recorded on amd64")
 	}
 	for _, tc := range []struct {
-		open, nodes, layers, roots, me int
-		trouble                        bool
-		digest                         uint64
+		open, nodes, layers, coordinators, me int
+		trouble                               bool
+		digest                                uint64
 	}{
 		{5, 12, 1, 1, 0, true, 0x7b748cdcb76af0af},
 		{20, 30, 2, 300, 17, true, 0x7b4ad8c64f82e463},
@@ -148,7 +148,7 @@
 	} {
 		s := newRecordedLoad(t, tc.open, tc.nodes, tc.trouble)
 		set := s.machine.settings
-		set.Coordinators, set.Ordinal, set.Subscribe, set.ListMaxAge = tc.roots, tc.me, true, 60*sec
+		set.Coordinators, set.Ordinal, set.Subscribe, set.ListMaxAge = tc.coordinators, tc.me, true, 60*sec
 		set.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}
 		configure := func() {
 			if err := s.machine.Configure(set); err != nil {
--- a/internal/decide/scatter/endpoints_test.go
+++ b/internal/decide/scatter/endpoints_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestJoiningReplicaAdoptsSiblingRatio(t *testing.T) {
-	b := start(t, base(), names("a", "b")...)
-	if got := b.m.replicas.byID["a"].latencyRatio * b.m.classes.list[0].meanLatency; math.Abs(got-0.4) > 1e-9 {
-		t.Errorf("starting mean %.3f, want a fifth of the aim", got)
+	h := start(t, base(), names("a", "b")...)
+	if got := h.m.replicas.byID["a"].latencyRatio * h.m.classes.list[0].meanLatency; math.Abs(got-0.4) > 1e-9 {
+		t.Errorf("starting mean %.3f, want a fifth of the objective", got)
 	}
-	b.m.replicas.byID["a"].latencyRatio, b.m.replicas.byID["b"].latencyRatio = 0.5, 1
-	b.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("c")})
-	if got := b.m.replicas.byID["c"].latencyRatio; math.Abs(got-0.75) > 1e-9 {
+	h.m.replicas.byID["a"].latencyRatio, h.m.replicas.byID["b"].latencyRatio = 0.5, 1
+	h.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("c")})
+	if got := h.m.replicas.byID["c"].latencyRatio; math.Abs(got-0.75) > 1e-9 {
 		t.Errorf("joiner's ratio %.3f, want 0.75", got)
 	}
 }
@@ -22,19 +22,19 @@
 // Nothing new goes to a replica from the step in which its drain or removal is known.
 func TestNothingIsSentToDrainingReplica(t *testing.T) {
 	for _, state := range []ReplicaState{Draining, Removed} {
-		b := start(t, base(), names("a", "b")...)
-		b.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: state}}})
+		h := start(t, base(), names("a", "b")...)
+		h.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: state}}})
 		for range 50 {
-			for _, x := range of[Send](b.query("c", 0)) {
+			for _, x := range of[Send](h.query("c", 0)) {
 				if x.Replica == "a" {
 					t.Fatalf("sent to a replica in state %d", state)
 				}
 			}
 		}
 	}
-	b := start(t, base(), names("a", "b")...)
-	b.step(ms, EndpointUpdate{Kind: FullUpdate, Replicas: names("b")})
-	if got := of[Send](b.query("c", 0))[0].Replica; got != "b" {
+	h := start(t, base(), names("a", "b")...)
+	h.step(ms, EndpointUpdate{Kind: FullUpdate, Replicas: names("b")})
+	if got := of[Send](h.query("c", 0))[0].Replica; got != "b" {
 		t.Errorf("sent to %s, which the full list no longer has", got)
 	}
 }
@@ -43,24 +43,24 @@
 // step as queries, before or after them, and after an update that failed.
 func TestNothingIsSentToDrainingReplicaEvenIfOthersFail(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		b := start(t, base(), names("a", "b")...)
-		b.m.eject(b.m.replicas.byID["b"], nil)
+		h := start(t, base(), names("a", "b")...)
+		h.m.eject(h.m.replicas.byID["b"], nil)
 		news := EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: Draining}}}
-		evs := []Event{QueryArrived{ID: "q", Number: 9, Class: "c", Expires: b.now + 6*sec},
+		evs := []Event{QueryArrived{ID: "q", Number: 9, Class: "c", Expires: h.now + 6*sec},
 			PartArrived{ID: "p", Number: 9, Weight: 1}}
 		if late {
 			evs = append(evs, news)
 		} else {
 			evs = append([]Event{news, EndpointUpdate{Kind: FailedUpdate}}, evs...)
 		}
-		acts := b.step(ms, evs...)
+		acts := h.step(ms, evs...)
 		for range 100 {
 			for _, x := range of[Send](acts) {
 				if x.Replica == "a" {
 					t.Fatalf("sent to a draining replica, news last %v", late)
 				}
 			}
-			acts = append(b.step(5*ms, EndpointUpdate{Kind: FailedUpdate}), b.query("c", 0)...)
+			acts = append(h.step(5*ms, EndpointUpdate{Kind: FailedUpdate}), h.query("c", 0)...)
 		}
 	}
 }
@@ -68,31 +68,31 @@
 func TestSubscriptionIsRenewedWithBackoff(t *testing.T) {
 	s := base()
 	s.Subscribe, s.ListMaxAge = true, 10*sec
-	a, _ := New(1, s)
+	m, _ := New(1, s)
 	now := sec
-	if len(of[Subscribe](a.Step(now, []Event{EndpointUpdate{Kind: CachedUpdate, Replicas: names("a")}}))) != 1 {
+	if len(of[Subscribe](m.Step(now, []Event{EndpointUpdate{Kind: CachedUpdate, Replicas: names("a")}}))) != 1 {
 		t.Fatal("does not subscribe at its start")
 	}
 	var gaps []time.Duration
 	for range 4 {
 		asked := now
-		acts := a.Step(now, []Event{EndpointUpdate{Kind: FailedUpdate}})
+		acts := m.Step(now, []Event{EndpointUpdate{Kind: FailedUpdate}})
 		for len(of[Subscribe](acts)) == 0 {
 			now += 5 * ms
 			if now-asked > 10*sec {
 				t.Fatal("does not ask again")
 			}
-			acts = a.Step(now, nil)
+			acts = m.Step(now, nil)
 		}
 		gaps = append(gaps, now-asked)
 	}
 	if gaps[0] < 250*ms || gaps[3] <= gaps[0] {
 		t.Errorf("pauses %v do not grow", gaps)
 	}
-	a.Step(now, []Event{EndpointUpdate{Kind: IncrementalUpdate}})
+	m.Step(now, []Event{EndpointUpdate{Kind: IncrementalUpdate}})
 	for range 4000 {
 		now += 5 * ms
-		if len(of[Subscribe](a.Step(now, nil))) > 0 {
+		if len(of[Subscribe](m.Step(now, nil))) > 0 {
 			t.Fatal("asks again while subscribed")
 		}
 	}
@@ -100,22 +100,22 @@
 
 // A long life of ever new replicas leaves nothing behind, but what comes back within a minute is what it was.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
-	b := start(t, base(), names("a", "b")...)
+	h := start(t, base(), names("a", "b")...)
 	for i := range 100 {
 		id := fmt.Sprint("n", i)
-		b.step(sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names(id)})
-		sent := of[Send](b.query("c", 0))[0]
-		b.step(ms, ended(sent.Part, 0, sent.Replica, Succeeded, ms))
-		b.step(sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: id, State: Removed}}})
+		h.step(sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names(id)})
+		sent := of[Send](h.query("c", 0))[0]
+		h.step(ms, ended(sent.Part, 0, sent.Replica, Succeeded, ms))
+		h.step(sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: id, State: Removed}}})
 	}
-	if n := len(b.m.replicas.all); n > 2+31 || len(b.m.replicas.byID) != n || len(b.m.replicas.byID["a"].siblings) != n-1 {
-		t.Errorf("%d replicas, %d by id, %d siblings", n, len(b.m.replicas.byID), len(b.m.replicas.byID["a"].siblings))
+	if n := len(h.m.replicas.all); n > 2+31 || len(h.m.replicas.byID) != n || len(h.m.replicas.byID["a"].siblings) != n-1 {
+		t.Errorf("%d replicas, %d by id, %d siblings", n, len(h.m.replicas.byID), len(h.m.replicas.byID["a"].siblings))
 	}
-	last := b.m.replicas.byID["n99"]
-	b.step(30*sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("n99")})
-	b.step(90 * sec)
-	if b.m.replicas.byID["n99"] != last || len(b.m.replicas.all) != 3 {
-		t.Errorf("%d replicas after a minute and a half", len(b.m.replicas.all))
+	last := h.m.replicas.byID["n99"]
+	h.step(30*sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("n99")})
+	h.step(90 * sec)
+	if h.m.replicas.byID["n99"] != last || len(h.m.replicas.all) != 3 {
+		t.Errorf("%d replicas after a minute and a half", len(h.m.replicas.all))
 	}
 }
 
--- a/internal/decide/scatter/harness_test.go
+++ b/internal/decide/scatter/harness_test.go
@@ -32,9 +32,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &harness{t: t, m: a, now: 100 * sec}
-	b.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: replicas})
-	return b
+	h := &harness{t: t, m: a, now: 100 * sec}
+	h.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: replicas})
+	return h
 }
 
 // startNonIdempotent has two replicas, no hedged requests, and a second class, once, whose parts may not run twice.
@@ -54,21 +54,21 @@
 	return list
 }
 
-func (b *harness) step(later time.Duration, events ...Event) []Action {
-	b.now += later
-	return b.m.Step(b.now, events)
+func (h *harness) step(later time.Duration, events ...Event) []Action {
+	h.now += later
+	return h.m.Step(h.now, events)
 }
 
 // query opens a query of class c with a part for each shard; parts are named q<n>.<i>.
-func (b *harness) query(class string, shards ...int) []Action {
-	b.n++
-	id := fmt.Sprintf("q%d", b.n)
-	evs := []Event{QueryArrived{ID: id, Number: b.n, Class: class, Parts: len(shards), Expires: b.now + 6*sec}}
+func (h *harness) query(class string, shards ...int) []Action {
+	h.n++
+	id := fmt.Sprintf("q%d", h.n)
+	evs := []Event{QueryArrived{ID: id, Number: h.n, Class: class, Parts: len(shards), Expires: h.now + 6*sec}}
 	for i, s := range shards {
-		evs = append(evs, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: b.n, Shard: s,
+		evs = append(evs, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: h.n, Shard: s,
 			Weight: 1 / float64(len(shards))})
 	}
-	return b.step(0, evs...)
+	return h.step(0, evs...)
 }
 
 func of[T Action](acts []Action) (list []T) {
--- a/internal/decide/scatter/hedging_test.go
+++ b/internal/decide/scatter/hedging_test.go
@@ -9,23 +9,23 @@
 func TestSparePartIsSentBeforeHedging(t *testing.T) {
 	s := base()
 	s.Classes[0].CompleteFraction = 0.75
-	b := start(t, s, names("a", "b")...)
-	sends := of[Send](b.query("c", 0, 1, 2, 3))
+	h := start(t, s, names("a", "b")...)
+	sends := of[Send](h.query("c", 0, 1, 2, 3))
 	if len(sends) != 3 {
 		t.Fatalf("%d parts asked for, want 3", len(sends))
 	}
-	b.step(100*ms, ended(sends[0].Part, 0, sends[0].Replica, Succeeded, 100*ms),
+	h.step(100*ms, ended(sends[0].Part, 0, sends[0].Replica, Succeeded, 100*ms),
 		ended(sends[1].Part, 0, sends[1].Replica, Succeeded, 100*ms))
-	more := of[Send](b.step(900*ms, TimerFired{}))
+	more := of[Send](h.step(900*ms, TimerFired{}))
 	if len(more) != 1 || more[0].Part == sends[2].Part {
-		t.Fatalf("overdue part answered by %v, want the spare part", more)
+		t.Fatalf("overdue part answered by %v, want the other part", more)
 	}
-	acts := b.step(100*ms, ended(more[0].Part, 0, more[0].Replica, Succeeded, 100*ms))
+	acts := h.step(100*ms, ended(more[0].Part, 0, more[0].Replica, Succeeded, 100*ms))
 	if a := of[Answer](acts); len(a) != 1 || !a[0].Complete {
 		t.Errorf("no whole answer from three of four: %v", acts)
 	}
 	if off := of[CancelAttempt](acts); len(off) != 1 || off[0].Part != sends[2].Part {
-		t.Errorf("the part left over is not called off: %v", acts)
+		t.Errorf("the part left over is not cancelled: %v", acts)
 	}
 }
 
@@ -41,25 +41,25 @@
 		s := base()
 		s.Hedging = false
 		s.Classes[0].Idempotency = tc.repeat
-		b := start(t, s, names("a", "b")...)
+		h := start(t, s, names("a", "b")...)
 		for range 100 {
-			b.step(20 * ms)
-			for _, x := range of[Send](b.query("c", 0)) {
-				b.step(tc.usual, ended(x.Part, 0, x.Replica, Succeeded, tc.usual))
+			h.step(20 * ms)
+			for _, x := range of[Send](h.query("c", 0)) {
+				h.step(tc.usual, ended(x.Part, 0, x.Replica, Succeeded, tc.usual))
 			}
 		}
-		first := of[Send](b.query("c", 0))[0]
+		first := of[Send](h.query("c", 0))[0]
 		var again []Send
 		var off []CancelAttempt
 		var after time.Duration
 		for ; after < 1900*ms && len(off) == 0; after += 20 * ms {
-			off = of[CancelAttempt](b.step(20*ms, TimerFired{}))
+			off = of[CancelAttempt](h.step(20*ms, TimerFired{}))
 		}
 		if len(off) > 0 {
-			again = of[Send](b.step(5*ms, ended(first.Part, 0, first.Replica, Cancelled, after)))
+			again = of[Send](h.step(5*ms, ended(first.Part, 0, first.Replica, Cancelled, after)))
 		}
 		if lost := len(again) == 1 && again[0].Replica != first.Replica && after < sec; lost != tc.lost || !lost && len(off) > 0 {
-			t.Errorf("%+v: called off %v after %v, then %v", tc, off, after, again)
+			t.Errorf("%+v: cancelled %v after %v, then %v", tc, off, after, again)
 		}
 	}
 }
--- a/internal/decide/scatter/outliers_test.go
+++ b/internal/decide/scatter/outliers_test.go
@@ -73,7 +73,7 @@
 	f.run(10*sec, 50*ms)
 	for _, r := range f.m.replicas.all {
 		if r.health.ejected {
-			t.Errorf("%s is taken as ill", r.ID)
+			t.Errorf("%s is ejected", r.ID)
 		}
 	}
 	first, all := 0, 0
@@ -97,7 +97,7 @@
 	f.service["a"] = 100 * ms
 	f.run(sec, 50*ms)
 	if f.m.replicas.byID["a"].health.ejected {
-		t.Error("taken as ill")
+		t.Error("it is ejected")
 	}
 }
 
@@ -137,11 +137,11 @@
 	f.run(2*sec, 20*ms)
 	for _, r := range f.m.replicas.all {
 		if r.health.ejected || r.latencyRatio > 3 {
-			t.Errorf("%s: suspect %v (%s before), ratio %.2f", r.ID, r.health.ejected, before, r.latencyRatio)
+			t.Errorf("%s: ejected %v (%s before), ratio %.2f", r.ID, r.health.ejected, before, r.latencyRatio)
 		}
 	}
-	if f.ends["refused"] > 5 {
-		t.Errorf("refused %d queries", f.ends["refused"])
+	if f.ends["rejected"] > 5 {
+		t.Errorf("rejected %d queries", f.ends["rejected"])
 	}
 }
 
@@ -151,26 +151,26 @@
 	s := base()
 	s.Classes = append(s.Classes, Class{Name: "d", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1})
 	for name, o := range map[string]Outcome{"silence": TimedOut, "errors": Errored} {
-		b := start(t, s, names("a", "b")...)
-		a, c, d := b.m.replicas.byID["a"], b.m.classes.list[0], b.m.classes.list[1]
+		h := start(t, s, names("a", "b")...)
+		a, c, d := h.m.replicas.byID["a"], h.m.classes.list[0], h.m.classes.list[1]
 		for range 2 { // each time the other class is served while the failing part is out
-			at := &attempt{part: &part{query: &query{class: d}}, replica: a, sentAt: b.now}
-			b.step(sec, TimerFired{})
-			b.m.recordOutcome(a, c, &attempt{part: &part{query: &query{class: c}}, replica: a, sentAt: b.now},
+			at := &attempt{part: &part{query: &query{class: d}}, replica: a, sentAt: h.now}
+			h.step(sec, TimerFired{})
+			h.m.recordOutcome(a, c, &attempt{part: &part{query: &query{class: c}}, replica: a, sentAt: h.now},
 				ended("", 0, "a", Succeeded, 100*ms))
-			b.step(sec, TimerFired{})
-			b.m.recordOutcome(a, d, at, ended("", 0, "a", o, 2*sec))
+			h.step(sec, TimerFired{})
+			h.m.recordOutcome(a, d, at, ended("", 0, "a", o, 2*sec))
 		}
 		if a.health.ejected {
-			t.Errorf("%s: the replica is out of use for all", name)
+			t.Errorf("%s: the replica is ejected", name)
 		}
 		count := func(class string) (n int) {
 			for range 40 {
-				for _, x := range of[Send](b.query(class, 0)) {
+				for _, x := range of[Send](h.query(class, 0)) {
 					if x.Replica == "a" {
 						n++
 					}
-					b.step(ms, ended(x.Part, 0, x.Replica, Succeeded, ms))
+					h.step(ms, ended(x.Part, 0, x.Replica, Succeeded, ms))
 				}
 			}
 			return n
@@ -178,7 +178,7 @@
 		if bad, good := count("d"), count("c"); bad > 0 || good < 5 {
 			t.Errorf("%s: it got %d of the failing class and %d of the other", name, bad, good)
 		}
-		b.step(10*sec, TimerFired{})
+		h.step(10*sec, TimerFired{})
 		if n := count("d"); n < 5 {
 			t.Errorf("%s: later it got %d of the class", name, n)
 		}
@@ -192,32 +192,32 @@
 	for name, lasts := range map[string]time.Duration{"connection lost": 0, "process died": 3 * sec} {
 		s := base()
 		s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 10 * sec, OverloadFactor: 3, Window: sec}
-		b := start(t, s, names("a")...)
+		h := start(t, s, names("a")...)
 		serve := func(acts []Action) {
 			for _, x := range of[Send](acts) {
-				b.step(50*ms, ended(x.Part, 0, x.Replica, Succeeded, 50*ms))
+				h.step(50*ms, ended(x.Part, 0, x.Replica, Succeeded, 50*ms))
 			}
 		}
-		serve(b.query("c", 0))
-		b.now += 2 * sec
-		x := of[Send](b.query("c", 0))[0]
-		acts, no := b.step(5*ms, ended(x.Part, 0, "a", ConnectionReset, 5*ms)), 1
+		serve(h.query("c", 0))
+		h.now += 2 * sec
+		x := of[Send](h.query("c", 0))[0]
+		acts, no := h.step(5*ms, ended(x.Part, 0, "a", ConnectionReset, 5*ms)), 1
 		for ; lasts > 0 && len(of[Send](acts)) > 0; no++ { // who died refuses the next connection
-			acts = b.step(5*ms, ended(x.Part, no, "a", ConnectFailed, 5*ms))
+			acts = h.step(5*ms, ended(x.Part, no, "a", ConnectFailed, 5*ms))
 		}
-		b.now += lasts
+		h.now += lasts
 		for range 60 { // until its part is sent again and served
 			for _, x := range of[Send](acts) {
-				b.step(50*ms, ended(x.Part, no, x.Replica, Succeeded, 50*ms))
+				h.step(50*ms, ended(x.Part, no, x.Replica, Succeeded, 50*ms))
 			}
-			acts = b.step(20*ms, TimerFired{})
+			acts = h.step(20*ms, TimerFired{})
 		}
-		r := b.m.replicas.byID["a"]
-		if well := r.ready() && b.m.capacityFraction(r, b.m.now) == 1; well != (lasts == 0) {
-			t.Errorf("%s: taken for well and warm: %v", name, well)
+		r := h.m.replicas.byID["a"]
+		if well := r.ready() && h.m.capacityFraction(r, h.m.now) == 1; well != (lasts == 0) {
+			t.Errorf("%s: taken for well and warmed up: %v", name, well)
 		}
-		b.now += 3 * sec
-		if fresh := len(of[CloseIdleConnections](b.query("c", 0))) == 1; fresh != (lasts == 0) {
+		h.now += 3 * sec
+		if fresh := len(of[CloseIdleConnections](h.query("c", 0))) == 1; fresh != (lasts == 0) {
 			t.Errorf("%s: a fresh connection after 3 s without use: %v", name, fresh)
 		}
 	}
@@ -228,8 +228,8 @@
 func TestBrokenConnectionIsNoRestart(t *testing.T) {
 	s := base()
 	s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 10 * sec, OverloadFactor: 3, Window: sec}
-	b := start(t, s, names("a", "b")...)
-	first := of[Send](b.query("c", 0, 1, 2, 3))
+	h := start(t, s, names("a", "b")...)
+	first := of[Send](h.query("c", 0, 1, 2, 3))
 	var events []Event
 	for _, x := range first {
 		if x.Replica == "a" {
@@ -239,11 +239,11 @@
 	if len(events) < 2 {
 		t.Fatalf("%d parts on one connection", len(events))
 	}
-	b.step(5*ms, events...)
-	a := b.m.replicas.byID["a"]
-	acts := b.query("c", 4, 5)
+	h.step(5*ms, events...)
+	a := h.m.replicas.byID["a"]
+	acts := h.query("c", 4, 5)
 	if !a.ready() || len(of[Send](acts)) != 2 {
-		t.Error("one broken connection makes a suspect, or holds other queries up")
+		t.Error("one broken connection ejects a replica, or holds other queries up")
 	}
 	resets := 0 // in a row
 	for range 50 {
@@ -253,31 +253,31 @@
 				o = ConnectionReset
 				resets++
 			}
-			b.step(5*ms, ended(x.Part, 0, x.Replica, o, 5*ms))
+			h.step(5*ms, ended(x.Part, 0, x.Replica, o, 5*ms))
 		}
-		if resets == 0 && (!a.ready() || b.m.capacityFraction(a, b.m.now) != 1 || a.health.mayHaveRestarted) {
-			t.Error("one broken connection makes a suspect or a cold replica")
+		if resets == 0 && (!a.ready() || h.m.capacityFraction(a, h.m.now) != 1 || a.health.mayHaveRestarted) {
+			t.Error("one broken connection ejects a replica or starts its slow start")
 		}
 		if resets = max(resets, 1); resets == 3 {
 			break
 		}
-		acts = b.query("c", 0)
+		acts = h.query("c", 0)
 	}
 	if a.ready() {
-		t.Error("two in a row do not make a suspect")
+		t.Error("two in a row do not eject the replica")
 	}
 }
 
 // A replica that rejects again and again is left alone for longer each time, up to an objective; one part served ends
 // that.
 func TestRejectionPauseGrows(t *testing.T) {
-	b := start(t, base(), names("a")...)
-	r := b.m.replicas.byID["a"]
+	h := start(t, base(), names("a")...)
+	r := h.m.replicas.byID["a"]
 	one := func(o Outcome) time.Duration {
-		b.m.classes.list[0].meanLatency, r.latencyRatio, b.now = 0.2, 1, max(b.now, r.health.rejectingUntil)+ms // no crowd is predicted
-		x := of[Send](b.query("c", 0))[0]
-		b.step(ms, ended(x.Part, 0, "a", o, ms), QueryCancelled{ID: fmt.Sprint("q", b.n)})
-		return r.health.rejectingUntil - b.now
+		h.m.classes.list[0].meanLatency, r.latencyRatio, h.now = 0.2, 1, max(h.now, r.health.rejectingUntil)+ms // no crowd is predicted
+		x := of[Send](h.query("c", 0))[0]
+		h.step(ms, ended(x.Part, 0, "a", o, ms), QueryCancelled{ID: fmt.Sprint("q", h.n)})
+		return r.health.rejectingUntil - h.now
 	}
 	first, second, third := one(Rejected), one(Rejected), one(Rejected)
 	if second <= first || third <= second {
--- a/internal/decide/scatter/picker_test.go
+++ b/internal/decide/scatter/picker_test.go
@@ -7,17 +7,17 @@
 
 // 4,000 draws; four standard deviations of a share of 0.3 are 0.029.
 func TestDrawsFollowTheShares(t *testing.T) {
-	b := start(t, base(), names("a", "b", "c", "d")...)
+	h := start(t, base(), names("a", "b", "c", "d")...)
 	for i, v := range []float64{1, 2, 3, 3.5} {
-		b.m.replicas.all[i].latencyRatio = v
+		h.m.replicas.all[i].latencyRatio = v
 	}
-	b.m.shares.dirty = true
-	sh := b.m.shardOf(0)
-	b.m.computeShares(sh, b.m.currentBasis())
+	h.m.shares.dirty = true
+	sh := h.m.shardOf(0)
+	h.m.computeShares(sh, h.m.currentBasis())
 	got := map[string]float64{}
 	for range 4000 {
-		q := &query{class: b.m.classes.list[0], draws: map[*replica]float64{}}
-		r := b.m.drawReplica(&part{query: q}, sh, (*replica).ready)
+		q := &query{class: h.m.classes.list[0], draws: map[*replica]float64{}}
+		r := h.m.drawReplica(&part{query: q}, sh, (*replica).ready)
 		got[r.ID] += 1.0 / 4000
 	}
 	for i, r := range sh.holders {
@@ -28,9 +28,9 @@
 }
 
 func TestPicksReplicaWithFewestCalls(t *testing.T) {
-	b := start(t, base(), names("a", "b")...)
-	first := of[Send](b.query("c", 0))[0].Replica
-	second := of[Send](b.query("c", 0))[0].Replica
+	h := start(t, base(), names("a", "b")...)
+	first := of[Send](h.query("c", 0))[0].Replica
+	second := of[Send](h.query("c", 0))[0].Replica
 	if first == second {
 		t.Errorf("both parts went to %s, though its sibling was idle", first)
 	}
@@ -39,14 +39,14 @@
 func TestPartsOfOneQueryShareACall(t *testing.T) {
 	s := base()
 	s.PartsPerCall = 8
-	b := start(t, s, names("a", "b", "c")...)
-	sends := of[Send](b.query("c", 0, 1, 2, 3))
+	h := start(t, s, names("a", "b", "c")...)
+	sends := of[Send](h.query("c", 0, 1, 2, 3))
 	for _, x := range sends {
 		if x.Replica != sends[0].Replica {
 			t.Errorf("part %s went to %s, part %s to %s", x.Part, x.Replica, sends[0].Part, sends[0].Replica)
 		}
 	}
-	if n := b.m.replicas.byID[sends[0].Replica].openCalls; n != 1 {
+	if n := h.m.replicas.byID[sends[0].Replica].openCalls; n != 1 {
 		t.Errorf("%d calls out, want 1", n)
 	}
 }
@@ -55,27 +55,27 @@
 // another can take them; parts that may be repeated still go there. With errors everywhere, parts go out all the
 // same.
 func TestDistrustAfterAnError(t *testing.T) {
-	b := startNonIdempotent(t)
+	h := startNonIdempotent(t)
 	to := func(class string) map[string]int {
 		got := map[string]int{}
 		for range 60 {
-			b.step(20 * ms)
-			for _, snd := range of[Send](b.query(class, 0)) {
+			h.step(20 * ms)
+			for _, snd := range of[Send](h.query(class, 0)) {
 				got[snd.Replica]++
-				b.step(10*ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
+				h.step(10*ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
 			}
 		}
 		return got
 	}
 	fail := func(replica string) {
 		for {
-			snd := of[Send](b.query("c", 0))[0]
+			snd := of[Send](h.query("c", 0))[0]
 			if snd.Replica != replica {
-				b.step(ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
+				h.step(ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
 				continue
 			}
-			for _, again := range of[Send](b.step(ms, ended(snd.Part, 0, replica, Errored, ms))) {
-				b.step(ms, ended(again.Part, 1, again.Replica, Succeeded, 10*ms))
+			for _, again := range of[Send](h.step(ms, ended(snd.Part, 0, replica, Errored, ms))) {
+				h.step(ms, ended(again.Part, 1, again.Replica, Succeeded, 10*ms))
 			}
 			return
 		}
@@ -84,7 +84,7 @@
 	if got := to("once"); got["r1"] > 0 || got["r2"] == 0 {
 		t.Errorf("soon after an error parts that may not run twice went to %v", got)
 	}
-	b.step(sec)
+	h.step(sec)
 	if got := to("c"); got["r1"] == 0 {
 		t.Errorf("parts that may be repeated went to %v", got)
 	}
@@ -93,7 +93,7 @@
 	if got := to("once"); got["r1"]+got["r2"] == 0 {
 		t.Error("after errors everywhere nothing is sent")
 	}
-	b.step(scale(2*sec, distrustFor))
+	h.step(scale(2*sec, distrustFor))
 	if got := to("once"); got["r1"] == 0 || got["r2"] == 0 {
 		t.Errorf("long after, parts went to %v", got)
 	}
@@ -102,24 +102,24 @@
 // Some replicas leave the parts of one class unanswered and serve the others. One that keeps a part that may not run
 // twice gets no more of these, nor does it for long after that part is given up, longer each time.
 func TestDistrustAfterSilence(t *testing.T) {
-	b := startNonIdempotent(t)
+	h := startNonIdempotent(t)
 	went := map[string]int{}
 	other := map[string]int{}
 	var kept []Send            // by r1
 	round := func(keep bool) { // a query of each class, beside each other, so that neither replica is always the busier
-		b.step(20 * ms)
-		others := of[Send](b.query("c", 0, 1, 2))
-		for _, snd := range of[Send](b.query("once", 0)) {
+		h.step(20 * ms)
+		others := of[Send](h.query("c", 0, 1, 2))
+		for _, snd := range of[Send](h.query("once", 0)) {
 			went[snd.Replica]++
 			if keep && snd.Replica == "r1" {
 				kept = append(kept, snd)
 			} else {
-				b.step(ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
+				h.step(ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
 			}
 		}
 		for _, snd := range others {
 			other[snd.Replica]++
-			b.step(ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
+			h.step(ms, ended(snd.Part, 0, snd.Replica, Succeeded, 10*ms))
 		}
 	}
 	for len(kept) == 0 {
@@ -136,14 +136,14 @@
 	if went["r1"] > 0 || went["r2"] == 0 || other["r1"] == 0 {
 		t.Errorf("beside a part that is kept, its class went to %v, the other one to %v", went, other)
 	}
-	b.step(0, ended(kept[0].Part, 0, "r1", TimedOut, 2*sec))
+	h.step(0, ended(kept[0].Part, 0, "r1", TimedOut, 2*sec))
 	for range 100 {
 		round(true)
 	}
 	if went["r1"] > 0 || other["r1"] == 0 {
 		t.Errorf("soon after it was given up, its class went to %v, the other one to %v", went, other)
 	}
-	b.step(scale(2*sec, 2*distrustFor))
+	h.step(scale(2*sec, 2*distrustFor))
 	for range 40 {
 		round(false)
 	}
--- a/internal/decide/scatter/random_test.go
+++ b/internal/decide/scatter/random_test.go
@@ -14,7 +14,7 @@
 // randomTraffic runs random but legal events against one machine and holds the rules as invariants.
 func randomTraffic(t *testing.T, seed uint64, steps int, s Settings) (log []Action) {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	a, err := New(seed, s)
+	m, err := New(seed, s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	runs := map[string][]*tried{}
 	repeat := s.Classes[0].Idempotency
 	var extras, taken []time.Duration
-	first := map[string]bool{} // queries at their second step: whether the first one's answer was whole
+	first := map[string]bool{} // queries at their second round: whether the first one's answer was whole
 	now, n := 50*sec, int64(0)
 	list := EndpointUpdate{Kind: CachedUpdate}
 	for i, id := range ids {
@@ -46,7 +46,7 @@
 	number := map[string]int64{}
 	for range steps {
 		var next []Event
-		acts := a.Step(now, events)
+		acts := m.Step(now, events)
 		log = append(log, acts...)
 		for _, act := range acts {
 			switch x := act.(type) {
@@ -91,21 +91,21 @@
 						sum += weight[p]
 					}
 				}
-				need, floor := s.Classes[0].CompleteFraction, min(s.Classes[0].MinFraction, s.Classes[0].CompleteFraction)
-				wasWhole, second := first[x.Query]
+				completeFraction, minFraction := s.Classes[0].CompleteFraction, min(s.Classes[0].MinFraction, s.Classes[0].CompleteFraction)
+				wasComplete, second := first[x.Query]
 				if second {
-					if need = 1; s.Classes[0].MinFraction >= s.Classes[0].CompleteFraction {
-						floor = 1
+					if completeFraction = 1; s.Classes[0].MinFraction >= s.Classes[0].CompleteFraction {
+						minFraction = 1
 					}
 				}
-				if x.Complete && (sum < need-1e-4 || second && !wasWhole) || sum < floor-1e-4 {
-					t.Fatalf("answer %+v from %.2f, second step %v", x, sum, second)
+				if x.Complete && (sum < completeFraction-1e-4 || second && !wasComplete) || sum < minFraction-1e-4 {
+					t.Fatalf("answer %+v from %.2f, second round %v", x, sum, second)
 				}
 				if k := s.Classes[0].SecondRoundParts; k > 0 && !second {
 					first[x.Query] = x.Complete
 					for p, q := range partQuery {
 						if q == x.Query {
-							weight[p] = 0 // the second step's parts count alone
+							weight[p] = 0 // the second round's parts count alone
 						}
 					}
 					for i := range k {
@@ -122,7 +122,7 @@
 				for p, q := range partQuery {
 					for _, r := range runs[p] {
 						if q == x.Query && repeat == NonIdempotent && !r.never {
-							t.Fatalf("%s refused, though %s may have run", q, p)
+							t.Fatalf("%s rejected, though %s may have run", q, p)
 						}
 					}
 				}
--- a/internal/decide/scatter/reconfigure_test.go
+++ b/internal/decide/scatter/reconfigure_test.go
@@ -13,20 +13,20 @@
 	s := base()
 	s.Classes = append(s.Classes, s.Classes[0], s.Classes[0])
 	s.Classes[1].Name, s.Classes[2].Name = "d", "e"
-	a, err := New(1, s)
+	m, err := New(1, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Step(sec, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1"}, {ID: "r2"}}}})
-	a.Step(sec, []Event{QueryArrived{ID: "q", Number: 1, Class: "d", Parts: 1, Expires: 5 * sec}, PartArrived{ID: "q.0", Number: 1, Weight: 1}})
-	a.classes.byName["e"].meanLatency, a.replicas.byID["r1"].classHealth[2].consecutiveFaults, a.shards.byNumber[0].rates[2] = 0.123, 7, 5
+	m.Step(sec, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1"}, {ID: "r2"}}}})
+	m.Step(sec, []Event{QueryArrived{ID: "q", Number: 1, Class: "d", Parts: 1, Expires: 5 * sec}, PartArrived{ID: "q.0", Number: 1, Weight: 1}})
+	m.classes.byName["e"].meanLatency, m.replicas.byID["r1"].classHealth[2].consecutiveFaults, m.shards.byNumber[0].rates[2] = 0.123, 7, 5
 	next := s
 	next.Classes = []Class{s.Classes[2], {Name: "f", LatencyObjective: sec, Deadline: sec, CompleteFraction: 1}, s.Classes[0]}
-	if err := a.Configure(next); err != nil {
+	if err := m.Configure(next); err != nil {
 		t.Fatal(err)
 	}
 	names := func() (list []string) {
-		for i, k := range a.classes.list {
+		for i, k := range m.classes.list {
 			if k.index != i {
 				t.Errorf("%s has place %d, want %d", k.Name, k.index, i)
 			}
@@ -37,12 +37,12 @@
 	if got := fmt.Sprint(names()); got != "[e f c d]" { // d has a part out
 		t.Errorf("classes %s", got)
 	}
-	if e := a.classes.byName["e"]; e.meanLatency != 0.123 || a.replicas.byID["r1"].classHealth[0].consecutiveFaults != 7 || a.shards.byNumber[0].rates[0] != 5 || a.classes.byName["d"] != nil {
-		t.Errorf("e: base %v, faults %v, rates %v", e.meanLatency, a.replicas.byID["r1"].classHealth, a.shards.byNumber[0].rates)
+	if e := m.classes.byName["e"]; e.meanLatency != 0.123 || m.replicas.byID["r1"].classHealth[0].consecutiveFaults != 7 || m.shards.byNumber[0].rates[0] != 5 || m.classes.byName["d"] != nil {
+		t.Errorf("e: base %v, faults %v, rates %v", e.meanLatency, m.replicas.byID["r1"].classHealth, m.shards.byNumber[0].rates)
 	}
-	a.Step(sec+1, nil)
-	a.Step(2*sec, []Event{AttemptEnded{Part: "q.0", Replica: a.queries.parts["q.0"].attempts[0].replica.ID, Latency: sec / 10}})
-	if err := a.Configure(next); err != nil || fmt.Sprint(names()) != "[e f c]" || len(a.replicas.byID["r1"].classHealth) != 3 {
+	m.Step(sec+1, nil)
+	m.Step(2*sec, []Event{AttemptEnded{Part: "q.0", Replica: m.queries.parts["q.0"].attempts[0].replica.ID, Latency: sec / 10}})
+	if err := m.Configure(next); err != nil || fmt.Sprint(names()) != "[e f c]" || len(m.replicas.byID["r1"].classHealth) != 3 {
 		t.Errorf("%v, classes %v", err, names())
 	}
 }
@@ -50,25 +50,25 @@
 // An altered class is a new one that knows what the old one learned; another ring size gives other siblings.
 func TestConfigureAlters(t *testing.T) {
 	s := base()
-	a, err := New(1, s)
+	m, err := New(1, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Step(sec, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1"}, {ID: "r2", RingPosition: 1}}}})
-	old := a.classes.byName["c"]
+	m.Step(sec, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1"}, {ID: "r2", RingPosition: 1}}}})
+	old := m.classes.byName["c"]
 	old.meanLatency, old.samples.count = 0.4, 30
 	next := s
 	next.MaxAttempts++ // a higher limit is not for what is under way
 	next.RingSize, next.ReplicationFactor = 2, 2
-	if err := a.Configure(next); err != nil {
+	if err := m.Configure(next); err != nil {
 		t.Fatal(err)
 	}
-	k := a.classes.byName["c"]
-	if k == old || k.meanLatency != 0.4 || k.samples.count != 30 || k.maxAttempts != next.MaxAttempts || old.maxAttempts != s.MaxAttempts || len(a.replicas.byID["r1"].siblings) != 1 {
-		t.Errorf("%+v, %d siblings", k, len(a.replicas.byID["r1"].siblings))
+	k := m.classes.byName["c"]
+	if k == old || k.meanLatency != 0.4 || k.samples.count != 30 || k.maxAttempts != next.MaxAttempts || old.maxAttempts != s.MaxAttempts || len(m.replicas.byID["r1"].siblings) != 1 {
+		t.Errorf("%+v, %d siblings", k, len(m.replicas.byID["r1"].siblings))
 	}
 	next.MaxAttempts = 1
-	if err := a.Configure(next); err != nil || a.classes.byName["c"] != k || k.maxAttempts != 1 {
+	if err := m.Configure(next); err != nil || m.classes.byName["c"] != k || k.maxAttempts != 1 {
 		t.Errorf("%v; a lower limit holds for all, and the class goes on", err)
 	}
 }
--- a/internal/decide/scatter/recorded_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -48,11 +48,11 @@
 	s := Settings{Coordinators: 1, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 		Classes: []Class{{Name: "c", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7},
 			{Name: "once", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 2, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1, Idempotency: NonIdempotent}}}
-	a, err := New(1, s)
+	m, err := New(1, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	st := &recordedLoad{machine: a, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{}}
+	st := &recordedLoad{machine: m, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{}}
 	var list []Replica
 	for i := range nodes {
 		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
--- a/internal/decide/scatter/replica_fleet_test.go
+++ b/internal/decide/scatter/replica_fleet_test.go
@@ -18,7 +18,7 @@
 	}
 	attempts map[string]int
 	sent     map[string]int // by replica, since the last clear
-	ends     map[string]int // answered, refused, failed
+	ends     map[string]int // answered, rejected, failed
 }
 
 func newReplicaFleet(t *testing.T, s Settings, ids ...string) *replicaFleet {
@@ -47,7 +47,7 @@
 		case Answer:
 			f.ends["answered"]++
 		case Reject:
-			f.ends["refused"]++
+			f.ends["rejected"]++
 		case Fail:
 			f.ends["failed"]++
 		case CancelAttempt:
--- a/internal/decide/scatter/slow_start_test.go
+++ b/internal/decide/scatter/slow_start_test.go
@@ -12,54 +12,54 @@
 	t.Parallel()
 	for name, before := range map[string]func(*harness){
 		"announced": func(*harness) {},
-		"restarted under its id": func(b *harness) {
-			b.m.replicas.byID["cold"].slowStart.from = 0
-			b.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100*sec + 1}}})
+		"restarted under its id": func(h *harness) {
+			h.m.replicas.byID["starting"].slowStart.from = 0
+			h.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "starting", StartedAt: 100*sec + 1}}})
 		},
-		"restarted again and again": func(b *harness) {
+		"restarted again and again": func(h *harness) {
 			for i := range time.Duration(5) {
-				b.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100*sec + 1 + i*ms}}})
+				h.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "starting", StartedAt: 100*sec + 1 + i*ms}}})
 			}
 		},
-		"returned without notice": func(b *harness) {
-			r := b.m.replicas.byID["cold"]
+		"returned without notice": func(h *harness) {
+			r := h.m.replicas.byID["starting"]
 			r.slowStart.from, r.health.mayHaveRestarted = 0, true
-			b.m.reinstate(r)
+			h.m.reinstate(r)
 		},
 	} {
-		for _, cold := range []SlowStart{
+		for _, slowStart := range []SlowStart{
 			{InitialCapacity: 0.15, Duration: 16 * sec, OverloadFactor: 4, Window: sec},
 			{InitialCapacity: 0.15, Duration: 18 * sec, OverloadFactor: 2, Window: 2 * sec},
 			{InitialCapacity: 0.25, Duration: 14 * sec, OverloadFactor: 2.5, Window: sec},
 		} {
-			t.Run(fmt.Sprintf("%s, multiple %.1f", name, cold.OverloadFactor), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, multiple %.1f", name, slowStart.OverloadFactor), func(t *testing.T) {
 				t.Parallel()
 				const fleets = 10
-				roots := map[float64]int{4: 90, 2: 40, 2.5: 14}[cold.OverloadFactor]
+				coordinators := map[float64]int{4: 90, 2: 40, 2.5: 14}[slowStart.OverloadFactor]
 				if name == "announced" {
-					roots = map[float64]int{4: 30, 2: 76, 2.5: 1}[cold.OverloadFactor]
+					coordinators = map[float64]int{4: 30, 2: 76, 2.5: 1}[slowStart.OverloadFactor]
 				}
 				s := base()
-				s.Coordinators, s.SlowStart = roots, cold
+				s.Coordinators, s.SlowStart = coordinators, slowStart
 				sent := 0
-				for seed := range uint64(fleets * roots) {
+				for seed := range uint64(fleets * coordinators) {
 					a, err := New(seed, s)
 					if err != nil {
 						t.Fatal(err)
 					}
-					b := &harness{t: t, m: a, now: 100 * sec}
-					b.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "cold", StartedAt: 100 * sec}}})
-					before(b)
-					for range int(cold.Window / (50 * ms)) { // a window of demand far beyond any capacity
-						sent += len(of[Send](b.query("c", 0, 1, 2, 3)))
-						sent += len(of[Send](b.step(50*ms, TimerFired{})))
+					h := &harness{t: t, m: a, now: 100 * sec}
+					h.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "starting", StartedAt: 100 * sec}}})
+					before(h)
+					for range int(slowStart.Window / (50 * ms)) { // a window of demand far beyond any capacity
+						sent += len(of[Send](h.query("c", 0, 1, 2, 3)))
+						sent += len(of[Send](h.step(50*ms, TimerFired{})))
 					}
 				}
 				// One core at the starting work of 0.4 s and at the ramp that the window ends with.
-				ramp := cold.InitialCapacity + (1-cold.InitialCapacity)*cold.Window.Seconds()/cold.Duration.Seconds()
-				if most := fleets * cold.OverloadFactor * ramp * cold.Window.Seconds() / 0.4; sent < fleets || float64(sent) > most {
-					t.Errorf("%s, %d roots, multiple %.1f: %d parts in the first window of %d starts, at most %.0f",
-						name, roots, cold.OverloadFactor, sent, fleets, most)
+				ramp := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*slowStart.Window.Seconds()/slowStart.Duration.Seconds()
+				if most := fleets * slowStart.OverloadFactor * ramp * slowStart.Window.Seconds() / 0.4; sent < fleets || float64(sent) > most {
+					t.Errorf("%s, %d coordinators, multiple %.1f: %d parts in the first window of %d starts, at most %.0f",
+						name, coordinators, slowStart.OverloadFactor, sent, fleets, most)
 				}
 			})
 		}
@@ -84,6 +84,6 @@
 		sent[rare] = f.sent["a"]
 	}
 	if sent[true] < sent[false]*3/4 || sent[true] == 0 {
-		t.Errorf("parts to the cold replica with a rare class beside: %d, without: %d", sent[true], sent[false])
+		t.Errorf("parts to the replica in slow start with a rare class beside: %d, without: %d", sent[true], sent[false])
 	}
 }
