--- a/internal/decide/backoff/schedule.go
+++ b/internal/decide/backoff/schedule.go
@@ -22,10 +22,11 @@
 	// FleetSize is the number of coordinators that call the same discovery service.
 	FleetSize int
 	// ListMaxAge is the time after which a coordinator that has not called counts as notified all the same. It bounds
-	// the spreading interval of a fleet that discovery cannot answer within NotifiedAfter; 0 sets no such bound.
+	// the spreading interval of a fleet that discovery cannot answer within half of NotifiedAfter; 0 sets no such
+	// bound.
 	ListMaxAge time.Duration
-	// Pushed states that the calls go to an agent of this coordinator rather than to the shared service.
-	Pushed bool
+	// UsesAgent states that the calls go to an agent of this coordinator rather than to the shared service.
+	UsesAgent bool
 	// Rand is the source of the drawn delays. Coordinators of a fleet need different ones.
 	Rand *rand.Rand
 
@@ -36,7 +37,7 @@
 // FirstDelay returns how long to wait before the first call of a process that has a stored endpoint list. A process
 // that has none calls at once.
 func (s *Schedule) FirstDelay() time.Duration {
-	if s.Pushed {
+	if s.UsesAgent {
 		return 0
 	}
 	interval := s.spreadingInterval(1) - s.queueTime()
@@ -46,7 +47,7 @@
 // WatchLostDelay returns how long to wait before a call that follows a lost watch. A lost watch says nothing of
 // discovery's load, so it counts neither as a failure nor as a success.
 func (s *Schedule) WatchLostDelay() time.Duration {
-	if s.Pushed {
+	if s.UsesAgent {
 		return agentDelay
 	}
 	return s.draw(min(s.spreadingInterval(watchLostSlots), MaxSpread))
@@ -71,7 +72,7 @@
 // discovery can answer the whole fleet within NotifiedAfter, the next call is early enough to be answered before that.
 // A list that has expired, or that expires before any answer, does not hasten the call.
 func (s *Schedule) FailureDelayBeforeExpiry(took, expiresIn time.Duration) time.Duration {
-	if s.Pushed {
+	if s.UsesAgent {
 		return agentDelay
 	}
 	s.load.failed(took, s.CallTimeout())
@@ -93,7 +94,10 @@
 }
 
 // Succeeded records that a call or a watch was answered.
-func (s *Schedule) Succeeded() { s.load.slots, s.awaitingNewService = 0, false }
+func (s *Schedule) Succeeded() {
+	s.load.succeeded()
+	s.awaitingNewService = false
+}
 
 // ServiceChanged records that calls go to another service from now on. What was learned of the old one is dropped.
 func (s *Schedule) ServiceChanged() { s.load, s.awaitingNewService = serviceLoad{}, true }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -51,7 +51,7 @@
 
 // ClientLeft asks the system whether the client that sent a request has closed its side since. It does not wait for the
 // goroutine that reads the connection, which may not have been scheduled yet.
-func (m *Message) ClientLeft() bool { return m.client != nil && socket.PeerEnded(m.client) }
+func (m *Message) ClientLeft() bool { return m.client != nil && socket.PeerClosed(m.client) }
 
 // Append appends a request or an answer, with its length, to b.
 func (m *Message) Append(b []byte) []byte {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -70,7 +70,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && socket.Waiting(l):
+		case errors.Is(err, os.ErrDeadlineExceeded) && socket.HasPendingConn(l):
 			setAcceptDeadline(l, lateReadGrace)
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -3,13 +3,14 @@
 //
 // # Contract
 //
-// A caller takes the signals first, with NotifySignals, then reads the configuration, then runs the program. Signals
-// that come while files are read are so heard once the program runs. Both Run functions return when they are told to
-// end and everything that was taken is answered, or with an error if the program cannot start. A
-// *config.InvalidError says that the configuration is at fault; any other error is the system's.
+// A caller takes the signals first, with NotifySignals, then reads the configuration, then runs the program. A signal
+// that comes while files are read is so handled once the program runs. Both Run functions return when they are told to
+// end and everything that was taken is answered, or with an error if the program cannot start. A *config.InvalidError
+// says that the configuration is at fault; any other error is the system's.
 //
 // One goroutine, the caller's, starts, reloads and drains; the fields of a process are its own. The goroutines that it
-// starts end with the process: the core's with Stop, listeners' when they are closed, all others with the context.
+// starts end with the process: the core's with Stop, listeners' when they are closed, those that wait for its start when
+// it leaves the phase Starting, and all others with the context.
 //
 // # Where each step stands
 //
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -38,7 +38,7 @@
 	}
 	p.discovery = platform.NewDiscovery(p.Platform.Discovery, known)
 	p.discovery.Schedule = &backoff.Schedule{FleetSize: p.Settings.Coordinators, ListMaxAge: p.Settings.ListMaxAge,
-		Pushed: p.ListPushed, Rand: rand.New(rand.NewPCG(p.Seed, pollScheduleStream))}
+		UsesAgent: p.ListPushed, Rand: rand.New(rand.NewPCG(p.Seed, pollScheduleStream))}
 	p.discovery.Grace = p.Settings.DrainGrace
 	cfg.Subscribe = p.discovery.Subscribe
 }
--- a/internal/lifecycle/start.go
+++ b/internal/lifecycle/start.go
@@ -71,7 +71,7 @@
 	}
 	p.shedder.RelieveMemory = p.coordinator.RelieveMemory
 	p.shedder.TickElapsed = p.coordinator.TickElapsed
-	p.shedder.Descriptors = p.clientConnUse
+	p.shedder.DescriptorFraction = p.clientConnUse
 	go p.shedder.Run(ctx)
 }
 
--- a/internal/lifecycle/takeover.go
+++ b/internal/lifecycle/takeover.go
@@ -23,7 +23,7 @@
 // ErrNoStateFolder means that TMPDIR is not set, so nothing can be stored for the process that comes next.
 var ErrNoStateFolder = errors.New("TMPDIR is not set")
 
-// openStore opens the stored state, where there is an admin endpoint. Where the folder cannot be opened, operators' calls
+// openStore opens the stored state, if there is an admin endpoint. If the folder cannot be opened, operators' calls
 // are answered all the same, but end with this process.
 func (p *process) openStore() {
 	if p.Platform.Operator == "" {
@@ -37,12 +37,12 @@
 }
 
 // openStateFolder opens the folder of the stored state.
-func (p *process) openStateFolder() (*operator.Files, error) {
+func (p *process) openStateFolder() (*operator.SnapshotDir, error) {
 	dir := p.env("TMPDIR")
 	if dir == "" {
 		return nil, ErrNoStateFolder
 	}
-	return operator.OpenFiles(filepath.Join(dir, StateFolder), time.Now())
+	return operator.OpenSnapshotDir(filepath.Join(dir, StateFolder), time.Now())
 }
 
 // takeOverList returns the endpoint list to begin with, and the address of the discovery that it came from. It is the
@@ -52,7 +52,7 @@
 	if p.store == nil {
 		return known, p.Platform.Discovery
 	}
-	data, from := p.store.FoundList()
+	data, from := p.store.InheritedList()
 	if len(data) == 0 {
 		return known, p.Platform.Discovery
 	}
@@ -87,7 +87,7 @@
 	}
 	p.store.Coordinator = p.coordinator
 	list := p.copyList(p.store.ListChanged)
-	p.store.List = func() (string, json.RawMessage, error) {
+	p.store.EncodeList = func() (string, json.RawMessage, error) {
 		address, snapshot := list.Snapshot()
 		data, err := json.Marshal(snapshot)
 		return address, data, err
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -27,6 +27,18 @@
 	SourceLeft     = "source left"
 )
 
+// Messages about overload.
+const (
+	OverloadLevelChanged = "overload level changed"
+)
+
+// Keys of OverloadLevelChanged.
+const (
+	KeyOverloadLevel   = "level"
+	KeyOverloadReasons = "reasons"
+	KeyMeanWait        = "mean_wait"
+)
+
 // Keys.
 const (
 	KeyQuery     = "query_id"
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -11,7 +11,7 @@
 	"harepass/internal/platform"
 )
 
-// The errors of endpoint lists and settings that an authority does not publish.
+// The errors of endpoint lists that an authority does not publish.
 var (
 	// ErrEmptyList is the error of a complete endpoint list without entries.
 	ErrEmptyList = errors.New("relay: the endpoint list is empty")
@@ -23,8 +23,6 @@
 	ErrVersionedEndpoint = errors.New("relay: the endpoint has a version, which only an authority gives")
 	// ErrInvalidGroup is wrapped where an entry's ring position is negative.
 	ErrInvalidGroup = errors.New("relay: the endpoint's group is negative")
-	// ErrTooLarge is wrapped where an entry, or the settings, would not fit into an answer.
-	ErrTooLarge = errors.New("relay: the object does not fit into an answer")
 )
 
 // endpointObject is what is checked of an endpoint's entry.
@@ -76,7 +74,7 @@
 }
 
 // checkEndpoints reports what is wrong with entries of an endpoint list. The errors name the entry, and wrap
-// ErrTooLarge, ErrVersionedEndpoint, ErrInvalidGroup, or those of reading the entry and its address.
+// versionlog.ErrTooLarge, ErrVersionedEndpoint, ErrInvalidGroup, or those of reading the entry and its address.
 func checkEndpoints(entries []versionlog.Entry) error {
 	for _, entry := range entries {
 		if err := checkEndpoint(entry); err != nil {
@@ -109,10 +107,11 @@
 	return nil
 }
 
-// checkSize reports an object that no answer could hold. The error wraps ErrTooLarge.
+// checkSize reports an object that no answer could hold. The error wraps versionlog.ErrTooLarge.
 func checkSize(object []byte) error {
 	if len(object) > versionlog.MaxObjectBytes {
-		return fmt.Errorf("%w: it has %d bytes, at most %d do", ErrTooLarge, len(object), versionlog.MaxObjectBytes)
+		return fmt.Errorf("%w: %d bytes, at most %d fit into an answer", versionlog.ErrTooLarge, len(object),
+			versionlog.MaxObjectBytes)
 	}
 	return nil
 }
