--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return err
 		}
-		inputs, err := a.distribute(batch)
+		inputs, err := a.applyBatch(batch)
 		if err != nil {
 			return err
 		}
@@ -57,9 +57,9 @@
 	events   []scatter.Event
 }
 
-// distribute starts and stops instances and sorts a batch's events by instance, in order of each one's first event,
+// applyBatch starts and stops instances and sorts a batch's events by instance, in order of each one's first event,
 // so that replies are reproducible. Events of an instance that never started are dropped.
-func (a *adapter) distribute(batch wire.Batch) (inputs []*input, err error) {
+func (a *adapter) applyBatch(batch wire.Batch) (inputs []*input, err error) {
 	current := map[string]*input{}
 	for _, m := range batch.Messages {
 		switch {
@@ -99,7 +99,8 @@
 	encoder.Actions(in.instance, actions)
 }
 
-// step turns a panic of the decision code into an error, so that the other instances go on.
+// step turns a panic of the decision code into an error, so that the other instances go on; the simulator counts it
+// as a fault of this one.
 func (in *input) step(batch wire.Batch) (actions []scatter.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -17,6 +17,20 @@
 // ErrTruncated is returned for input that ends inside a batch or a line.
 var ErrTruncated = errors.New("input ends inside a batch")
 
+// SyntaxError says which line is no message, or none that may stand there.
+type SyntaxError struct {
+	Line    int
+	Problem string
+}
+
+// Error names the line.
+func (e *SyntaxError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Problem) }
+
+// syntaxErrorf returns a *SyntaxError for the line that was read last.
+func (d *Decoder) syntaxErrorf(format string, args ...any) error {
+	return &SyntaxError{d.line, fmt.Sprintf(format, args...)}
+}
+
 // Batch is what happened at one time.
 type Batch struct {
 	Time     time.Duration
@@ -50,7 +64,8 @@
 	return &Decoder{r: bufio.NewReaderSize(r, bufferSize), lists: map[int][]scatter.Replica{}}
 }
 
-// Next returns the next batch, or io.EOF at the clean end of input. Errors name line and field.
+// Next returns the next batch, or io.EOF at the clean end of input. Other errors are a *SyntaxError, a *FieldError,
+// or wrap ErrTruncated; they name the line.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
 	text, err := d.readLine()
@@ -62,7 +77,7 @@
 		return b, err
 	}
 	if f.name != "batch" {
-		return b, fmt.Errorf("line %d: got %q, want a batch line", d.line, f.name)
+		return b, d.syntaxErrorf("got %q, want a batch line", f.name)
 	}
 	b.Time = f.duration("time_us")
 	if f.err != nil {
@@ -86,7 +101,7 @@
 	case "flush":
 		return true, nil
 	case "batch", "row":
-		return false, fmt.Errorf("line %d: unexpected %s line", d.line, f.name)
+		return false, d.syntaxErrorf("unexpected %s line", f.name)
 	case "sheet":
 		return false, d.readList(f)
 	}
@@ -130,12 +145,12 @@
 	words := strings.Split(text, " ")
 	f := &fields{name: words[0], line: d.line, values: make(map[string]string, len(words)-1)}
 	if f.name == "" || strings.Contains(f.name, "=") {
-		return nil, fmt.Errorf("line %d: no message name", d.line)
+		return nil, d.syntaxErrorf("no message name")
 	}
 	for _, word := range words[1:] {
 		key, value, ok := strings.Cut(word, "=")
 		if !ok || key == "" {
-			return nil, fmt.Errorf("line %d: field %q of %s is not name=value", d.line, word, f.name)
+			return nil, d.syntaxErrorf("field %q of %s is not name=value", word, f.name)
 		}
 		f.values[key] = value
 	}
@@ -158,7 +173,7 @@
 			return err
 		}
 		if row.name != "row" {
-			return fmt.Errorf("line %d: got %q, want row %d of %d (members)", d.line, row.name, i+1, rows)
+			return d.syntaxErrorf("got %q, want row %d of %d (members)", row.name, i+1, rows)
 		}
 		r := replica(row)
 		if row.err != nil {
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -17,7 +17,7 @@
 	"refused":    scatter.FailedUpdate,
 }
 
-// outcomes maps the verdicts on an attempt, by their number.
+// outcomes maps the verdicts on an attempt, by their number on the wire, which is not that of scatter.Outcome.
 var outcomes = []scatter.Outcome{
 	scatter.Errored,
 	scatter.Succeeded,
@@ -32,7 +32,8 @@
 // optionRetry is the bit of a query's options that marks a client's retry.
 const optionRetry = 2
 
-// message decodes one event line; known is false for names that are not of the protocol page.
+// message decodes one event line; known is false for names that the module has no use for,
+// such as probe_done and mail, and for those that no page has.
 func (d *Decoder) message(f *fields) (m Message, known bool) {
 	m.Line = d.line
 	switch f.name {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -17,10 +17,23 @@
 	err    error
 }
 
+// FieldError says which field of a message is wrong. Line is 0 for the settings where they stand as JSON.
+type FieldError struct {
+	Line    int
+	Message string // the message's name
+	Field   string
+	Problem string // what is wrong with the field
+}
+
+// Error names line, message and field.
+func (e *FieldError) Error() string {
+	return fmt.Sprintf("line %d: %s: field %s %s", e.Line, e.Message, e.Field, e.Problem)
+}
+
 // fail notes what is wrong with a field, unless another one was wrong before.
-func (f *fields) fail(key, why string) {
+func (f *fields) fail(key, problem string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("line %d: %s: field %s %s", f.line, f.name, key, why)
+		f.err = &FieldError{f.line, f.name, key, problem}
 	}
 }
 
@@ -111,7 +124,8 @@
 	}
 }
 
-// item is entry i of a comma-joined list of numbers, or a default where the list is shorter.
+// item is entry i of a comma-joined list of numbers, or a default where the list is shorter. Unlike float it takes any
+// number that Go parses: the settings are the platform's own.
 func (f *fields) item(key string, i int, missing float64) float64 {
 	items := strings.Split(f.values[key], ",")
 	if i >= len(items) || items[i] == "" {
