--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -20,7 +20,7 @@
 	KeepAlive      time.Duration // after which replicas close idle connections
 }
 
-// JSONSettings reads the settings where they stand as nested JSON: the same object as the facts of a provision
+// JSONSettings reads the settings where they stand as nested JSON: the same object as the fields of a provision
 // line, with the same names and units.
 func JSONSettings(raw []byte) (scatter.Settings, Limits, error) {
 	values, err := Flatten(raw)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -14,7 +14,7 @@
 	"single_shot": scatter.NonIdempotent,
 }
 
-// settings reads the facts of a provision line. Unknown keys are skipped; keys that a site leaves out keep the zero
+// settings reads the settings of a provision line. Unknown keys are skipped; keys that a site leaves out keep the zero
 // value, except where zero would mean something else.
 func settings(f *fields) scatter.Settings {
 	s := scatter.Settings{
