--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -32,11 +32,13 @@
 // Caller speaks frames to replicas. It is a core.Caller. Its exported fields are to be set before the first Call;
 // Configure changes some of them later. All methods are for any goroutine.
 type Caller struct {
-	Reporter        core.AttemptReporter // takes the outcome of each attempt
-	CallsPerConn    int                  // calls that one connection carries at once; 0 for one
-	MaxConns        int                  // connections open at once, but for the first to each replica; 0 for no limit
-	ConnectTimeout  time.Duration
-	ResponseTimeout time.Duration // for an answer to come in completely, and for some answer where any is awaited
+	Reporter       core.AttemptReporter // takes the outcome of each attempt
+	CallsPerConn   int                  // calls that one connection carries at once; 0 for one
+	MaxConns       int                  // connections open at once, but for the first to each replica; 0 for no limit
+	ConnectTimeout time.Duration
+	// ResponseTimeout bounds two times: from the first byte of an answer to its last, and the silence of a
+	// connection on which answers are awaited, after which new calls avoid it.
+	ResponseTimeout time.Duration
 	KeepAlive       time.Duration // after which replicas close idle connections; 0 where that is not known
 	Dial            http1.Dialer  // nil for plain TCP
 
@@ -59,7 +61,7 @@
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
 	c := caller.connFor(to)
-	call := &pendingCall{unsettled: len(attempts)}
+	call := &queueItem{unsettled: len(attempts)}
 	for _, at := range attempts {
 		s := &sentAttempt{attempt: at, id: partID(at), call: call}
 		call.parts = append(call.parts, s)
@@ -76,11 +78,11 @@
 	if caller.conns == nil {
 		caller.conns, caller.attempts = map[string][]*replicaConn{}, map[*core.Attempt]*sentAttempt{}
 	}
-	best, silent, silentCount := caller.leastLoaded(to)
-	if best == nil && (silentCount >= maxSilentConns || silentCount > 0 && caller.atConnLimit()) {
+	best, silent, silentCount := caller.closeStaleAndPick(to)
+	if best == nil && (silentCount >= maxSilentConns || silentCount > 0 && caller.isFull()) {
 		best = silent
 	}
-	if best != nil && (best.calls < max(1, caller.CallsPerConn) || caller.atConnLimit()) {
+	if best != nil && (best.calls < max(1, caller.CallsPerConn) || caller.isFull()) {
 		return best
 	}
 	c := &replicaConn{
@@ -96,10 +98,10 @@
 	return c
 }
 
-// leastLoaded returns the connection to an endpoint with the fewest calls, and, apart from those, the one of the
-// silent ones with the fewest calls and how many silent ones there are. Idle connections that are not trusted any
-// more are closed.
-func (caller *Caller) leastLoaded(to core.Endpoint) (best, silent *replicaConn, silentCount int) {
+// closeStaleAndPick closes the idle connections to an endpoint that are not trusted any more. Of the others it
+// returns the one with the fewest calls; of the silent ones apart, the one with the fewest calls and how many they
+// are. It is called under the lock.
+func (caller *Caller) closeStaleAndPick(to core.Endpoint) (best, silent *replicaConn, silentCount int) {
 	for _, c := range slices.Clone(caller.conns[to.ID]) {
 		switch {
 		case c.calls == 0 && (c.address != to.Address || time.Since(c.lastUsed) > caller.idleTimeout()):
@@ -121,7 +123,8 @@
 func (caller *Caller) Configure(callsPerConn int, connect, response, keepAlive time.Duration) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
-	caller.CallsPerConn, caller.ConnectTimeout, caller.ResponseTimeout, caller.KeepAlive = callsPerConn, connect, response, keepAlive
+	caller.CallsPerConn, caller.KeepAlive = callsPerConn, keepAlive
+	caller.ConnectTimeout, caller.ResponseTimeout = connect, response
 }
 
 // times are the time-outs that a connection goes by, for goroutines without the lock.
@@ -146,9 +149,9 @@
 	return caller.openCount
 }
 
-// atConnLimit reports whether no more connection may be opened; before that, an idle one makes way. It is called
-// under the lock.
-func (caller *Caller) atConnLimit() bool {
+// isFull reports whether no more connection may be opened. Where the limit is reached it closes an idle one first,
+// and then reports false. It is called under the lock.
+func (caller *Caller) isFull() bool {
 	if caller.MaxConns == 0 || caller.openCount < caller.MaxConns {
 		return false
 	}
@@ -163,7 +166,9 @@
 	return true
 }
 
-// Cancel implements core.Caller.
+// Cancel implements core.Caller. The cancellation is queued behind the attempt's call. Asked again, or where the
+// replica has answered nothing for long since the attempt was written, the connection is closed instead: the
+// cancellation might never be read, and the part run twice at once.
 func (caller *Caller) Cancel(at *core.Attempt) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -176,10 +181,10 @@
 	for _, c := range slices.Clone(caller.conns[at.Endpoint]) {
 		switch {
 		case !slices.Contains(c.outstanding, s):
-		case askedBefore, s.state == written && c.lastAnswer.Before(s.writtenAt) && time.Since(s.writtenAt) > caller.ResponseTimeout:
-			c.discard() // the cancellation might never be read, and the part run twice at once
+		case askedBefore, c.hasIgnored(s):
+			c.discard()
 		default:
-			c.enqueue(&pendingCall{cancel: s})
+			c.enqueue(&queueItem{cancels: s})
 		}
 	}
 }
@@ -195,7 +200,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close ends all connections. It does not wait for their goroutines.
 func (caller *Caller) Close() {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -58,8 +58,8 @@
 // partID names a part on the frames: the query's id, a dot, the shard.
 func partID(at *core.Attempt) string { return at.QueryID + "." + strconv.Itoa(at.Shard) }
 
-// appendPart writes one part of a call: a line with its id, shard, time left, idempotency key and length, then its
-// body.
+// appendPart writes one part of a call: a line with its id, shard, time left in milliseconds (1 is the least that
+// the wire has), idempotency key and length, then its body.
 func appendPart(b []byte, at *core.Attempt) []byte {
 	b = fmt.Appendf(b, "%s %d d=%d", partID(at), at.Shard, max(1, at.Remaining().Milliseconds()))
 	if at.IdempotencyKey != "" {
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -1,4 +1,3 @@
-// Package platform speaks the platform's protocol: to clients, to data nodes and to discovery.
 package platform
 
 import (
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -54,10 +54,18 @@
 	return endpoints, nil
 }
 
+// EntryError is returned for an entry that has no name or an unknown status.
+type EntryError struct{ Name, Status string }
+
+// Error names the entry and its status.
+func (e *EntryError) Error() string {
+	return fmt.Sprintf("platform: entry %q has status %q", e.Name, e.Status)
+}
+
 // check returns what keeps an entry from being an endpoint.
 func (e Endpoint) check() error {
 	if _, known := replicaStates[e.Status]; !known || e.Name == "" {
-		return fmt.Errorf("platform: entry %q has status %q", e.Name, e.Status)
+		return &EntryError{e.Name, e.Status}
 	}
 	return nil
 }
--- a/internal/platform/poll_failure.go
+++ b/internal/platform/poll_failure.go
@@ -27,7 +27,7 @@
 
 // pollFailure is a call to discovery that brought no list.
 type pollFailure struct {
-	watch bool          // the call was a watch, not the first one of a subscription
+	watch bool          // a watch brought no answer; false for a first call, and for an answer that could not be used
 	began time.Duration // when the call began, on the coordinator's clock
 	took  time.Duration // how long discovery kept it; 0 for an answer that could not be used
 	err   error
--- a/internal/platform/replica_conn.go
+++ b/internal/platform/replica_conn.go
@@ -9,31 +9,31 @@
 	"harepass/internal/decide/scatter"
 )
 
-// sendState is how far an attempt is on its connection.
-type sendState int
+// frameState is how far an attempt is on its connection.
+type frameState int
 
 const (
-	queued  sendState = iota // its frame has not been begun
-	begun                    // its frame is being written
-	written                  // its frame's last byte is written: it may run
+	frameQueued  frameState = iota // its frame has not been begun
+	frameBegun                     // its frame is being written
+	frameWritten                   // its frame's last byte is written: it may run
 )
 
 // sentAttempt is an attempt on a connection that has not ended.
 type sentAttempt struct {
 	attempt   *core.Attempt
 	id        string // names its part on the frames
-	call      *pendingCall
-	state     sendState
+	call      *queueItem
+	state     frameState
 	writtenAt time.Time // when its frame's last byte was written
 	cancelled bool      // its cancellation has been asked for
 }
 
-// pendingCall is a call that waits to be written, which takes one of the connection's places; or the cancellation of
-// one attempt.
-type pendingCall struct {
+// queueItem is what a connection's queue holds: a call, which lives on until its parts are settled, or the
+// cancellation of one attempt.
+type queueItem struct {
 	parts     []*sentAttempt
 	unsettled int          // parts that have not ended
-	cancel    *sentAttempt // the attempt to be cancelled; nil for a call
+	cancels   *sentAttempt // the attempt to be cancelled; nil for a call
 }
 
 // replicaConn is a connection to a replica. Its fields are guarded by the Caller's lock.
@@ -41,8 +41,8 @@
 	caller           *Caller
 	replica          string // its id
 	address          string
-	queue            []*pendingCall // not written yet, oldest first
-	wake             chan struct{}  // holds a token when something is queued, or when the connection is closed
+	queue            []*queueItem  // not written yet, oldest first
+	wake             chan struct{} // holds a token when something is queued, or when the connection is closed
 	outstanding      []*sentAttempt
 	settledIDs       []string // the ids that were settled here last, the latest last
 	calls            int      // with unsettled parts
@@ -56,7 +56,7 @@
 }
 
 // enqueue queues a call, or a cancellation. It is called under the lock.
-func (c *replicaConn) enqueue(call *pendingCall) {
+func (c *replicaConn) enqueue(call *queueItem) {
 	c.queue = append(c.queue, call)
 	c.lastUsed = time.Now()
 	c.signal()
@@ -95,7 +95,7 @@
 
 // silentFor is for how long answers have been awaited and none has come. It is called under the lock.
 func (c *replicaConn) silentFor() time.Duration {
-	i := slices.IndexFunc(c.outstanding, func(s *sentAttempt) bool { return s.state == written })
+	i := slices.IndexFunc(c.outstanding, func(s *sentAttempt) bool { return s.state == frameWritten })
 	if i < 0 {
 		return 0
 	}
@@ -153,3 +153,10 @@
 	c.close()
 	return true
 }
+
+// hasIgnored reports whether the replica has answered nothing for Caller.ResponseTimeout since an attempt was
+// written. It is called under the lock.
+func (c *replicaConn) hasIgnored(s *sentAttempt) bool {
+	return s.state == frameWritten && c.lastAnswer.Before(s.writtenAt) &&
+		time.Since(s.writtenAt) > c.caller.ResponseTimeout
+}
--- a/internal/platform/replica_reader.go
+++ b/internal/platform/replica_reader.go
@@ -22,21 +22,21 @@
 // completely within Caller.ResponseTimeout, so that one which never ends does not hold up those behind it.
 func (c *replicaConn) read(conn net.Conn) {
 	var b buffer.Buffer
-	begun := false // an answer has begun, and has its deadline
+	inAnswer := false // an answer has begun, and has its deadline
 	for {
 		handled, usable := c.handleBuffered(&b)
 		if !usable {
 			return
 		}
-		begun = begun && !handled
+		inAnswer = inAnswer && !handled
 		_, response, idle := c.caller.times()
 		switch {
 		case b.Len() == 0: // looks now and then whether the connection is of use still
 			conn.SetReadDeadline(time.Now().Add(idle))
 		case c.closeIfIdle(0): // nobody waits for these bytes, and they would spoil the next answer
 			return
-		case !begun:
-			begun = true
+		case !inAnswer:
+			inAnswer = true
 			conn.SetReadDeadline(time.Now().Add(response))
 		}
 		_, err := b.Fill(conn)
@@ -125,14 +125,14 @@
 	}
 	c.caller.mu.Lock()
 	defer c.caller.mu.Unlock()
-	var written []*sentAttempt
+	var sent []*sentAttempt
 	for _, s := range c.outstanding {
-		if s.state != queued {
-			written = append(written, s)
+		if s.state != frameQueued {
+			sent = append(sent, s)
 		}
 	}
-	if failed == nil && len(written) == 1 {
-		failed = written[0]
+	if failed == nil && len(sent) == 1 {
+		failed = sent[0]
 	}
 	c.malformedFrom = failed
 	c.discard()
@@ -144,7 +144,7 @@
 	c.caller.mu.Lock()
 	defer c.caller.mu.Unlock()
 	for _, s := range c.outstanding {
-		if s.id == id && s.state != queued && (found == nil || found.cancelled && !s.cancelled) {
+		if s.id == id && s.state != frameQueued && (found == nil || found.cancelled && !s.cancelled) {
 			found = s
 		}
 	}
--- a/internal/platform/replica_writer.go
+++ b/internal/platform/replica_writer.go
@@ -88,11 +88,11 @@
 		switch {
 		case s == c.malformedFrom:
 			outcome = scatter.Errored
-		case c.discarded && s.state == written:
+		case c.discarded && s.state == frameWritten:
 			outcome = scatter.Cancelled
 		case c.discarded:
 			outcome = scatter.NotSent
-		case s.state == written:
+		case s.state == frameWritten:
 			outcome = scatter.ConnectionReset
 		}
 		c.caller.Reporter.AttemptEnded(s.attempt, outcome, nil)
@@ -104,8 +104,8 @@
 	<-c.wake
 	for {
 		next, state := c.takeQueued(conn)
-		if state != connUsable {
-			return state == connIdle
+		if state != lookTaken {
+			return state == lookEmpty
 		}
 		for _, s := range next.denied {
 			c.endAttempt(s, scatter.NotSent, nil)
@@ -119,13 +119,13 @@
 	}
 }
 
-// connState is what a writer finds when it looks for something to write.
-type connState int
+// queueLook is what a writer finds when it looks for something to write.
+type queueLook int
 
 const (
-	connUsable connState = iota // there was something
-	connIdle                    // nothing is queued
-	connOver                    // the connection is closed
+	lookTaken queueLook = iota // there was something
+	lookEmpty                  // nothing is queued
+	lookOver                   // the connection is closed
 )
 
 // outgoing is what is to be done for one queued call or cancellation.
@@ -139,24 +139,24 @@
 
 // takeQueued takes what is queued first. A connection that its replica has ended while idle is discarded instead,
 // so that what is queued goes elsewhere.
-func (c *replicaConn) takeQueued(conn net.Conn) (next outgoing, state connState) {
+func (c *replicaConn) takeQueued(conn net.Conn) (next outgoing, state queueLook) {
 	c.caller.mu.Lock()
 	defer c.caller.mu.Unlock()
 	switch {
 	case c.closed:
-		return next, connOver
+		return next, lookOver
 	case len(c.queue) == 0:
-		return next, connIdle
+		return next, lookEmpty
 	case c.peerEndedWhileIdle(conn):
 		c.discard()
-		return next, connOver
+		return next, lookOver
 	}
 	call := c.queue[0]
 	c.queue = c.queue[1:]
-	if call.cancel != nil {
-		return c.cancellation(call.cancel), connUsable
+	if call.cancels != nil {
+		return c.cancellation(call.cancels), lookTaken
 	}
-	return beginCall(call), connUsable
+	return beginCall(call), lookTaken
 }
 
 // cancellation is what cancels an attempt: nothing, where it has ended meanwhile; no frame, where its own has not
@@ -166,7 +166,7 @@
 		return next
 	}
 	next.ended = s
-	if s.state == queued {
+	if s.state == frameQueued {
 		next.outcome = scatter.NotSent
 		return next
 	}
@@ -177,12 +177,12 @@
 
 // beginCall begins the parts of a call that still may begin. A cancelled one is left out: its cancellation is
 // queued behind the call. It is called under the lock.
-func beginCall(call *pendingCall) (next outgoing) {
+func beginCall(call *queueItem) (next outgoing) {
 	for _, s := range call.parts {
 		switch {
 		case s.cancelled:
 		case s.attempt.Begin():
-			s.state = begun
+			s.state = frameBegun
 			next.parts = append(next.parts, s)
 		default:
 			next.denied = append(next.denied, s)
@@ -192,13 +192,15 @@
 	return next
 }
 
-// writeFrame writes a frame and notes which parts are out with its last byte; false means that the connection is over.
+// writeFrame writes a frame and notes which parts are out with its last byte; false means that the connection is
+// over. A part whose frame was not written completely has never run. A write that blocks is ended when an attempt
+// on the connection is cancelled for the second time, which closes it.
 func (c *replicaConn) writeFrame(conn net.Conn, next outgoing) bool {
 	n, err := conn.Write(next.frame)
 	if n == len(next.frame) {
 		c.caller.mu.Lock()
 		for _, s := range next.parts {
-			s.state, s.writtenAt = written, time.Now()
+			s.state, s.writtenAt = frameWritten, time.Now()
 		}
 		c.caller.mu.Unlock()
 	}
@@ -209,8 +211,8 @@
 // its reader has not had its turn to see that. What is queued has not begun: it goes elsewhere, and says nothing of
 // the replica. It is called under the lock.
 func (c *replicaConn) peerEndedWhileIdle(conn net.Conn) bool {
-	written := slices.ContainsFunc(c.outstanding, func(s *sentAttempt) bool { return s.state != queued })
-	if written || !socket.PeerClosed(conn) {
+	unsettled := slices.ContainsFunc(c.outstanding, func(s *sentAttempt) bool { return s.state != frameQueued })
+	if unsettled || !socket.PeerClosed(conn) {
 		return false
 	}
 	connsEndedWhileIdle.Inc()
