--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -50,7 +50,7 @@
 	}
 	plan := c.cfg.Planner.Plan(c.planRequest(q))
 	for i, p := range q.parts {
-		p.deferred = plan.Modes[i] == twophase.FirstPhase
+		p.deferred = plan.Modes[i] == twophase.InTwoPhases
 		p.wantsVersion = plan.Modes[i] == twophase.FullWithVersion
 		if p.deferred {
 			deferred = append(deferred, p)
@@ -68,7 +68,7 @@
 func (c *Coordinator) planRequest(q *query) twophase.Request {
 	request := twophase.Request{Topic: q.topic(), Body: string(q.Body), Capable: c.supportsFirstPhase, Now: c.now}
 	if class := c.inForce().class(q.Class); class != nil {
-		request.Objective = min(q.Deadline, c.now+class.LatencyObjective)
+		request.ObjectiveAt = min(q.Deadline, c.now+class.LatencyObjective)
 	}
 	for _, p := range q.parts {
 		request.Shards = append(request.Shards, p.shard)
@@ -178,7 +178,7 @@
 func (c *Coordinator) learnFull(at *Attempt, value []byte) {
 	p := at.part
 	if at.WithVersion {
-		c.cfg.Planner.ObserveFull(p.query.topic(), p.shard, string(p.query.Body), at.Evidence, value, c.now)
+		c.cfg.Planner.ObserveFullWithVersion(p.query.topic(), p.shard, string(p.query.Body), at.Evidence, value, c.now)
 	}
 	c.endPartFirstPhase(p)
 }
--- a/internal/core/first_phase_test.go
+++ b/internal/core/first_phase_test.go
@@ -26,7 +26,7 @@
 	})
 	if retained {
 		for s := range 4 {
-			h.cfg.Planner.ObserveFull(searchTopic, s, "text", state(1), fmt.Appendf(nil, "known%d", s), 0)
+			h.cfg.Planner.ObserveFullWithVersion(searchTopic, s, "text", state(1), fmt.Appendf(nil, "known%d", s), 0)
 		}
 	}
 	return h
--- a/internal/core/memory_relief.go
+++ b/internal/core/memory_relief.go
@@ -41,15 +41,16 @@
 	}
 }
 
-// describeOpen is a query as it is chosen among. One of which a part may have run that must not run twice is protected:
-// its client would not know whether it did. So is one of a class that the settings have dropped.
+// describeOpen is a query as it is chosen among. Where a part that must not run twice was sent, it may have run, and the
+// client would not know whether it did. A class that the settings have dropped counts as one that must not run twice.
 func (c *Coordinator) describeOpen(q *query) overload.OpenQuery {
-	o := overload.OpenQuery{Bytes: q.bytes, PriorityWeight: math.SmallestNonzeroFloat64, Protected: true}
+	o := overload.OpenQuery{Bytes: q.bytes, PriorityWeight: math.SmallestNonzeroFloat64}
+	mustNotRunTwice := true
 	if class := c.inForce().class(q.Class); class != nil {
 		o.PriorityWeight = class.PriorityWeight
-		o.Protected = class.Idempotency != scatter.Idempotent
+		mustNotRunTwice = class.Idempotency != scatter.Idempotent
 	}
 	sent := slices.ContainsFunc(q.parts, func(p *part) bool { return len(p.attempts) > 0 })
-	o.Protected = o.Protected && sent
+	o.MayHaveRun = mustNotRunTwice && sent
 	return o
 }
--- a/internal/core/memory_relief_test.go
+++ b/internal/core/memory_relief_test.go
@@ -18,7 +18,7 @@
 		c.Settings.Classes[0].MinFraction = 0.5
 	})
 	retain := func() {
-		h.cfg.Planner.ObserveFull(searchTopic, 0, "q", state(1), []byte("v"), 0)
+		h.cfg.Planner.ObserveFullWithVersion(searchTopic, 0, "q", state(1), []byte("v"), 0)
 	}
 	relieve := func(level overload.MemoryLevel, excess int64) {
 		h.RelieveMemory(level, excess)
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -16,7 +16,7 @@
 		return Answer{Status: Invalid, Reason: err.Error()}
 	}
 	if !q.Admitted {
-		arrival := overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry, Parts: len(q.Parts)}
+		arrival := overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRepeat: q.IsRetry, Parts: len(q.Parts)}
 		if ok, retryIn := c.Admit(arrival); !ok {
 			return Answer{Status: Rejected, RetryAfter: retryIn}
 		}
--- a/internal/decide/backoff/doc.go
+++ b/internal/decide/backoff/doc.go
@@ -8,8 +8,8 @@
 // # Contract
 //
 // A Schedule is for one coordinator and for one goroutine at a time. It has no clock: its caller reports the outcome of
-// each call and waits for the durations that it gets back. With equal fields, random source and reports it returns
-// equal durations.
+// each call by Succeeded or Failed, a reload that names another service by ServiceChanged, and waits for the durations
+// that it gets back. With equal fields, random source and reports it returns equal durations.
 //
 // Every duration is short enough for a coordinator to learn of a change of the endpoint list before that counts as
 // notified to it. Only a fleet that discovery cannot answer in that time is spread over more.
@@ -20,6 +20,10 @@
 //   - spreading interval: the time over which the calls of the whole fleet are spread, in call slots per coordinator.
 //   - service time-out: how long discovery lets a call wait before it fails it.
 //   - notified: a change of the endpoint list counts as known to a coordinator, whether or not it has learned of it.
+//   - in time: before a change counts as notified. Discovery can answer a fleet in time whose calls, of one call slot
+//     each, take no longer than maxIntervalInTime.
+//   - to hurry: to call again before the endpoint list expires, rather than spread over the whole interval. A fleet may
+//     do so whose calls, of one call slot each, take no longer than maxIntervalToHurry.
 //   - agent: a process beside the coordinator to which discovery pushes the endpoint list, and which serves only it.
 //
 // # Where each decision stands
--- a/internal/decide/backoff/fleet_test.go
+++ b/internal/decide/backoff/fleet_test.go
@@ -93,7 +93,7 @@
 		{300, 20 * time.Millisecond, 0, 31 * time.Second, 1.1, 300},
 		{3, 66 * time.Millisecond, 0, time.Second, 1, 3},
 	} {
-		run := fleetRun{c.fleet, service{callCost: c.cost, upAt: c.upAt}, (*Schedule).FirstDelay, (*Schedule).FailureDelay}
+		run := fleetRun{c.fleet, service{callCost: c.cost, upAt: c.upAt}, (*Schedule).FirstDelay, (*Schedule).Failed}
 		made, answered, last := run.run()
 		if answered < c.answered || last > c.lastAt+2*time.Second || float64(made) > c.callsEach*float64(c.fleet) {
 			t.Errorf("%d coordinators at %v a call: %d calls, %d answered, the last after %v",
@@ -117,7 +117,7 @@
 	for _, size := range []int{6, 20, 30} {
 		for _, upAt := range []time.Duration{0, 3 * time.Second, 8 * time.Second} {
 			run := fleetRun{size, service{callCost: 100 * time.Millisecond, upAt: upAt},
-				(*Schedule).WatchLostDelay, (*Schedule).FailureDelay}
+				(*Schedule).WatchLostDelay, (*Schedule).Failed}
 			_, answered, last := run.run()
 			if answered != size || last-upAt >= NotifiedAfter {
 				t.Errorf("%d coordinators: %d answered, the last %v after discovery was back", size, answered, last-upAt)
@@ -134,7 +134,7 @@
 		s.ListMaxAge = listMaxAge
 		return s.FirstDelay()
 	}
-	run := fleetRun{size, service{callCost: 10 * time.Millisecond}, firstDelay, (*Schedule).FailureDelay}
+	run := fleetRun{size, service{callCost: 10 * time.Millisecond}, firstDelay, (*Schedule).Failed}
 	made, answered, last := run.run()
 	if answered != size || made > 310 || last > listMaxAge/2+2*time.Second {
 		t.Errorf("%d coordinators: %d calls, %d answered, the last after %v", size, made, answered, last)
--- a/internal/decide/backoff/notification.go
+++ b/internal/decide/backoff/notification.go
@@ -18,13 +18,14 @@
 	NotifiedAfter = 6 * time.Second
 	// WatchHold is how long discovery may hold a watch that has nothing to report. Renewing a watch occupies no call
 	// slot.
-	WatchHold = NotifiedAfter / 6
+	WatchHold = NotifiedAfter / 6 // 1 s
 	// WatchSilence is how long after its hold an unanswered watch counts as lost.
-	WatchSilence = NotifiedAfter / 12
-	// CallTimeout is how long an answer to a call that is not a watch is waited for.
-	CallTimeout = 3 * NotifiedAfter / 8
+	WatchSilence = NotifiedAfter / 12 // 0.5 s
+	// CallTimeout is how long an answer to a call that is not a watch is waited for, where neither an agent nor a newly
+	// named service calls for less (Schedule.AnswerTimeout).
+	CallTimeout = 3 * NotifiedAfter / 8 // 2.25 s
 	// MaxSpread bounds the delay after a lost watch or a failed call, in a fleet that discovery can answer in time.
-	MaxSpread = 5 * NotifiedAfter / 24
+	MaxSpread = 5 * NotifiedAfter / 24 // 1.25 s
 )
 
 // When a reload of the settings names another discovery service, what that service has counts as notified
@@ -32,8 +33,8 @@
 const (
 	// NotifiedAfterReload is the time after which the endpoint list of a newly named service counts as notified.
 	NotifiedAfterReload = 4 * time.Second
-	reloadCallTimeout   = 3 * NotifiedAfterReload / 8 // instead of CallTimeout, until the new service has answered
-	reloadMaxSpread     = NotifiedAfterReload / 8     // instead of MaxSpread, until the new service has answered
+	reloadCallTimeout   = 3 * NotifiedAfterReload / 8 // 1.5 s; instead of CallTimeout, until the new service has answered
+	reloadMaxSpread     = NotifiedAfterReload / 8     // 0.5 s; instead of MaxSpread, until the new service has answered
 )
 
 // What an agent holds counts as notified at once. Nobody else calls the agent, so calls to it need not be spread and
@@ -41,18 +42,18 @@
 // again, a coordinator learns of its list within the larger of two sums: agentWatchHold, agentWatchSilence and
 // agentDelay; or agentCallTimeout and agentDelay. AgentNotifiedAfter leaves some time for the answer.
 const (
-	agentWatchHold    = NotifiedAfter / 30  // instead of WatchHold
-	agentWatchSilence = NotifiedAfter / 60  // instead of WatchSilence
-	agentCallTimeout  = NotifiedAfter / 24  // instead of CallTimeout
-	agentDelay        = NotifiedAfter / 120 // between a failed call or a lost watch and the next call
+	agentWatchHold    = NotifiedAfter / 30  // 0.2 s; instead of WatchHold
+	agentWatchSilence = NotifiedAfter / 60  // 0.1 s; instead of WatchSilence
+	agentCallTimeout  = NotifiedAfter / 24  // 0.25 s; instead of CallTimeout
+	agentDelay        = NotifiedAfter / 120 // 50 ms; between a failed call or a lost watch and the next call
 
 	// AgentNotifiedAfter is the time after which a coordinator has the endpoint list that its agent can serve.
-	AgentNotifiedAfter = NotifiedAfter / 15
+	AgentNotifiedAfter = NotifiedAfter / 15 // 0.4 s
 )
 
 // renewDelay is the pause before a watch is renewed that discovery did not hold. It is shorter than any hold, so that
 // changes are still learned of in time.
-const renewDelay = NotifiedAfter / 120
+const renewDelay = NotifiedAfter / 120 // 50 ms
 
 // WatchTimeouts returns how long discovery is asked to hold a watch, and how long after that hold an unanswered watch
 // counts as lost.
@@ -63,8 +64,8 @@
 	return WatchHold, WatchSilence
 }
 
-// CallTimeout returns how long to wait for the answer to a call that is not a watch.
-func (s *Schedule) CallTimeout() time.Duration {
+// AnswerTimeout returns how long to wait for the answer to a call that is not a watch.
+func (s *Schedule) AnswerTimeout() time.Duration {
 	switch {
 	case s.UsesAgent:
 		return agentCallTimeout
--- a/internal/decide/backoff/notification_test.go
+++ b/internal/decide/backoff/notification_test.go
@@ -21,13 +21,13 @@
 	for _, fleet := range []int{1, 6, 20, 30} { // whose calls discovery can answer within half of NotifiedAfter
 		s := &Schedule{FleetSize: fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(uint64(fleet), 5))}
 		for i := range 200 {
-			if d := s.FailureDelay(time.Duration(i%3) * time.Second); d < minFailureDelay || d >= MaxSpread {
+			if d := s.Failed(time.Duration(i%3) * time.Second); d < minFailureDelay || d >= MaxSpread {
 				t.Fatalf("one of %d calls again after %v", fleet, d)
 			}
 			s.ServiceChanged()
-			d := s.FailureDelay(s.CallTimeout())
-			if s.CallTimeout() != reloadCallTimeout || d >= reloadMaxSpread {
-				t.Fatalf("one of %d waits %v for a newly named service and calls again after %v", fleet, s.CallTimeout(), d)
+			d := s.Failed(s.AnswerTimeout())
+			if s.AnswerTimeout() != reloadCallTimeout || d >= reloadMaxSpread {
+				t.Fatalf("one of %d waits %v for a newly named service and calls again after %v", fleet, s.AnswerTimeout(), d)
 			}
 			s.Succeeded()
 		}
@@ -49,7 +49,7 @@
 			}
 			inTwentieth[first*20/listMaxAge]++
 			for range 8 {
-				if d := s.FailureDelay(2 * time.Second); d >= listMaxAge {
+				if d := s.Failed(2 * time.Second); d >= listMaxAge {
 					t.Fatalf("one of %d calls again after %v", fleet, d)
 				}
 			}
@@ -74,9 +74,9 @@
 		latest, later := time.Duration(0), time.Duration(0)
 		for seed := range uint64(200) {
 			s := &Schedule{FleetSize: c.fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(seed, 7))}
-			latest = max(latest, s.FailureDelayBeforeExpiry(took, expiresIn))
-			s.FailureDelayBeforeExpiry(took, expiresIn)
-			later = max(later, s.FailureDelayBeforeExpiry(took, expiresIn))
+			latest = max(latest, s.FailedBeforeExpiry(took, expiresIn))
+			s.FailedBeforeExpiry(took, expiresIn)
+			later = max(later, s.FailedBeforeExpiry(took, expiresIn))
 		}
 		if latest > c.most || c.fleet == 300 && later < 2*expiresIn {
 			t.Errorf("one of %d calls again up to %v later, and up to %v after two more failures", c.fleet, latest, later)
--- a/internal/decide/backoff/schedule.go
+++ b/internal/decide/backoff/schedule.go
@@ -7,11 +7,11 @@
 
 const (
 	// minFailureDelay is the shortest delay after a failed call.
-	minFailureDelay = NotifiedAfter / 24
+	minFailureDelay = NotifiedAfter / 24 // 0.25 s
 	// firstCallShare is the share of ListMaxAge within which a process makes its first call, so that a failed one can
 	// be repeated before ListMaxAge is over.
 	firstCallShare = 0.5
-	// watchLostSlots is the spreading interval after a lost watch, in call slots per coordinator. It leaves room for
+	// watchLostSlots is the spreading interval after a lost watch, in call slots per coordinator. It allows for
 	// calls that occupy discovery for longer than assumed, since the fleet is likely to have lost its watches together.
 	watchLostSlots = 3
 )
@@ -22,8 +22,7 @@
 	// FleetSize is the number of coordinators that call the same discovery service.
 	FleetSize int
 	// ListMaxAge is the time after which a coordinator that has not called counts as notified all the same. It bounds
-	// the spreading interval of a fleet that discovery cannot answer within half of NotifiedAfter; 0 sets no such
-	// bound.
+	// the spreading interval of a fleet that discovery cannot answer in time (maxIntervalInTime); 0 sets no such bound.
 	ListMaxAge time.Duration
 	// UsesAgent states that the calls go to an agent of this coordinator rather than to the shared service.
 	UsesAgent bool
@@ -35,7 +34,7 @@
 }
 
 // FirstDelay returns how long to wait before the first call of a process that has a stored endpoint list. A process
-// that has none calls at once.
+// that has none calls at once, without asking: it can send no query before it has a list.
 func (s *Schedule) FirstDelay() time.Duration {
 	if s.UsesAgent {
 		return 0
@@ -44,8 +43,8 @@
 	return s.draw(s.bound(interval, NotifiedAfter-CallTimeout, scale(s.ListMaxAge, firstCallShare)))
 }
 
-// WatchLostDelay returns how long to wait before a call that follows a lost watch. A lost watch says nothing of
-// discovery's load, so it counts neither as a failure nor as a success.
+// WatchLostDelay returns how long to wait before a call that follows a lost watch. Unlike Failed it records nothing: a
+// lost watch says nothing of discovery's load, so it counts neither as a failure nor as a success.
 func (s *Schedule) WatchLostDelay() time.Duration {
 	if s.UsesAgent {
 		return agentDelay
@@ -62,20 +61,20 @@
 	return 0
 }
 
-// FailureDelay records that a call which was not a watch failed after took, and returns how long to wait before the
-// next call. It is for a coordinator whose endpoint list does not expire.
-func (s *Schedule) FailureDelay(took time.Duration) time.Duration {
-	return s.FailureDelayBeforeExpiry(took, 0)
+// Failed records that a call which was not a watch failed after took, and returns how long to wait before the next
+// call. It is for a coordinator whose endpoint list does not expire.
+func (s *Schedule) Failed(took time.Duration) (delay time.Duration) {
+	return s.FailedBeforeExpiry(took, 0)
 }
 
-// FailureDelayBeforeExpiry does what FailureDelay does, for an endpoint list that expires after expiresIn. Where
-// discovery can answer the whole fleet within NotifiedAfter, the next call is early enough to be answered before that.
+// FailedBeforeExpiry records what Failed records, and returns the delay for an endpoint list that expires after
+// expiresIn. Where the fleet may hurry (maxIntervalToHurry), the next call is early enough to be answered before that.
 // A list that has expired, or that expires before any answer, does not hasten the call.
-func (s *Schedule) FailureDelayBeforeExpiry(took, expiresIn time.Duration) time.Duration {
+func (s *Schedule) FailedBeforeExpiry(took, expiresIn time.Duration) (delay time.Duration) {
 	if s.UsesAgent {
 		return agentDelay
 	}
-	s.load.failed(took, s.CallTimeout())
+	s.load.failed(took, s.AnswerTimeout())
 	return minFailureDelay + s.draw(s.failureInterval(expiresIn))
 }
 
@@ -87,7 +86,7 @@
 	interval := s.spreadingInterval(slots) - s.queueTime()
 	interval = s.bound(interval, s.maxSpread()-minFailureDelay, longest-minFailureDelay)
 	beforeExpiry := expiresIn - minFailureDelay - s.load.serviceTimeout()
-	if beforeExpiry > 0 && s.spreadingInterval(1) <= NotifiedAfter {
+	if beforeExpiry > 0 && s.spreadingInterval(1) <= maxIntervalToHurry {
 		interval = min(interval, beforeExpiry)
 	}
 	return interval
--- a/internal/decide/backoff/schedule_test.go
+++ b/internal/decide/backoff/schedule_test.go
@@ -13,7 +13,7 @@
 		if d := s.FirstDelay(); d != 0 {
 			t.Errorf("%d coordinators: the first call waits %v", fleet, d)
 		}
-		if d := s.FailureDelay(0); d != minFailureDelay {
+		if d := s.Failed(0); d != minFailureDelay {
 			t.Errorf("%d coordinators: after a failure %v", fleet, d)
 		}
 	}
@@ -50,13 +50,13 @@
 func TestLearnsShortestServiceTimeout(t *testing.T) {
 	s := &Schedule{FleetSize: 20, Rand: rand.New(rand.NewPCG(1, 6))}
 	assumed := longestFirstDelay(s)
-	s.FailureDelay(400 * time.Millisecond)
+	s.Failed(400 * time.Millisecond)
 	learned := longestFirstDelay(s)
 	if learned <= assumed || learned-assumed > 500*time.Millisecond {
 		t.Errorf("service time-out of 0.4 s: 20 wait for up to %v, %v before", learned, assumed)
 	}
-	s.FailureDelay(2 * time.Second) // it waited longer, whatever the cause
-	s.FailureDelay(0)               // it was not queued at all
+	s.Failed(2 * time.Second) // it waited longer, whatever the cause
+	s.Failed(0)               // it was not queued at all
 	if d := longestFirstDelay(s); d < learned*9/10 || d > learned*11/10 {
 		t.Errorf("the shorter time-out is forgotten: %v, then %v", learned, d)
 	}
@@ -65,7 +65,7 @@
 // A coordinator with an agent shares it with nobody, so it neither spreads its calls nor waits long for answers.
 func TestAgentIsCalledWithoutSpreading(t *testing.T) {
 	s := &Schedule{FleetSize: 300, UsesAgent: true, Rand: rand.New(rand.NewPCG(1, 6))}
-	first, lost, failed, timeout := s.FirstDelay(), s.WatchLostDelay(), s.FailureDelay(time.Second), s.CallTimeout()
+	first, lost, failed, timeout := s.FirstDelay(), s.WatchLostDelay(), s.Failed(time.Second), s.AnswerTimeout()
 	const longest = 100 * time.Millisecond
 	if first > 0 || lost > longest || failed > longest || timeout > 300*time.Millisecond {
 		t.Errorf("first call after %v, after a lost watch %v, after a failure %v, answer awaited for %v",
--- a/internal/decide/backoff/spreading.go
+++ b/internal/decide/backoff/spreading.go
@@ -11,21 +11,30 @@
 	// queueShare is the share of the service time-out for which calls may queue at discovery.
 	queueShare = 0.75
 	// ImmediateFailure is the time within which a service fails calls that it does not queue: it is down, or rejects
-	// them unread. A call that fails later has waited for want of capacity.
+	// them unread. A call that fails later has waited for want of capacity. Package platform also takes it to tell
+	// lease.Unreachable from lease.Unanswered, for a call that ended without any answer.
 	ImmediateFailure = 250 * time.Millisecond
 	// slotsGrowth multiplies the spreading interval with each call that fails for want of capacity, since discovery has
 	// to work off the calls that fail besides those that succeed.
 	slotsGrowth = 2
 	// maxSlots bounds the spreading interval, in call slots per coordinator.
 	maxSlots = 8
+	// maxIntervalInTime is the longest spreading interval, at one call slot per coordinator, of a fleet that discovery
+	// can answer in time: before a change counts as notified, calls that fail and are repeated included.
+	maxIntervalInTime = NotifiedAfter / 2 // 3 s, of 30 coordinators
+	// maxIntervalToHurry is the longest spreading interval, at one call slot per coordinator, of a fleet whose
+	// coordinators call again before their endpoint lists expire. In a larger one such calls would fail each other.
+	maxIntervalToHurry = NotifiedAfter // 6 s, of 60 coordinators
 )
 
 // serviceLoad is what failed calls have shown of discovery's load.
 type serviceLoad struct {
 	// slots is the spreading interval after a failed call, in call slots per coordinator; 0 after a success.
 	slots int
-	// shortestTimeout is the shortest wait after which discovery failed a call; 0 if none is known.
-	shortestTimeout time.Duration
+	// shortestFailure is the shortest wait after which discovery failed a call that it had queued; 0 if none is known.
+	// An answered call does not take it back, for it does not show how long discovery would have let it wait. It stands
+	// until the calls go to another service.
+	shortestFailure time.Duration
 }
 
 // failed records a call that failed after took, where the coordinator itself gives a call up after callTimeout. A call
@@ -36,8 +45,8 @@
 		return
 	}
 	l.slots = min(slotsGrowth*l.slots, maxSlots)
-	if took < callTimeout && (l.shortestTimeout == 0 || took < l.shortestTimeout) {
-		l.shortestTimeout = took
+	if took < callTimeout && (l.shortestFailure == 0 || took < l.shortestFailure) {
+		l.shortestFailure = took
 	}
 }
 
@@ -46,8 +55,8 @@
 
 // serviceTimeout is how long discovery lets a call wait at most.
 func (l *serviceLoad) serviceTimeout() time.Duration {
-	if l.shortestTimeout > 0 {
-		return l.shortestTimeout
+	if l.shortestFailure > 0 {
+		return l.shortestFailure
 	}
 	return defaultServiceTimeout
 }
@@ -62,13 +71,13 @@
 	return scale(s.load.serviceTimeout(), queueShare)
 }
 
-// bound shortens an interval to what the fleet may wait. If discovery can answer the whole fleet within half of
-// NotifiedAfter, the bound is inTime: coordinators that were answered call no more, so the others get through. Calls of
-// a larger fleet that came within inTime would fail each other and nobody would be answered. Such a fleet takes the
-// interval that it needs, up to longest if ListMaxAge is set.
+// bound shortens an interval to what the fleet may wait. If discovery can answer the whole fleet in time, the bound is
+// inTime: coordinators that were answered call no more, so the others get through. Calls of a larger fleet that came
+// within inTime would fail each other and nobody would be answered. Such a fleet takes the interval that it needs, up
+// to longest if ListMaxAge is set.
 func (s *Schedule) bound(interval, inTime, longest time.Duration) time.Duration {
 	switch {
-	case s.spreadingInterval(1) <= NotifiedAfter/2:
+	case s.spreadingInterval(1) <= maxIntervalInTime:
 		return min(interval, inTime)
 	case s.ListMaxAge > 0:
 		return min(interval, max(inTime, longest))
--- a/internal/decide/failover/doc.go
+++ b/internal/decide/failover/doc.go
@@ -12,15 +12,24 @@
 // clock and never goes back between calls. Randomness comes from the source that New is given, in a fixed order of
 // draws.
 //
-// The caller asks Next for a source while it follows none, reports each answer by Succeeded and RecordAge, and gives
-// the source up by Leave or Rejected. While it follows a source it asks Nearer, or Fresher if Stale reports so, for
-// another one to probe with a call. It reports a good answer to that by SwitchTo and any other by ProbeFailed.
+// The caller asks FollowNext for a source while it follows none, reports each answer by Succeeded and RecordStaleness,
+// and gives the source up by Leave or Rejected. While it follows a source it asks Nearer, or Fresher if Stale reports
+// so, for another one to probe with a call. It reports a good answer to that by ProbeSucceeded, which says whether the
+// reader follows the probed source now, and any other by ProbeFailed.
+//
+// # Terms
+//
+//   - source: a relay or the discovery service, from which a reader gets a resource.
+//   - staleness: the time since a source's copy was last known to be the authority's newest version.
+//   - probe: one call to a source other than the current one, to see whether it is better.
+//   - distance: whether a source is in the reader's zone, in its region, or elsewhere.
 //
 // # Where each decision stands
 //
 //	selector.go   which source is followed next
 //	probes.go     when a nearer source is probed, and whether the reader switches to a probed one
-//	freshness.go  when a source is stale, and when and where a fresher one is looked for
+//	freshness.go  when a source is stale, and which one is clearly fresher
+//	search.go     when and where a fresher source is looked for
 //	reason.go     why a source is left, and the backoff after each reason
 //	candidate.go  what is known of each source
 //	locality.go   how far away a source is
--- a/internal/decide/failover/freshness_test.go
+++ b/internal/decide/failover/freshness_test.go
@@ -17,7 +17,7 @@
 		better = s.Fresher
 	}
 	source, ok := better(now)
-	return ok, ok && s.SwitchTo(now, source, ages[source.Address])
+	return ok, ok && s.ProbeSucceeded(now, source, ages[source.Address])
 }
 
 // Each source is cut off from the authority at a random instant and learns nothing new after that. A reader switches to
@@ -30,7 +30,7 @@
 		for _, source := range all {
 			cutAt[source.Address] = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "cut")) * ms
 		}
-		s.Next(now)
+		s.FollowNext(now)
 		probes, switches, left := 0, 0, map[string]bool{}
 		const end, step = 60 * sec, 50 * ms
 		for ; now < end; now += step {
@@ -39,7 +39,7 @@
 			}
 			before, _ := s.Current()
 			s.Succeeded(now)
-			s.RecordAge(now, ages[before.Address])
+			s.RecordStaleness(now, ages[before.Address])
 			stale := s.Stale()
 			probed, switched := probe(s, now, ages)
 			if probed {
@@ -71,18 +71,18 @@
 func TestProbesOfEquallyStaleSources(t *testing.T) {
 	s, probes := New(own, sixSources(), random(1)), map[string]int{}
 	s.SetStaleAfter(staleAfter)
-	s.Next(0)
+	s.FollowNext(0)
 	const start = 2 * sec
 	others := len(sixSources()) - 1
 	last, latest := time.Duration(0), time.Duration(0)
 	for now := start; now < start+60*sec; now += 10 * ms {
-		s.RecordAge(now, now)
+		s.RecordStaleness(now, now)
 		source, ok := s.Fresher(now)
 		if !ok {
 			continue
 		}
 		last, latest = latest, now
-		if s.SwitchTo(now, source, now) {
+		if s.ProbeSucceeded(now, source, now) {
 			t.Fatalf("at %v it follows %s, which is as stale", now, source.Address)
 		}
 		probes[source.Address]++
@@ -101,18 +101,18 @@
 	s, now := New(own, oneInRegionOneInZone(), random(1)), time.Duration(0)
 	s.SetStaleAfter(staleAfter)
 	near, far := next(t, s, &now), sixSources()[1]
-	s.RecordAge(now, 2*staleAfter)
+	s.RecordStaleness(now, 2*staleAfter)
 	now += firstProbeSpread
-	if source, ok := s.Fresher(now); !ok || source != far || !s.SwitchTo(now, far, 0) {
+	if source, ok := s.Fresher(now); !ok || source != far || !s.ProbeSucceeded(now, far, 0) {
 		t.Fatalf("it probes %s", source.Address)
 	}
 	for probes := 0; probes < 5; now += 100 * ms {
-		s.RecordAge(now, 0)
+		s.RecordStaleness(now, 0)
 		source, ok := s.Nearer(now)
 		if !ok {
 			continue
 		}
-		if probes++; s.SwitchTo(now, source, staleAfter+ms) {
+		if probes++; s.ProbeSucceeded(now, source, staleAfter+ms) {
 			t.Fatalf("at %v it returns to a stale one", now)
 		}
 	}
@@ -121,12 +121,12 @@
 	if source := next(t, s, &now); source != near {
 		t.Fatalf("it follows %s", source.Address)
 	}
-	s.RecordAge(now, 0)
+	s.RecordStaleness(now, 0)
 	s.Leave(now, Failed)
 	next(t, s, &now)
 	for ; ; now += 100 * ms {
 		if source, ok := s.Nearer(now); ok {
-			if !s.SwitchTo(now, source, staleAfter) {
+			if !s.ProbeSucceeded(now, source, staleAfter) {
 				t.Error("it does not return to a fresh one")
 			}
 			return
--- a/internal/decide/failover/harness_test.go
+++ b/internal/decide/failover/harness_test.go
@@ -32,7 +32,7 @@
 func next(t *testing.T, s *Selector, now *time.Duration) Source {
 	t.Helper()
 	for range 100 {
-		source, wait := s.Next(*now)
+		source, wait := s.FollowNext(*now)
 		if wait == 0 {
 			return source
 		}
--- a/internal/decide/failover/probes.go
+++ b/internal/decide/failover/probes.go
@@ -3,7 +3,8 @@
 import "time"
 
 // Nearer returns a source to probe for a reader whose current source is not stale: one that is nearer and whose time to
-// return has come. ok is false if there is none.
+// return has come. ok is false if there is none. It records nothing: until ProbeSucceeded or ProbeFailed it returns the
+// source again.
 func (s *Selector) Nearer(now time.Duration) (source Source, ok bool) {
 	if s.current == none {
 		return Source{}, false
@@ -27,17 +28,23 @@
 	}
 }
 
-// SwitchTo records that a source which Nearer or Fresher returned has answered its probe, follows it if it is better
-// than the current one, and reports whether it does. age is the age of the probed source's state. A stale current
-// source is left for one that is clearly fresher. Otherwise a nearer source that is not stale is followed. Sources that
-// are about as stale as each other are never exchanged.
-func (s *Selector) SwitchTo(now time.Duration, source Source, age time.Duration) bool {
+// ProbeSucceeded judges a source that Nearer or Fresher returned and that has answered its probe with a staleness. It
+// reports whether the source is better than the current one, and then has made it the current one:
+//
+//   - A stale current source is left for one that is clearly fresher. The one of the two that is not followed is backed
+//     off as Stale. Sources that are about as stale as each other are never exchanged.
+//   - A current source that is not stale is left for a nearer one that is not stale either. A probed one that is stale
+//     is backed off as Stale; a farther one, and the current source, are left as they are.
+//
+// It is false, and nothing is recorded, where the probed source is not known or is the current one by now, or where the
+// reader has no source: its next one is FollowNext's to choose.
+func (s *Selector) ProbeSucceeded(now time.Duration, source Source, staleness time.Duration) bool {
 	i := s.index(source)
 	if i == none || s.current == none || i == s.current {
 		return false
 	}
 	if s.Stale() {
-		if !s.freshness.isClearlyFresher(age) {
+		if !s.freshness.isClearlyFresher(staleness) {
 			s.candidates[i].failed(now, Stale, s.rand)
 			return false
 		}
@@ -45,7 +52,7 @@
 		s.choose(i)
 		return true
 	}
-	if s.freshness.isStale(age) {
+	if s.freshness.isStale(staleness) {
 		s.candidates[i].failed(now, Stale, s.rand)
 		return false
 	}
--- a/internal/decide/failover/reason.go
+++ b/internal/decide/failover/reason.go
@@ -11,7 +11,8 @@
 const (
 	// Failed is a refused or reset connection, or an answer that reports a failure.
 	Failed Reason = iota
-	// Silent is a call without an answer within its heartbeat and allowance.
+	// Silent is a call without an answer in time. A source may take a heartbeat to answer, for it waits so long for a
+	// new version; an allowance is added for its way to the reader. Package distribution configures both.
 	Silent
 	// Behind is a source that has an older version than the reader.
 	Behind
@@ -26,13 +27,13 @@
 	return [...]string{"failed", "silent", "behind", "invalid", "stale"}[r]
 }
 
-// maxFailureDelay bounds the backoff of sources that are cut off. A reader that lost all of them for long has to have
-// what is new within 3 s of their return, and a vain call that is under way at that instant takes its heartbeat and
-// allowance besides.
+// maxFailureDelay bounds the backoff of sources that are cut off: they are Failed or Silent. A reader that lost all of
+// them for long has to have what is new within 3 s of their return, and a vain call that is under way at that instant
+// takes its heartbeat and allowance besides. A source that is Invalid answers, so it may be backed off for longer.
 const maxFailureDelay = 1500 * time.Millisecond
 
-// backoffs are the delays after which a source that was left for a reason may be followed again.
-var backoffs = map[Reason]backoff{
+// backoffs are the delays after which a source that was left for a reason may be followed again. Each Reason has one.
+var backoffs = [...]backoff{
 	Failed:  {250 * time.Millisecond, maxFailureDelay},
 	Silent:  {500 * time.Millisecond, maxFailureDelay},
 	Behind:  {250 * time.Millisecond, time.Second}, // it is about to receive what it lacks
--- a/internal/decide/failover/selector.go
+++ b/internal/decide/failover/selector.go
@@ -22,11 +22,13 @@
 	candidates []candidate   // the nearest first
 	current    int           // index of the candidate that is followed, or none
 	notBefore  time.Duration // earliest instant at which another source is chosen after the last one was left
-	freshness  freshness     // of the current source
+	freshness  freshness     // how stale the current source is
+	search     probeSearch   // for a fresher source; of use while the current one is stale
 	rand       *rand.Rand
 }
 
-// New returns a Selector for a reader at a locality. No source is stale before SetStaleAfter.
+// New returns a Selector for a reader at a locality. No source counts as stale before the caller has set a staleness by
+// SetStaleAfter: DefaultStaleAfter is not applied here.
 func New(own Locality, sources []Source, rng *rand.Rand) *Selector {
 	s := &Selector{current: none, rand: rng}
 	for _, source := range sources {
@@ -47,10 +49,10 @@
 	return s.candidates[s.current].Source, true
 }
 
-// Next chooses the source to follow, for a reader that follows none: the nearest that may be followed now. A nearer one
-// that is about to have capacity is waited for. If none may be followed yet, Next returns how long to wait before the
-// next call of Next.
-func (s *Selector) Next(now time.Duration) (source Source, wait time.Duration) {
+// FollowNext makes a source the current one and returns it, for a reader that follows none: the nearest that may be
+// followed now. A nearer one that is about to have capacity is waited for. If none may be followed yet, FollowNext
+// returns how long to wait before its next call.
+func (s *Selector) FollowNext(now time.Duration) (source Source, wait time.Duration) {
 	if now < s.notBefore {
 		return Source{}, s.notBefore - now
 	}
@@ -81,11 +83,12 @@
 	})
 }
 
-// choose makes candidate i the current source. Nothing is known of its answers yet.
+// choose makes candidate i the current source. Nothing is known of its answers yet, and no fresher one is looked for.
 func (s *Selector) choose(i int) {
 	s.current = i
 	s.candidates[i].serving = false
 	s.freshness = freshness{staleAfter: s.freshness.staleAfter}
+	s.search = probeSearch{}
 }
 
 // Succeeded records a good answer of the current source. There must be one.
--- a/internal/decide/failover/selector_test.go
+++ b/internal/decide/failover/selector_test.go
@@ -49,8 +49,8 @@
 // within a bounded time.
 func (c *choices) choose() {
 	before := c.now
-	source, wait := c.s.Next(c.now)
-	for ; wait > 0; source, wait = c.s.Next(c.now) {
+	source, wait := c.s.FollowNext(c.now)
+	for ; wait > 0; source, wait = c.s.FollowNext(c.now) {
 		if c.now += wait; c.now-before > backoffs[Invalid].max+longestRetryAfter {
 			c.Fatalf("no source for %v", c.now-before)
 		}
@@ -90,10 +90,10 @@
 		}
 		return
 	}
-	if got, _ := c.s.Current(); !c.s.SwitchTo(c.now, nearer, 0) || got == nearer {
+	if got, _ := c.s.Current(); !c.s.ProbeSucceeded(c.now, nearer, 0) || got == nearer {
 		c.Fatalf("it does not return from %s to %s", got.Address, nearer.Address)
 	}
-	if got, _ := c.s.Current(); got != nearer || c.s.SwitchTo(c.now, nearer, 0) {
+	if got, _ := c.s.Current(); got != nearer || c.s.ProbeSucceeded(c.now, nearer, 0) {
 		c.Fatalf("it follows %s, not %s", got.Address, nearer.Address)
 	}
 }
@@ -153,7 +153,7 @@
 		}
 		s.Rejected(now, 9*sec)
 	}
-	if source, wait := s.Next(now); wait != 0 || source.Address != "region:1" {
+	if source, wait := s.FollowNext(now); wait != 0 || source.Address != "region:1" {
 		t.Errorf("%s, wait %v after %v", source.Address, wait, now)
 	}
 }
--- a/internal/decide/follower/apply_test.go
+++ b/internal/decide/follower/apply_test.go
@@ -17,32 +17,33 @@
 func TestRefusedAnswerChangesNothing(t *testing.T) {
 	type slice = versionlog.Slice
 	entries := func(list ...versionlog.Entry) []versionlog.Entry { return list }
-	complete := slice{Version: version(7, 20), Head: 20, Snapshot: true, Entries: entries(entry("a", 3), entry("b", 20))}
+	complete := slice{Version: version(7, 20), NewestIndex: 20, Snapshot: true,
+		Entries: entries(entry("a", 3), entry("b", 20))}
 	for what, tc := range map[string]struct {
 		slice slice
 		want  error
 	}{
-		"an older epoch's snapshot": {slice{Version: version(6, 90), Head: 90, Snapshot: true}, ErrBehind},
-		"an older epoch's changes":  {slice{Version: version(6, 90), Head: 90}, ErrBehind},
-		"an older snapshot":         {slice{Version: version(7, 19), Head: 19, Snapshot: true}, ErrBehind},
-		"an older snapshot's first slice": {slice{Version: version(7, 3), Head: 19, Base: 19, Snapshot: true,
+		"an older epoch's snapshot": {slice{Version: version(6, 90), NewestIndex: 90, Snapshot: true}, ErrBehind},
+		"an older epoch's changes":  {slice{Version: version(6, 90), NewestIndex: 90}, ErrBehind},
+		"an older snapshot":         {slice{Version: version(7, 19), NewestIndex: 19, Snapshot: true}, ErrBehind},
+		"an older snapshot's first slice": {slice{Version: version(7, 3), NewestIndex: 19, Base: 19, Snapshot: true,
 			Entries: entries(entry("a", 3))}, ErrBehind},
-		"an older index": {slice{Version: version(7, 19), Head: 19}, ErrBehind},
-		"a later epoch's changes": {slice{Version: version(8, 21), Head: 21,
+		"an older index": {slice{Version: version(7, 19), NewestIndex: 19}, ErrBehind},
+		"a later epoch's changes": {slice{Version: version(8, 21), NewestIndex: 21,
 			Entries: entries(entry("a", 21))}, ErrInvalid},
-		"an entry that it has": {slice{Version: version(7, 22), Head: 22,
+		"an entry that it has": {slice{Version: version(7, 22), NewestIndex: 22,
 			Entries: entries(entry("b", 20))}, ErrInvalid},
-		"entries out of order": {slice{Version: version(7, 23), Head: 23,
+		"entries out of order": {slice{Version: version(7, 23), NewestIndex: 23,
 			Entries: entries(entry("c", 23), entry("d", 22))}, ErrInvalid},
-		"a name twice": {slice{Version: version(7, 23), Head: 23,
+		"a name twice": {slice{Version: version(7, 23), NewestIndex: 23,
 			Entries: entries(entry("c", 22), entry("c", 23))}, ErrInvalid},
-		"an entry past the index": {slice{Version: version(7, 21), Head: 21,
+		"an entry past the index": {slice{Version: version(7, 21), NewestIndex: 21,
 			Entries: entries(entry("c", 22))}, ErrInvalid},
-		"an entry without a name": {slice{Version: version(7, 21), Head: 21,
+		"an entry without a name": {slice{Version: version(7, 21), NewestIndex: 21,
 			Entries: entries(entry("", 21))}, ErrInvalid},
-		"a snapshot's later slice": {slice{Version: version(7, 21), Head: 30, Base: 30,
+		"a snapshot's later slice": {slice{Version: version(7, 21), NewestIndex: 30, Base: 30,
 			Entries: entries(entry("c", 21))}, ErrInvalid},
-		"an entry that goes back": {slice{Version: version(7, 25), Head: 25, Snapshot: true,
+		"an entry that goes back": {slice{Version: version(7, 25), NewestIndex: 25, Snapshot: true,
 			Entries: entries(entry("b", 19), entry("d", 25))}, ErrInvalid},
 	} {
 		var s State
@@ -64,23 +65,24 @@
 func TestNamesThatSnapshotLacksAreRemovedWithItsLastSlice(t *testing.T) {
 	var s State
 	s.Seed([]string{"unlisted", "listed"})
-	first := versionlog.Slice{Version: version(2, 4), Head: 9, Base: 9, Snapshot: true,
+	first := versionlog.Slice{Version: version(2, 4), NewestIndex: 9, Base: 9, Snapshot: true,
 		Entries: []versionlog.Entry{entry("a", 4)}}
 	c, err := s.Apply(first)
-	if err != nil || len(c.Removed) > 0 || s.Complete() || len(c.Entries) != 1 {
+	if err != nil || len(c.MissingFromSnapshot) > 0 || s.Complete() || len(c.Entries) != 1 {
 		t.Fatalf("first slice: %+v, %v", c, err)
 	}
-	last := versionlog.Slice{Version: version(2, 9), Head: 9, Entries: []versionlog.Entry{entry("listed", 9)}}
-	if c, err = s.Apply(last); err != nil || fmt.Sprint(c.Removed) != "[unlisted]" || !c.Complete || !c.SnapshotCompleted {
+	last := versionlog.Slice{Version: version(2, 9), NewestIndex: 9, Entries: []versionlog.Entry{entry("listed", 9)}}
+	c, err = s.Apply(last)
+	if err != nil || fmt.Sprint(c.MissingFromSnapshot) != "[unlisted]" || !c.Complete || !c.SnapshotCompleted {
 		t.Fatalf("last slice: %+v, %v", c, err)
 	}
-	first = versionlog.Slice{Version: version(3, 1), Head: 2, Base: 2, Snapshot: true,
+	first = versionlog.Slice{Version: version(3, 1), NewestIndex: 2, Base: 2, Snapshot: true,
 		Entries: []versionlog.Entry{entry("b", 1)}}
-	if c, err = s.Apply(first); err != nil || len(c.Removed) > 0 || s.Complete() {
+	if c, err = s.Apply(first); err != nil || len(c.MissingFromSnapshot) > 0 || s.Complete() {
 		t.Fatalf("a later epoch's first slice: %+v, %v", c, err)
 	}
-	last = versionlog.Slice{Version: version(3, 2), Head: 2, Entries: []versionlog.Entry{entry("a", 2)}}
-	if c, err = s.Apply(last); err != nil || fmt.Sprint(c.Removed) != "[listed]" || len(c.Entries) != 1 {
+	last = versionlog.Slice{Version: version(3, 2), NewestIndex: 2, Entries: []versionlog.Entry{entry("a", 2)}}
+	if c, err = s.Apply(last); err != nil || fmt.Sprint(c.MissingFromSnapshot) != "[listed]" || len(c.Entries) != 1 {
 		t.Fatalf("a later epoch's last slice: %+v, %v", c, err)
 	}
 }
@@ -88,12 +90,12 @@
 // A reader gets a second snapshot of one epoch. Only entries that have changed since the first are reported.
 func TestSnapshotReportsChangedEntriesOnly(t *testing.T) {
 	var s State
-	list := versionlog.Slice{Version: version(2, 9), Head: 9, Snapshot: true,
+	list := versionlog.Slice{Version: version(2, 9), NewestIndex: 9, Snapshot: true,
 		Entries: []versionlog.Entry{entry("a", 4), entry("b", 9)}}
 	if _, err := s.Apply(list); err != nil {
 		t.Fatal(err)
 	}
-	list.Version.Index, list.Head, list.Entries = 10, 10, []versionlog.Entry{entry("a", 4), entry("b", 10)}
+	list.Version.Index, list.NewestIndex, list.Entries = 10, 10, []versionlog.Entry{entry("a", 4), entry("b", 10)}
 	if c, err := s.Apply(list); err != nil || len(c.Entries) != 1 || c.Entries[0].Name != "b" {
 		t.Errorf("%+v, %v", c, err)
 	}
@@ -104,7 +106,7 @@
 func TestServiceWithoutEpochs(t *testing.T) {
 	r := &reader{state: State{AcceptAnySnapshot: true}, bodies: map[string]string{}}
 	slice := func(index int64, snapshot bool, names ...string) versionlog.Slice {
-		s := versionlog.Slice{Version: versionlog.Version{Index: index}, Head: index, Snapshot: snapshot}
+		s := versionlog.Slice{Version: versionlog.Version{Index: index}, NewestIndex: index, Snapshot: snapshot}
 		for _, name := range names {
 			s.Entries = append(s.Entries, entry(name, index))
 		}
--- a/internal/decide/follower/check.go
+++ b/internal/decide/follower/check.go
@@ -6,10 +6,10 @@
 	"harepass/internal/decide/versionlog"
 )
 
-// check finds what keeps an answer from being applied. Services without epochs (epoch 0) do not number their entries,
-// so the checks of slices and entries do not hold for their answers.
+// check finds what keeps an answer from being applied. Services without epochs do not number their entries, so the
+// checks of slices and entries do not hold for their answers.
 func (s *State) check(slice versionlog.Slice) error {
-	if slice.Version.Epoch != 0 {
+	if slice.Version.HasEpoch() {
 		if err := slice.Check(); err != nil {
 			return fmt.Errorf("%w: %w", ErrInvalid, err)
 		}
@@ -29,6 +29,10 @@
 
 // checkNotBehind returns an error if the answer's source has not what the reader knows to exist. A slice within a
 // snapshot says nothing of that: the snapshot's first slice was checked.
+//
+// A source refuses such a reader by itself (versionlog.Log.Behind), as far as the reader's cursor shows. The reader
+// knows more: the newest version that any of its sources has shown to have. What a source has only announced does not
+// count here: no source need have it yet.
 func (s *State) checkNotBehind(slice versionlog.Slice) error {
 	if s.hasVersion && slice.Version.Epoch < s.cursor.Epoch {
 		return fmt.Errorf("%w: epoch %d, the reader has %d", ErrBehind, slice.Version.Epoch, s.cursor.Epoch)
@@ -57,7 +61,7 @@
 
 // checkEntries returns an error if an entry goes back behind what the reader has.
 func (s *State) checkEntries(slice versionlog.Slice) error {
-	if slice.Version.Epoch == 0 {
+	if !slice.Version.HasEpoch() {
 		return nil
 	}
 	for _, e := range slice.Entries {
--- a/internal/decide/follower/follower.go
+++ b/internal/decide/follower/follower.go
@@ -3,9 +3,11 @@
 //
 // # Contract
 //
-// A State never goes back, neither to an older epoch nor to an older index, whichever source answers. An answer is
-// checked completely before any of it counts: it is applied as a whole or not at all. The names that a snapshot lacks
-// are removed with its last slice, so a reader whose source is lost within a snapshot keeps what it had.
+// A State never goes back, neither to an older epoch nor to an older index, whichever source answers. The one exception
+// is a snapshot for a State with AcceptAnySnapshot, which may be of any version.
+//
+// An answer is checked completely before any of it counts: it is applied as a whole or not at all. The names that a
+// snapshot lacks are removed with its last slice, so a reader whose source is lost within a snapshot keeps what it had.
 //
 // The package holds no bodies of entries. A State has no clock and does no I/O; it is for one goroutine at a time.
 package follower
@@ -24,15 +26,16 @@
 	ErrInvalid = errors.New("follower: invalid answer")
 )
 
-// Change is what an applied answer changes for the reader.
-type Change struct {
+// Applied is what an applied answer changes for the reader.
+type Applied struct {
 	// Version is the version that the reader has now.
 	Version versionlog.Version
-	// Entries are the entries that are new or changed, in the order of their indexes. Entries of a snapshot that the
-	// reader has already are left out.
+	// Entries are the entries that are new or changed, in the order of their indexes. Some may be tombstones, which
+	// remove their names (Entry.Removed). Entries of a snapshot that the reader has already are left out.
 	Entries []versionlog.Entry
-	// Removed are the names that the reader has and a snapshot lacks. They come with the snapshot's last slice.
-	Removed []string
+	// MissingFromSnapshot are the names that the reader has and a snapshot lacks: they are removed too. They come with
+	// the snapshot's last slice. Names that a tombstone removes are not among them.
+	MissingFromSnapshot []string
 	// Complete states that the reader has all of the log's state at Version, and knows of no newer one.
 	Complete bool
 	// SnapshotCompleted states that the answer was the last slice of a snapshot.
@@ -84,17 +87,17 @@
 
 // Apply takes the next answer of a source. It returns what that changes, or an error that wraps ErrBehind or
 // ErrInvalid.
-func (s *State) Apply(slice versionlog.Slice) (Change, error) {
+func (s *State) Apply(slice versionlog.Slice) (Applied, error) {
 	if err := s.check(slice); err != nil {
-		return Change{}, err
+		return Applied{}, err
 	}
 	if slice.Snapshot {
-		s.beginSnapshot(slice.Version.Epoch)
+		s.beginSnapshot(slice.Version)
 	}
-	c := Change{Version: slice.Version}
+	applied := Applied{Version: slice.Version}
 	for _, e := range slice.Entries {
 		if s.applyEntry(e) {
-			c.Entries = append(c.Entries, e)
+			applied.Entries = append(applied.Entries, e)
 		}
 	}
 	s.cursor, s.hasVersion = s.cursor.After(slice), true
@@ -102,10 +105,10 @@
 		s.newest = v
 	}
 	if s.snapshot.names != nil && slice.Base == 0 {
-		c.Removed, c.SnapshotCompleted = s.completeSnapshot(), true
+		applied.MissingFromSnapshot, applied.SnapshotCompleted = s.completeSnapshot(), true
 	}
-	c.Complete = s.Complete()
-	return c, nil
+	applied.Complete = s.Complete()
+	return applied, nil
 }
 
 // applyEntry takes an entry and reports whether it changes what the reader has.
@@ -122,13 +125,13 @@
 	return !has || index != e.Index
 }
 
-// beginSnapshot begins a snapshot of an epoch. Indexes of another epoch, or of a service without epochs (epoch 0), do
-// not tell whether an entry has changed.
-func (s *State) beginSnapshot(epoch int64) {
+// beginSnapshot begins a snapshot of a version. Indexes of another epoch, or of a service without epochs, do not tell
+// whether an entry has changed.
+func (s *State) beginSnapshot(of versionlog.Version) {
 	if s.indexes == nil {
 		s.indexes = map[string]int64{}
 	}
-	if epoch != s.cursor.Epoch || epoch == 0 {
+	if of.Epoch != s.cursor.Epoch || !of.HasEpoch() {
 		for name := range s.indexes {
 			s.indexes[name] = unknownIndex
 		}
@@ -140,13 +143,13 @@
 }
 
 // completeSnapshot ends a snapshot and returns the names that it lacks.
-func (s *State) completeSnapshot() (removed []string) {
+func (s *State) completeSnapshot() (missing []string) {
 	for name := range s.indexes {
 		if _, has := s.snapshot.names[name]; !has {
-			removed = append(removed, name)
+			missing = append(missing, name)
 			delete(s.indexes, name)
 		}
 	}
 	s.snapshot = snapshot{completed: true}
-	return removed
+	return missing
 }
--- a/internal/decide/follower/harness_test.go
+++ b/internal/decide/follower/harness_test.go
@@ -31,12 +31,12 @@
 	bodies map[string]string
 }
 
-func (r *reader) apply(slice versionlog.Slice) (Change, error) {
+func (r *reader) apply(slice versionlog.Slice) (Applied, error) {
 	c, err := r.state.Apply(slice)
 	for _, e := range c.Entries {
 		apply(r.bodies, e)
 	}
-	for _, name := range c.Removed {
+	for _, name := range c.MissingFromSnapshot {
 		delete(r.bodies, name)
 	}
 	return c, err
--- a/internal/decide/follower/sources_test.go
+++ b/internal/decide/follower/sources_test.go
@@ -69,7 +69,7 @@
 // hasAll reports whether the reader is complete at the authority's version.
 func (s *sources) hasAll() bool {
 	cursor, _ := s.reader.state.Cursor()
-	return s.reader.state.Complete() && cursor.Version == s.authority.Head()
+	return s.reader.state.Complete() && cursor.Version == s.authority.Version()
 }
 
 // check fails if a complete reader has gone back, or has not what the authority has at that version.
--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -6,7 +6,8 @@
 // attempts for a grace period after that. So a list may be used for that time and the grace from the last instant at
 // which it is known to have lacked nothing. There are two kinds of such an instant: discovery confirmed the list, or a
 // call found discovery unreachable, since no change counts as notified while discovery cannot be reached. A call that
-// discovery accepted and left unanswered proves neither.
+// discovery accepted and left unanswered proves neither. Which failure of a call shows what is the caller's to tell:
+// package platform does so in pollFailure.unreachable.
 //
 // # Contract
 //
@@ -22,17 +23,18 @@
 
 // Lease is the time for which one endpoint list may be used. Use New.
 type Lease struct {
-	currentAt     time.Duration // last instant at which the list is known to have lacked nothing
+	countsFrom    time.Duration // instant that notifiedAfter counts from: the list is known to have lacked nothing then
 	notifiedAfter time.Duration // time from a change until it counts as notified
 	grace         time.Duration // time from then on in which attempts may still begin
 	expires       time.Duration // instant from which on the list must not be used
 }
 
-// New returns the lease of a process that starts at now with a stored endpoint list. The process counts as notified
-// after listMaxAge, as long as no call has failed. From the first failed call on, the usual time counts. drainGrace is
-// the time for which the platform still allows attempts at an endpoint after its drain counts as notified.
+// New returns the lease of a process that starts at now with a stored endpoint list. Until its first event the process
+// counts as notified after listMaxAge, or after backoff.NotifiedAfter where that is longer; listMaxAge may be 0. From
+// the first event on, whichever it is, listMaxAge no longer counts. drainGrace is the time for which the platform still
+// allows attempts at an endpoint after its drain counts as notified.
 func New(now, listMaxAge, drainGrace time.Duration) Lease {
-	l := Lease{currentAt: now, notifiedAfter: backoff.NotifiedAfter, grace: usableGrace(drainGrace)}
+	l := Lease{countsFrom: now, notifiedAfter: backoff.NotifiedAfter, grace: usableGrace(drainGrace)}
 	l.expires = now + max(listMaxAge, backoff.NotifiedAfter) + l.grace
 	return l
 }
@@ -60,21 +62,22 @@
 	l.renew(at)
 }
 
-// Unreachable records that a call which began at an instant found that discovery could not be reached.
+// Unreachable records that a call which began at an instant found that discovery could not be reached. It renews the
+// lease from that instant, and ends the longer time that a new process has before its first event.
 func (l *Lease) Unreachable(began time.Duration) { l.renew(began) }
 
-// Unanswered records that a call failed although it may have reached discovery. It ends the longer time that a new
-// process has.
+// Unanswered records that a call failed although it may have reached discovery. It renews
+// nothing, and ends the longer time that a new process has before its first event.
 func (l *Lease) Unanswered() {
-	l.expires = min(l.expires, l.currentAt+l.notifiedAfter+l.grace)
+	l.expires = min(l.expires, l.countsFrom+l.notifiedAfter+l.grace)
 }
 
 // ServiceChanged records that a reload named another discovery service at an instant. Until that service has answered,
 // its changes count as notified after backoff.NotifiedAfterReload. The change never prolongs the lease.
 func (l *Lease) ServiceChanged(at time.Duration) {
-	// Calls to the new service renew from currentAt with the shorter time. Moving currentAt back by the difference
-	// keeps changes at the old service due when they were.
-	l.currentAt = min(at, l.currentAt+l.notifiedAfter-backoff.NotifiedAfterReload)
+	// From here on the shorter NotifiedAfterReload counts. Moving countsFrom forward by what it is shorter by keeps
+	// changes at the old service due when they were; it is never moved beyond the reload itself.
+	l.countsFrom = min(at, l.countsFrom+l.notifiedAfter-backoff.NotifiedAfterReload)
 	l.notifiedAfter = backoff.NotifiedAfterReload
 	l.expires = min(l.expires, at+l.notifiedAfter+l.grace)
 }
@@ -82,6 +85,6 @@
 // renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order,
 // so an earlier instant than that of another renewal does not take back what that one showed.
 func (l *Lease) renew(at time.Duration) {
-	l.currentAt = max(l.currentAt, at)
-	l.expires = l.currentAt + l.notifiedAfter + l.grace
+	l.countsFrom = max(l.countsFrom, at)
+	l.expires = l.countsFrom + l.notifiedAfter + l.grace
 }
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -15,7 +15,7 @@
 // Config is what an installation has and wants. A Controller does not check it.
 type Config struct {
 	WaitTarget    time.Duration  // mean wait for the loop that is to be kept; above 0
-	Cores         float64        // cores that the process may use
+	Cores         float64        // cores that the process may use; above 0, else an active limit never grows
 	MemoryBytes   int64          // memory that the process may use; 0 or less for no limit
 	MaxRetryAfter time.Duration  // longest time after which a rejected query is to come back; 0 or less for no limit
 	Classes       []Class        // classes of queries; a query of another class is admitted
@@ -39,10 +39,10 @@
 
 // Arrival is a query as far as its head shows.
 type Arrival struct {
-	Class   string
-	Tenant  string
-	IsRetry bool // the client has sent the query before
-	Parts   int  // 0 where the number is not known yet
+	Class    string
+	Tenant   string
+	IsRepeat bool // the client repeats a query that it has sent before
+	Parts    int  // 0 where the number is not known yet
 }
 
 // Decision is what becomes of an arrival.
@@ -118,10 +118,10 @@
 	if k == nil {
 		return Decision{Admitted: true}
 	}
-	parts := k.partsOf(a)
-	withinQuota := c.withinQuota(a, k.NonIdempotent, now)
+	parts := k.observeParts(a)
+	withinQuota := c.chargeQuota(a, k.NonIdempotent, now)
 	protected := k.NonIdempotent && withinQuota
-	cost, score := c.cost.ofQuery(parts), k.score(withinQuota, a.IsRetry)
+	cost, score := c.cost.ofQuery(parts), k.score(withinQuota, a.IsRepeat)
 	if c.memory.rejects(protected) || !c.limit.take(cost, score, protected, now) {
 		c.window.reject(cost, score, protected)
 		return Decision{RetryAfter: c.retryAfter(cost, withinQuota, now)}
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -8,8 +8,8 @@
 // The levels.
 const (
 	Normal   Level = iota // few arrivals are rejected, or none
-	Trimming              // traffic beyond its tenant's quota, or of the lowest priority, is rejected
-	Shedding              // idempotent traffic within its quota is rejected
+	Trimming              // traffic beyond its tenant's quota is rejected; never reached where there are no tenants
+	Shedding              // idempotent traffic within its quota is rejected, or all unprotected for want of memory
 	Critical              // protected queries are rejected too, or admitted ones ended
 )
 
@@ -51,7 +51,9 @@
 	return true
 }
 
-// causedBy is the level that a window gives cause for.
+// causedBy is the level that a window gives cause for. The highest score that was rejected tells Shedding from
+// Trimming: a query within its quota scores at least minWithinScore, less retryPenalty for a client's repeat, and one
+// beyond its quota scores less than that.
 func (t *levelTracker) causedBy(w window, memory MemoryLevel) Level {
 	many := w.rejections > 0 && t.rejectedFraction > manyRejections
 	switch {
@@ -75,6 +77,7 @@
 		holds bool
 	}{
 		{"loop delay", s.MeanWait > c.cfg.WaitTarget},
+		// Unlike rateLimit.grow, a use of exactly allCores is no reason yet, and neither is any use of 0 cores.
 		{"cpu", c.cfg.Cores > 0 && s.CoresUsed > allCores*c.cfg.Cores},
 		{"memory", c.memory > MemoryNormal},
 		{"descriptors", s.DescriptorFraction > saturated},
--- a/internal/decide/overload/memory_level.go
+++ b/internal/decide/overload/memory_level.go
@@ -69,19 +69,19 @@
 type OpenQuery struct {
 	Bytes          int64   // bytes booked for the query
 	PriorityWeight float64 // what its answer in time is worth
-	Protected      bool    // a part may have run that must not run twice: the client could not know whether it did
+	MayHaveRun     bool    // a part that must not run twice may have run: the client could not know whether it did
 }
 
 // minPriorityWeight keeps the division of bytes by weight finite.
 const minPriorityWeight = 1e-9
 
 // SelectQueriesToEnd returns the indices of the queries to end so that at least need bytes are freed. Those with the
-// most bytes for their priority weight come first; protected ones are never selected. The result frees fewer bytes
-// where there are no more to select.
+// most bytes for their priority weight come first. A query that may have run is never selected, nor is one without
+// bytes. The result frees fewer bytes where there are no more to select.
 func SelectQueriesToEnd(list []OpenQuery, need int64) (selected []int) {
 	var order []int
 	for i, q := range list {
-		if !q.Protected && q.Bytes > 0 {
+		if !q.MayHaveRun && q.Bytes > 0 {
 			order = append(order, i)
 		}
 	}
--- a/internal/decide/overload/memory_level_test.go
+++ b/internal/decide/overload/memory_level_test.go
@@ -50,7 +50,7 @@
 // Of the queries to end, those with the most bytes for their priority weight come first, and protected ones are spared.
 func TestSelectQueriesToEnd(t *testing.T) {
 	list := []overload.OpenQuery{
-		{Bytes: 50, PriorityWeight: 1}, {Bytes: 90, PriorityWeight: 3}, {Bytes: 80, PriorityWeight: 1, Protected: true},
+		{Bytes: 50, PriorityWeight: 1}, {Bytes: 90, PriorityWeight: 3}, {Bytes: 80, PriorityWeight: 1, MayHaveRun: true},
 		{Bytes: 20, PriorityWeight: 1}, {PriorityWeight: 0},
 	}
 	if got := fmt.Sprint(overload.SelectQueriesToEnd(list, 60)); got != "[0 1]" {
--- a/internal/decide/overload/priority.go
+++ b/internal/decide/overload/priority.go
@@ -9,7 +9,7 @@
 	beyondFactor = 0.15
 	// nonIdempotentBeyondScore is the score of a non-idempotent query beyond its tenant's quota: first among those.
 	nonIdempotentBeyondScore = 0.2
-	// retryPenalty is what a retry loses of its score, for it has less time left.
+	// retryPenalty is what a client's repeat loses of its score, for it has less time left.
 	retryPenalty = 0.02
 	// partsGain is the weight of an arrival in its class's usual number of parts.
 	partsGain = 0.05
@@ -31,8 +31,9 @@
 	return k
 }
 
-// partsOf is an arrival's number of parts, or the usual one where it does not show. It learns from those that do.
-func (k *class) partsOf(a Arrival) float64 {
+// observeParts returns an arrival's number of parts, and learns the class's usual number from it. Where the arrival
+// does not show its number, it returns the usual one.
+func (k *class) observeParts(a Arrival) float64 {
 	if a.Parts <= 0 {
 		return k.parts
 	}
@@ -59,7 +60,7 @@
 }
 
 // score is the standing of one query of the class, from 0 to 1; 1 is rejected last.
-func (k *class) score(withinQuota, isRetry bool) float64 {
+func (k *class) score(withinQuota, isRepeat bool) float64 {
 	s := k.baseScore
 	switch {
 	case !withinQuota && k.NonIdempotent:
@@ -67,7 +68,7 @@
 	case !withinQuota:
 		s *= beyondFactor
 	}
-	if isRetry {
+	if isRepeat {
 		s -= retryPenalty
 	}
 	return max(0, s)
--- a/internal/decide/overload/quota.go
+++ b/internal/decide/overload/quota.go
@@ -29,25 +29,26 @@
 }
 
 // take reports whether a query lies within the quota, and counts it if so. A non-idempotent query may overdraw the
-// bucket by as much as it holds. A retry belongs to a query that was counted, and costs nothing.
-func (q *tenantQuota) take(nonIdempotent, isRetry bool, now time.Duration) bool {
+// bucket by as much as it holds. A client's repeat belongs to a query that was counted, and costs
+// nothing.
+func (q *tenantQuota) take(nonIdempotent, isRepeat bool, now time.Duration) bool {
 	q.tokens = min(q.burst, q.tokens+q.perSecond*(now-q.refilledAt).Seconds())
 	q.refilledAt = now
 	if q.tokens < 1 && !(nonIdempotent && q.tokens >= 1-q.burst) {
 		return false
 	}
-	if !isRetry {
+	if !isRepeat {
 		q.tokens--
 	}
 	return true
 }
 
-// withinQuota reports whether an arrival lies within its tenant's quota, and counts it there. Where there are
-// tenants, an unknown one has no quota; where there are none, everything is within.
-func (c *Controller) withinQuota(a Arrival, nonIdempotent bool, now time.Duration) bool {
+// chargeQuota counts an arrival towards its tenant's quota and reports whether it lies within. Where there are tenants,
+// an unknown one has no quota; where there are none, everything is within.
+func (c *Controller) chargeQuota(a Arrival, nonIdempotent bool, now time.Duration) bool {
 	q := c.tenants[a.Tenant]
 	if q == nil {
 		return len(c.tenants) == 0
 	}
-	return q.take(nonIdempotent, a.IsRetry, now)
+	return q.take(nonIdempotent, a.IsRepeat, now)
 }
--- a/internal/decide/overload/rate_limit.go
+++ b/internal/decide/overload/rate_limit.go
@@ -11,16 +11,16 @@
 
 	// overdueToLimit is how many windows in a row with a mean wait over the target are more than chance.
 	overdueToLimit = 2
-	// farBehind is the mean wait, in wait targets, from which each query costs more than before.
-	farBehind = 3.0
-	// calmFraction is the fraction of the wait target that is steered for, so that the target itself is seldom passed.
-	calmFraction = 0.7
-	// catchUpTargets is the time, in wait targets, within which the queries beyond the calm wait are to be worked off.
+	// farBehindTargets is the mean wait, in wait targets, above which each query costs more than before.
+	farBehindTargets = 3.0
+	// steeredFraction is the fraction of the wait target that is steered for, so that the target is seldom passed.
+	steeredFraction = 0.7
+	// catchUpTargets is the time, in wait targets, within which the wait beyond the steered one is to be worked off.
 	catchUpTargets = 20.0
 	// minCut is the lowest factor of one cut, however long queries wait.
 	minCut = 0.4
-	// minRate is the lowest admitted rate, as a fraction of the peak throughput.
-	minRate = 0.05
+	// minRateFraction is the lowest admitted rate, as a fraction of the peak throughput.
+	minRateFraction = 0.05
 
 	// fastGrowth is the factor of one increase while there is clearly unused capacity.
 	fastGrowth = 1.1
@@ -34,9 +34,10 @@
 	allCores = 0.97
 	// saturated is the fraction of descriptors, or of open queries, from which the rate does not grow.
 	saturated = 0.9
-	// maxRate is the highest admitted rate, as a multiple of the capacity: beyond that it would limit nothing.
-	maxRate = 2.0
-	// calmToRelease is how many calm windows in a row end the limit.
+	// maxRateFactor is the highest admitted rate, as a multiple of the capacity: beyond that it would limit nothing.
+	maxRateFactor = 2.0
+	// calmToRelease is how many calm windows in a row end the limit. A window is calm without a rejection and without a
+	// mean wait over the target itself, not over the fraction of it that is steered for.
 	calmToRelease = 20
 )
 
@@ -109,12 +110,12 @@
 
 // behind is the mean wait beyond the one that is steered for, in seconds.
 func (l *rateLimit) behind(s Signals) float64 {
-	return s.MeanWait.Seconds() - calmFraction*l.waitTarget.Seconds()
+	return s.MeanWait.Seconds() - steeredFraction*l.waitTarget.Seconds()
 }
 
 // farBehind reports whether the loop is so far behind that each query costs more than before.
 func (l *rateLimit) farBehind(s Signals) bool {
-	return s.MeanWait.Seconds() > farBehind*l.waitTarget.Seconds()
+	return s.MeanWait.Seconds() > farBehindTargets*l.waitTarget.Seconds()
 }
 
 // cut lowers the rate by what works off the waiting queries in time. Far behind, the rate is also no more than what is
@@ -124,10 +125,11 @@
 		l.rate = min(l.rate, t.done)
 	}
 	factor := max(minCut, 1-l.behind(s)/(catchUpTargets*l.waitTarget.Seconds()))
-	l.rate = max(min(l.rate, t.capacity)*factor, minRate*t.peak)
+	l.rate = max(min(l.rate, t.capacity)*factor, minRateFraction*t.peak)
 }
 
-// grow raises the rate, the faster the farther it is from the capacity.
+// grow raises the rate, the faster the farther it is from the capacity. It does not while the cores are used up, which
+// with 0 cores they always are, or while descriptors or open queries are close to their limits.
 func (l *rateLimit) grow(s Signals, t throughput) {
 	if s.CoresUsed >= allCores*l.cores || max(s.DescriptorFraction, s.OpenFraction) > saturated {
 		return
@@ -136,5 +138,5 @@
 	if l.rate < nearCapacity*t.capacity || s.CoresUsed < nearAllCores*l.cores {
 		factor = fastGrowth
 	}
-	l.rate = min(l.rate*factor, maxRate*t.capacity)
+	l.rate = min(l.rate*factor, maxRateFactor*t.capacity)
 }
--- a/internal/decide/twophase/cache_test.go
+++ b/internal/decide/twophase/cache_test.go
@@ -15,13 +15,13 @@
 	size := entryOverhead + len("t0") + len(value)
 	p := New(10 * size)
 	for i := range 11 {
-		p.ObserveFull(testTopic, 0, fmt.Sprint("t", i%10), versioned(version(0), 1), value, 0)
+		p.ObserveFullWithVersion(testTopic, 0, fmt.Sprint("t", i%10), versioned(version(0), 1), value, 0)
 		if i == 9 {
 			if n, bytes := p.Cached(); n != 10 || bytes != 10*size {
 				t.Errorf("%d values, %d bytes: what just fits is cached", n, bytes)
 			}
 			p.ObserveFirstPhase(testTopic, 0, "t0", versioned(version(0), 1), true, 0) // used
-			p.ObserveFull(testTopic, 0, "tt", versioned(version(0), 1), value, 0)
+			p.ObserveFullWithVersion(testTopic, 0, "tt", versioned(version(0), 1), value, 0)
 		}
 	}
 	cached := func(body string) bool {
@@ -31,7 +31,7 @@
 	if !cached("t0") || cached("t1") || !cached("tt") {
 		t.Errorf("t0 %t, t1 %t, tt %t: want the least recently used gone", cached("t0"), cached("t1"), cached("tt"))
 	}
-	p.ObserveFull(testTopic, 0, "huge", versioned(version(0), 1), []byte(strings.Repeat("x", 2*size)), 0)
+	p.ObserveFullWithVersion(testTopic, 0, "huge", versioned(version(0), 1), []byte(strings.Repeat("x", 2*size)), 0)
 	if cached("huge") {
 		t.Error("a value over an eighth of the limit is cached")
 	}
@@ -64,11 +64,11 @@
 			switch rapid.IntRange(0, 2).Draw(t, "call") {
 			case 0:
 				p.Plan(Request{
-					Topic: testTopic, Body: body, Shards: []int{0, 1, 2}, Now: now, Objective: now + time.Second,
+					Topic: testTopic, Body: body, Shards: []int{0, 1, 2}, Now: now, ObjectiveAt: now + time.Second,
 				})
 			case 1:
 				value := strings.Repeat(fmt.Sprint(i), rapid.IntRange(1, 900).Draw(t, "size"))
-				p.ObserveFull(testTopic, shard, body, ev, []byte(value), now)
+				p.ObserveFullWithVersion(testTopic, shard, body, ev, []byte(value), now)
 				if ev.Readable && ev.Versioned {
 					cached[key{shard, body, v}] = value
 				}
--- a/internal/decide/twophase/doc.go
+++ b/internal/decide/twophase/doc.go
@@ -5,8 +5,10 @@
 //
 // A Planner has no I/O, clock, goroutine or randomness of its own, and is for one goroutine at a time. Instants are
 // readings of any clock that never goes back. Its caller asks Plan once for each query at its arrival, and reports
-// what follows: FullSent when a full question goes out, ObserveLatency for each served part, ObserveFirstPhase and
-// ObserveFull for their answers. Values that it returns belong to the cache and must not be changed.
+// what follows: FullSent when a full question goes out, ObserveLatency for each served part, ObserveFirstPhase for
+// each first answer, and ObserveFullWithVersion for full answers that were asked for with their version. Plain full
+// answers must not be reported to the latter: an answer without versions ends caching at its shard. Values that a
+// Planner returns belong to its cache and must not be changed.
 //
 // # Terms
 //
@@ -19,7 +21,7 @@
 //	planner.go         which shards are asked in two phases
 //	topic.go           what a first phase costs, how long full questions are deferred, and how much is spent on trials
 //	verdict.go         what a first answer proves
-//	shard_state.go     what is known of a shard: its newest version, and the chances that a first phase saves anything
+//	shard_state.go     what is known of a shard: its newest version, and how likely a first phase saves the full question
 //	version.go         how two versions of a shard relate
 //	cache.go           which values are cached
 //	latency_window.go  recent latencies
--- a/internal/decide/twophase/planner.go
+++ b/internal/decide/twophase/planner.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Topic is what costs are learned by.
+// Topic is an index and a class of queries. Costs are learned for each topic by itself.
 type Topic struct{ Index, Class string }
 
 // Request is a query at its arrival.
 type Request struct {
 	Topic
-	Body      string               // all that a shard's answer depends on, besides the shard's data
-	Shards    []int                // shard of each part, in the order of the parts
-	Capable   func(shard int) bool // whether every holder of a shard can answer a first phase; nil where all can
-	Now       time.Duration        // instant of arrival
-	Objective time.Duration        // instant by which the answer is wanted
+	Body        string               // all that a shard's answer depends on, besides the shard's data
+	Shards      []int                // shard of each part, in the order of the parts
+	Capable     func(shard int) bool // whether every holder of a shard can answer a first phase; nil where all can
+	Now         time.Duration        // instant of arrival
+	ObjectiveAt time.Duration        // latency objective as an instant: the answer is wanted until then
 }
 
 // Mode is how a shard is asked.
@@ -22,13 +22,13 @@
 const (
 	Full            Mode = iota // in full at once
 	FullWithVersion             // in full at once, with the version, so that the value can be cached
-	FirstPhase                  // in two phases
+	InTwoPhases                 // its first phase at once, and in full only where that proves nothing
 )
 
 // Plan is how a query's shards are asked.
 type Plan struct {
 	Modes       []Mode        // mode of each part, in the order of the request
-	MaxDeferral time.Duration // how long the full questions of FirstPhase parts wait at most; 0 where there is none
+	MaxDeferral time.Duration // how long the full questions of InTwoPhases parts wait at most; 0 where there is none
 }
 
 // Planner learns where two phases pay, and caches values. Use New. It is for one goroutine at a time.
@@ -68,8 +68,8 @@
 // are explored, to notice when two phases would pay.
 func (p *Planner) Plan(r Request) Plan {
 	t := p.topic(r.Topic)
-	t.allowExploring(len(r.Shards))
-	deferral := t.maxDeferral(r.Objective - r.Now)
+	t.grantCredit(len(r.Shards))
+	deferral := t.maxDeferral(r.ObjectiveAt - r.Now)
 	plan := Plan{Modes: make([]Mode, len(r.Shards))}
 	begin := t.nextExplored
 	for offset := range r.Shards {
@@ -77,11 +77,14 @@
 		if r.Capable != nil && !r.Capable(r.Shards[i]) {
 			continue
 		}
-		mode, explores := p.chooseMode(t, p.shard(r.Index, r.Shards[i]), r.Body, deferral)
+		s := p.shard(r.Index, r.Shards[i])
+		asked, cached := s.lookUp(r.Body)
+		p.cache.recordRequest(s, r.Body)
+		mode, explores := t.chooseMode(s, asked, cached, deferral)
 		if explores {
 			t.nextExplored = (i + 1) % len(r.Shards)
 		}
-		if mode == FirstPhase {
+		if mode == InTwoPhases {
 			plan.MaxDeferral = deferral
 		}
 		plan.Modes[i] = mode
@@ -89,28 +92,26 @@
 	return plan
 }
 
-// chooseMode decides how one shard is asked, and whether that is exploration: a first phase that does not pay yet.
+// chooseMode decides how one shard is asked, and whether that is exploration: a first phase that does not pay yet. An
+// exploration takes its credit.
 //
 // In units of a full answer, two phases cost ratio for the first answer and, where it proves nothing, 1+ratio for a
-// full answer with its version. They are cheaper than one phase where the chance of a proof is over
+// full answer with its version. They are cheaper than one phase where the probability of a proof is over
 // 2*ratio/(1+ratio).
-func (p *Planner) chooseMode(t *topicState, s *shardState, body string,
-	deferral time.Duration) (m Mode, explores bool) {
-	asked, cached := s.lookUp(body)
-	p.cache.recordRequest(s, body)
+func (t *topicState) chooseMode(s *shardState, asked, cached bool, deferral time.Duration) (m Mode, explores bool) {
 	ratio := t.costRatio(s)
 	breakEven := 2 * ratio / (1 + ratio)
-	chance := s.emptyChance
-	if cached {
-		chance = max(s.unchangedChance, s.emptyChance)
+	saving := s.savingIfNotCached
+	if cached { // a shard with a cached value may prove to have no match just as well
+		saving = max(s.savingIfCached, s.savingIfNotCached)
 	}
 	switch {
-	case chance > breakEven && deferral > 0:
-		return FirstPhase, false
-	case asked && !cached && s.versioned && s.unchangedChance > breakEven:
+	case saving > breakEven && deferral > 0:
+		return InTwoPhases, false
+	case asked && !cached && s.versioned && s.savingIfCached > breakEven:
 		return FullWithVersion, false
 	case deferral > 0 && t.spendExploration(ratio):
-		return FirstPhase, true
+		return InTwoPhases, true
 	}
 	return Full, false
 }
--- a/internal/decide/twophase/planner_test.go
+++ b/internal/decide/twophase/planner_test.go
@@ -36,14 +36,14 @@
 // ask plays one query and returns how many shards were not asked in full.
 func (s *simulation) ask(body string) (pruned int) {
 	s.now += time.Second
-	r := Request{Topic: testTopic, Body: body, Now: s.now, Objective: s.now + 1500*ms}
+	r := Request{Topic: testTopic, Body: body, Now: s.now, ObjectiveAt: s.now + 1500*ms}
 	for shard := range s.shards {
 		r.Shards = append(r.Shards, shard)
 	}
 	for i, mode := range s.Plan(r).Modes {
 		v, matches := s.state(i)
 		withVersion := mode == FullWithVersion
-		if mode == FirstPhase {
+		if mode == InTwoPhases {
 			s.firstWork += firstAnswerCost
 			s.ObserveLatency(testTopic, i, true, 2*ms)
 			verdict, _ := s.ObserveFirstPhase(testTopic, i, body, versioned(v, matches), true, s.now)
@@ -58,7 +58,7 @@
 		s.fullWork++
 		if withVersion {
 			s.firstWork += firstAnswerCost
-			s.ObserveFull(testTopic, i, body, versioned(v, matches), fmt.Appendf(nil, "%s %d %v", body, i, v), s.now)
+			s.ObserveFullWithVersion(testTopic, i, body, versioned(v, matches), fmt.Appendf(nil, "%s %d %v", body, i, v), s.now)
 		}
 	}
 	return pruned
@@ -113,9 +113,10 @@
 func TestDeferralLeavesTimeForFullAnswer(t *testing.T) {
 	p := New(1 << 20)
 	plan := func(left time.Duration) Plan {
-		return p.Plan(Request{Topic: testTopic, Body: "q", Shards: []int{0, 1}, Now: time.Second, Objective: time.Second + left})
+		return p.Plan(Request{Topic: testTopic, Body: "q", Shards: []int{0, 1},
+			Now: time.Second, ObjectiveAt: time.Second + left})
 	}
-	if got := plan(1600 * ms); got.MaxDeferral != 200*ms || got.Modes[0] != FirstPhase {
+	if got := plan(1600 * ms); got.MaxDeferral != 200*ms || got.Modes[0] != InTwoPhases {
 		t.Errorf("nothing seen yet: %+v, want a quarter of half of the time", got)
 	}
 	for range 64 {
@@ -123,21 +124,21 @@
 		p.ObserveLatency(testTopic, 0, false, 100*ms)
 	}
 	for shard := range 2 {
-		p.ObserveFull(testTopic, shard, "q", versioned(version(0), 1), []byte("v"), time.Second)
+		p.ObserveFullWithVersion(testTopic, shard, "q", versioned(version(0), 1), []byte("v"), time.Second)
 	}
 	for _, tc := range []struct{ left, deferral time.Duration }{
 		{1500 * ms, 20 * ms}, {115 * ms, 15 * ms}, {110 * ms, 10 * ms}, {110*ms - 1, 0}, {50 * ms, 0}, {-ms, 0},
 	} {
 		got := plan(tc.left)
-		if got.MaxDeferral != tc.deferral || (got.Modes[0] == FirstPhase) != (tc.deferral > 0) {
+		if got.MaxDeferral != tc.deferral || (got.Modes[0] == InTwoPhases) != (tc.deferral > 0) {
 			t.Errorf("%v left: %+v, want a deferral of %v", tc.left, got, tc.deferral)
 		}
 	}
 	got := p.Plan(Request{
 		Topic: testTopic, Body: "q", Shards: []int{0, 1}, Capable: func(shard int) bool { return shard == 1 },
-		Now: time.Second, Objective: 3 * time.Second,
+		Now: time.Second, ObjectiveAt: 3 * time.Second,
 	})
-	if got.Modes[0] != Full || got.Modes[1] != FirstPhase {
+	if got.Modes[0] != Full || got.Modes[1] != InTwoPhases {
 		t.Errorf("%+v, want the shard whose holders know no first phase asked in full", got)
 	}
 }
@@ -146,12 +147,12 @@
 // so the planner stops asking these shards in two phases.
 func TestLateFirstPhasesAreGivenUp(t *testing.T) {
 	p := New(1 << 20)
-	p.ObserveFull(testTopic, 0, "q", versioned(version(0), 1), []byte("v"), 0)
+	p.ObserveFullWithVersion(testTopic, 0, "q", versioned(version(0), 1), []byte("v"), 0)
 	firstPhases := 0
 	for i := range 200 {
 		at := time.Duration(i) * time.Second
-		plan := p.Plan(Request{Topic: testTopic, Body: "q", Shards: []int{0}, Now: at, Objective: at + time.Second})
-		if plan.Modes[0] == FirstPhase {
+		plan := p.Plan(Request{Topic: testTopic, Body: "q", Shards: []int{0}, Now: at, ObjectiveAt: at + time.Second})
+		if plan.Modes[0] == InTwoPhases {
 			firstPhases++
 			p.ObserveFirstPhase(testTopic, 0, "q", versioned(version(0), 1), false, at)
 		}
--- a/internal/decide/twophase/shard_state.go
+++ b/internal/decide/twophase/shard_state.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// chanceGain is the weight of a new sample in a shard's chances and latency: about five queries count.
+	// chanceGain is the weight of a new sample in a shard's savings and latency: about five queries count.
 	chanceGain = 0.2
-	// initialUnchangedChance is the chance that the first value cached still stands.
-	initialUnchangedChance = 0.5
+	// initialSavingIfCached is the probability that the first phase saves the full question for the first cached value.
+	initialSavingIfCached = 0.5
 	// newestTrust is for how long the newest version counts after it was last confirmed.
 	newestTrust = time.Minute
 )
@@ -19,9 +19,9 @@
 
 // shardState is what is known of a shard's data.
 type shardState struct {
-	unchangedChance float64       // chance that a cached value still stands when it is next asked for
-	emptyChance     float64       // chance that a query has no match
-	fullLatency     time.Duration // of full answers, a moving mean; 0 where there was none
+	savingIfCached    float64       // probability that a first phase saves the full question whose value is cached
+	savingIfNotCached float64       // probability that a first phase saves a full question whose value is not cached
+	fullLatency       time.Duration // of full answers, a moving mean; 0 where there was none
 
 	versioned bool          // the latest readable answer had versions
 	hasNewest bool          // newest is valid
@@ -32,7 +32,7 @@
 }
 
 func newShardState() *shardState {
-	return &shardState{unchangedChance: initialUnchangedChance, entries: map[string]*entry{}}
+	return &shardState{savingIfCached: initialSavingIfCached, entries: map[string]*entry{}}
 }
 
 // lookUp reports whether a body was asked for recently, and whether its value is cached.
@@ -49,22 +49,24 @@
 	s.fullLatency += time.Duration(chanceGain * float64(latency-s.fullLatency))
 }
 
-// observeSaving takes whether a first phase saved the full question. With a cached value that tells how often it
-// stands, without one how often there is no match.
+// observeSaving takes whether a first phase saved the full question. With a cached value it does so where that value
+// still stands or the shard has no match, without one only where there is no match; and neither where the full question
+// had gone out before.
 func (s *shardState) observeSaving(wasCached, saved bool) {
-	chance := &s.emptyChance
+	saving := &s.savingIfNotCached
 	if wasCached {
-		chance = &s.unchangedChance
+		saving = &s.savingIfCached
 	}
 	sample := 0.0
 	if saved {
 		sample = 1
 	}
-	*chance += chanceGain * (sample - *chance)
+	*saving += chanceGain * (sample - *saving)
 }
 
-// observeInvalidated takes that a cached value was outdated before it was of use.
-func (s *shardState) observeInvalidated() { s.unchangedChance -= chanceGain * s.unchangedChance }
+// observeInvalidated takes that a body is asked for again whose cached value was dropped as outdated meanwhile. It
+// counts as a first phase that saved nothing.
+func (s *shardState) observeInvalidated() { s.savingIfCached -= chanceGain * s.savingIfCached }
 
 // observeVersion takes the shard's version at a replica at now. It reports whether the replica's answer may be used,
 // and whether the cached values are outdated.
--- a/internal/decide/twophase/topic.go
+++ b/internal/decide/twophase/topic.go
@@ -38,8 +38,8 @@
 	nextExplored      int           // part at which the next query begins to explore, so that every shard is explored
 }
 
-// allowExploring gives the credit to try each part of a query once, where it has more parts than any before.
-func (t *topicState) allowExploring(parts int) {
+// grantCredit gives the credit to explore each part of a query once, where it has more parts than any before.
+func (t *topicState) grantCredit(parts int) {
 	if parts > t.mostParts {
 		t.explorationCredit += float64(parts-t.mostParts) * explorationCost(initialCostRatio)
 		t.mostParts = parts
--- a/internal/decide/twophase/verdict.go
+++ b/internal/decide/twophase/verdict.go
@@ -46,7 +46,7 @@
 	}
 	s.versioned = ev.Versioned
 	if ev.Versioned {
-		if !p.observeVersion(s, ev.Version, now) {
+		if !p.acceptVersion(s, ev.Version, now) {
 			return Inconclusive, nil
 		}
 	} else if s.hasNewest { // this replica does not show how far it lags, though others do
@@ -61,9 +61,9 @@
 	return NeedsFull, nil
 }
 
-// observeVersion takes a shard's version at a replica, and reports whether that replica's answer may be used. Values
-// cached under another version are dropped.
-func (p *Planner) observeVersion(s *shardState, v Version, now time.Duration) (usable bool) {
+// acceptVersion takes a shard's version at a replica, and reports whether that replica's answer may be used. It drops
+// the shard's cached values where they are outdated (shardState.observeVersion).
+func (p *Planner) acceptVersion(s *shardState, v Version, now time.Duration) (usable bool) {
 	usable, outdated := s.observeVersion(v, now)
 	if outdated {
 		p.cache.invalidate(s)
@@ -74,12 +74,14 @@
 // WantsVersion reports whether a full question that follows a first answer should bring the shard's version with it.
 func (p *Planner) WantsVersion(t Topic, shard int) bool { return p.shard(t.Index, shard).versioned }
 
-// ObserveFull caches a full answer that came with its version, unless its replica lags behind. An answer without
-// versions shows that they have gone away; a first answer has to bring them back.
-func (p *Planner) ObserveFull(t Topic, shard int, body string, ev Evidence, value []byte, now time.Duration) {
+// ObserveFullWithVersion takes the full answer to a question that asked for the shard's version. It caches the value
+// unless the replica lags behind. An answer without versions shows that they have gone away: no value of the shard is
+// cached until a first answer shows versions again. So it must not be called for a question without the version.
+func (p *Planner) ObserveFullWithVersion(t Topic, shard int, body string, ev Evidence, value []byte,
+	now time.Duration) {
 	s := p.shard(t.Index, shard)
 	s.versioned = ev.Readable && ev.Versioned
-	if s.versioned && p.observeVersion(s, ev.Version, now) {
+	if s.versioned && p.acceptVersion(s, ev.Version, now) {
 		p.cache.put(s, body, value)
 	}
 }
--- a/internal/decide/twophase/verdict_test.go
+++ b/internal/decide/twophase/verdict_test.go
@@ -27,7 +27,7 @@
 		{"without versions, no hit", Evidence{Readable: true, Matches: 0}, Inconclusive},
 	} {
 		p := New(1 << 20)
-		p.ObserveFull(testTopic, 4, "q", versioned(at7, 3), []byte("value"), 0)
+		p.ObserveFullWithVersion(testTopic, 4, "q", versioned(at7, 3), []byte("value"), 0)
 		v, value := p.ObserveFirstPhase(testTopic, 4, "q", tc.ev, true, time.Second)
 		if v != tc.want || (v == Unchanged) != (string(value) == "value") {
 			t.Errorf("%s: %v %q, want %v", tc.name, v, value, tc.want)
@@ -54,12 +54,12 @@
 // up.
 func TestUnconfirmedVersionIsGivenUp(t *testing.T) {
 	p, newest, older := New(1<<20), Version{9, 8, 1, 40}, Version{8, 7, 1, 32}
-	p.ObserveFull(testTopic, 0, "q", versioned(newest, 2), []byte("new"), 0)
+	p.ObserveFullWithVersion(testTopic, 0, "q", versioned(newest, 2), []byte("new"), 0)
 	for _, tc := range []struct {
 		at   time.Duration
 		want Verdict
 	}{{newestTrust - 1, Inconclusive}, {newestTrust, Unchanged}, {newestTrust + 1, Unchanged}} {
-		p.ObserveFull(testTopic, 0, "q", versioned(older, 2), []byte("old"), tc.at)
+		p.ObserveFullWithVersion(testTopic, 0, "q", versioned(older, 2), []byte("old"), tc.at)
 		v, value := p.ObserveFirstPhase(testTopic, 0, "q", versioned(older, 2), true, tc.at)
 		if v != tc.want || v == Unchanged && string(value) != "old" {
 			t.Errorf("after %v: %v %q, want %v", tc.at, v, value, tc.want)
--- a/internal/decide/versionlog/apply.go
+++ b/internal/decide/versionlog/apply.go
@@ -18,16 +18,16 @@
 // staging is a snapshot that a relay is taking. Readers get the relay's old log until it is complete.
 type staging struct {
 	log  *Log
-	base int64 // index of the source's head when the snapshot began
+	base int64 // index of the source's version when the snapshot began
 }
 
 // Cursor returns where a relay stands as a reader of its source: within the snapshot that it is taking, else at its
-// head.
+// version.
 func (l *Log) Cursor() Cursor {
 	if s := l.staging; s != nil {
-		return Cursor{Version: s.log.head, Base: s.base, Head: s.log.announced}
+		return Cursor{Version: s.log.version, Base: s.base, NewestIndex: s.log.announcedIndex}
 	}
-	return Cursor{Version: l.head, Head: l.announced}
+	return Cursor{Version: l.version, NewestIndex: l.announcedIndex}
 }
 
 // AbortSnapshot drops a snapshot that is being taken. It is for a relay that reads from another source, or anew.
@@ -59,14 +59,14 @@
 // applyChanges takes a slice that belongs to no snapshot.
 func (l *Log) applyChanges(slice Slice) error {
 	switch {
-	case l.head.Epoch == 0 || slice.Version.Epoch > l.head.Epoch || slice.Base != 0:
+	case !l.version.HasEpoch() || slice.Version.Epoch > l.version.Epoch || slice.Base != 0:
 		return fmt.Errorf("%w: changes of epoch %d, base %d, at %+v",
-			ErrMismatch, slice.Version.Epoch, slice.Base, l.head)
-	case slice.Version.Before(l.head):
-		return fmt.Errorf("%w: %+v at %+v", ErrOlder, slice.Version, l.head)
-	case slice.beginsAtOrBefore(l.head.Index):
+			ErrMismatch, slice.Version.Epoch, slice.Base, l.version)
+	case slice.Version.Before(l.version):
+		return fmt.Errorf("%w: %+v at %+v", ErrOlder, slice.Version, l.version)
+	case slice.beginsAtOrBefore(l.version.Index):
 		first := slice.Entries[0]
-		return fmt.Errorf("%w: entry %q of index %d at %+v", ErrOlder, first.Name, first.Index, l.head)
+		return fmt.Errorf("%w: entry %q of index %d at %+v", ErrOlder, first.Name, first.Index, l.version)
 	}
 	l.enter(slice)
 	return nil
@@ -78,8 +78,8 @@
 	if base == 0 {
 		base = slice.Version.Index
 	}
-	if v := (Version{slice.Version.Epoch, base}); v.Before(l.head) {
-		return fmt.Errorf("%w: a snapshot of %+v at %+v", ErrOlder, v, l.head)
+	if v := (Version{slice.Version.Epoch, base}); v.Before(l.version) {
+		return fmt.Errorf("%w: a snapshot of %+v at %+v", ErrOlder, v, l.version)
 	}
 	l.staging = &staging{log: New(slice.Version.Epoch, l.removals.max), base: base}
 	l.stage(slice)
@@ -88,7 +88,7 @@
 
 // continueSnapshot takes a further slice of a snapshot.
 func (l *Log) continueSnapshot(slice Slice) error {
-	base, at := l.staging.base, l.staging.log.head
+	base, at := l.staging.base, l.staging.log.version
 	switch {
 	case slice.Version.Epoch != at.Epoch || slice.Base != 0 && slice.Base != base:
 		return fmt.Errorf("%w: a slice of epoch %d, base %d in a snapshot of epoch %d, base %d", ErrMismatch,
@@ -119,10 +119,10 @@
 	for _, entry := range slice.Entries {
 		l.put(entry)
 	}
-	l.head, l.announced = slice.Version, max(l.announced, slice.Head)
+	l.version, l.announcedIndex = slice.Version, max(l.announcedIndex, slice.NewestIndex)
 }
 
-// beginsAtOrBefore reports whether the slice's first entry has an index up to one.
+// beginsAtOrBefore reports whether the slice has entries and the first one's index is not above index.
 func (s Slice) beginsAtOrBefore(index int64) bool {
 	return len(s.Entries) > 0 && s.Entries[0].Index <= index
 }
--- a/internal/decide/versionlog/apply_test.go
+++ b/internal/decide/versionlog/apply_test.go
@@ -9,8 +9,9 @@
 // what the relay is reading. The relay refuses it and keeps what it has.
 func TestApplyRefusesWhatDoesNotFollow(t *testing.T) {
 	relay := New(0, 10)
-	complete := Slice{Version: Version{5, 20}, Head: 20, Snapshot: true, Entries: []Entry{entryAt("a", 3), entryAt("b", 20)}}
-	if err := relay.Apply(Slice{Version: Version{5, 20}, Head: 20}); !errors.Is(err, ErrMismatch) {
+	complete := Slice{Version: Version{5, 20}, NewestIndex: 20, Snapshot: true,
+		Entries: []Entry{entryAt("a", 3), entryAt("b", 20)}}
+	if err := relay.Apply(Slice{Version: Version{5, 20}, NewestIndex: 20}); !errors.Is(err, ErrMismatch) {
 		t.Errorf("changes before any snapshot: %v", err)
 	}
 	if err := relay.Apply(complete); err != nil {
@@ -25,7 +26,8 @@
 		if err := relay.Apply(c.slice); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.what, err, c.want)
 		}
-		if relay.Head() != complete.Version || relay.Cursor() != (Cursor{Version: complete.Version, Head: complete.Head}) ||
+		atEnd := Cursor{Version: complete.Version, NewestIndex: complete.NewestIndex}
+		if relay.Version() != complete.Version || relay.Cursor() != atEnd ||
 			len(liveBodies(relay.byName)) != 2 {
 			t.Fatalf("%s: the relay is at %+v with %v", c.what, relay.Cursor(), liveBodies(relay.byName))
 		}
@@ -41,30 +43,32 @@
 }
 
 func refusedSlices() []refusedSlice {
-	begun := Slice{Version: Version{6, 4}, Head: 9, Base: 9, Snapshot: true, Entries: []Entry{entryAt("a", 4)}}
-	continued := Slice{Version: Version{6, 6}, Head: 9, Base: 9, Entries: []Entry{entryAt("b", 6)}}
+	begun := Slice{Version: Version{6, 4}, NewestIndex: 9, Base: 9, Snapshot: true, Entries: []Entry{entryAt("a", 4)}}
+	continued := Slice{Version: Version{6, 6}, NewestIndex: 9, Base: 9, Entries: []Entry{entryAt("b", 6)}}
 	changes := func(index, head int64, entries ...Entry) Slice {
-		return Slice{Version: Version{5, index}, Head: head, Entries: entries}
+		return Slice{Version: Version{5, index}, NewestIndex: head, Entries: entries}
 	}
 	oversized := Entry{Name: "a", Index: 25, Body: make([]byte, MaxEntryBytes+1)}
 	return []refusedSlice{
 		{"older index", nil, changes(19, 20), ErrOlder},
-		{"older epoch", nil, Slice{Version: Version{4, 90}, Head: 90}, ErrOlder},
-		{"snapshot of an older epoch", nil, Slice{Version: Version{4, 90}, Head: 90, Snapshot: true}, ErrOlder},
-		{"snapshot of an older index", nil, Slice{Version: Version{5, 19}, Head: 19, Snapshot: true}, ErrOlder},
-		{"snapshot whose base is older", nil, Slice{Version: Version{5, 2}, Head: 19, Base: 19, Snapshot: true}, ErrOlder},
+		{"older epoch", nil, Slice{Version: Version{4, 90}, NewestIndex: 90}, ErrOlder},
+		{"snapshot of an older epoch", nil, Slice{Version: Version{4, 90}, NewestIndex: 90, Snapshot: true}, ErrOlder},
+		{"snapshot of an older index", nil, Slice{Version: Version{5, 19}, NewestIndex: 19, Snapshot: true}, ErrOlder},
+		{"snapshot whose base is older", nil,
+			Slice{Version: Version{5, 2}, NewestIndex: 19, Base: 19, Snapshot: true}, ErrOlder},
 		{"repeated entry", nil, changes(22, 22, entryAt("a", 20), entryAt("b", 22)), ErrOlder},
-		{"changes of a newer epoch", nil, Slice{Version: Version{6, 22}, Head: 22}, ErrMismatch},
-		{"a snapshot's slice without its beginning", nil, Slice{Version: Version{5, 22}, Head: 30, Base: 30}, ErrMismatch},
+		{"changes of a newer epoch", nil, Slice{Version: Version{6, 22}, NewestIndex: 22}, ErrMismatch},
+		{"a snapshot's slice without its beginning", nil,
+			Slice{Version: Version{5, 22}, NewestIndex: 30, Base: 30}, ErrMismatch},
 		{"entries out of order", nil, changes(25, 25, entryAt("a", 24), entryAt("b", 22)), ErrInvalid},
 		{"a name twice", nil, changes(25, 25, entryAt("a", 24), entryAt("a", 25)), ErrInvalid},
 		{"an entry over the version", nil, changes(25, 40, entryAt("a", 26)), ErrInvalid},
 		{"a version over the head", nil, changes(25, 24), ErrInvalid},
 		{"an oversized entry", nil, changes(25, 25, oversized), ErrInvalid},
 		{"no version", nil, Slice{Entries: []Entry{entryAt("a", 25)}}, ErrInvalid},
-		{"another base", []Slice{begun}, Slice{Version: Version{6, 6}, Head: 9, Base: 8}, ErrMismatch},
+		{"another base", []Slice{begun}, Slice{Version: Version{6, 6}, NewestIndex: 9, Base: 8}, ErrMismatch},
 		{"another epoch within", []Slice{begun}, changes(21, 21), ErrMismatch},
-		{"an end before the base", []Slice{begun}, Slice{Version: Version{6, 6}, Head: 9}, ErrMismatch},
+		{"an end before the base", []Slice{begun}, Slice{Version: Version{6, 6}, NewestIndex: 9}, ErrMismatch},
 		{"a slice again", []Slice{begun, continued}, continued, ErrOlder},
 	}
 }
--- a/internal/decide/versionlog/check.go
+++ b/internal/decide/versionlog/check.go
@@ -5,8 +5,9 @@
 // Check finds what makes the slice invalid by itself: its version and bounds, or the order, indexes, names and sizes of
 // its entries. The error wraps ErrInvalid.
 func (s Slice) Check() error {
-	if s.Version.Epoch <= 0 || s.Version.Index <= 0 || s.Head < s.Version.Index || s.Base < 0 || s.Base > s.Head {
-		return fmt.Errorf("%w: version %+v, head %d, base %d", ErrInvalid, s.Version, s.Head, s.Base)
+	if s.Version.Epoch <= 0 || s.Version.Index <= 0 || s.NewestIndex < s.Version.Index ||
+		s.Base < 0 || s.Base > s.NewestIndex {
+		return fmt.Errorf("%w: version %+v, head %d, base %d", ErrInvalid, s.Version, s.NewestIndex, s.Base)
 	}
 	last, names := int64(0), make(map[string]struct{}, len(s.Entries))
 	for _, entry := range s.Entries {
--- a/internal/decide/versionlog/log.go
+++ b/internal/decide/versionlog/log.go
@@ -8,15 +8,15 @@
 // treeDegree is the degree of the B-trees that order entries by their indexes.
 const treeDegree = 32
 
-// Log is a compacted log of versions. Use New.
+// Log is a compacted log of versions, of an authority or of a relay. Use New.
 type Log struct {
-	head      Version
-	announced int64 // newest index of the epoch that a relay's source has announced; 0 for an authority's log
-	byName    map[string]Entry
-	byIndex   *btree.BTreeG[Entry]
-	liveBytes int // sum of the bodies of entries that are no tombstones
-	removals  removals
-	staging   *staging // the snapshot that a relay is taking; nil while it takes none
+	version        Version // of the last change; epoch 0 for a relay's log that has taken no snapshot
+	announcedIndex int64   // newest index that a relay's source has announced; 0 for an authority's log
+	byName         map[string]Entry
+	byIndex        *btree.BTreeG[Entry]
+	liveBytes      int // sum of the bodies of entries that are no tombstones
+	removals       removals
+	staging        *staging // the snapshot that a relay is taking; nil while it takes none
 }
 
 // removals are the tombstones of a log, which are among its entries too. A log remembers a limited number of them.
@@ -28,18 +28,18 @@
 
 func lessIndex(a, b Entry) bool { return a.Index < b.Index }
 
-// New returns a log that remembers a number of tombstones. An authority's log has an epoch above 0. A relay's is given
-// epoch 0 and is empty until it has taken a snapshot.
+// New returns a log that remembers a number of tombstones. An authority's log is given its epoch, above 0. A relay's is
+// given epoch 0 and is empty until it has taken a snapshot.
 func New(epoch int64, tombstones int) *Log {
-	return &Log{head: Version{Epoch: epoch}, byName: map[string]Entry{}, byIndex: btree.NewG(treeDegree, lessIndex),
+	return &Log{version: Version{Epoch: epoch}, byName: map[string]Entry{}, byIndex: btree.NewG(treeDegree, lessIndex),
 		removals: removals{tombstones: btree.NewG(treeDegree, lessIndex), max: tombstones}}
 }
 
-// Head returns the version of the log.
-func (l *Log) Head() Version { return l.head }
+// Version returns the version of the log's last change.
+func (l *Log) Version() Version { return l.version }
 
 // Empty reports whether the log has nothing to give to readers yet.
-func (l *Log) Empty() bool { return l.head.Epoch == 0 || l.head.Index == 0 }
+func (l *Log) Empty() bool { return !l.version.HasEpoch() || l.version.Index == 0 }
 
 // Live returns the number of entries that are no tombstones, and the sum of their bodies in bytes.
 func (l *Log) Live() (entries, bytes int) {
--- a/internal/decide/versionlog/publish.go
+++ b/internal/decide/versionlog/publish.go
@@ -20,7 +20,10 @@
 type Change struct {
 	Name    string
 	Removed bool
-	Object  []byte // the entry as a JSON object without its index; without meaning for a removal
+	// Object is the entry as a JSON object of at most MaxObjectBytes; without meaning for a removal. Publish checks that
+	// much. The rest is the caller's to see to: its key "name" has the value Name, it has no key "version", which the
+	// log adds, and its key "status", if any, is not "terminated", by which readers know tombstones.
+	Object []byte
 }
 
 // check finds what keeps a change from being published.
@@ -84,8 +87,8 @@
 	if known && old.Removed == change.Removed && isBodyOf(old.Body, change.Object, old.Index) {
 		return false
 	}
-	l.head.Index++
-	body := withVersion(change.Object, l.head.Index)
-	l.put(Entry{Name: change.Name, Index: l.head.Index, Removed: change.Removed, Body: body})
+	l.version.Index++
+	body := withVersion(change.Object, l.version.Index)
+	l.put(Entry{Name: change.Name, Index: l.version.Index, Removed: change.Removed, Body: body})
 	return true
 }
--- a/internal/decide/versionlog/publish_test.go
+++ b/internal/decide/versionlog/publish_test.go
@@ -26,8 +26,8 @@
 		{[]Change{{Name: "b", Object: b}}, 1, 5},
 	} {
 		n, err := l.Publish(step.changes)
-		if n != step.published || err != nil || l.Head() != (Version{7, step.index}) {
-			t.Errorf("step %d: %d published, %v, head %+v", i, n, err, l.Head())
+		if n != step.published || err != nil || l.Version() != (Version{7, step.index}) {
+			t.Errorf("step %d: %d published, %v, head %+v", i, n, err, l.Version())
 		}
 	}
 	size := len(withVersion(object("a", 3), 3)) + len(withVersion(b, 5))
@@ -37,8 +37,8 @@
 	state := []Change{{Name: "a", Object: object("a", 3)}, {Name: "d", Object: object("d", 1)}}
 	for _, published := range []int{2, 0} { // b is removed and d added
 		n, err := l.Replace(state)
-		if n != published || err != nil || l.Head() != (Version{7, 7}) || liveBodies(l.byName)["b"] != "" {
-			t.Errorf("%d of a complete state published, %v, head %+v", n, err, l.Head())
+		if n != published || err != nil || l.Version() != (Version{7, 7}) || liveBodies(l.byName)["b"] != "" {
+			t.Errorf("%d of a complete state published, %v, head %+v", n, err, l.Version())
 		}
 	}
 }
@@ -59,8 +59,8 @@
 		{Change{Name: "x", Object: fmt.Appendf(nil, `{"name":"x","text":"%0*d"}`, MaxEntryBytes, 1)}, ErrTooLarge},
 	} {
 		_, err := l.Publish([]Change{{Name: "a", Object: object("a", 9)}, c.invalid})
-		if !errors.Is(err, c.want) || l.Head().Index != 1 {
-			t.Errorf("%.40q: %v, want %v; head %+v", c.invalid.Object, err, c.want, l.Head())
+		if !errors.Is(err, c.want) || l.Version().Index != 1 {
+			t.Errorf("%.40q: %v, want %v; head %+v", c.invalid.Object, err, c.want, l.Version())
 		}
 	}
 }
--- a/internal/decide/versionlog/readers_test.go
+++ b/internal/decide/versionlog/readers_test.go
@@ -90,7 +90,7 @@
 	if _, err := c.logs[0].Publish(changes); err != nil {
 		c.Fatal(err)
 	}
-	c.published[c.logs[0].Head()] = fmt.Sprint(liveBodies(c.logs[0].byName))
+	c.published[c.logs[0].Version()] = fmt.Sprint(liveBodies(c.logs[0].byName))
 }
 
 // publishRandom publishes a few random changes.
@@ -146,7 +146,7 @@
 	}
 	want := fmt.Sprint(liveBodies(c.logs[0].byName))
 	for relay := 1; relay < len(c.logs); relay++ {
-		for c.logs[relay].Head() != c.logs[0].Head() {
+		for c.logs[relay].Version() != c.logs[0].Version() {
 			c.relay(relay, relay-1, bytes)
 		}
 		if got := fmt.Sprint(liveBodies(c.logs[relay].byName)); got != want {
@@ -154,7 +154,7 @@
 		}
 	}
 	for i, r := range c.readers {
-		for r.cursor.Version != c.logs[0].Head() || !r.cursor.Complete() {
+		for r.cursor.Version != c.logs[0].Version() || !r.cursor.Complete() {
 			c.read(r, c.logs[2-i], bytes)
 		}
 		if got := fmt.Sprint(liveBodies(r.entries)); got != want {
@@ -192,7 +192,7 @@
 // A log is behind readers that have, or know of, what it neither has nor has been announced.
 func TestLogIsBehindReaderThatKnowsMore(t *testing.T) {
 	relay := New(0, 10)
-	partial := Slice{Version: Version{5, 20}, Head: 30, Snapshot: true,
+	partial := Slice{Version: Version{5, 20}, NewestIndex: 30, Snapshot: true,
 		Entries: []Entry{{Name: "a", Index: 20, Body: object("a", 1)}}}
 	if err := relay.Apply(partial); err != nil {
 		t.Fatal(err)
@@ -202,9 +202,9 @@
 		want bool
 	}{
 		{Cursor{}, false},
-		{Cursor{Version: Version{4, 99}, Base: 99, Head: 99}, false},
-		{Cursor{Version: Version{5, 20}, Head: 30}, false}, // announced to the relay
-		{Cursor{Version: Version{5, 20}, Head: 31}, true},
+		{Cursor{Version: Version{4, 99}, Base: 99, NewestIndex: 99}, false},
+		{Cursor{Version: Version{5, 20}, NewestIndex: 30}, false}, // announced to the relay
+		{Cursor{Version: Version{5, 20}, NewestIndex: 31}, true},
 		{Cursor{Version: Version{5, 21}}, true},
 		{Cursor{Version: Version{5, 3}, Base: 21}, true},
 		{Cursor{Version: Version{6, 1}}, true},
@@ -213,7 +213,7 @@
 			t.Errorf("behind %+v: %t", c.from, got)
 		}
 	}
-	slice := relay.Read(Cursor{Version: Version{5, 20}, Head: 30}, 100)
+	slice := relay.Read(Cursor{Version: Version{5, 20}, NewestIndex: 30}, 100)
 	if !slice.More() || len(slice.Entries) != 0 {
 		t.Errorf("a reader that has what the relay has gets %+v", slice)
 	}
--- a/internal/decide/versionlog/version.go
+++ b/internal/decide/versionlog/version.go
@@ -6,6 +6,10 @@
 	Index int64
 }
 
+// HasEpoch reports whether the version is of an epoch. Versions of services that count without epochs are not, nor is
+// that of a relay's log which has taken no snapshot yet: their epoch is 0.
+func (v Version) HasEpoch() bool { return v.Epoch != 0 }
+
 // Before reports whether v is older than w.
 func (v Version) Before(w Version) bool {
 	if v.Epoch != w.Epoch {
@@ -26,34 +30,35 @@
 type Cursor struct {
 	// Version is what the reader has.
 	Version
-	// Base is the log's head when the reader's snapshot began; 0 for a reader that is not within a snapshot.
+	// Base is the index of the log's version when the reader's snapshot began; 0 for a reader that is not within a
+	// snapshot.
 	Base int64
-	// Head is the newest index of the epoch that the reader knows of. A reader below it lacks changes.
-	Head int64
+	// NewestIndex is the newest index of the epoch that the reader knows of. A reader below it lacks changes.
+	NewestIndex int64
 }
 
 // After returns the cursor of a reader that has applied a slice.
 func (c Cursor) After(s Slice) Cursor {
-	next := Cursor{Version: s.Version, Base: s.Base, Head: s.Head}
+	next := Cursor{Version: s.Version, Base: s.Base, NewestIndex: s.NewestIndex}
 	if c.Epoch == s.Version.Epoch {
-		next.Head = max(next.Head, c.Head)
+		next.NewestIndex = max(next.NewestIndex, c.NewestIndex)
 	}
 	return next
 }
 
 // Complete reports whether the reader has all that it knows of.
-func (c Cursor) Complete() bool { return c.Base == 0 && c.Index > 0 && c.Index >= c.Head }
+func (c Cursor) Complete() bool { return c.Base == 0 && c.Index > 0 && c.Index >= c.NewestIndex }
 
 // Slice is one answer to a reader.
 type Slice struct {
 	// Version is what the reader has once it has applied the slice.
 	Version Version
-	// Head is the newest index of the epoch that the log knows of.
-	Head int64
+	// NewestIndex is the newest index of the epoch that the log knows of.
+	NewestIndex int64
 	// Snapshot states that the slice is the first one of a snapshot. What the reader had before no longer counts.
 	Snapshot bool
-	// Base is the log's head when the snapshot began, in the slices of a snapshot but the last; else 0. The reader
-	// gives it back with its next call.
+	// Base is the index of the log's version when the snapshot began, in the slices of a snapshot but the last; else 0.
+	// The reader gives it back with its next call.
 	Base int64
 	// Entries are in the order of their indexes, which all are above the reader's.
 	Entries []Entry
@@ -65,4 +70,4 @@
 }
 
 // More reports whether the reader lacks changes after the slice, so that its next call is answered at once.
-func (s Slice) More() bool { return s.Version.Index < s.Head }
+func (s Slice) More() bool { return s.Version.Index < s.NewestIndex }
--- a/internal/distribution/answer.go
+++ b/internal/distribution/answer.go
@@ -62,7 +62,7 @@
 		return slice, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if slice.Version.Epoch == 0 {
-		slice.Head, slice.Base = slice.Version.Index, 0
+		slice.NewestIndex, slice.Base = slice.Version.Index, 0
 		for i := range slice.Entries {
 			slice.Entries[i].Index = slice.Version.Index
 		}
--- a/internal/distribution/config.go
+++ b/internal/distribution/config.go
@@ -50,7 +50,7 @@
 	MaxBody int
 
 	// KnownNames are entries that the consumer begins with. The first snapshot reports those that it does not hold in
-	// Update.Removed.
+	// Update.MissingFromSnapshot.
 	KnownNames []string
 
 	// AcceptAnySnapshot applies every snapshot, whatever its index is. It is for an authority, whose one source is the
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -71,7 +71,7 @@
 			delete(c.statuses, e.Name)
 		}
 	}
-	for _, name := range u.Removed {
+	for _, name := range u.MissingFromSnapshot {
 		delete(c.statuses, name)
 	}
 	if u.Complete {
--- a/internal/distribution/fake_source_test.go
+++ b/internal/distribution/fake_source_test.go
@@ -46,7 +46,7 @@
 func (l *sharedLog) head() versionlog.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.log.Head()
+	return l.log.Version()
 }
 
 // fakeSource is a relay on a loopback socket that gives out a log, with faults.
@@ -149,7 +149,7 @@
 		return n
 	}
 	cursor := versionlog.Cursor{Version: versionlog.Version{Epoch: number("epoch"), Index: number("from")},
-		Base: number("base"), Head: number("head")}
+		Base: number("base"), NewestIndex: number("head")}
 	end := time.After(time.Duration(number("hold_ms")) * time.Millisecond)
 	for {
 		l.mu.Lock()
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -18,10 +18,10 @@
 	// Slice is the answer as it came, for consumers that keep a log of their own. The other fields are for those that
 	// keep entries.
 	Slice versionlog.Slice
-	// Entries are the entries that were changed or removed, in the order of their indexes.
+	// Entries are the entries that were changed, and tombstones of removed ones, in the order of their indexes.
 	Entries []versionlog.Entry
-	// Removed are the names that a snapshot did not hold. They come with its last slice.
-	Removed []string
+	// MissingFromSnapshot are the names that a snapshot did not hold. They come with its last slice.
+	MissingFromSnapshot []string
 	// Completed reports that the answer was the last slice of a snapshot.
 	Completed bool
 	// Complete reports that the local copy is the log's state at the slice's version.
@@ -80,7 +80,7 @@
 	defer logging.Wait()
 	defer f.waitForProbe()
 	for ctx.Err() == nil {
-		source, wait := f.selector.Next(f.now())
+		source, wait := f.selector.FollowNext(f.now())
 		if wait > 0 {
 			sleep(ctx, wait)
 			continue
--- a/internal/distribution/outcome.go
+++ b/internal/distribution/outcome.go
@@ -50,7 +50,7 @@
 		f.recordFollowed(source)
 	}
 	f.selector.Succeeded(f.now())
-	f.selector.RecordAge(f.now(), f.current.staleness)
+	f.selector.RecordStaleness(f.now(), f.current.staleness)
 }
 
 // leave gives up the source in use for an error. One that has never served is logged for debugging only: it may be
--- a/internal/distribution/poll.go
+++ b/internal/distribution/poll.go
@@ -59,8 +59,8 @@
 	if c.Base > 0 {
 		b = fmt.Appendf(b, "&base=%d", c.Base)
 	}
-	if c.Head > c.Index {
-		b = fmt.Appendf(b, "&head=%d", c.Head)
+	if c.NewestIndex > c.Index {
+		b = fmt.Appendf(b, "&head=%d", c.NewestIndex)
 	}
 	return string(b)
 }
@@ -89,7 +89,7 @@
 	f.totals.recordChange(change, updated)
 	f.status.setVersion(slice, change, f.state.Len(), f.current.staleness)
 	if updated {
-		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Removed: change.Removed,
+		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, MissingFromSnapshot: change.MissingFromSnapshot,
 			Completed: change.SnapshotCompleted, Complete: change.Complete, Source: source})
 	}
 	return nil
--- a/internal/distribution/probe.go
+++ b/internal/distribution/probe.go
@@ -55,7 +55,7 @@
 func (f *Follower) isBetter(p probe) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
-	if !f.selector.SwitchTo(f.now(), p.source, p.staleness+time.Since(p.answeredAt)) {
+	if !f.selector.ProbeSucceeded(f.now(), p.source, p.staleness+time.Since(p.answeredAt)) {
 		return false
 	}
 	if stale {
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -52,7 +52,7 @@
 
 // setVersion notes an answer that was applied. entries is how many the local copy has; staleness is that of the source
 // when it answered. Only a complete copy that is at the source's head is confirmed.
-func (s *sharedStatus) setVersion(slice versionlog.Slice, change follower.Change, entries int,
+func (s *sharedStatus) setVersion(slice versionlog.Slice, change follower.Applied, entries int,
 	staleness time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +84,8 @@
 }
 
 // recordChange counts an answer that was applied; updated is false for one that brought nothing new.
-func (t *totals) recordChange(change follower.Change, updated bool) {
-	t.entries.Add(int64(len(change.Entries) + len(change.Removed)))
+func (t *totals) recordChange(change follower.Applied, updated bool) {
+	t.entries.Add(int64(len(change.Entries) + len(change.MissingFromSnapshot)))
 	if updated {
 		t.versions.Add(1)
 	}
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -181,7 +181,7 @@
 		return d.Schedule.WatchLostDelay()
 	}
 	d.Listed(scatter.FailedUpdate, nil)
-	return d.Schedule.FailureDelayBeforeExpiry(f.took, d.lease.Expires()-d.Clock())
+	return d.Schedule.FailedBeforeExpiry(f.took, d.lease.Expires()-d.Clock())
 }
 
 // reportLease tells the coordinator until when its list may be used. What an agent of the coordinator's own has not
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return textReply(http.StatusBadRequest, err.Error())
 	}
-	admitted, retryAfter := f.Coordinator.Admit(overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry})
+	admitted, retryAfter := f.Coordinator.Admit(overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRepeat: q.IsRetry})
 	if !admitted {
 		return rejection(retryAfter)
 	}
--- a/internal/platform/one_change_test.go
+++ b/internal/platform/one_change_test.go
@@ -23,7 +23,7 @@
 	r := &reader{list: NewRelayedList(List{}), index: 10_000} // of as many digits for each list
 	r.list.KeepCopy(func() {})
 	r.list.Listed = func(scatter.UpdateKind, []core.Endpoint) {}
-	whole := versionlog.Slice{Version: versionlog.Version{Epoch: 1, Index: r.index}, Head: r.index, Snapshot: true}
+	whole := versionlog.Slice{Version: versionlog.Version{Epoch: 1, Index: r.index}, NewestIndex: r.index, Snapshot: true}
 	for i := range nodes {
 		whole.Entries = append(whole.Entries, oneEntry(i, int64(i+1)))
 	}
@@ -45,13 +45,13 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, Removed: c.Removed, Completed: c.SnapshotCompleted, Complete: c.Complete})
+	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, MissingFromSnapshot: c.MissingFromSnapshot, Completed: c.SnapshotCompleted, Complete: c.Complete})
 }
 
 // change takes the next change of one entry.
 func (r *reader) change(tb testing.TB) {
 	r.index++
-	r.take(tb, versionlog.Slice{Version: versionlog.Version{Epoch: 1, Index: r.index}, Head: r.index, Entries: []versionlog.Entry{oneEntry(3, r.index)}})
+	r.take(tb, versionlog.Slice{Version: versionlog.Version{Epoch: 1, Index: r.index}, NewestIndex: r.index, Entries: []versionlog.Entry{oneEntry(3, r.index)}})
 }
 
 // leastAllocations is the smallest number of allocations that one of many calls makes. What pools lack makes some calls
--- a/internal/platform/relayed_list.go
+++ b/internal/platform/relayed_list.go
@@ -69,7 +69,7 @@
 // Apply hands on what has changed. Entries count at once, also before the list is complete.
 func (d *RelayedList) Apply(u distribution.Update) {
 	list := List{Index: u.Slice.Version.Index, Endpoints: d.endpoints(u.Entries)}
-	for _, name := range u.Removed {
+	for _, name := range u.MissingFromSnapshot {
 		list.Endpoints = append(list.Endpoints, Endpoint{Name: name, Status: statusRemoved})
 	}
 	endpoints, err := list.CoreEndpoints()
--- a/internal/platform/relayed_list_bench_test.go
+++ b/internal/platform/relayed_list_bench_test.go
@@ -30,7 +30,7 @@
 		if !slice.More() {
 			return bodies
 		}
-		from = versionlog.Cursor{Version: slice.Version, Base: slice.Base, Head: slice.Head}
+		from = versionlog.Cursor{Version: slice.Version, Base: slice.Base, NewestIndex: slice.NewestIndex}
 	}
 }
 
--- a/internal/platform/subscription.go
+++ b/internal/platform/subscription.go
@@ -89,11 +89,11 @@
 	hold, silence := d.Schedule.WatchTimeouts()
 	switch {
 	case d.index == unknownIndex:
-		return instancesPath, d.Schedule.CallTimeout(), hold
+		return instancesPath, d.Schedule.AnswerTimeout(), hold
 	case watch:
 		return d.changesSince(hold), hold + silence, hold
 	default:
-		return d.changesSince(pollHold), d.Schedule.CallTimeout(), hold
+		return d.changesSince(pollHold), d.Schedule.AnswerTimeout(), hold
 	}
 }
 
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -144,7 +144,7 @@
 	for _, entry := range update.Entries {
 		changes = append(changes, changeOf(entry))
 	}
-	for _, name := range update.Removed {
+	for _, name := range update.MissingFromSnapshot {
 		changes = append(changes, versionlog.Change{Name: name, Removed: true})
 	}
 	return changes
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -30,7 +30,7 @@
 		name  string
 		value *int64
 	}{
-		{"epoch", &from.Epoch}, {"from", &from.Index}, {"base", &from.Base}, {"head", &from.Head},
+		{"epoch", &from.Epoch}, {"from", &from.Index}, {"base", &from.Base}, {"head", &from.NewestIndex},
 		{"hold_ms", &milliseconds},
 	} {
 		text := query.Get(parameter.name)
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -75,7 +75,7 @@
 	case r.log.Behind(from):
 		r.counters.RejectedBehind++
 		return Reply{Rejection: Behind}, nil
-	case !last && from.Version == r.log.Head() && from.Base == 0:
+	case !last && from.Version == r.log.Version() && from.Base == 0:
 		r.waiting++
 		return Reply{}, r.changed
 	}
--- a/internal/relay/reader_test.go
+++ b/internal/relay/reader_test.go
@@ -52,7 +52,7 @@
 // call makes the reader's next call, and applies its slice where that is answered with 200.
 func (r *reader) call(maxWait time.Duration) (status int, err error) {
 	answer, err := r.get(fmt.Sprintf("%s?epoch=%d&from=%d&base=%d&head=%d&hold_ms=%d", r.path,
-		r.cursor.Epoch, r.cursor.Index, r.cursor.Base, r.cursor.Head, maxWait.Milliseconds()))
+		r.cursor.Epoch, r.cursor.Index, r.cursor.Base, r.cursor.NewestIndex, maxWait.Milliseconds()))
 	if err != nil || answer.Status != 200 {
 		if answer != nil {
 			status = answer.Status
--- a/internal/relay/resource.go
+++ b/internal/relay/resource.go
@@ -62,9 +62,9 @@
 func (r *Resource) Apply(slice versionlog.Slice) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.log.Head()
+	before := r.log.Version()
 	err := r.log.Apply(slice)
-	if r.log.Head() != before || err == nil && len(slice.Entries) > 0 {
+	if r.log.Version() != before || err == nil && len(slice.Entries) > 0 {
 		r.wakeReaders()
 	}
 	return err
@@ -81,7 +81,7 @@
 func (r *Resource) Head() versionlog.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.log.Head()
+	return r.log.Version()
 }
 
 // SetStaleness has the source say how long ago the resource was known to be the authority's newest version. The
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -62,7 +62,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entries, bytes := r.log.Live()
-	head := r.log.Head()
+	head := r.log.Version()
 	return ResourceStatus{Epoch: head.Epoch, Index: head.Index, Entries: entries, LiveBytes: bytes,
 		Staleness: r.stalenessLocked().Seconds(), Waiting: r.waiting, Counters: r.counters}
 }
--- a/internal/test/capacity/service.go
+++ b/internal/test/capacity/service.go
@@ -59,7 +59,7 @@
 			last = max(last, free)
 			continue
 		}
-		heap.Push(&due, serviceCall{c.at + servicePatience + schedules[c.who].FailureDelay(servicePatience), c.who})
+		heap.Push(&due, serviceCall{c.at + servicePatience + schedules[c.who].Failed(servicePatience), c.who})
 	}
 	return last, calls, nil
 }
--- a/internal/test/loopsim/loop.go
+++ b/internal/test/loopsim/loop.go
@@ -168,7 +168,7 @@
 	}
 	decision := overload.Decision{RetryAfter: noRoomRetry}
 	if len(p.queue) < p.Queue {
-		decision = p.gate.Admit(overload.Arrival{Class: t.load.Class, Tenant: t.load.Tenant, IsRetry: t.number > 0, Parts: t.load.Parts}, t.at)
+		decision = p.gate.Admit(overload.Arrival{Class: t.load.Class, Tenant: t.load.Tenant, IsRepeat: t.number > 0, Parts: t.load.Parts}, t.at)
 	}
 	if decision.Admitted {
 		p.admit(t, tallies)
