--- a/internal/decide/ratelimit/token_bucket.go
+++ b/internal/decide/ratelimit/token_bucket.go
@@ -5,6 +5,9 @@
 //
 // A TokenBucket is for one goroutine at a time. It has no clock: now is a reading of the caller's monotonic clock, and
 // it draws no random numbers of its own.
+//
+// A reservation is a time at which rejected readers are to call again. It promises no tokens: a reader that calls
+// sooner, or on time but before another one, takes what there is.
 package ratelimit
 
 import "time"
--- a/internal/decide/ratelimit/token_bucket_test.go
+++ b/internal/decide/ratelimit/token_bucket_test.go
@@ -92,7 +92,8 @@
 		var rejected []relayReader
 		for _, r := range waiting {
 			first, second := r.preferred, 1-r.preferred
-			if r.admittedBy(relays[first], first, now, bytes, random) || r.admittedBy(relays[second], second, now, bytes, random) {
+			if r.admittedBy(relays[first], first, now, bytes, random) ||
+				r.admittedBy(relays[second], second, now, bytes, random) {
 				last = now
 				continue
 			}
--- a/internal/decide/retry/policy.go
+++ b/internal/decide/retry/policy.go
@@ -1,5 +1,5 @@
 // Package retry decides whether and until when a part of a query may be sent again, and which idempotency key its
-// attempts carry.
+// attempts carry. How many retries there may be is decided in package scatter (retry_budget.go).
 //
 // # Contract
 //
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -58,7 +58,7 @@
 		Replicas:          m.replicas.listedReady,
 	}
 	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minSubsetHolders)
-	p.fleetFactor = max(1, p.subset.Share*float64(m.settings.Coordinators)/smallFleet)
+	p.fleetFactor = max(1, p.subset.Fraction*float64(m.settings.Coordinators)/smallFleet)
 	basis := placementBasis{p.subset, m.place()}
 	if basis != p.basis {
 		p.basis = basis
@@ -94,15 +94,15 @@
 	}
 }
 
-// setKey gives a replica its key, and this coordinator the position among those that keep the replica.
+// setKey gives a replica its key, and this coordinator its offset among those that keep the replica.
 func (m *Machine) setKey(r *replica, key float64) {
 	r.subsetKey = key
-	position := m.placement.subset.Position(m.place(), key)
-	if r.positioned && position == r.position {
+	offset := m.placement.subset.Offset(m.place(), key)
+	if r.hasOffset && offset == r.offset {
 		return
 	}
-	r.position, r.positioned = position, true
-	r.slowStart.sequence = position.Sequence(subsetting.Salt(r.ID))
+	r.offset, r.hasOffset = offset, true
+	r.slowStart.sequence = offset.Sequence(subsetting.Salt(r.ID))
 }
 
 // updateHolders lists a shard's holders in the order of their keys, and how many of them this coordinator sends to.
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -54,7 +54,7 @@
 	if !place.HasPeers() {
 		return m.now + backoff
 	}
-	members := m.placement.subset.Share * float64(place.FleetSize)
+	members := m.placement.subset.Fraction * float64(place.FleetSize)
 	backoff = max(backoff, subsetting.SlotPeriod(members, fleetProbeRate))
-	return r.position.NextSlot(m.now, backoff, subsetting.Salt(r.ID))
+	return r.offset.NextSlot(m.now, backoff, subsetting.Salt(r.ID))
 }
--- a/internal/decide/scatter/replica.go
+++ b/internal/decide/scatter/replica.go
@@ -15,9 +15,9 @@
 	listedBy int        // number of the endpoint update that named it last
 	siblings []*replica // those that hold a shard in common with it, in order of first listing
 
-	subsetKey  float64             // decides whether it is in this coordinator's subset
-	position   subsetting.Position // of this coordinator among those that keep it
-	positioned bool                // position has been set
+	subsetKey float64           // decides whether it is in this coordinator's subset
+	offset    subsetting.Offset // of this coordinator among those that keep it
+	hasOffset bool              // offset has been set
 
 	latencyRatio float64 // its latency, as a multiple of the mean one of each class
 	siblingRatio memo    // the median latency ratio of its siblings
--- a/internal/decide/scatter/slow_start.go
+++ b/internal/decide/scatter/slow_start.go
@@ -69,7 +69,7 @@
 // the rate that a replica of one core can serve for it in any case. What warmed up replicas serve tells of more.
 func (m *Machine) slowStartRate(capacity float64) (rate, minRate float64) {
 	minRate = 1 / (m.serviceTime() * float64(m.settings.Coordinators))
-	perReplica := max(minRate/m.placement.subset.Share, m.traffic.warmedUpRate)
+	perReplica := max(minRate/m.placement.subset.Fraction, m.traffic.warmedUpRate)
 	return capacity * slowStartSafety * m.settings.SlowStart.OverloadFactor * perReplica, minRate
 }
 
--- a/internal/decide/settingsdiff/differences.go
+++ b/internal/decide/settingsdiff/differences.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// countKey ends the paths of the lists' lengths in flat settings.
+// countKey ends the paths of the lists' lengths. No setting whose path ends so is compared, one outside the lists
+// neither: a length changes with the entries, which have lines of their own.
 const countKey = ".count"
 
-// Differences returns, in order, a line for each change from old to next, for operators to read. Both are settings by
-// name. The result is empty if nothing changes.
-func Differences(old, next map[string]string) (lines []string) {
+// Differences returns, in order, a line for each change from old to next, for operators to read. The result is empty if
+// nothing changes.
+func Differences(old, next Named) (lines []string) {
 	was, is := keysOfEntries(old), keysOfEntries(next)
 	lines = entryDifferences(was, is)
 	covered := func(path string) bool { // by entryDifferences
--- a/internal/decide/settingsdiff/entries.go
+++ b/internal/decide/settingsdiff/entries.go
@@ -4,7 +4,7 @@
 type entryKeys map[string]map[string]map[string]bool
 
 // keysOfEntries collects the keys of all entries of settings by name.
-func keysOfEntries(named map[string]string) entryKeys {
+func keysOfEntries(named Named) entryKeys {
 	found := entryKeys{}
 	for path := range named {
 		p, ok := parseEntryPath(path)
--- a/internal/decide/settingsdiff/missing.go
+++ b/internal/decide/settingsdiff/missing.go
@@ -14,8 +14,8 @@
 
 // Missing returns, in order, the paths that next lacks but has to have because old has them: each path outside the
 // lists, and in each entry of a list the keys that all of the list's entries had and those that the entry itself had.
-// Both are settings by name. The result is empty if next lacks nothing.
-func Missing(old, next map[string]string) (paths []string) {
+// The result is empty if next lacks nothing.
+func Missing(old, next Named) (paths []string) {
 	required := map[string]bool{}
 	oldKeys := keysOfEntries(old)
 	for list, entries := range keysOfEntries(next) {
@@ -40,7 +40,7 @@
 }
 
 // requiredKeys returns the keys that an entry of next has to have.
-func requiredKeys(list, name string, oldKeys entryKeys, old, next map[string]string) map[string]bool {
+func requiredKeys(list, name string, oldKeys entryKeys, old, next Named) map[string]bool {
 	keys := oldKeys.shared(list)
 	maps.Copy(keys, oldKeys[list][name])
 	repeat := entryPath{list, name, repeatKey}.String()
--- a/internal/decide/settingsdiff/paths.go
+++ b/internal/decide/settingsdiff/paths.go
@@ -3,8 +3,8 @@
 //
 // # Contract
 //
-// Settings are maps of flat paths to values, as internal/wire writes them. ByName brings them into the form that the
-// other functions take. No function changes its arguments or keeps them, and results are sorted, so that equal settings
+// Settings come as Flat, as internal/wire writes them. ByName brings them into the form that the other functions take.
+// No function changes its arguments or keeps them, and results are sorted, so that equal settings
 // give equal texts.
 package settingsdiff
 
@@ -13,6 +13,12 @@
 	"strings"
 )
 
+// Flat is settings by flat paths, in which an entry of a list stands by its index: "classes.0.name".
+type Flat map[string]string
+
+// Named is settings by paths in which an entry of a list stands by its name: "classes[map].name".
+type Named map[string]string
+
 // lists are the settings' lists whose entries have names.
 var lists = []string{classes, customers}
 
@@ -60,9 +66,9 @@
 // ByName returns settings with the entries' names in the paths instead of their indexes, so that an entry which moves
 // within its list does not count as changed. Values by class become values of each class. An entry that has no name key
 // keeps its index.
-func ByName(flat map[string]string) map[string]string {
+func ByName(flat Flat) Named {
 	names := entryNames(flat)
-	named := map[string]string{}
+	named := Named{}
 	for path, value := range flat {
 		if strings.HasSuffix(path, byClass) {
 			for i, v := range strings.Split(value, ",") {
@@ -83,7 +89,7 @@
 }
 
 // entryNames returns the names of all entries, by their paths without a key.
-func entryNames(flat map[string]string) map[indexedPath]string {
+func entryNames(flat Flat) map[indexedPath]string {
 	names := map[indexedPath]string{}
 	for path, value := range flat {
 		if p, ok := parseIndexedPath(path); ok && p.key == "name" {
--- a/internal/decide/subsetting/doc.go
+++ b/internal/decide/subsetting/doc.go
@@ -15,7 +15,18 @@
 //     to be divided among them evenly.
 //   - subset: the replicas that a coordinator sends to, has connections with and learns about.
 //   - key: where a replica lies on the circle, seen from the member. The subset has the lowest keys.
-//   - position: where a coordinator lies on the circle among those that share one thing, such as a replica's budget.
+//   - fraction: of all replicas, those that a subset contains, from 0 to 1.
+//   - ring position: where a replica lies on the ring of shards. It is no place on the circle.
+//   - offset: where a coordinator lies on the circle among those that share one thing, such as a replica's budget.
+//   - share: of such a budget, what one coordinator may spend.
+//   - salt: a hash of what is divided, so that no coordinator comes first in all divisions.
+//
+// # Example
+//
+// A fleet has 300 coordinators, and a ring of 200 positions with one replica each holds each shard three times. A
+// replica's load stays even enough where a subset has at least 0.46 of the replicas (evenFraction), which is 1.4 of a
+// shard's three holders. That is rounded up to two holders, and two of three holders are 134 of 200 ring positions. So
+// the fraction is 0.67: each coordinator sends to 134 replicas, and each replica hears from 201 coordinators.
 //
 // # Where each decision stands
 //
@@ -24,4 +35,5 @@
 //	sequence.go  whether a coordinator may spend a budget of which its share is less than one
 //	slots.go     when a coordinator may do what all do at a bounded rate together
 //	circle.go    arithmetic on the circle
+//	hash.go      where a salt lies on the circle
 package subsetting
--- a/internal/decide/subsetting/member.go
+++ b/internal/decide/subsetting/member.go
@@ -18,10 +18,10 @@
 	return (float64(m.Index) + 0.5) / float64(m.FleetSize)
 }
 
-// Position is where a coordinator lies on the circle among those that share one thing, in [0, 1). They lie at equal
+// Offset is where a coordinator lies on the circle among those that share one thing, in [0, 1). They lie at equal
 // distances. The coordinators whose subsets contain one replica are an arc of all members, so what they share is
-// divided by their positions within that arc (Subset.Position).
-type Position float64
+// divided by their offsets within that arc (Subset.Offset).
+type Offset float64
 
-// Position returns the coordinator's position among all coordinators.
-func (m Member) Position() Position { return Position(m.at()) }
+// Offset returns the coordinator's offset among all coordinators.
+func (m Member) Offset() Offset { return Offset(m.at()) }
--- a/internal/decide/subsetting/sequence.go
+++ b/internal/decide/subsetting/sequence.go
@@ -1,5 +1,8 @@
 package subsetting
 
+// maxOverdraft is what a coordinator may have sent beyond its own part of a budget and still draw a number, in parts.
+const maxOverdraft = 1.0
+
 // Sequence is a low-discrepancy sequence in [0, 1) (additive recurrence by the golden ratio). Its numbers take the
 // place of random ones where a budget of the fleet leaves each coordinator less than one part: a coordinator that draws
 // a number below its share of the budget may send a part.
@@ -13,13 +16,13 @@
 type Sequence struct{ next float64 }
 
 // Sequence returns the coordinator's sequence for the thing that a salt stands for.
-func (p Position) Sequence(salt uint64) Sequence { return Sequence{onCircle(float64(p) + mix(salt))} }
+func (o Offset) Sequence(salt uint64) Sequence { return Sequence{onCircle(float64(o) + mix(salt))} }
 
-// Next draws a number. saved is what the coordinator has left of its own part of the budget, in parts. If it has
-// overdrawn a whole part or more, since a query for which it drew brought several parts, the result is 1, which is
-// below no share, and no number is used up.
+// Next draws a number. saved is what the coordinator has left of its own part of the budget, in parts. A
+// query for which it drew may have brought several parts, so that it has overdrawn its own. If that is maxOverdraft or
+// more, the result is 1, which is below no share, and no number is used up.
 func (s *Sequence) Next(saved float64) (number float64) {
-	if saved <= -1 {
+	if saved <= -maxOverdraft {
 		return 1
 	}
 	number, s.next = s.next, onCircle(s.next+goldenRatio)
--- a/internal/decide/subsetting/sequence_test.go
+++ b/internal/decide/subsetting/sequence_test.go
@@ -18,7 +18,7 @@
 		salt := rapid.Uint64().Draw(t, "salt")
 		senders := 0
 		for _, m := range fleet(size) {
-			if s := m.Position().Sequence(salt); s.Next(1) < share {
+			if s := m.Offset().Sequence(salt); s.Next(1) < share {
 				senders++
 			}
 		}
@@ -29,7 +29,7 @@
 		skew := rapid.Float64Range(0, 2).Draw(t, "skew")
 		sent, wanted := 0, 0.0
 		for _, m := range fleet(size) {
-			s := m.Position().Sequence(salt)
+			s := m.Offset().Sequence(salt)
 			draws := int(math.Exp(skew*rng.NormFloat64()) * 2)
 			own := 0
 			for range draws {
--- a/internal/decide/subsetting/slots.go
+++ b/internal/decide/subsetting/slots.go
@@ -6,17 +6,17 @@
 // after now, give or take half a period. Each coordinator has one slot in each period. On one clock the slots of all
 // lie at equal distances, so at most one more than their even number falls into any time, also if all coordinators
 // began to wait at one instant.
-func (p Position) NextSlot(now, period time.Duration, salt uint64) time.Duration {
+func (o Offset) NextSlot(now, period time.Duration, salt uint64) time.Duration {
 	if period <= 0 {
 		return now
 	}
 	earliest := now + period/2
-	offset := time.Duration(onCircle(float64(p)+mix(salt)) * float64(period)) // of the slot in each period
+	slot := time.Duration(onCircle(float64(o)+mix(salt)) * float64(period)) // of the slot in each period
 	passed := earliest % period
-	if offset < passed {
-		offset += period
+	if slot < passed {
+		slot += period
 	}
-	return earliest - passed + offset
+	return earliest - passed + slot
 }
 
 // SlotPeriod returns the period of slots with which a number of coordinators together have so many slots a second.
--- a/internal/decide/subsetting/slots_test.go
+++ b/internal/decide/subsetting/slots_test.go
@@ -18,11 +18,11 @@
 		salt := rapid.Uint64().Draw(t, "salt")
 		var slots []time.Duration
 		for _, m := range fleet(size) {
-			slot := m.Position().NextSlot(now, period, salt)
+			slot := m.Offset().NextSlot(now, period, salt)
 			if slot < now+period/2 || slot > now+3*period/2 {
 				t.Fatalf("%v: period %v, the slot is after %v", m, period, slot-now)
 			}
-			if next := m.Position().NextSlot(slot, period, salt); next < slot+period/2 || next > slot+3*period/2 {
+			if next := m.Offset().NextSlot(slot, period, salt); next < slot+period/2 || next > slot+3*period/2 {
 				t.Fatalf("%v: one slot after another by %v", m, next-slot)
 			}
 			slots = append(slots, slot)
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -7,76 +7,82 @@
 type Ring struct {
 	Size              int // number of ring positions
 	ReplicationFactor int // ring positions that hold a shard
-	Replicas          int // number of replicas at all positions together
+	Replicas          int // number of replicas at all positions together, those that are listed as running
 }
 
-// holdersPerShard is the number of replicas that hold a shard, at the full positions of an even ring.
+// holdersPerShard is the number of replicas that hold a shard, taking each position to have the mean number of
+// replicas, rounded down and at least 1. 400 replicas at 200 positions are two at each; 399 count as one at each.
 func (r Ring) holdersPerShard() int { return r.ReplicationFactor * max(1, r.Replicas/r.Size) }
 
 // Subset tells which replicas one coordinator sends to, has connections with and learns about.
 //
 // A replica's key is its distance on the circle from the member, by its ring position and its rank among the replicas
-// there. The subset contains the keys below Share. Each ring position is Share further on the circle than the one
-// before it, so any successive positions have that share of their replicas contained, rounded up or down: enough
-// holders of each shard. Members lie at equal distances, so each replica is in the subsets of that share of the
+// there. The subset contains the keys below Fraction. Each ring position is Fraction further on the circle than the one
+// before it, so any successive positions have that fraction of their replicas contained, rounded up or down: enough
+// holders of each shard. Members lie at equal distances, so each replica is in the subsets of that fraction of the
 // coordinators, rounded up or down.
 //
 // One coordinator more or less moves each member by less than the distance between two. Its subset changes only by
 // replicas whose keys lie that near to a bound. A replica that takes another's ring position and rank takes its key.
-// Share is a whole number of holders of a shard, so it mostly stays as it is while a fleet or its replicas come and go.
+// Fraction is a whole number of holders of a shard, so it mostly stays as it is while a fleet or its replicas come and
+// go. It does change where the mean number of replicas at a position falls below a whole number above 1.
 type Subset struct {
-	Share float64 // of the replicas that the subset contains, in (0, 1]; 1 contains all
+	Fraction float64 // of the replicas that the subset contains, in (0, 1]; 1 contains all
 
-	memberAt float64 // where the member lies on the circle; 0 if Share is 1
+	memberAt float64 // where the member lies on the circle; 0 if Fraction is 1
 }
 
 const (
-	// maxLoadDeviation is the standard deviation of a replica's load that subsets may add, as a share of the mean. A
-	// replica in all subsets has the mean load of all coordinators. One in a share f of the subsets of n coordinators
+	// maxLoadDeviation is the standard deviation of a replica's load that subsets may add, as a fraction of the mean.
+	// A replica in all subsets has the mean load of all coordinators. One in a fraction f of the subsets of n coordinators
 	// deviates by sqrt((1-f)/(f*n)) of the deviation of their traffic.
 	maxLoadDeviation = 0.05
-	// trafficDeviation is the standard deviation of the coordinators' traffic, as a share of the mean. Some
+	// trafficDeviation is the standard deviation of the coordinators' traffic, as a fraction of the mean. Some
 	// coordinators see several times as much as others.
 	trafficDeviation = 0.8
 )
 
+// evenFraction is the fraction of the replicas that each subset of a fleet has to contain for a replica's load to
+// deviate by maxLoadDeviation: it solves the equation there for f.
+func evenFraction(fleetSize int) float64 {
+	return 1 / (1 + maxLoadDeviation*maxLoadDeviation/(trafficDeviation*trafficDeviation)*float64(fleetSize))
+}
+
 // NewSubset returns a member's subset, with at least minHolders holders of each shard that has so many. The subsets of
 // a small fleet, and of a coordinator without peers, contain all replicas.
 func NewSubset(m Member, r Ring, minHolders int) Subset {
-	all := Subset{Share: 1}
+	all := Subset{Fraction: 1}
 	if !m.HasPeers() || r.Size < 1 {
 		return all
 	}
 	holders := r.holdersPerShard()
-	// At this share f a replica's load deviates by maxLoadDeviation: it solves the equation there for f.
-	evenShare := 1 / (1 + maxLoadDeviation*maxLoadDeviation/(trafficDeviation*trafficDeviation)*float64(m.FleetSize))
-	contained := max(minHolders, int(math.Ceil(evenShare*float64(holders))))
+	contained := max(minHolders, int(math.Ceil(evenFraction(m.FleetSize)*float64(holders))))
 	// A whole number of rounds on the circle for the whole ring joins the ring's end to its beginning.
 	rounds := (contained*r.Size + holders - 1) / holders
 	if rounds >= r.Size {
 		return all
 	}
-	return Subset{Share: float64(rounds) / float64(r.Size), memberAt: m.at()}
+	return Subset{Fraction: float64(rounds) / float64(r.Size), memberAt: m.at()}
 }
 
 // Key returns a replica's key, by its ring position and its rank among the replicas there. The order of their keys is
 // also that in which the holders of a shard join the subset while contained ones are not ready.
 func (s Subset) Key(ringPosition, rank int) float64 {
-	if s.Share == 1 {
+	if s.Fraction == 1 {
 		return 0
 	}
-	return onCircle(float64(ringPosition)*s.Share + float64(rank)*goldenRatio + s.memberAt)
+	return onCircle(float64(ringPosition)*s.Fraction + float64(rank)*goldenRatio + s.memberAt)
 }
 
 // Contains reports whether the subset contains the replica with a key.
-func (s Subset) Contains(key float64) bool { return key < s.Share }
+func (s Subset) Contains(key float64) bool { return key < s.Fraction }
 
-// Position returns the member's position among the coordinators whose subsets contain the replica with a key.
-func (s Subset) Position(m Member, key float64) Position {
-	if s.Share == 1 {
-		return m.Position()
+// Offset returns the member's offset among the coordinators whose subsets contain the replica with a key.
+func (s Subset) Offset(m Member, key float64) Offset {
+	if s.Fraction == 1 {
+		return m.Offset()
 	}
-	return Position(onCircle(key / s.Share))
+	return Offset(onCircle(key / s.Fraction))
 }
 
 // HolderCount returns how many of a shard's holders, in the order of their keys, the coordinator sends to: those that
--- a/internal/decide/subsetting/subset_test.go
+++ b/internal/decide/subsetting/subset_test.go
@@ -25,8 +25,8 @@
 		r := ringOf(rapid.IntRange(3, 210).Draw(t, "positions"), perPosition)
 		least := rapid.IntRange(1, 4).Draw(t, "least")
 		first := NewSubset(Member{Index: 0, FleetSize: size}, r, least)
-		if size > 100 && perPosition == 2 && least == 2 && r.Size > 20 && first.Share > 0.75 {
-			t.Fatalf("%d coordinators of %d replicas have %.2f of them each", size, r.Replicas, first.Share)
+		if size > 100 && perPosition == 2 && least == 2 && r.Size > 20 && first.Fraction > 0.75 {
+			t.Fatalf("%d coordinators of %d replicas have %.2f of them each", size, r.Replicas, first.Fraction)
 		}
 		containedBy := make([]int, r.Replicas)
 		for _, m := range fleet(size) {
@@ -40,14 +40,14 @@
 			}
 			for shard := range r.Size {
 				holders := atPosition[shard] + atPosition[(shard+1)%r.Size] + atPosition[(shard+2)%r.Size]
-				want := s.Share * float64(r.ReplicationFactor*perPosition)
+				want := s.Fraction * float64(r.ReplicationFactor*perPosition)
 				if holders < min(least, 3*perPosition)-(perPosition-1) || float64(holders) > want+float64(perPosition)+1e-6 {
-					t.Fatalf("member %v, share %.3f: shard %d has %d of %d holders", m, s.Share, shard, holders, 3*perPosition)
+					t.Fatalf("member %v, share %.3f: shard %d has %d of %d holders", m, s.Fraction, shard, holders, 3*perPosition)
 				}
 			}
 		}
 		if low, high := slices.Min(containedBy), slices.Max(containedBy); high-low > 1 {
-			t.Fatalf("%d coordinators, share %.3f: replicas are in %d to %d subsets", size, first.Share, low, high)
+			t.Fatalf("%d coordinators, share %.3f: replicas are in %d to %d subsets", size, first.Fraction, low, high)
 		}
 	})
 }
@@ -65,7 +65,7 @@
 					changes++
 				}
 			}
-			contained += int(s.Share * float64(r.Size))
+			contained += int(s.Fraction * float64(r.Size))
 		}
 		// The others give up at least as many replicas as the new one has; both kinds of change are counted.
 		if least := contained / size; changes > 3*least {
@@ -83,13 +83,13 @@
 func TestSubsetContainsAllWithoutLargeFleet(t *testing.T) {
 	r := ringOf(200, 1)
 	for i := range 30 {
-		if s := NewSubset(Member{i, 30}, r, minHolders); s.Share < 1 {
-			t.Errorf("30 coordinators, whose traffic differs, have only %.2f of the replicas each", s.Share)
+		if s := NewSubset(Member{i, 30}, r, minHolders); s.Fraction < 1 {
+			t.Errorf("30 coordinators, whose traffic differs, have only %.2f of the replicas each", s.Fraction)
 		}
 	}
 	for _, m := range []Member{{-1, 300}, {300, 300}, {0, 1}, {}} {
-		if s := NewSubset(m, r, minHolders); s.Share < 1 {
-			t.Errorf("%v has no peers and only %.2f of the replicas", m, s.Share)
+		if s := NewSubset(m, r, minHolders); s.Fraction < 1 {
+			t.Errorf("%v has no peers and only %.2f of the replicas", m, s.Fraction)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 				m.FleetSize = now
 			}
 			s := NewSubset(m, r, minHolders)
-			share = s.Share
+			share = s.Fraction
 			for position := range containedBy {
 				if s.Contains(s.Key(position, 0)) {
 					containedBy[position]++
@@ -149,22 +149,22 @@
 
 // The coordinators whose subsets contain one replica lie at equal distances among themselves, whichever arc of the
 // fleet they are.
-func TestPositionsWithinSubsetsAreEven(t *testing.T) {
+func TestOffsetsWithinSubsetsAreEven(t *testing.T) {
 	for _, size := range []int{150, 301, 1000} {
 		r := ringOf(179, 1)
 		for position := range r.Size {
-			var positions []float64
+			var offsets []float64
 			for _, m := range fleet(size) {
 				s := NewSubset(m, r, minHolders)
 				if key := s.Key(position, 0); s.Contains(key) {
-					positions = append(positions, float64(s.Position(m, key)))
+					offsets = append(offsets, float64(s.Offset(m, key)))
 				}
 			}
-			slices.Sort(positions)
-			for i, at := range positions {
-				if math.Abs(at-float64(i)/float64(len(positions))) > 2/float64(len(positions)) {
+			slices.Sort(offsets)
+			for i, at := range offsets {
+				if math.Abs(at-float64(i)/float64(len(offsets))) > 2/float64(len(offsets)) {
 					t.Fatalf("%d coordinators: number %d of %d with the replica at %d lies at %.3f",
-						size, i, len(positions), position, at)
+						size, i, len(offsets), position, at)
 				}
 			}
 		}
