--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -86,7 +86,7 @@
 func (c *Coordinator) setPermit(at *Attempt) {
 	p := at.part
 	at.permit.clock, at.permit.query = c.cfg.Clock, p.query.Query
-	at.permit.beginBefore, at.permit.repeatUntil = p.query.Deadline, retry.Unlimited
+	at.permit.beginBefore, at.permit.repeatUntil = p.query.Deadline, retry.AlwaysRetryable
 	for _, earlier := range p.attempts[:at.number] {
 		if !earlier.neverRan {
 			until := p.query.retryPolicy.RetryableUntil(earlier.sentAt)
--- a/internal/decide/failover/freshness_test.go
+++ b/internal/decide/failover/freshness_test.go
@@ -95,10 +95,11 @@
 	}
 }
 
-// A nearer source was left because it was stale. The reader returns to it once it is fresh, and not before. If the
-// reader's source fails while the nearer one is still stale, that one is followed all the same.
-func TestReturnsToNearerSourceOnceFresh(t *testing.T) {
-	s, now := New(own, oneInRegionOneInZone(), random(1)), time.Duration(0)
+// leftStaleNearer has a reader leave a stale source in its zone for a fresh one in its region. It returns the nearer
+// source too.
+func leftStaleNearer(t *testing.T) (s *Selector, now time.Duration, near Source) {
+	t.Helper()
+	s = New(own, oneInRegionOneInZone(), random(1))
 	s.SetStaleAfter(staleAfter)
 	near, far := next(t, s, &now), sixSources()[1]
 	s.RecordStaleness(now, 2*staleAfter)
@@ -106,16 +107,47 @@
 	if source, ok := s.Fresher(now); !ok || source != far || !s.ProbeSucceeded(now, far, 0) {
 		t.Fatalf("it probes %s", source.Address)
 	}
-	for probes := 0; probes < 5; now += 100 * ms {
-		s.RecordStaleness(now, 0)
-		source, ok := s.Nearer(now)
+	return s, now, near
+}
+
+// probeNearerWhileStale has a reader probe the nearer source several times, which answers that it is still stale.
+func probeNearerWhileStale(t *testing.T, s *Selector, now *time.Duration) {
+	t.Helper()
+	for probes := 0; probes < 5; *now += 100 * ms {
+		s.RecordStaleness(*now, 0)
+		source, ok := s.Nearer(*now)
 		if !ok {
 			continue
 		}
-		if probes++; s.ProbeSucceeded(now, source, staleAfter+ms) {
-			t.Fatalf("at %v it returns to a stale one", now)
+		if probes++; s.ProbeSucceeded(*now, source, staleAfter+ms) {
+			t.Fatalf("at %v it returns to a stale one", *now)
 		}
 	}
+}
+
+// A nearer source was left because it was stale, and is stale for long. The reader probes it again and again, and does
+// not return to it.
+func TestDoesNotReturnToNearerSourceWhileStale(t *testing.T) {
+	s, now, _ := leftStaleNearer(t)
+	probeNearerWhileStale(t, s, &now)
+}
+
+// A nearer source was left because it was stale, and is still stale when the reader's source fails. A stale source is
+// better than none: the reader follows it.
+func TestFollowsStaleSourceIfCurrentFails(t *testing.T) {
+	s, now, near := leftStaleNearer(t)
+	probeNearerWhileStale(t, s, &now)
+	now += backoffs[Stale].max
+	s.Leave(now, Failed)
+	if source := next(t, s, &now); source != near {
+		t.Fatalf("it follows %s", source.Address)
+	}
+}
+
+// A nearer source is stale, then it fails. Once it answers its probe and is just not stale, the reader returns to it.
+func TestReturnsToNearerSourceOnceFresh(t *testing.T) {
+	s, now, near := leftStaleNearer(t)
+	probeNearerWhileStale(t, s, &now)
 	now += backoffs[Stale].max
 	s.Leave(now, Failed)
 	if source := next(t, s, &now); source != near {
--- a/internal/decide/maintenance/register_test.go
+++ b/internal/decide/maintenance/register_test.go
@@ -10,6 +10,33 @@
 	"pgregory.net/rapid"
 )
 
+// call is the last call for a replica, by the model.
+type call struct {
+	out          bool
+	at, outSince time.Duration
+}
+
+// checkEffective checks what the scatter machine hears of a replica after its last call, for a replica that discovery
+// has listed.
+func (c call) checkEffective(t *rapid.T, listed, heard scatter.Replica) {
+	restartedWhileOut := listed.StartedAt > c.outSince
+	switch {
+	case listed.ID == "":
+		return
+	case c.out && heard.State == scatter.Ready:
+		t.Fatalf("%s is out and appears as ready", listed.ID)
+	case c.out && heard.StartedAt != listed.StartedAt:
+		t.Fatalf("%s is out, listed %v, appears with another start as %v", listed.ID, listed, heard)
+	case !c.out && heard.State != listed.State:
+		t.Fatalf("%s is back, listed %v, appears in another state as %v", listed.ID, listed, heard)
+	case !c.out && restartedWhileOut && heard.StartedAt != listed.StartedAt:
+		t.Fatalf("%s was restarted at %v while out and appears to run since %v",
+			listed.ID, listed.StartedAt, heard.StartedAt)
+	case !c.out && !restartedWhileOut && heard.StartedAt != c.at:
+		t.Fatalf("%s came back at %v and appears to run since %v", listed.ID, c.at, heard.StartedAt)
+	}
+}
+
 // Two processes of a coordinator take operators' calls. Discovery lists what it likes meanwhile, and registers travel
 // late, twice and in any order. A model keeps the last call for each replica, by the time of the call: both processes
 // have to arrive at it, and the scatter machine has to hear it.
@@ -18,10 +45,6 @@
 		ids := rapid.SampledFrom([]string{"a", "b", "c"})
 		registers := []Register{{}, {}}
 		var sent []Register // copies that have not arrived
-		type call struct {
-			out          bool
-			at, outSince time.Duration
-		}
 		last := map[string]call{}
 		now := time.Hour
 		listed := map[string]scatter.Replica{}
@@ -70,20 +93,7 @@
 					if all[id].Out != c.out {
 						t.Fatalf("%s: out=%t, the last call that changed anything said %t", id, all[id].Out, c.out)
 					}
-					r := all.Effective(listed[id])
-					switch {
-					case r.ID != "" && c.out && r.State == scatter.Ready:
-						t.Fatalf("%s is out and appears as ready", id)
-					case r.ID != "" && c.out && r.StartedAt != listed[id].StartedAt,
-						r.ID != "" && !c.out && r.State != listed[id].State:
-						t.Fatalf("%s: listed %v, appears as %v", id, listed[id], r)
-					case r.ID != "" && !c.out && listed[id].StartedAt > c.outSince &&
-						r.StartedAt != listed[id].StartedAt:
-						t.Fatalf("%s was restarted at %v while out and appears to run since %v",
-							id, listed[id].StartedAt, r.StartedAt)
-					case r.ID != "" && !c.out && listed[id].StartedAt <= c.outSince && r.StartedAt != c.at:
-						t.Fatalf("%s came back at %v and appears to run since %v", id, c.at, r.StartedAt)
-					}
+					c.checkEffective(t, listed[id], all.Effective(listed[id]))
 				}
 			},
 		})
--- a/internal/decide/retry/policy.go
+++ b/internal/decide/retry/policy.go
@@ -31,10 +31,10 @@
 }
 
 const (
-	// Unlimited is the instant of RetryableUntil that never comes.
-	Unlimited = time.Duration(math.MaxInt64)
-	// Never is the instant of RetryableUntil that has always passed.
-	Never = time.Duration(math.MinInt64)
+	// AlwaysRetryable is the result of RetryableUntil for an idempotent class: an instant that never comes.
+	AlwaysRetryable = time.Duration(math.MaxInt64)
+	// NeverRetryable is the result of RetryableUntil for a non-idempotent class: an instant that has always passed.
+	NeverRetryable = time.Duration(math.MinInt64)
 )
 
 // RetryableUntil returns the last instant at which another attempt of a part may begin if an earlier one may have run.
@@ -43,10 +43,10 @@
 func (p Policy) RetryableUntil(firstSent time.Duration) time.Duration {
 	switch p.Idempotency {
 	case Idempotent:
-		return Unlimited
+		return AlwaysRetryable
 	case Keyed:
 		return firstSent + p.DedupWindow
 	default:
-		return Never
+		return NeverRetryable
 	}
 }
--- a/internal/decide/retry/policy_test.go
+++ b/internal/decide/retry/policy_test.go
@@ -8,9 +8,9 @@
 func TestRetryableUntilGoesByIdempotency(t *testing.T) {
 	const firstSent, window = 7 * time.Second, 4 * time.Second
 	for idempotency, want := range map[Idempotency]time.Duration{
-		Idempotent:    Unlimited,
+		Idempotent:    AlwaysRetryable,
 		Keyed:         firstSent + window,
-		NonIdempotent: Never,
+		NonIdempotent: NeverRetryable,
 	} {
 		if got := (Policy{idempotency, window}).RetryableUntil(firstSent); got != want {
 			t.Errorf("idempotency %d: %v, want %v", idempotency, got, want)
--- a/internal/decide/twophase/cache_test.go
+++ b/internal/decide/twophase/cache_test.go
@@ -9,37 +9,67 @@
 	"pgregory.net/rapid"
 )
 
-// The cache never passes its limit, and the most recently used values stay.
-func TestCacheDropsLeastRecentlyUsed(t *testing.T) {
-	value := []byte(strings.Repeat("x", 1000))
-	size := entryOverhead + len("t0") + len(value)
-	p := New(10 * size)
-	for i := range 11 {
-		p.ObserveFullWithVersion(testTopic, 0, fmt.Sprint("t", i%10), versioned(version(0), 1), value, 0)
-		if i == 9 {
-			if n, bytes := p.Cached(); n != 10 || bytes != 10*size {
-				t.Errorf("%d values, %d bytes: what just fits is cached", n, bytes)
-			}
-			p.ObserveFirstPhase(testTopic, 0, "t0", versioned(version(0), 1), true, 0) // used
-			p.ObserveFullWithVersion(testTopic, 0, "tt", versioned(version(0), 1), value, 0)
-		}
-	}
-	cached := func(body string) bool {
-		v, _ := p.ObserveFirstPhase(testTopic, 0, body, versioned(version(0), 1), true, 0)
-		return v == Unchanged
-	}
-	if !cached("t0") || cached("t1") || !cached("tt") {
-		t.Errorf("t0 %t, t1 %t, tt %t: want the least recently used gone", cached("t0"), cached("t1"), cached("tt"))
+// cachedValue is the value of each entry in a cache of these tests.
+var cachedValue = []byte(strings.Repeat("x", 1000))
+
+// entrySize is the size of an entry with cachedValue and a body of two letters.
+var entrySize = entryOverhead + len("t0") + len(cachedValue)
+
+// cacheValue has a Planner cache a value of shard 0.
+func cacheValue(p *Planner, body string, value []byte) {
+	p.ObserveFullWithVersion(testTopic, 0, body, versioned(version(0), 1), value, 0)
+}
+
+// isCached reports whether a Planner has a value of shard 0, and makes it the most recently used one.
+func isCached(p *Planner, body string) bool {
+	v, _ := p.ObserveFirstPhase(testTopic, 0, body, versioned(version(0), 1), true, 0)
+	return v == Unchanged
+}
+
+// fullCache returns a Planner whose cache is full with the values of the bodies t0 to t9, the last one used last.
+func fullCache() *Planner {
+	p := New(10 * entrySize)
+	for i := range 10 {
+		cacheValue(p, fmt.Sprint("t", i), cachedValue)
 	}
-	p.ObserveFullWithVersion(testTopic, 0, "huge", versioned(version(0), 1), []byte(strings.Repeat("x", 2*size)), 0)
-	if cached("huge") {
-		t.Error("a value over an eighth of the limit is cached")
+	return p
+}
+
+// Ten values that just fit into the limit are all cached. A limit of 0 caches nothing.
+func TestCacheHoldsWhatFits(t *testing.T) {
+	if n, bytes := fullCache().Cached(); n != 10 || bytes != 10*entrySize {
+		t.Errorf("%d values, %d bytes: what just fits is cached", n, bytes)
 	}
 	if v, _ := New(0).ObserveFirstPhase(testTopic, 0, "q", versioned(version(0), 1), true, 0); v != NeedsFull {
 		t.Errorf("a limit of 0: %v", v)
 	}
 }
 
+// The cache is full and its oldest value is used. Another value then displaces the second oldest one; a value that is
+// cached again displaces nothing.
+func TestCacheDropsLeastRecentlyUsed(t *testing.T) {
+	p := fullCache()
+	isCached(p, "t0") // used
+	cacheValue(p, "tt", cachedValue)
+	cacheValue(p, "t0", cachedValue) // again
+	if !isCached(p, "t0") || isCached(p, "t1") || !isCached(p, "tt") {
+		t.Errorf("t0 %t, t1 %t, tt %t: want the least recently used gone",
+			isCached(p, "t0"), isCached(p, "t1"), isCached(p, "tt"))
+	}
+	if n, bytes := p.Cached(); n != 10 || bytes != 10*entrySize {
+		t.Errorf("%d values, %d bytes after one was displaced", n, bytes)
+	}
+}
+
+// A value is larger than an eighth of the limit. It is not cached, for it would displace many.
+func TestCacheRefusesLargeValue(t *testing.T) {
+	p := fullCache()
+	cacheValue(p, "huge", []byte(strings.Repeat("x", 2*entrySize)))
+	if isCached(p, "huge") {
+		t.Error("a value over an eighth of the limit is cached")
+	}
+}
+
 // Whatever comes, the counts add up, the limit holds, and the verdict Unchanged gives the value that was cached last
 // for just this body and shard under just this version.
 func TestCacheModel(t *testing.T) {
--- a/internal/decide/versionlog/apply_test.go
+++ b/internal/decide/versionlog/apply_test.go
@@ -45,8 +45,8 @@
 func refusedSlices() []refusedSlice {
 	begun := Slice{Version: Version{6, 4}, NewestIndex: 9, Base: 9, Snapshot: true, Entries: []Entry{entryAt("a", 4)}}
 	continued := Slice{Version: Version{6, 6}, NewestIndex: 9, Base: 9, Entries: []Entry{entryAt("b", 6)}}
-	changes := func(index, head int64, entries ...Entry) Slice {
-		return Slice{Version: Version{5, index}, NewestIndex: head, Entries: entries}
+	changes := func(index, newest int64, entries ...Entry) Slice {
+		return Slice{Version: Version{5, index}, NewestIndex: newest, Entries: entries}
 	}
 	oversized := Entry{Name: "a", Index: 25, Body: make([]byte, MaxEntryBytes+1)}
 	return []refusedSlice{
@@ -63,7 +63,7 @@
 		{"entries out of order", nil, changes(25, 25, entryAt("a", 24), entryAt("b", 22)), ErrInvalid},
 		{"a name twice", nil, changes(25, 25, entryAt("a", 24), entryAt("a", 25)), ErrInvalid},
 		{"an entry over the version", nil, changes(25, 40, entryAt("a", 26)), ErrInvalid},
-		{"a version over the head", nil, changes(25, 24), ErrInvalid},
+		{"a version over the newest index", nil, changes(25, 24), ErrInvalid},
 		{"an oversized entry", nil, changes(25, 25, oversized), ErrInvalid},
 		{"no version", nil, Slice{Entries: []Entry{entryAt("a", 25)}}, ErrInvalid},
 		{"another base", []Slice{begun}, Slice{Version: Version{6, 6}, NewestIndex: 9, Base: 8}, ErrMismatch},
--- a/internal/decide/versionlog/publish_test.go
+++ b/internal/decide/versionlog/publish_test.go
@@ -27,7 +27,7 @@
 	} {
 		n, err := l.Publish(step.changes)
 		if n != step.published || err != nil || l.Version() != (Version{7, step.index}) {
-			t.Errorf("step %d: %d published, %v, head %+v", i, n, err, l.Version())
+			t.Errorf("step %d: %d published, %v, version %+v", i, n, err, l.Version())
 		}
 	}
 	size := len(withVersion(object("a", 3), 3)) + len(withVersion(b, 5))
@@ -38,7 +38,7 @@
 	for _, published := range []int{2, 0} { // b is removed and d added
 		n, err := l.Replace(state)
 		if n != published || err != nil || l.Version() != (Version{7, 7}) || liveBodies(l.byName)["b"] != "" {
-			t.Errorf("%d of a complete state published, %v, head %+v", n, err, l.Version())
+			t.Errorf("%d of a complete state published, %v, version %+v", n, err, l.Version())
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	} {
 		_, err := l.Publish([]Change{{Name: "a", Object: object("a", 9)}, c.invalid})
 		if !errors.Is(err, c.want) || l.Version().Index != 1 {
-			t.Errorf("%.40q: %v, want %v; head %+v", c.invalid.Object, err, c.want, l.Version())
+			t.Errorf("%.40q: %v, want %v; version %+v", c.invalid.Object, err, c.want, l.Version())
 		}
 	}
 }
