--- a/internal/decide/backoff/notification.go
+++ b/internal/decide/backoff/notification.go
@@ -33,8 +33,10 @@
 const (
 	// NotifiedAfterReload is the time after which the endpoint list of a newly named service counts as notified.
 	NotifiedAfterReload = 4 * time.Second
-	reloadCallTimeout   = 3 * NotifiedAfterReload / 8 // 1.5 s; instead of CallTimeout, until the new service has answered
-	reloadMaxSpread     = NotifiedAfterReload / 8     // 0.5 s; instead of MaxSpread, until the new service has answered
+	// reloadCallTimeout stands in for CallTimeout until the new service has answered.
+	reloadCallTimeout = 3 * NotifiedAfterReload / 8 // 1.5 s
+	// reloadMaxSpread stands in for MaxSpread until the new service has answered.
+	reloadMaxSpread = NotifiedAfterReload / 8 // 0.5 s
 )
 
 // What an agent holds counts as notified at once. Nobody else calls the agent, so calls to it need not be spread and
--- a/internal/decide/failover/freshness_test.go
+++ b/internal/decide/failover/freshness_test.go
@@ -10,14 +10,14 @@
 const staleAfter = 1500 * ms
 
 // probe has a reader probe a fresher or nearer source where it is time, and reports whether it follows that now.
-// Sources answer with their ages.
-func probe(s *Selector, now time.Duration, ages map[string]time.Duration) (probed, switched bool) {
+// Sources answer with their stalenesses.
+func probe(s *Selector, now time.Duration, stalenesses map[string]time.Duration) (probed, switched bool) {
 	better := s.Nearer
 	if s.Stale() {
 		better = s.Fresher
 	}
 	source, ok := better(now)
-	return ok, ok && s.ProbeSucceeded(now, source, ages[source.Address])
+	return ok, ok && s.ProbeSucceeded(now, source, stalenesses[source.Address])
 }
 
 // Each source is cut off from the authority at a random instant and learns nothing new after that. A reader switches to
@@ -26,7 +26,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, now, all := New(own, sixSources(), random(rapid.Uint64().Draw(t, "seed"))), time.Duration(0), sixSources()
 		s.SetStaleAfter(staleAfter)
-		cutAt, ages := map[string]time.Duration{}, map[string]time.Duration{}
+		cutAt, stalenesses := map[string]time.Duration{}, map[string]time.Duration{}
 		for _, source := range all {
 			cutAt[source.Address] = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "cut")) * ms
 		}
@@ -35,13 +35,13 @@
 		const end, step = 60 * sec, 50 * ms
 		for ; now < end; now += step {
 			for _, source := range all {
-				ages[source.Address] = max(0, now-cutAt[source.Address])
+				stalenesses[source.Address] = max(0, now-cutAt[source.Address])
 			}
 			before, _ := s.Current()
 			s.Succeeded(now)
-			s.RecordStaleness(now, ages[before.Address])
+			s.RecordStaleness(now, stalenesses[before.Address])
 			stale := s.Stale()
-			probed, switched := probe(s, now, ages)
+			probed, switched := probe(s, now, stalenesses)
 			if probed {
 				probes++
 			}
@@ -50,11 +50,11 @@
 			}
 			switches++
 			after, _ := s.Current()
-			switch gain := ages[before.Address] - ages[after.Address]; {
+			switch gain := stalenesses[before.Address] - stalenesses[after.Address]; {
 			case left[after.Address]:
 				t.Fatalf("at %v it is back at %s", now, after.Address)
 			case stale && gain < time.Duration(clearlyFresher*float64(staleAfter)):
-				t.Fatalf("at %v it leaves age %v for %v", now, ages[before.Address], ages[after.Address])
+				t.Fatalf("at %v it leaves staleness %v for %v", now, stalenesses[before.Address], stalenesses[after.Address])
 			case !stale:
 				t.Fatalf("at %v it leaves %s, which is fresh", now, before.Address)
 			}
--- a/internal/decide/subsetting/subset.go
+++ b/internal/decide/subsetting/subset.go
@@ -7,7 +7,7 @@
 type Ring struct {
 	Size              int // number of ring positions
 	ReplicationFactor int // ring positions that hold a shard
-	Replicas          int // number of replicas at all positions together, those that are listed as running
+	Replicas          int // number of replicas at all positions together that are listed as running
 }
 
 // holdersPerShard is the number of replicas that hold a shard, taking each position to have the mean number of
@@ -34,16 +34,16 @@
 
 const (
 	// maxLoadDeviation is the standard deviation of a replica's load that subsets may add, as a fraction of the mean.
-	// A replica in all subsets has the mean load of all coordinators. One in a fraction f of the subsets of n coordinators
-	// deviates by sqrt((1-f)/(f*n)) of the deviation of their traffic.
+	// A replica in all subsets has the mean load of all coordinators. One in a fraction f of the subsets of n
+	// coordinators deviates by sqrt((1-f)/(f*n)) of the deviation of their traffic.
 	maxLoadDeviation = 0.05
 	// trafficDeviation is the standard deviation of the coordinators' traffic, as a fraction of the mean. Some
 	// coordinators see several times as much as others.
 	trafficDeviation = 0.8
 )
 
-// evenFraction is the fraction of the replicas that each subset of a fleet has to contain for a replica's load to
-// deviate by maxLoadDeviation: it solves the equation there for f.
+// evenFraction is the fraction of the replicas that each subset of a fleet contains if a replica's load deviates by
+// maxLoadDeviation: it solves the equation there for f, with trafficDeviation as the deviation of the traffic.
 func evenFraction(fleetSize int) float64 {
 	return 1 / (1 + maxLoadDeviation*maxLoadDeviation/(trafficDeviation*trafficDeviation)*float64(fleetSize))
 }
--- a/internal/decide/twophase/doc.go
+++ b/internal/decide/twophase/doc.go
@@ -21,7 +21,7 @@
 //	planner.go         which shards are asked in two phases
 //	topic.go           what a first phase costs, how long full questions are deferred, and how much is spent on trials
 //	verdict.go         what a first answer proves
-//	shard_state.go     what is known of a shard: its newest version, and how likely a first phase saves the full question
+//	shard_state.go     what is known of a shard: its newest version, and how often a first phase saves anything
 //	version.go         how two versions of a shard relate
 //	cache.go           which values are cached
 //	latency_window.go  recent latencies
--- a/internal/decide/twophase/shard_state.go
+++ b/internal/decide/twophase/shard_state.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// chanceGain is the weight of a new sample in a shard's savings and latency: about five queries count.
-	chanceGain = 0.2
-	// initialSavingIfCached is the probability that the first phase saves the full question for the first cached value.
+	// sampleGain is the weight of a new sample in a shard's savings and latency: about five queries count.
+	sampleGain = 0.2
+	// initialSavingIfCached is the probability that a first phase saves the full question, for the first cached value.
 	initialSavingIfCached = 0.5
 	// newestTrust is for how long the newest version counts after it was last confirmed.
 	newestTrust = time.Minute
@@ -46,7 +46,7 @@
 	if s.fullLatency == 0 {
 		s.fullLatency = latency
 	}
-	s.fullLatency += time.Duration(chanceGain * float64(latency-s.fullLatency))
+	s.fullLatency += time.Duration(sampleGain * float64(latency-s.fullLatency))
 }
 
 // observeSaving takes whether a first phase saved the full question. With a cached value it does so where that value
@@ -61,12 +61,12 @@
 	if saved {
 		sample = 1
 	}
-	*saving += chanceGain * (sample - *saving)
+	*saving += sampleGain * (sample - *saving)
 }
 
 // observeInvalidated takes that a body is asked for again whose cached value was dropped as outdated meanwhile. It
 // counts as a first phase that saved nothing.
-func (s *shardState) observeInvalidated() { s.savingIfCached -= chanceGain * s.savingIfCached }
+func (s *shardState) observeInvalidated() { s.savingIfCached -= sampleGain * s.savingIfCached }
 
 // observeVersion takes the shard's version at a replica at now. It reports whether the replica's answer may be used,
 // and whether the cached values are outdated.
