--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -23,16 +23,18 @@
 
 // Lease is the time for which one endpoint list may be used. Use New.
 type Lease struct {
-	countsFrom    time.Duration // instant that notifiedAfter counts from: the list is known to have lacked nothing then
+	// countsFrom is the instant that notifiedAfter counts from: the last one at which the list is known to have lacked
+	// nothing, moved forward by ServiceChanged.
+	countsFrom    time.Duration
 	notifiedAfter time.Duration // time from a change until it counts as notified
-	grace         time.Duration // time from then on in which attempts may still begin
+	grace         time.Duration // time after that in which attempts may still begin
 	expires       time.Duration // instant from which on the list must not be used
 }
 
-// New returns the lease of a process that starts at now with a stored endpoint list. Until its first event the process
-// counts as notified after listMaxAge, or after backoff.NotifiedAfter where that is longer; listMaxAge may be 0. From
-// the first event on, whichever it is, listMaxAge no longer counts. drainGrace is the time for which the platform still
-// allows attempts at an endpoint after its drain counts as notified.
+// New returns the lease of a process that starts at now with a stored endpoint list. The process counts as notified
+// after listMaxAge, or after backoff.NotifiedAfter where that is longer; listMaxAge may be 0. The first call that is
+// Confirmed, Unreachable or Unanswered ends that longer time, and ServiceChanged may shorten it. drainGrace is the time
+// for which the platform still allows attempts at an endpoint after its drain counts as notified.
 func New(now, listMaxAge, drainGrace time.Duration) Lease {
 	l := Lease{countsFrom: now, notifiedAfter: backoff.NotifiedAfter, grace: usableGrace(drainGrace)}
 	l.expires = now + max(listMaxAge, backoff.NotifiedAfter) + l.grace
@@ -63,11 +65,11 @@
 }
 
 // Unreachable records that a call which began at an instant found that discovery could not be reached. It renews the
-// lease from that instant, and ends the longer time that a new process has before its first event.
+// lease from that instant, and ends the longer time that a new process has.
 func (l *Lease) Unreachable(began time.Duration) { l.renew(began) }
 
 // Unanswered records that a call failed although it may have reached discovery. It renews
-// nothing, and ends the longer time that a new process has before its first event.
+// nothing, and ends the longer time that a new process has.
 func (l *Lease) Unanswered() {
 	l.expires = min(l.expires, l.countsFrom+l.notifiedAfter+l.grace)
 }
@@ -82,8 +84,8 @@
 	l.expires = min(l.expires, at+l.notifiedAfter+l.grace)
 }
 
-// renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order,
-// so an earlier instant than that of another renewal does not take back what that one showed.
+// renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order, so
+// an earlier instant than that of another renewal, or than countsFrom as ServiceChanged moved it, takes nothing back.
 func (l *Lease) renew(at time.Duration) {
 	l.countsFrom = max(l.countsFrom, at)
 	l.expires = l.countsFrom + l.notifiedAfter + l.grace
--- a/internal/decide/overload/doc.go
+++ b/internal/decide/overload/doc.go
@@ -15,8 +15,8 @@
 // Queries with the least priority weight for their cost are rejected first, traffic beyond a tenant's quota before any
 // within it. A protected query is one of a non-idempotent class and within its tenant's quota. It is rejected last:
 // where even the tokens of the near future are spent, or where admitted queries have to be ended for want of memory.
-// Which admitted queries are ended does not ask for that: those of which a part may have run that must not run twice
-// are spared (OpenQuery.MayHaveRun).
+// Which admitted queries are ended goes by another rule: a query is spared if a part that must not run twice may have
+// run (OpenQuery.MayHaveRun).
 //
 // # Where each decision stands
 //
