--- a/internal/decide/lease/lease.go
+++ b/internal/decide/lease/lease.go
@@ -84,8 +84,8 @@
 	l.expires = min(l.expires, at+l.notifiedAfter+l.grace)
 }
 
-// renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order, so
-// an earlier instant than that of another renewal, or than countsFrom as ServiceChanged moved it, takes nothing back.
+// renew has the lease count from an instant at which the list lacked nothing. Calls may overlap and end out of order,
+// so an instant before that of another renewal, or before countsFrom as ServiceChanged moved it, takes nothing back.
 func (l *Lease) renew(at time.Duration) {
 	l.countsFrom = max(l.countsFrom, at)
 	l.expires = l.countsFrom + l.notifiedAfter + l.grace
