--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -68,6 +68,7 @@
 	KeyOpenQueries     = "open_queries"
 	KeyShards          = "shards"
 	KeyRemedy          = "remedy"
+	KeyChange          = "change"
 )
 
 // Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names are
@@ -77,3 +78,29 @@
 	StatusServed   = "served"
 	StatusRejected = "refused"
 )
+
+// Messages about a coordinator's life, from the first listener to the end.
+const (
+	ListenerOpened        = "listener opened"
+	PhaseChanged          = "phase changed"
+	ConfigurationReloaded = "configuration reloaded"
+	ConfigurationRejected = "configuration rejected"
+	FileSettingsIgnored   = "file settings ignored"
+	SettingsChanged       = "settings changed"
+	InventoryReloaded     = "inventory reloaded"
+	InventoryRejected     = "inventory rejected"
+	CoordinatorStopped    = "coordinator stopped"
+)
+
+// Messages about endpoint lists and settings that relays or another process give out.
+const (
+	EndpointListInForce   = "endpoint list in force"
+	EndpointListTakenOver = "endpoint list taken over"
+	SettingsInForce       = "settings in force"
+	SettingsRejected      = "settings rejected"
+)
+
+// Messages of a relay or an authority.
+const (
+	AuthorityFilesRejected = "authority files rejected"
+)
