--- a/cmd/harepass/check.go
+++ b/cmd/harepass/check.go
@@ -48,7 +48,7 @@
 		fmt.Fprintf(out, "platform: %s on %s, discovery at %s\n", p.Name, p.Listen, p.Discovery)
 	}
 	if f := c.OpenSearch; f != nil {
-		fmt.Fprintf(out, "opensearch: on %s, %d indices, %d callers\n", f.Listen, len(f.Indices), len(f.Callers))
+		fmt.Fprintf(out, "opensearch: on %s, %d indices, %d callers\n", f.Listen, len(f.Indices), len(f.ClientTenants))
 		if classes := f.TwoPhaseClasses(); len(classes) > 0 {
 			fmt.Fprintf(out, "two phases: for searches of %s, %d KiB of retained values\n",
 				strings.Join(classes, ", "), c.Limits.TwoPhaseCacheBytes()>>10)
--- a/internal/opensearch/attempt_begin_test.go
+++ b/internal/opensearch/attempt_begin_test.go
@@ -45,7 +45,7 @@
 func newHeldAttempt(t *testing.T, scheme, class string) *heldAttempt {
 	s := heldAttemptSettings()
 	c := checkedConfig(t, s, "a", map[string]*opensearch.Index{
-		"a": {Class: "free"}, "b": {Class: "short"}, "c": {Class: "once", Reports: true}})
+		"a": {Class: "free"}, "b": {Class: "short"}, "c": {Class: "once", TakesDocuments: true}})
 	fx := &heldAttempt{T: t, dialer: newHeldDialer(), release: make(chan struct{}), clientLeft: make(chan struct{}),
 		done: make(chan core.Answer, 1)}
 	fx.calls = newCallers(c, 20*time.Second, time.Second, fx.dialer.dial)
--- a/internal/opensearch/both_fronts_test.go
+++ b/internal/opensearch/both_fronts_test.go
@@ -137,7 +137,8 @@
 func newBothFronts(t *testing.T, scheme string, script func(shard, try int) fake.Reply) *bothFronts {
 	s := bothFrontsSettings()
 	c := checkedConfig(t, s, "free", map[string]*opensearch.Index{"free": {Class: "free"},
-		"keyed": {Class: "keyed", Reports: true}, "lookup": {Class: "keyed"}, "once": {Class: "once", Reports: true}})
+		"keyed": {Class: "keyed", TakesDocuments: true}, "lookup": {Class: "keyed"},
+		"once": {Class: "once", TakesDocuments: true}})
 	fx := &bothFronts{T: t, fleet: &fake.Fleet{Script: script}, dialer: newHeldDialer(), front: map[string]string{},
 		read: map[string]bool{}}
 	calls := newCallers(c, 20*time.Second, time.Second, fx.dialer.dial)
--- a/internal/opensearch/caller.go
+++ b/internal/opensearch/caller.go
@@ -20,7 +20,7 @@
 type Caller struct {
 	// Reporter takes the outcome of each attempt.
 	Reporter core.AttemptReporter
-	// Config maps the classes of queries from other fronts to indices.
+	// Config maps the classes of queries from other fronts to indices: see requestFor for a class without one.
 	Config *Config
 	// MaxConns is how many connections may be open at once, to all replicas; 0 for no limit. Half of them are for
 	// requests, as many may be idle.
--- a/internal/opensearch/config.go
+++ b/internal/opensearch/config.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"io"
 	"os"
 	"path/filepath"
@@ -28,42 +27,57 @@
 	Settings string `yaml:"settings"`
 	// SectionField is the field of a document that names its section; "section" if the file does not say.
 	SectionField string `yaml:"section_field"`
-	// All is the index that a search without an index goes to; empty where each search has to name one.
-	All string `yaml:"all"`
+	// DefaultIndex is the index that a search without an index goes to; empty where each search has to name one.
+	DefaultIndex string `yaml:"all"`
 	// Indices are the indices that clients may name, by name.
 	Indices map[string]*Index `yaml:"indices"`
-	// Callers are the tenants by the caller that a request names. Empty has requests of no tenant, from any caller.
-	Callers map[string]string `yaml:"callers"`
+	// ClientTenants are the tenants, by the client that a request names. Where it is empty, any client may send
+	// requests, and they are of no tenant.
+	ClientTenants map[string]string `yaml:"callers"`
 }
 
 // Index maps an index of the API to shards and a class.
 type Index struct {
 	// Class is the class of the index's queries, by its name in the settings.
 	Class string `yaml:"class"`
-	// Reports says that the index takes documents and is not searched.
-	Reports bool `yaml:"reports"`
-	// Shards are the first and the last shard of the index; Check fills in all shards if there are none.
-	Shards []int `yaml:"sections"`
+	// TakesDocuments has the index take documents and no searches.
+	TakesDocuments bool `yaml:"reports"`
+	// ShardRange has two entries: the first and the last shard of the index. The first Check fills in all shards where
+	// the file gives none.
+	ShardRange []int `yaml:"sections"`
 	// Weights are the weights of shards in an answer, relative to each other; a shard without an entry weighs 1.
 	Weights map[int]float64 `yaml:"weights"`
 	// TwoPhase has the index's searches sent in two phases; nil has them sent in one.
 	TwoPhase *TwoPhase `yaml:"two_phase"`
 
-	name     string        // set by Check: the key in Config.Indices
-	deadline time.Duration // set by Check: that of the class
+	name     string        // the key in Config.Indices; set by Check
+	deadline time.Duration // the class's deadline; set by Check, again at each change of the settings
 }
 
 // TwoPhase has the searches of an index begin with a cheap first phase that finds which shards matter.
 type TwoPhase struct {
-	// Version is a numeric field. Each change of a document gives it a value above all others in its shard.
-	Version string `yaml:"version"`
+	// VersionField is a numeric field of the index's documents. Each change of a document gives it a value above all
+	// others in its shard.
+	VersionField string `yaml:"version"`
 }
 
-// ErrEmptyFile is the error of LoadConfig for a file without any key.
+// ErrEmptyFile is the cause of LoadConfig's FileError for a file without any key.
 var ErrEmptyFile = errors.New("empty file")
 
+// FileError is the error of LoadConfig for a file that was read but is no configuration file.
+type FileError struct {
+	Path string // of the file
+	Err  error  // ErrEmptyFile, or the YAML decoder's error: malformed YAML, a wrong type or an unknown key
+}
+
+// Error returns the path and the cause in one line.
+func (e *FileError) Error() string { return e.Path + ": " + oneLine(e.Err.Error()) }
+
+// Unwrap returns the cause.
+func (e *FileError) Unwrap() error { return e.Err }
+
 // LoadConfig reads the configuration file at a path. Its error is one line: that of the system if the file cannot be
-// read, ErrEmptyFile, or what the YAML decoder says; unknown keys are errors.
+// read, else a FileError.
 func LoadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -74,9 +88,9 @@
 	dec.KnownFields(true)
 	switch err := dec.Decode(c); {
 	case errors.Is(err, io.EOF):
-		return nil, fmt.Errorf("%s: %w", path, ErrEmptyFile)
+		return nil, &FileError{path, ErrEmptyFile}
 	case err != nil:
-		return nil, fmt.Errorf("%s: %s", path, oneLine(err.Error()))
+		return nil, &FileError{path, err}
 	}
 	for _, p := range []*string{&c.Inventory, &c.Settings} {
 		if *p != "" && !filepath.IsAbs(*p) {
@@ -122,4 +136,4 @@
 }
 
 // holds reports whether a shard is one of the index's.
-func (ix *Index) holds(shard int) bool { return shard >= ix.Shards[0] && shard <= ix.Shards[1] }
+func (ix *Index) holds(shard int) bool { return shard >= ix.ShardRange[0] && shard <= ix.ShardRange[1] }
--- a/internal/opensearch/config_check.go
+++ b/internal/opensearch/config_check.go
@@ -29,9 +29,13 @@
 	return &EntryError{Entry: entry, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Check checks the file against the settings; shards is the number of shards. It fills in what the file leaves to
-// the settings, and has to be called before the first request. Its error is ErrNoListenAddress, ErrNoIndices or an
-// EntryError.
+// Check checks the file against the settings; shards is the number of shards. It fills in what the file leaves to the
+// settings, and has to be called before the first request. Its error is ErrNoListenAddress, ErrNoIndices or an
+// EntryError; after an error some indices may have the new settings' deadlines, others the old ones.
+//
+// Check is called again for each change of the settings, on the Config that the front's requests read meanwhile, and
+// writes each index's name and deadline without a lock. A request may then get the deadline from before the change or
+// from after it.
 func (c *Config) Check(s scatter.Settings, shards int) error {
 	if c.Listen == "" {
 		return ErrNoListenAddress
@@ -48,12 +52,12 @@
 			return err
 		}
 	}
-	if ix := c.Indices[c.All]; c.All != "" && (ix == nil || ix.Reports) {
-		return entryErrorf("all", "%q is no index to search", c.All)
+	if ix := c.Indices[c.DefaultIndex]; c.DefaultIndex != "" && (ix == nil || ix.TakesDocuments) {
+		return entryErrorf("all", "%q is no index to search", c.DefaultIndex)
 	}
-	for caller, tenant := range c.Callers {
+	for client, tenant := range c.ClientTenants {
 		if !slices.ContainsFunc(s.Tenants, func(t scatter.Tenant) bool { return t.Name == tenant }) {
-			return entryErrorf("caller "+caller, "no tenant %q in the settings", tenant)
+			return entryErrorf("caller "+client, "no tenant %q in the settings", tenant)
 		}
 	}
 	return nil
@@ -73,7 +77,7 @@
 	}
 	class := classes[i]
 	ix.deadline = class.Deadline
-	if class.Idempotency == scatter.NonIdempotent && !ix.Reports {
+	if class.Idempotency == scatter.NonIdempotent && !ix.TakesDocuments {
 		return entryErrorf(entry, "class %s may not run twice, so the index has to take reports", ix.Class)
 	}
 	if err := ix.checkTwoPhase(entry, class); err != nil {
@@ -88,24 +92,25 @@
 	switch t := ix.TwoPhase; {
 	case t == nil:
 		return nil
-	case ix.Reports:
+	case ix.TakesDocuments:
 		return entryErrorf(entry, "two_phase is for searches, and this index takes reports")
 	case class.Idempotency != scatter.Idempotent:
 		return entryErrorf(entry, "two_phase asks a section twice, which class %s does not bear", ix.Class)
-	case t.Version == "":
+	case t.VersionField == "":
 		return entryErrorf(entry, "two_phase has to name the field that holds a document's version: version: NAME")
-	case strings.ContainsAny(t.Version, "*\" \t"):
-		return entryErrorf(entry, "two_phase: version %q is no name of a field", t.Version)
+	case strings.ContainsAny(t.VersionField, "*\" \t"):
+		return entryErrorf(entry, "two_phase: version %q is no name of a field", t.VersionField)
 	}
 	return nil
 }
 
-// checkShards checks the range of shards and their weights; an index without a range has all shards.
+// checkShards checks the range of shards and their weights. An index without a range gets all shards, once: a later
+// Check takes that range for the file's own, and does not widen it to a larger number of shards.
 func (ix *Index) checkShards(entry string, shards int) error {
-	if len(ix.Shards) == 0 {
-		ix.Shards = []int{0, shards - 1}
+	if len(ix.ShardRange) == 0 {
+		ix.ShardRange = []int{0, shards - 1}
 	}
-	if len(ix.Shards) != 2 || ix.Shards[0] < 0 || ix.Shards[1] < ix.Shards[0] || ix.Shards[1] >= shards {
+	if r := ix.ShardRange; len(r) != 2 || r[0] < 0 || r[1] < r[0] || r[1] >= shards {
 		return entryErrorf(entry, "sections have to be the first and the last, from 0 to %d", shards-1)
 	}
 	for shard, w := range ix.Weights {
--- a/internal/opensearch/config_test.go
+++ b/internal/opensearch/config_test.go
@@ -10,6 +10,8 @@
 
 	"harepass/internal/decide/scatter"
 	"harepass/internal/opensearch"
+
+	"go.yaml.in/yaml/v3"
 )
 
 // badConfigs are files that LoadConfig or Check does not accept, with what the error has to say.
@@ -65,6 +67,11 @@
 			t.Errorf("%q: error %v, want %v", text, err, want)
 		}
 	}
+	var file *opensearch.FileError
+	if err := loadAndCheck(t, "listen: x\ncolour: y"); !errors.As(err, &file) || filepath.Base(file.Path) !=
+		"opensearch.yaml" || !errors.As(err, new(*yaml.TypeError)) {
+		t.Errorf("error %v, want a FileError with the decoder's cause", err)
+	}
 	var entry *opensearch.EntryError
 	err := loadAndCheck(t, "listen: x\nindices: {a: {class: c}}")
 	if !errors.As(err, &entry) || entry.Entry != "index a" || entry.Reason == "" {
@@ -83,12 +90,13 @@
 		index opensearch.Index
 		want  string // what the error has to say; empty for none
 	}{
-		{opensearch.Index{Class: "free", TwoPhase: &opensearch.TwoPhase{Version: "updated"}}, ""},
+		{opensearch.Index{Class: "free", TwoPhase: &opensearch.TwoPhase{VersionField: "updated"}}, ""},
 		{opensearch.Index{Class: "free", TwoPhase: &opensearch.TwoPhase{}}, "two_phase has to name the field"},
-		{opensearch.Index{Class: "free", TwoPhase: &opensearch.TwoPhase{Version: "a*"}}, "no name of a field"},
-		{opensearch.Index{Class: "guarded", TwoPhase: &opensearch.TwoPhase{Version: "v"}},
+		{opensearch.Index{Class: "free", TwoPhase: &opensearch.TwoPhase{VersionField: "a*"}}, "no name of a field"},
+		{opensearch.Index{Class: "guarded", TwoPhase: &opensearch.TwoPhase{VersionField: "v"}},
 			"which class guarded does not bear"},
-		{opensearch.Index{Class: "once", Reports: true, TwoPhase: &opensearch.TwoPhase{Version: "v"}}, "takes reports"},
+		{opensearch.Index{Class: "once", TakesDocuments: true, TwoPhase: &opensearch.TwoPhase{VersionField: "v"}},
+			"takes reports"},
 	} {
 		c := &opensearch.Config{Listen: "x", Indices: map[string]*opensearch.Index{"i": &tc.index}}
 		err := c.Check(set, 4)
--- a/internal/opensearch/doc.go
+++ b/internal/opensearch/doc.go
@@ -11,8 +11,9 @@
 // preference can match. Each replica is sent the client's own search, with from 0 and a size that covers the wanted
 // page; the front merges the hits and cuts the page.
 //
-// A report (POST INDEX/_doc, PUT or POST INDEX/_doc/ID and INDEX/_create/ID) stores a document. It becomes a query
-// of one part, for the shard that the document's section field or the routing parameter names.
+// A document is stored by POST INDEX/_doc, or by PUT or POST of INDEX/_doc/ID or INDEX/_create/ID. The request becomes
+// a query of one part, for the shard that the document's section field or the routing parameter names. Error reasons,
+// the configuration file and the operators' pages call it a report.
 //
 // Where an index has a first phase, its searches are sent in two phases: see first_phase.go.
 //
@@ -20,11 +21,12 @@
 //
 // Status 200 or 201 is a served query. A search answer is complete if timed_out is false and no shard has failed,
 // which it says only if the core does. Status 429 promises that a retry is harmless, and Retry-After tells when.
-// Status 500 promises nothing: a report may or may not be stored. Other statuses say what is wrong with the request;
+// Status 500 promises nothing: a document may or may not be stored. Other statuses say what is wrong with the request;
 // it was not sent to any replica, unless a replica itself found the fault (see replicaFault).
 //
 // # Concurrency
 //
-// Front.Handle and all methods of Caller are for any goroutine. A Config is changed by LoadConfig and Check alone; from
-// the first request on nobody may write to it.
+// Front.Handle and all methods of Caller are for any goroutine. A Config is changed by LoadConfig and Check alone.
+// Check also runs at each change of the settings, beside requests that read the Config, and writes the indices' names
+// and deadlines without a lock: see there.
 package opensearch
--- a/internal/opensearch/report_answer.go
+++ b/internal/opensearch/document_answer.go
@@ -8,11 +8,11 @@
 	"harepass/internal/http1"
 )
 
-// resultCreated is the result of a report whose document is new.
+// resultCreated is the result of a document that is new, in the API's words.
 const resultCreated = "created"
 
-// reportAnswer is the body that tells a client that its document is stored, on the wire.
-type reportAnswer struct {
+// documentAnswer is the body that tells a client that its document is stored, on the wire.
+type documentAnswer struct {
 	Index       string      `json:"_index"`
 	ID          string      `json:"_id"`
 	Version     int64       `json:"_version"`
@@ -22,9 +22,10 @@
 	PrimaryTerm int64       `json:"_primary_term"`
 }
 
-// reportReply is the answer to a report that was served. A replica that offers the API words it itself; for others the
-// document counts as new.
-func reportReply(r *report, value []byte) *http1.Message {
+// documentReply is the answer to a document that was served: 201 for a new one, 200 for one that replaced another, and
+// replicaFault's for one that the replica found at fault. A replica that offers the API words the body itself; for
+// other replicas the document counts as new.
+func documentReply(doc *document, value []byte) *http1.Message {
 	if m := replicaFault(value); m != nil {
 		return m
 	}
@@ -38,9 +39,9 @@
 		}
 		return jsonReply(status, json.RawMessage(value))
 	}
-	return jsonReply(http.StatusCreated, reportAnswer{
-		Index:       r.index.name,
-		ID:          r.id,
+	return jsonReply(http.StatusCreated, documentAnswer{
+		Index:       doc.index.name,
+		ID:          doc.id,
 		Version:     1,
 		Result:      resultCreated,
 		Shards:      shardCounts{Total: 1, Successful: 1},
--- a/internal/opensearch/report_test.go
+++ b/internal/opensearch/document_test.go
@@ -7,7 +7,7 @@
 
 // A document keeps the id that its client gave; one without an id gets one. The replica is told where a document of the
 // same id may not be replaced.
-func TestReportKeepsDocumentID(t *testing.T) {
+func TestDocumentKeepsClientID(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
 		for _, tc := range []struct{ method, path, body, want string }{
 			{"PUT", "/hazards/_doc/pin%201", `{"section":4}`, "PUT /hazards/_doc/pin%201?routing=4&timeout="},
--- a/internal/opensearch/first_phase.go
+++ b/internal/opensearch/first_phase.go
@@ -51,7 +51,8 @@
 	Aggregations map[string]json.RawMessage `json:"aggregations"`
 }
 
-// speaksForShard reports whether the answer covers all documents of its shard.
+// speaksForShard reports whether the answer covers all documents of its shard. A negative number of failures is not the
+// API's; it passes here, and completeSearch makes an error of an attempt with such an answer to a search.
 func (a *versionedAnswer) speaksForShard() bool {
 	return !a.TimedOut && !a.Terminated && a.Hits != nil && a.Shards != nil &&
 		a.Shards.Failed <= 0 && a.Shards.Total != 0 && a.Shards.Total == a.Shards.Successful
@@ -72,7 +73,7 @@
 		Version   struct {
 			Count         int64
 			Min, Max, Sum *float64
-		} `json:"harepass_version"`
+		} `json:"harepass_version"` // versionAgg: a tag cannot refer to the constant
 	}
 	if json.Unmarshal(a.Aggregations[allDocumentsAgg], &all) != nil || all.Documents == nil {
 		return v, false
--- a/internal/opensearch/first_phase_test.go
+++ b/internal/opensearch/first_phase_test.go
@@ -86,7 +86,7 @@
 // for, and nothing else.
 func TestTwoPhaseBodies(t *testing.T) {
 	c := &Config{SectionField: "section"}
-	ix := &Index{name: "conditions", Shards: []int{0, 3}, TwoPhase: &TwoPhase{Version: "updated"}}
+	ix := &Index{name: "conditions", ShardRange: []int{0, 3}, TwoPhase: &TwoPhase{VersionField: "updated"}}
 	body := []byte(`{"query":{"term":{"open":true}},"_source":["name"]}`)
 	s, err := c.parseSearch(ix, url.Values{"size": {"7"}}, body)
 	if err != nil {
--- a/internal/opensearch/fixture_test.go
+++ b/internal/opensearch/fixture_test.go
@@ -53,7 +53,7 @@
 func checkedConfig(
 	t *testing.T, s scatter.Settings, all string, indices map[string]*opensearch.Index) *opensearch.Config {
 	t.Helper()
-	c := &opensearch.Config{Listen: "front", SectionField: "section", All: all, Indices: indices}
+	c := &opensearch.Config{Listen: "front", SectionField: "section", DefaultIndex: all, Indices: indices}
 	if err := c.Check(s, shards); err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 	clock := core.SystemClock()
 	fx.config = checkedConfig(t, settings(), "conditions", map[string]*opensearch.Index{
 		"trails": {Class: "route-lookup"}, "conditions": {Class: "conditions-summary"},
-		"hazards": {Class: "hazard-report", Reports: true}})
+		"hazards": {Class: "hazard-report", TakesDocuments: true}})
 	calls := newCallers(fx.config, 250*ms, 300*ms, fx.net.Dial)
 	fx.coordinator = calls.newCoordinator(t, settings(), core.Limits{MaxOpen: 200}, clock)
 	go fx.coordinator.Run()
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -81,11 +81,11 @@
 	case segments == 2 && r.path[0] == "_cluster" && r.path[1] == "health":
 		return f.health(r)
 	case segments == 1 && r.path[0] == "_search":
-		return f.search(r, f.Config.All)
+		return f.search(r, f.Config.DefaultIndex)
 	case segments == 2 && r.path[last] == "_search":
 		return f.search(r, r.path[0])
 	case (segments == 2 || segments == 3) && r.path[1] == "_doc", segments == 3 && r.path[1] == "_create":
-		return f.report(r)
+		return f.storeDocument(r)
 	}
 	return nil, badRequestf(typeIllegalArgument, "no handler found for uri [%s] and method [%s]", r.Target, r.Method)
 }
@@ -98,10 +98,11 @@
 	return &methodError{target: r.Target, method: r.Method, allowed: allowed}
 }
 
-// checkParams returns an error unless all of the request's parameters are known.
-func (r *apiRequest) checkParams(known []string) error {
+// checkParams returns an error unless each of the request's parameters is among those that have an effect or among the
+// ignored ones.
+func (r *apiRequest) checkParams(effective, ignored []string) error {
 	for name := range r.params {
-		if !slices.Contains(known, name) {
+		if !slices.Contains(effective, name) && !slices.Contains(ignored, name) {
 			return badRequestf(typeIllegalArgument,
 				"request [%s] contains unrecognized parameter: [%s]", r.Target, name)
 		}
--- a/internal/opensearch/front_query.go
+++ b/internal/opensearch/front_query.go
@@ -15,13 +15,13 @@
 	"harepass/internal/http1"
 )
 
-// A search and a report take one way: the head of the request is checked, the coordinator's admission is asked, the
+// A search and a document take one way: the head of the request is checked, the coordinator's admission is asked, the
 // body is parsed, the query is executed. Admission is asked before the body is parsed, so that shedding load is cheap.
 
 // Reasons of a query that was given up, promising nothing.
 const (
-	searchFailedReason = "too few sections answered in time"
-	reportFailedReason = "the report may or may not be stored"
+	searchFailedReason   = "too few sections answered in time"
+	documentFailedReason = "the report may or may not be stored"
 )
 
 // search answers a search of an index.
@@ -33,10 +33,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if ix.Reports {
+	if ix.TakesDocuments {
 		return nil, badRequestf(typeIllegalArgument, "index [%s] takes reports and is not searched", index)
 	}
-	if err := r.checkParams(searchParams); err != nil {
+	if err := r.checkParams(searchParams, ignoredSearchParams); err != nil {
 		return nil, err
 	}
 	if err := f.admit(overload.Arrival{Class: ix.Class, Tenant: tenant}); err != nil {
@@ -63,8 +63,9 @@
 	return searchReply(s, q, a, f.Clock()-startedAt), nil
 }
 
-// report answers a report: a document under an id that the API gives (INDEX/_doc, POST only) or the client's own.
-func (f *Front) report(r *apiRequest) (*http1.Message, error) {
+// storeDocument answers a request that stores a document, under an id that the front gives (INDEX/_doc, POST only) or
+// the client's own.
+func (f *Front) storeDocument(r *apiRequest) (*http1.Message, error) {
 	allowed := []string{http.MethodPost, http.MethodPut}
 	if len(r.path) == 2 {
 		allowed = allowed[:1]
@@ -77,16 +78,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if !ix.Reports {
+	if !ix.TakesDocuments {
 		return nil, badRequestf(typeIllegalArgument, "index [%s] takes no documents", index)
 	}
-	if err := r.checkParams(reportParams); err != nil {
+	if err := r.checkParams(documentParams, ignoredDocumentParams); err != nil {
 		return nil, err
 	}
 	if err := f.admit(overload.Arrival{Class: ix.Class, Tenant: tenant, Parts: 1}); err != nil {
 		return nil, err
 	}
-	doc, err := f.Config.parseReport(ix, r.path, r.params, r.Body)
+	doc, err := f.Config.parseDocument(ix, r.path, r.params, r.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -94,15 +95,15 @@
 	if doc.id == "" {
 		doc.id = q.ID
 	}
-	q.Body, q.Origin, q.Parts = doc.document, doc, []core.Part{{Shard: doc.shard, Weight: 1}}
-	a, err := f.execute(q, r.clientLeft, reportFailedReason)
+	q.Body, q.Origin, q.Parts = doc.source, doc, []core.Part{{Shard: doc.shard, Weight: 1}}
+	a, err := f.execute(q, r.clientLeft, documentFailedReason)
 	if err != nil {
 		return nil, err
 	}
-	return reportReply(doc, a.Values[0]), nil
+	return documentReply(doc, a.Values[0]), nil
 }
 
-// indexAndTenant returns the index of a name, and the tenant of the request's caller.
+// indexAndTenant returns the index of a name, and the tenant of the request's client.
 func (f *Front) indexAndTenant(r *apiRequest, index string) (ix *Index, tenant string, err error) {
 	if tenant, err = f.tenant(r.Header); err != nil {
 		return nil, "", err
@@ -114,21 +115,21 @@
 	return ix, tenant, nil
 }
 
-// tenant returns the tenant of the caller: the user of basic authentication, else the X-Opaque-Id. This tells callers
-// apart; it does not prove who they are.
+// tenant returns the tenant of the client, which Config.ClientTenants has under the user of basic authentication, else
+// under the X-Opaque-Id. This tells clients apart; it does not prove who they are.
 func (f *Front) tenant(h textproto.MIMEHeader) (string, error) {
-	if len(f.Config.Callers) == 0 {
+	if len(f.Config.ClientTenants) == 0 {
 		return "", nil
 	}
-	caller := h.Get("X-Opaque-Id")
+	client := h.Get("X-Opaque-Id")
 	if auth, ok := strings.CutPrefix(h.Get("Authorization"), "Basic "); ok {
 		if credentials, err := base64.StdEncoding.DecodeString(auth); err == nil {
-			caller, _, _ = strings.Cut(string(credentials), ":")
+			client, _, _ = strings.Cut(string(credentials), ":")
 		}
 	}
-	tenant, known := f.Config.Callers[caller]
+	tenant, known := f.Config.ClientTenants[client]
 	if !known {
-		return "", &apiError{http.StatusForbidden, typeSecurity, fmt.Sprintf("no tenant for caller [%s]", caller)}
+		return "", &apiError{http.StatusForbidden, typeSecurity, fmt.Sprintf("no tenant for caller [%s]", client)}
 	}
 	return tenant, nil
 }
--- a/internal/opensearch/front_test.go
+++ b/internal/opensearch/front_test.go
@@ -48,6 +48,7 @@
 	{"POST", "/hazards/_doc", `{"section":10}`, 400, "mapper_parsing_exception"},
 	{"POST", "/hazards/_doc", `"text"`, 400, "mapper_parsing_exception"},
 	{"PUT", "/hazards/_create/a?op_type=index", `{"section":1}`, 400, "illegal_argument_exception"},
+	// The fixture's server takes bodies of 64 KiB (http1.DefaultLimits); the program's takes more on this front.
 	{"POST", "/trails/_search", strings.Repeat(" ", 70<<10), 413, "content_too_long_exception"},
 }
 
@@ -115,10 +116,10 @@
 	})
 }
 
-// Where the file lists callers, a request has to name one of them; basic authentication goes ahead of X-Opaque-Id.
-func TestCallerHasToBeListed(t *testing.T) {
+// Where the file lists clients, a request has to name one of them; basic authentication goes ahead of X-Opaque-Id.
+func TestClientHasToBeListed(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
-		fx.config.Callers = map[string]string{"app": "kitakaze"}
+		fx.config.ClientTenants = map[string]string{"app": "kitakaze"}
 		for _, tc := range []struct {
 			header map[string]string
 			status int
--- a/internal/opensearch/idempotency_key_test.go
+++ b/internal/opensearch/idempotency_key_test.go
@@ -67,6 +67,8 @@
 			status, _ := fx.query(front, "keyed", key)
 			done <- status
 		}()
+		// Both replicas' dials are held up. The one that is dialed first stays so until the test ends; the other is let
+		// through, to take the part once the first is drained.
 		address := <-fx.dialer.dialed
 		first := slices.IndexFunc(fx.endpoints, func(e core.Endpoint) bool { return e.Address == address })
 		fx.dialer.letThrough(fx.endpoints[1-first].Address)
--- a/internal/opensearch/replica_answer.go
+++ b/internal/opensearch/replica_answer.go
@@ -29,12 +29,18 @@
 }
 
 // recordAnswer sets the attempt's evidence, if it asked for any, and returns its outcome and value.
+//
+// A search that asks for evidence has an aggregation of the coordinator's own beside the client's query, so a 400 may
+// be the fault of either, and must not reach the client as if the client had worded all of it. In a first phase it
+// proves nothing: the part is sent in full next. In a full search WithVersion it is an error of the attempt, which the
+// decisions may retry; the client then sees the shard among the failures, or 500 where too few shards answer, and never
+// the replica's 400.
 func recordAnswer(at *core.Attempt, m *http1.Message) (scatter.Outcome, []byte) {
 	if !at.FirstPhase && !at.WithVersion {
 		return outcomeOf(m, at.Origin != nil)
 	}
 	at.Evidence = evidenceOf(m)
-	if at.FirstPhase && m.Status == http.StatusBadRequest { // a fault of the client's own shows in the full search too
+	if at.FirstPhase && m.Status == http.StatusBadRequest {
 		return scatter.Succeeded, nil
 	}
 	return outcomeOf(m, false)
--- a/internal/opensearch/replica_answer_test.go
+++ b/internal/opensearch/replica_answer_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"strings"
 	"testing"
@@ -19,6 +20,23 @@
 	value   string
 }
 
+// outcomeNames are the outcomes as a failed test prints them.
+var outcomeNames = map[scatter.Outcome]string{
+	scatter.Succeeded:       "succeeded",
+	scatter.Errored:         "errored",
+	scatter.Rejected:        "rejected",
+	scatter.TimedOut:        "timed out",
+	scatter.ConnectFailed:   "connect failed",
+	scatter.ConnectionReset: "connection reset",
+	scatter.Cancelled:       "cancelled",
+	scatter.NotSent:         "not sent",
+}
+
+// String returns the outcome's name and the value.
+func (e endedAttempt) String() string {
+	return fmt.Sprintf("%s with value %q", outcomeNames[e.outcome], e.value)
+}
+
 // endedAttempts takes the one outcome of each attempt.
 type endedAttempts chan endedAttempt
 
@@ -81,10 +99,10 @@
 				return <-ended
 			}
 			if got := call(); got != tc.want {
-				t.Errorf("%.60q: %+v, want %+v", tc.answer, got, tc.want)
+				t.Errorf("%.60q: %v, want %v", tc.answer, got, tc.want)
 			}
 			if got := call(); got != (endedAttempt{scatter.Succeeded, `{"n":2}`}) || dials != 2 {
-				t.Errorf("%.60q: the next answer is %+v on connection %d", tc.answer, got, dials)
+				t.Errorf("%.60q: the next answer is %v on connection %d", tc.answer, got, dials)
 			}
 			caller.CloseIdleConnections("n")
 			synctest.Wait()
@@ -121,7 +139,7 @@
 		{400, `{"error":{"type":"parsing_exception"},"status":400}`, scatter.Errored},
 	} {
 		if got, _ := outcomeOf(&http1.Message{Status: tc.status, Body: []byte(tc.body)}, false); got != tc.want {
-			t.Errorf("%d %s: outcome %d, want %d", tc.status, tc.body, got, tc.want)
+			t.Errorf("%d %s: outcome %s, want %s", tc.status, tc.body, outcomeNames[got], outcomeNames[tc.want])
 		}
 	}
 }
--- a/internal/opensearch/replica_conns.go
+++ b/internal/opensearch/replica_conns.go
@@ -12,11 +12,12 @@
 	// maxConnsPerReplica is how many connections to a replica may be in use; each carries one request at a time.
 	maxConnsPerReplica = 16
 
-	// maxAnswerBytes is the longest body of a replica's answer.
+	// maxAnswerBytes is the longest body of a replica's answer. No response time-out applies to one: it is the only
+	// answer on its connection, so a slow one holds up no other, and its attempt's time-out ends it.
 	maxAnswerBytes = 1 << 20
 
-	// idleTimeoutShare is how long an idle connection is used again, as a share of the time after which replicas close
-	// it: a later request might meet the close.
+	// idleTimeoutShare is how long an idle connection is used again, as a fraction of Caller.KeepAlive, after which
+	// replicas close it: a later request might meet the close.
 	idleTimeoutShare = 0.8
 )
 
--- a/internal/opensearch/replica_request.go
+++ b/internal/opensearch/replica_request.go
@@ -13,13 +13,16 @@
 )
 
 // requestFor words an attempt to a replica at an address, with the time that is left as the request's time-out. A query
-// of another front goes to the index of its class; ok is false where no index has the class.
+// of another front goes to the index of its class. ok is false where no index has the class: the attempt ends as
+// NotSent then, as every attempt of that class at replicas that offer the API does, and neither a log line nor a
+// counter tells it. It shows as incomplete or failed queries of one class, and is mended by an index of that
+// class in the configuration file.
 func (caller *Caller) requestFor(at *core.Attempt, address string) (req *http1.Message, ok bool) {
 	switch origin := at.Origin.(type) {
 	case *search:
 		req = searchRequest(origin.index, at, origin.bodyFor(at))
-	case *report:
-		req = reportRequest(origin, at)
+	case *document:
+		req = documentRequest(origin, at)
 	default:
 		if req, ok = caller.translate(at); !ok {
 			return nil, false
@@ -50,11 +53,11 @@
 		return nil, false
 	}
 	filter := string(at.Body)
-	if ix.Reports {
+	if ix.TakesDocuments {
 		fields := map[string]any{caller.Config.SectionField: at.Shard, "filter": filter}
-		document, _ := json.Marshal(fields) // strings and numbers: cannot fail
-		r := &report{index: ix, shard: at.Shard, id: at.QueryID, createOnly: true, document: document}
-		return reportRequest(r, at), true
+		source, _ := json.Marshal(fields) // strings and numbers: cannot fail
+		doc := &document{index: ix, shard: at.Shard, id: at.QueryID, createOnly: true, source: source}
+		return documentRequest(doc, at), true
 	}
 	term := map[string]any{"term": map[string]string{"filter": filter}}
 	body, _ := json.Marshal(map[string]any{"query": term}) // strings only: cannot fail
@@ -68,15 +71,15 @@
 		fmt.Sprintf(target, url.PathEscape(ix.name), at.Shard, remainingMillis(at)), body)
 }
 
-// reportRequest words the storing of a document.
-func reportRequest(r *report, at *core.Attempt) *http1.Message {
+// documentRequest words the storing of a document.
+func documentRequest(doc *document, at *core.Attempt) *http1.Message {
 	operation := "_doc"
-	if r.createOnly {
+	if doc.createOnly {
 		operation = "_create"
 	}
 	const target = "/%s/%s/%s?routing=%d&timeout=%dms"
-	return jsonRequest(http.MethodPut, fmt.Sprintf(target, url.PathEscape(r.index.name), operation,
-		url.PathEscape(r.id), r.shard, remainingMillis(at)), r.document)
+	return jsonRequest(http.MethodPut, fmt.Sprintf(target, url.PathEscape(doc.index.name), operation,
+		url.PathEscape(doc.id), doc.shard, remainingMillis(at)), doc.source)
 }
 
 // remainingMillis is what is left of an attempt's time-out, in milliseconds; at least 1, as the API knows no less.
--- a/internal/opensearch/search.go
+++ b/internal/opensearch/search.go
@@ -14,15 +14,15 @@
 type search struct {
 	index          *Index
 	sectionField   string        // field of a document that names its section
-	shards         []int         // that can have hits, ascending
+	shards         []int         // shards that can have hits, in ascending order
 	from           int           // hits before the wanted page
 	size           int           // hits on the wanted page
 	partialAllowed bool          // the client takes an answer that lacks shards
-	timeout        time.Duration // that the client gives; 0 for none given
+	timeout        time.Duration // the client's own; 0 if it gives none
 
-	body           []byte // search for each replica
-	firstPhaseBody []byte // first phase, where the index has one; else nil
-	versionedBody  []byte // body with the shard's version asked for, where the index has a first phase; else nil
+	body           []byte // search that each replica is sent
+	firstPhaseBody []byte // search of the first phase; nil where the index has none
+	versionedBody  []byte // body that asks for the shard's version too; nil where the index has no first phase
 }
 
 const (
@@ -30,10 +30,14 @@
 	maxResultWindow = 10000 // the largest from + size, the API's own default
 )
 
-// searchParams are the parameters of a search that the front takes. Those that it does not read concern what it has
-// no choice in.
-var searchParams = []string{"q", "from", "size", "timeout", "allow_partial_search_results", "preference",
-	"pretty", "track_total_hits", "ignore_unavailable", "allow_no_indices", "expand_wildcards", "typed_keys"}
+// searchParams are the URL parameters of a search that have an effect; Handle reads pretty.
+var searchParams = []string{"q", "from", "size", "timeout", "allow_partial_search_results", "preference", "pretty"}
+
+// ignoredSearchParams are the URL parameters of a search that clients of the API send by habit. They are accepted
+// without effect: a search names one index, without wildcards, has no aggregations, and asks for an exact number of
+// hits by track_total_hits in its body only.
+var ignoredSearchParams = []string{"track_total_hits", "ignore_unavailable", "allow_no_indices", "expand_wildcards",
+	"typed_keys"}
 
 // searchKeys are the keys that the body of a search may have. Aggregations are not among them, so a client's own
 // cannot meet those of the first phase.
@@ -57,7 +61,7 @@
 	delete(body, "timeout")        // each attempt has its own, in the path
 	s.body, _ = json.Marshal(body) // raw parts of what was JSON: cannot fail
 	if ix.TwoPhase != nil {
-		s.firstPhaseBody, s.versionedBody = twoPhaseBodies(ix.TwoPhase.Version, body)
+		s.firstPhaseBody, s.versionedBody = twoPhaseBodies(ix.TwoPhase.VersionField, body)
 	}
 	return s, nil
 }
@@ -88,7 +92,7 @@
 
 // selectShards sets the shards of the index that the query can match and the preference allows.
 func (s *search) selectShards(params url.Values, query json.RawMessage) error {
-	matched, err := shardsOfQuery(s.sectionField, query, 0)
+	matched, err := parseQuery(s.sectionField, query, 0)
 	if err != nil {
 		return err
 	}
@@ -96,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	for shard := s.index.Shards[0]; shard <= s.index.Shards[1]; shard++ {
+	for shard := s.index.ShardRange[0]; shard <= s.index.ShardRange[1]; shard++ {
 		if matched.contains(shard) && (preferred == nil || slices.Contains(preferred, shard)) {
 			s.shards = append(s.shards, shard)
 		}
@@ -160,7 +164,8 @@
 // maxTimeout bounds a time-out, so that no number of units overflows; the class's deadline is far below it.
 const maxTimeout = 24 * time.Hour
 
-// timeUnits are the units of the API's time values. A suffix stands before any other that it ends in.
+// timeUnits are the units of the API's time values. A suffix stands before any other that it ends in: 12ms ends in s as
+// well as in ms, so ms is tried first.
 var timeUnits = []struct {
 	suffix string
 	unit   time.Duration
@@ -180,6 +185,7 @@
 			if err != nil || n == 0 {
 				break
 			}
+			// At most one unit beyond maxTimeout: 4000000000d, whose nanoseconds overflow, becomes 2d.
 			return min(time.Duration(n), maxTimeout/u.unit+1) * u.unit, nil
 		}
 	}
--- a/internal/opensearch/shard_set.go
+++ b/internal/opensearch/shard_set.go
@@ -42,9 +42,10 @@
 	s.contains = func(shard int) bool { return before(shard) && condition(shard) }
 }
 
-// shardsOfQuery checks a query and returns the shards that can have hits for it. sectionField is the field that names
-// a document's section; depth is how many queries the query stands in.
-func shardsOfQuery(sectionField string, raw json.RawMessage, depth int) (shardSet, error) {
+// parseQuery checks a query and returns the shards that can have hits for it. Its error is the client's: an unknown
+// kind of query, one that is malformed, or queries nested too deep. sectionField is the field that names a document's
+// section; depth is how many queries the query stands in.
+func parseQuery(sectionField string, raw json.RawMessage, depth int) (shardSet, error) {
 	var query map[string]json.RawMessage
 	if json.Unmarshal(raw, &query) != nil || len(query) != 1 {
 		return shardSet{}, badRequestf(typeParsing,
@@ -63,13 +64,13 @@
 		case kind == "match_none":
 			return exactly(noShard), nil
 		case kind == "bool":
-			return shardsOfBool(sectionField, fields, depth)
+			return parseBoolQuery(sectionField, fields, depth)
 		case aboutSection != nil && kind == "term":
-			return shardsOfTerm(aboutSection)
+			return parseTermQuery(aboutSection)
 		case aboutSection != nil && kind == "terms":
-			return shardsOfTerms(aboutSection)
+			return parseTermsQuery(aboutSection)
 		case aboutSection != nil && kind == "range":
-			return shardsOfRange(aboutSection)
+			return parseRangeQuery(aboutSection)
 		case !slices.Contains(leafQueries, kind):
 			return shardSet{}, badRequestf(typeParsing, "unknown query [%s]", kind)
 		}
@@ -77,9 +78,9 @@
 	return shardSet{contains: anyShard}, nil
 }
 
-// shardsOfBool returns the shards of a bool query: those of all its must and filter clauses, without those that a
-// must_not clause rules out as a whole. A should clause rules nothing out, since others can match in its place.
-func shardsOfBool(sectionField string, clauses map[string]json.RawMessage, depth int) (shardSet, error) {
+// parseBoolQuery checks a bool query and returns its shards: those of all its must and filter clauses, without those
+// that a must_not clause rules out as a whole. A should clause rules nothing out, since others can match in its place.
+func parseBoolQuery(sectionField string, clauses map[string]json.RawMessage, depth int) (shardSet, error) {
 	set := exactly(anyShard)
 	for occurrence, raw := range clauses {
 		switch occurrence {
@@ -94,7 +95,7 @@
 			return shardSet{}, err
 		}
 		for _, query := range queries {
-			clause, err := shardsOfQuery(sectionField, query, depth+1)
+			clause, err := parseQuery(sectionField, query, depth+1)
 			if err != nil {
 				return shardSet{}, err
 			}
@@ -124,8 +125,8 @@
 	return queries, nil
 }
 
-// shardsOfTerm returns the shard of a term query on the section field, in the short or the long form of the API.
-func shardsOfTerm(raw json.RawMessage) (shardSet, error) {
+// parseTermQuery returns the shard of a term query on the section field, in the short or the long form of the API.
+func parseTermQuery(raw json.RawMessage) (shardSet, error) {
 	var long struct {
 		Value *json.RawMessage `json:"value"`
 	}
@@ -139,8 +140,8 @@
 	return exactly(func(shard int) bool { return shard == wanted }), nil
 }
 
-// shardsOfTerms returns the shards of a terms query on the section field.
-func shardsOfTerms(raw json.RawMessage) (shardSet, error) {
+// parseTermsQuery returns the shards of a terms query on the section field.
+func parseTermsQuery(raw json.RawMessage) (shardSet, error) {
 	var list []json.RawMessage
 	if json.Unmarshal(raw, &list) != nil {
 		return shardSet{}, malformedSection()
@@ -156,8 +157,8 @@
 	return exactly(func(shard int) bool { return slices.Contains(wanted, shard) }), nil
 }
 
-// shardsOfRange returns the shards of a range query on the section field.
-func shardsOfRange(raw json.RawMessage) (shardSet, error) {
+// parseRangeQuery returns the shards of a range query on the section field.
+func parseRangeQuery(raw json.RawMessage) (shardSet, error) {
 	var bounds map[string]json.RawMessage
 	if json.Unmarshal(raw, &bounds) != nil {
 		return shardSet{}, malformedSection()
--- a/internal/test/coordinatorproc/serve.go
+++ b/internal/test/coordinatorproc/serve.go
@@ -69,7 +69,7 @@
 func (c Config) run(ctx context.Context) (*running, error) {
 	clock := core.SystemClock()
 	r := &running{meter: newMeter()}
-	front := &opensearch.Config{Listen: "memory", SectionField: "section", Indices: c.Indices, Callers: c.Callers}
+	front := &opensearch.Config{Listen: "memory", SectionField: "section", Indices: c.Indices, ClientTenants: c.Callers}
 	if err := front.Check(c.Settings, c.Sections); err != nil {
 		return nil, err
 	}
--- a/internal/test/endtoend/settings.go
+++ b/internal/test/endtoend/settings.go
@@ -24,7 +24,7 @@
 func SummaryIndices(twoPhase bool) map[string]*opensearch.Index {
 	ix := &opensearch.Index{Class: summaryClass}
 	if twoPhase {
-		ix.TwoPhase = &opensearch.TwoPhase{Version: "version"}
+		ix.TwoPhase = &opensearch.TwoPhase{VersionField: "version"}
 	}
 	return map[string]*opensearch.Index{SummaryIndex: ix}
 }
--- a/internal/test/experiments/overload/site.go
+++ b/internal/test/experiments/overload/site.go
@@ -92,7 +92,7 @@
 // play plays a plan, made for the address of the front, against a coordinator before its nodes.
 func play(c coordinatorproc.Config, makePlan func(address string) *loadgen.Plan, n nodes) (*outcome, error) {
 	c.Sections = sections
-	c.Indices = map[string]*opensearch.Index{"trails": {Class: routeLookup}, "hazards": {Class: hazardReport, Reports: true}, "conditions": {Class: conditionsSummary}}
+	c.Indices = map[string]*opensearch.Index{"trails": {Class: routeLookup}, "hazards": {Class: hazardReport, TakesDocuments: true}, "conditions": {Class: conditionsSummary}}
 	c.Callers = map[string]string{}
 	for _, name := range tenantNames() {
 		c.Callers[name] = name
