--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -9,8 +9,8 @@
 // says that the configuration is at fault; any other error is the system's.
 //
 // One goroutine, the caller's, starts, reloads and drains; the fields of a process are its own. The goroutines that it
-// starts end with the process: the core's with Stop, listeners' when they are closed, those that wait for its start when
-// it leaves the phase Starting, and all others with the context.
+// starts end with the process: the core's with Stop, listeners' when they are closed, those that wait for the core to
+// start when it leaves the phase Starting, and all others with the context.
 //
 // # Where each step stands
 //
