--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -26,7 +26,7 @@
 	frameCaller *platform.Caller  // the connections to replicas that speak frames
 	shedder     *loadshed.Shedder // overload control; nil where it is off
 	fronts      []front           // the listeners for clients, in the order in which they were opened
-	onStop      []func()          // closes callers and the admin endpoint, in this order, once the coordinator has stopped
+	onStop      []func()          // what closes once the coordinator has stopped, in this order
 
 	discovery       *platform.Discovery   // nil without the platform, and where relays give out the endpoint list
 	relayedList     *platform.RelayedList // nil where no relay gives out the endpoint list
