--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -208,7 +208,9 @@
 	r := newRelays(t)
 	r.node("f0", "in_service", at)
 	r.node("f1", "in_service", at)
-	door := func(p *distributed, line string) string { return (&faultinjection.Process{Door: p.door}).Call(line) }
+	door := func(p *distributed, line string) string {
+		return (&faultinjection.Process{AdminAddress: p.door}).CallAdmin(line)
+	}
 	first := startDistributed(t, r, settings, dir)
 	first.logged("list in force version=7/2")
 	eventually(t, "a file with both nodes", func() bool {
--- a/cmd/harepass/fleet_test.go
+++ b/cmd/harepass/fleet_test.go
@@ -42,7 +42,7 @@
 		t.Error(err)
 	}
 	var b strings.Builder
-	f.Summary(&b)
+	f.PrintSummary(&b)
 	t.Log(b.String())
 	if err := f.Close(); err != nil {
 		t.Error(err)
--- a/cmd/harepass/main_test.go
+++ b/cmd/harepass/main_test.go
@@ -136,7 +136,7 @@
 // eventually waits for something that is only a matter of time.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	if err := faultinjection.Wait(what, ok); err != nil {
+	if err := faultinjection.WaitFor(what, ok); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/harepass/reload_test.go
+++ b/cmd/harepass/reload_test.go
@@ -150,13 +150,13 @@
 // The program takes new settings over on SIGHUP, keeps the old ones where the file is broken, and says so in one line.
 func TestRetune(t *testing.T) {
 	h := newHost(t)
-	path := h.Path()
+	path := h.ConfigPath()
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := h.ready(h.begin())
-	status := func(class string) int { return askClass(t, h.Clients.Addr().String(), class, 0) }
+	status := func(class string) int { return askClass(t, h.ClientListener.Addr().String(), class, 0) }
 	reload := func(data []byte, line string) {
 		t.Helper()
 		n := strings.Count(r.Log(), line)
--- a/cmd/harepass/upgrade_test.go
+++ b/cmd/harepass/upgrade_test.go
@@ -31,8 +31,8 @@
 	settings = bytes.Replace(settings, []byte(`"push"`), []byte(`"ask"`), 1)
 	settings = bytes.Replace(settings, []byte(`"rules": {`), []byte(`"rules": {"ask_every_us": 20000000, `), 1)
 	settings = regexp.MustCompile(`"quota_per_s": [0-9.]+`).ReplaceAll(settings, []byte(`"quota_per_s": 5000`)) // the crowd is within its share
-	h, err := faultinjection.NewHost(faultinjection.Config{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"}, Env: []string{"HAREPASS_TEST_RUN=1"},
-		Settings: settings, Nodes: 6, Work: 20 * time.Millisecond, Slack: ruleSlack})
+	h, err := faultinjection.NewHost(faultinjection.HostConfig{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"}, Env: []string{"HAREPASS_TEST_RUN=1"},
+		Settings: settings, Replicas: 6, ServiceTime: 20 * time.Millisecond, MaintenanceGrace: ruleSlack})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,27 +67,27 @@
 
 func (h *host) ban(p *faultinjection.Process, i int, out bool) {
 	h.t.Helper()
-	h.must(h.Take(p, i, out))
+	h.must(h.SetMaintenance(p, i, out))
 }
 
 // end is a planned one.
 func (h *host) end(p *faultinjection.Process) {
 	h.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
-	if err := <-p.Over; err != nil {
+	if err := <-p.Exited; err != nil {
 		h.t.Errorf("exit: %v", err)
 	}
 }
 
 func (h *host) kill(p *faultinjection.Process) {
 	p.Process.Kill()
-	<-p.Over
+	<-p.Exited
 }
 
 // only holds what became of a crowd's requests, and the nodes' records, against what may be.
-func (h *host) only(c *faultinjection.Crowd, what ...string) map[string]int {
+func (h *host) only(c *faultinjection.ClientPool, what ...string) map[string]int {
 	h.t.Helper()
-	tally := c.Tally()
+	tally := c.Outcomes()
 	if tally["200"] < 100 {
 		h.t.Errorf("%d served: no load", tally["200"])
 	}
@@ -107,11 +107,11 @@
 func TestUpgrades(t *testing.T) {
 	h := newHost(t)
 	now := h.ready(h.begin())
-	if answer := now.Call("maint-on nobody"); !strings.HasPrefix(answer, "400") {
+	if answer := now.CallAdmin("maint-on nobody"); !strings.HasPrefix(answer, "400") {
 		t.Errorf("an id that nobody has: %q", answer)
 	}
 	const upgrades = 3
-	c := h.Crowd(12)
+	c := h.StartClients(12)
 	for i := range upgrades {
 		time.Sleep(300 * time.Millisecond)
 		h.ban(now, i, true)
@@ -124,10 +124,10 @@
 		h.ban(next, i, false)
 		now = next
 	}
-	c.End()
+	c.Stop()
 	h.end(now)
 	h.only(c)
-	if unsure, unheard := c.TurnedBack(); unheard > 2*upgrades || unsure > unheard {
+	if unsure, unheard := c.Unanswered(); unheard > 2*upgrades || unsure > unheard {
 		t.Errorf("%d connections ended under a request, %d of them unheard, in %d upgrades", unsure, unheard, upgrades)
 	}
 }
@@ -138,7 +138,7 @@
 func TestKilledInUpgrades(t *testing.T) {
 	h := newHost(t)
 	now := h.ready(h.begin())
-	c := h.Crowd(8)
+	c := h.StartClients(8)
 	h.ban(now, 0, true)
 	for _, after := range []time.Duration{0, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond} {
 		next := h.begin()
@@ -169,7 +169,7 @@
 	for i := range 3 {
 		h.ban(last, i, false)
 	}
-	c.End()
+	c.Stop()
 	h.end(last)
 	if lost := h.only(c, "lost")["lost"]; lost > 16 {
 		t.Errorf("%d requests lost with two processes that held 8 clients at most", lost)
@@ -183,35 +183,35 @@
 	h := newHost(t)
 	now := h.ready(h.begin())
 	eventually(t, "the list is kept", func() bool { return strings.Contains(h.states(), `"f5"`) })
-	c := h.Crowd(8)
+	c := h.StartClients(8)
 	time.Sleep(500 * time.Millisecond)
-	h.Discovery.Cut(faultinjection.There, true)
-	h.Discovery.Cut(faultinjection.Back, true)
-	h.Nodes[0].Link.Cut(faultinjection.Back, true)
-	h.Nodes[1].Link.Delay(30 * time.Millisecond)
+	h.Discovery.Cut(faultinjection.ToServer, true)
+	h.Discovery.Cut(faultinjection.ToClient, true)
+	h.Replicas[0].Link.Cut(faultinjection.ToClient, true)
+	h.Replicas[1].Link.Delay(30 * time.Millisecond)
 	h.ban(now, 3, true)
 	next := h.ready(h.begin())
 	for range 10 {
-		h.Nodes[2].Link.Reset()
+		h.Replicas[2].Link.Reset()
 		time.Sleep(50 * time.Millisecond)
 	}
 	h.end(now)
 	time.Sleep(ruleSlack)
-	h.Discovery.Cut(faultinjection.There, false)
-	h.Discovery.Cut(faultinjection.Back, false)
-	h.Nodes[0].Link.Cut(faultinjection.Back, false)
-	h.Nodes[1].Link.Delay(0)
+	h.Discovery.Cut(faultinjection.ToServer, false)
+	h.Discovery.Cut(faultinjection.ToClient, false)
+	h.Replicas[0].Link.Cut(faultinjection.ToClient, false)
+	h.Replicas[1].Link.Delay(0)
 	h.ban(next, 3, false)
 	time.Sleep(300 * time.Millisecond)
-	c.End()
+	c.Stop()
 	h.only(c, "500", "429") // reports lost with a reset, and what a silent node kept past its time
-	healed := h.Crowd(4)
+	healed := h.StartClients(4)
 	time.Sleep(3 * time.Second)
-	before := healed.Tally()
+	before := healed.Outcomes()
 	time.Sleep(time.Second)
-	healed.End()
+	healed.Stop()
 	h.end(next)
-	after := healed.Tally()
+	after := healed.Outcomes()
 	if after["200"]-before["200"] < 20 || after["500"]+after["429"]+after["lost"] > before["500"]+before["429"]+before["lost"] {
 		t.Errorf("after the links are whole: %v, then %v", before, after)
 	}
@@ -223,12 +223,12 @@
 	for range 4 { // it was a race once
 		h := newHost(t)
 		first := h.ready(h.begin()) // without a list it waits for one
-		if n := h.Told.Load(); n < 1 {
+		if n := h.ListsServed.Load(); n < 1 {
 			t.Fatalf("ready after %d answers", n)
 		}
 		eventually(t, "the list is kept", func() bool { return strings.Contains(h.states(), `"f5"`) })
-		h.Discovery.Cut(faultinjection.There, true)
-		h.Discovery.Cut(faultinjection.Back, true)
+		h.Discovery.Cut(faultinjection.ToServer, true)
+		h.Discovery.Cut(faultinjection.ToClient, true)
 		next := h.ready(h.begin())
 		h.kill(first)
 		h.kill(next)
@@ -252,16 +252,16 @@
 		{"PROXY_FD=x", `PROXY_FD "x" is no descriptor`},
 		{"PROXY_FD=3", "no listening socket"},
 		{"PROXY_FD=77", "bad file descriptor"},
-		{"PROXY_OPERATOR=" + h.Clients.Addr().String(), "operators' door"},
+		{"PROXY_OPERATOR=" + h.ClientListener.Addr().String(), "operators' door"},
 		{"PROXY_OPERATOR=nowhere", "operator address"},
 	} {
 		p := h.begin(tc.set)
-		if err := <-p.Over; err == nil || !strings.Contains(p.Log(), tc.want) || strings.Contains(p.Log(), "panic") {
+		if err := <-p.Exited; err == nil || !strings.Contains(p.Log(), tc.want) || strings.Contains(p.Log(), "panic") {
 			t.Errorf("%s: %v %s", tc.set, err, p.Log())
 		}
 	}
 	var exit *exec.ExitError
-	if p := h.begin("PROXY_FD=x"); !errors.As(<-p.Over, &exit) || exit.ExitCode() != 2 {
+	if p := h.begin("PROXY_FD=x"); !errors.As(<-p.Exited, &exit) || exit.ExitCode() != 2 {
 		t.Errorf("status %v, want 2", exit)
 	}
 }
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -122,7 +122,7 @@
 // waitFor waits for what other goroutines bring about.
 func (c *consumer) waitFor(what string, ok func() bool) {
 	c.t.Helper()
-	if err := faultinjection.Wait(what, ok); err != nil {
+	if err := faultinjection.WaitFor(what, ok); err != nil {
 		c.t.Fatalf("%v; it is at %+v, %+v", err, c.Status(), c.Counters())
 	}
 }
--- a/internal/test/faultcli/scenario.go
+++ b/internal/test/faultcli/scenario.go
@@ -46,8 +46,8 @@
 		return err
 	}
 	err = f.Play()
-	started, memory := f.Started()
-	f.Summary(out)
+	started, memory := f.ProcessStats()
+	f.PrintSummary(out)
 	fmt.Fprintf(out, "%s: %d processes; serving after %v in the median, %.0f MB each in the median, %.0f MB at most; %v in all\n", s.Name, len(started),
 		median(started).Round(time.Millisecond), float64(median(memory))/1024, float64(slices.Max(append(memory, 0)))/1024, time.Since(start).Round(100*time.Millisecond))
 	if err == nil {
--- a/internal/test/faultcli/soak.go
+++ b/internal/test/faultcli/soak.go
@@ -86,7 +86,7 @@
 		return err
 	}
 	err = f.Play()
-	f.Summary(out)
+	f.PrintSummary(out)
 	if err != nil && s.Timeline != "" {
 		file, e := os.Create(filepath.Join(s.Timeline, scenario.Name+".txt"))
 		if e == nil {
--- a/internal/test/faultcli/upgrades.go
+++ b/internal/test/faultcli/upgrades.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	h, err := faultinjection.NewHost(faultinjection.Config{Dir: dir, Command: []string{u.Program, "serve"}, Settings: settings, Nodes: upgradeNodes, Work: partWork, Slack: drainSlack})
+	h, err := faultinjection.NewHost(faultinjection.HostConfig{Dir: dir, Command: []string{u.Program, "serve"}, Settings: settings, Replicas: upgradeNodes, ServiceTime: partWork, MaintenanceGrace: drainSlack})
 	if err != nil {
 		return err
 	}
@@ -48,14 +48,14 @@
 	if err != nil {
 		return err
 	}
-	c := h.Crowd(u.Clients)
+	c := h.StartClients(u.Clients)
 	for i := range u.Count {
 		time.Sleep(u.Every)
 		if serving, err = upgrade(h, serving, i, out); err != nil {
 			return err
 		}
 	}
-	c.End()
+	c.Stop()
 	printTally(out, c)
 	return h.Check()
 }
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	if err := faultinjection.Wait("a yes", p.Serves); err != nil {
+	if err := faultinjection.WaitFor("a yes", p.Serves); err != nil {
 		return nil, 0, fmt.Errorf("%w\n%s", err, p.Log())
 	}
 	return p, time.Since(start), nil
@@ -76,7 +76,7 @@
 // upgrade has a new process take over from the one that serves, as the i-th of them, with a node out meanwhile.
 func upgrade(h *faultinjection.Host, serving *faultinjection.Process, i int, out io.Writer) (*faultinjection.Process, error) {
 	node := i % upgradeNodes
-	if err := h.Take(serving, node, true); err != nil {
+	if err := h.SetMaintenance(serving, node, true); err != nil {
 		return nil, err
 	}
 	next, took, err := startVersion(h)
@@ -84,16 +84,16 @@
 		return nil, err
 	}
 	serving.Process.Signal(syscall.SIGTERM)
-	end := <-serving.Over
+	end := <-serving.Exited
 	fmt.Fprintf(out, "upgrade %d: yes after %v; the old one ended with %v\n", i+1, took.Round(time.Millisecond), end)
-	return next, h.Take(next, node, false)
+	return next, h.SetMaintenance(next, node, false)
 }
 
-func printTally(out io.Writer, c *faultinjection.Crowd) {
-	tally := c.Tally()
+func printTally(out io.Writer, c *faultinjection.ClientPool) {
+	tally := c.Outcomes()
 	for _, outcome := range slices.Sorted(maps.Keys(tally)) {
 		fmt.Fprintf(out, "%s: %d\n", outcome, tally[outcome])
 	}
-	unanswered, unsent := c.TurnedBack()
+	unanswered, unsent := c.Unanswered()
 	fmt.Fprintf(out, "connections that ended under a request: %d, of these unheard: %d\n", unanswered, unsent)
 }
--- a/internal/test/faultinjection/crowd.go
+++ b/internal/test/faultinjection/crowd.go
@@ -10,59 +10,59 @@
 )
 
 const (
-	maxPause = 20 * time.Millisecond   // of a client between two requests
-	budget   = 2900 * time.Millisecond // that requests state
-	giveUp   = 10 * time.Second        // with a connection that says nothing
-	maxTries = 3                       // of a request that was turned back unheard
+	maxThinkTime      = 20 * time.Millisecond   // of a client between two requests
+	clientTimeout     = 2900 * time.Millisecond // that requests state
+	connectionTimeout = 10 * time.Second        // with a connection that says nothing
+	maxAttempts       = 3                       // of a request that was turned back unheard
 )
 
 // Crowd are clients that keep their connections and ask all the time, each one request at a time.
-type Crowd struct {
-	address  string
-	tenant   string
-	sent     func(query string) bool // whether a node was asked for some part of it
-	question func(who, i int) question
-	stop     chan struct{}
-	wg       sync.WaitGroup
-
-	mu         sync.Mutex
-	tally      map[string]int
-	unanswered int // connections that ended under a request
-	unsent     int // of these, whose request no node was asked for
+type ClientPool struct {
+	address   string
+	tenant    string
+	forwarded func(query string) bool // whether a node was asked for some part of it
+	nextQuery func(who, i int) query
+	stop      chan struct{}
+	running   sync.WaitGroup
+
+	mu           sync.Mutex
+	outcomes     map[string]int
+	unanswered   int // connections that ended under a request
+	notForwarded int // of these, whose request no node was asked for
 }
 
 // Crowd lets so many clients begin.
-func (h *Host) Crowd(n int) *Crowd {
-	return newCrowd(n, h.Clients.Addr().String(), h.site.tenant, h.Sent, func(_, i int) question { return h.question(i) })
+func (h *Host) StartClients(n int) *ClientPool {
+	return newClientPool(n, h.ClientListener.Addr().String(), h.site.tenant, h.Forwarded, func(_, i int) query { return h.query(i) })
 }
 
 // question is the i-th question of each client: each class in turn, of one section, or of two far apart where an answer in
 // part will do.
-func (h *Host) question(i int) question {
+func (h *Host) query(i int) query {
 	c := h.site.classes[i%len(h.site.classes)]
-	if c.partial() {
-		return question{c, []int{0, 4}}
+	if c.allowsPartial() {
+		return query{c, []int{0, 4}}
 	}
-	return question{c, []int{1}}
+	return query{c, []int{1}}
 }
 
 // newCrowd lets so many clients ask a coordinator at an address; sent tells whether a node was asked for some part of a query.
-func newCrowd(n int, address, tenant string, sent func(string) bool, ask func(who, i int) question) *Crowd {
-	c := &Crowd{address: address, tenant: tenant, sent: sent, question: ask, stop: make(chan struct{}), tally: map[string]int{}}
+func newClientPool(n int, address, tenant string, sent func(string) bool, ask func(who, i int) query) *ClientPool {
+	c := &ClientPool{address: address, tenant: tenant, forwarded: sent, nextQuery: ask, stop: make(chan struct{}), outcomes: map[string]int{}}
 	for i := range n {
-		c.wg.Go(func() { c.client(i) })
+		c.running.Go(func() { c.runClient(i) })
 	}
 	return c
 }
 
 // End lets all finish what they have asked.
-func (c *Crowd) End() {
+func (c *ClientPool) Stop() {
 	close(c.stop)
-	c.wg.Wait()
+	c.running.Wait()
 }
 
 // ended tells whether the crowd is to end.
-func (c *Crowd) ended() bool {
+func (c *ClientPool) stopped() bool {
 	select {
 	case <-c.stop:
 		return true
@@ -73,75 +73,75 @@
 
 // Outcomes of requests besides the status of an answer.
 const (
-	OutcomeRefused = "refused" // the connection never came up
-	OutcomeLost    = "lost"    // heard and never answered
-	OutcomeTwice   = "twice"   // answered again
-	OutcomeUntrue  = "untrue"  // answered with what no node has served
+	OutcomeConnectFailed   = "refused" // the connection never came up
+	OutcomeLost            = "lost"    // heard and never answered
+	OutcomeDuplicateAnswer = "twice"   // answered again
+	OutcomeWrongAnswer     = "untrue"  // answered with what no node has served
 )
 
 // Tally counts how requests have ended, by status or by one of the other outcomes.
-func (c *Crowd) Tally() map[string]int {
+func (c *ClientPool) Outcomes() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.tally)
+	return maps.Clone(c.outcomes)
 }
 
 // TurnedBack is how many connections ended under a request without a word, and how many of these requests were never sent on.
-func (c *Crowd) TurnedBack() (unanswered, unsent int) {
+func (c *ClientPool) Unanswered() (unanswered, unsent int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.unanswered, c.unsent
+	return c.unanswered, c.notForwarded
 }
 
-func (c *Crowd) count(what string) {
+func (c *ClientPool) count(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally[what]++
+	c.outcomes[what]++
 }
 
 // name makes a part of an id of an address: of all of it, since processes have loopback addresses of their own and may have
 // the same port.
-var name = strings.NewReplacer(".", "-", ":", "-")
+var addressToID = strings.NewReplacer(".", "-", ":", "-")
 
 // client is one of them: it asks until the crowd ends.
-func (c *Crowd) client(who int) {
+func (c *ClientPool) runClient(who int) {
 	client := &httpClient{address: c.address}
 	defer client.disconnect()
 	for i := 0; ; i++ {
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(rand.N(maxPause)):
+		case <-time.After(rand.N(maxThinkTime)):
 		}
-		q := c.question(who, i)
-		c.ask(client, q.class.id(fmt.Sprintf("%s-%d-%d", name.Replace(c.address), who, i)), q)
+		q := c.nextQuery(who, i)
+		c.sendQuery(client, q.class.queryID(fmt.Sprintf("%s-%d-%d", addressToID.Replace(c.address), who, i)), q)
 	}
 }
 
 // ask asks until there is an answer, as clients do: again only where the request was not heard.
-func (c *Crowd) ask(client *httpClient, id string, q question) {
+func (c *ClientPool) sendQuery(client *httpClient, id string, q query) {
 	text := q.request(id, c.tenant)
-	for range maxTries {
+	for range maxAttempts {
 		answer, status, err := client.roundTrip(text)
 		if err == nil {
 			c.count(status)
-			if answer.twice {
-				c.count(OutcomeTwice)
+			if answer.duplicated {
+				c.count(OutcomeDuplicateAnswer)
 			}
-			if status == "200" && !answer.holds(q) {
-				c.count(OutcomeUntrue)
+			if status == "200" && !answer.isCorrectFor(q) {
+				c.count(OutcomeWrongAnswer)
 			}
 			return
 		}
 		client.disconnect()
-		if status == OutcomeRefused {
+		if status == OutcomeConnectFailed {
 			c.count(status)
 			return
 		}
-		sent := c.sent(id)
+		sent := c.forwarded(id)
 		c.mu.Lock()
 		if c.unanswered++; !sent {
-			c.unsent++
+			c.notForwarded++
 		}
 		c.mu.Unlock()
 		if sent {
--- a/internal/test/faultinjection/fleet.go
+++ b/internal/test/faultinjection/fleet.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	holdersPerSection = 3 // how many cells in a row hold a section, where nodes form no sets
-	sectionsPerSet    = 6 // that a set of nodes holds
+	holdersPerShard = 3 // how many cells in a row hold a section, where nodes form no sets
+	shardsPerSet    = 6 // that a set of nodes holds
 )
 
 // FleetConfig says what a Fleet is made of.
@@ -33,16 +33,16 @@
 	*Scenario
 	*Timeline
 
-	site     *site
-	registry fake.Registry
-	nodes    []*fleetNode
-	members  []*Member
-	size     int // in the configuration of those that start now
-	records  records
-	opened   endpoints
+	site       *site
+	registry   fake.Registry
+	replicas   []*fleetReplica
+	members    []*member
+	targetSize int // in the configuration of those that start now
+	checker    ruleChecker
+	listeners  linkedListeners
 
-	lateness   lateness       // of this process
-	background sync.WaitGroup // planned restarts and holds
+	schedulingDelay schedulingDelay // of this process
+	background      sync.WaitGroup  // planned restarts and holds
 
 	mu           sync.Mutex
 	failures     []error         // of what runs in the background
@@ -52,28 +52,28 @@
 
 // at is the present time on the clock of the nodes' machines, which begins a second before the timeline: to a machine, a
 // start at 0 means long ago.
-func (f *Fleet) at() time.Duration { return time.Since(f.began) + time.Second }
+func (f *Fleet) machineTime() time.Duration { return time.Since(f.began) + time.Second }
 
 // NewFleet opens nodes, discovery and links for as many coordinators as the scenario ever has, and starts those that it
 // begins with.
 func NewFleet(c FleetConfig, s *Scenario) (*Fleet, error) {
-	f := &Fleet{FleetConfig: c, Scenario: s, Timeline: newTimeline(), size: s.Coordinators}
+	f := &Fleet{FleetConfig: c, Scenario: s, Timeline: newTimeline(), targetSize: s.Coordinators}
 	var err error
-	if f.Settings, err = s.settings(c.Settings); err != nil {
+	if f.Settings, err = s.overrideSettings(c.Settings); err != nil {
 		return nil, err
 	}
 	if f.site, err = readSite(f.Settings); err != nil {
 		return nil, err
 	}
-	f.lateness.begin()
-	f.records.open(f)
+	f.schedulingDelay.start()
+	f.checker.init(f)
 	most := s.Coordinators
 	for _, st := range s.Steps {
-		most = max(most, st.Grow)
+		most = max(most, st.Resize)
 	}
-	for i := range s.Nodes {
-		n := newFleetNode(i, s.cell(i), s.Work, f.site.rules)
-		f.nodes = append(f.nodes, n)
+	for i := range s.Replicas {
+		n := newFleetReplica(i, s.ringPosition(i), s.ServiceTime, f.site.rules)
+		f.replicas = append(f.replicas, n)
 		f.registry.Put(n.entry)
 	}
 	for i := range most {
@@ -92,7 +92,7 @@
 }
 
 // Started is how long each process took from its start until it served, and the peak resident memory of each, in KB.
-func (f *Fleet) Started() (startupTimes []time.Duration, peakMemoryKB []int) {
+func (f *Fleet) ProcessStats() (startupTimes []time.Duration, peakMemoryKB []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.startupTimes), slices.Clone(f.peakMemoryKB)
@@ -103,8 +103,8 @@
 	for _, m := range f.running() {
 		f.kill(m)
 	}
-	f.lateness.end()
-	err = errors.Join(err, f.opened.close())
+	f.schedulingDelay.stop()
+	err = errors.Join(err, f.listeners.close())
 	out, e := os.Create(filepath.Join(f.Dir, "timeline.txt"))
 	if e == nil {
 		e = errors.Join(f.Print(out), out.Close())
@@ -113,17 +113,17 @@
 }
 
 // Summary says what became of the requests, by how they ended.
-func (f *Fleet) Summary(out io.Writer) {
-	parts, lists, unjudged := f.records.counts()
-	fmt.Fprintf(out, "%s: requests %v, parts %d, lists told %d, records not judged %d\n", f.Name, f.tally(), parts, lists, unjudged)
+func (f *Fleet) PrintSummary(out io.Writer) {
+	parts, lists, unjudged := f.checker.counts()
+	fmt.Fprintf(out, "%s: requests %v, parts %d, lists told %d, records not judged %d\n", f.Name, f.outcomes(), parts, lists, unjudged)
 }
 
 // tally is how the requests of all crowds have ended, as Crowd.Tally has it.
-func (f *Fleet) tally() map[string]int {
+func (f *Fleet) outcomes() map[string]int {
 	total := map[string]int{}
 	for _, m := range f.members {
-		if m.crowd != nil {
-			for outcome, n := range m.crowd.Tally() {
+		if m.clients != nil {
+			for outcome, n := range m.clients.Outcomes() {
 				total[outcome] += n
 			}
 		}
--- a/internal/test/faultinjection/http_client.go
+++ b/internal/test/faultinjection/http_client.go
@@ -13,19 +13,19 @@
 )
 
 // shareSlack allows for rounding in a query's weights.
-const shareSlack = 1e-3
+const fractionSlack = 1e-3
 
 // request words the question, as clients do: equal weights, rounded, and the key where its class has one.
-func (q question) request(id, tenant string) string { return q.requestWithin(budget, id, tenant) }
+func (q query) request(id, tenant string) string { return q.requestWithin(clientTimeout, id, tenant) }
 
 // requestWithin words it for a client that waits so long.
-func (q question) requestWithin(budget time.Duration, id, tenant string) string {
+func (q query) requestWithin(budget time.Duration, id, tenant string) string {
 	var parts []string
-	for _, s := range q.sections {
-		parts = append(parts, fmt.Sprintf(`{"slice":%d,"mass":%.6f}`, s, 1/float64(len(q.sections))))
+	for _, s := range q.shards {
+		parts = append(parts, fmt.Sprintf(`{"slice":%d,"mass":%.6f}`, s, 1/float64(len(q.shards))))
 	}
 	body, header := fmt.Sprintf(`{"slices":[%s],"filter":"f"}`, strings.Join(parts, ",")), ""
-	if key := q.class.key(id); key != "" {
+	if key := q.class.idempotencyKey(id); key != "" {
 		header = "Idempotency-Key: " + key + "\r\n"
 	}
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: %s\r\nX-Budget: %dm\r\n%sContent-Length: %d\r\n\r\n%s",
@@ -36,12 +36,12 @@
 type httpClient struct {
 	address string
 	conn    net.Conn
-	in      *bufio.Reader
+	reader  *bufio.Reader
 }
 
 // take makes a connection the one that is kept.
-func (client *httpClient) take(conn net.Conn) {
-	client.conn, client.in = conn, bufio.NewReader(conn)
+func (client *httpClient) setConnection(conn net.Conn) {
+	client.conn, client.reader = conn, bufio.NewReader(conn)
 }
 
 func (client *httpClient) disconnect() {
@@ -55,23 +55,23 @@
 // does not come up, and empty where nothing that is an answer came.
 func (client *httpClient) roundTrip(text string) (a answer, status string, err error) {
 	if client.conn == nil {
-		conn, err := net.DialTimeout("tcp", client.address, giveUp)
+		conn, err := net.DialTimeout("tcp", client.address, connectionTimeout)
 		if err != nil {
-			return a, OutcomeRefused, err
+			return a, OutcomeConnectFailed, err
 		}
-		client.take(conn)
+		client.setConnection(conn)
 	}
-	client.conn.SetDeadline(time.Now().Add(giveUp))
+	client.conn.SetDeadline(time.Now().Add(connectionTimeout))
 	if _, err := io.WriteString(client.conn, text); err != nil {
 		return a, "", err
 	}
-	return client.answer()
+	return client.readAnswer()
 }
 
 // answer reads the answer to what was sent.
-func (client *httpClient) answer() (a answer, status string, err error) {
-	client.conn.SetDeadline(time.Now().Add(giveUp))
-	res, err := http.ReadResponse(client.in, nil)
+func (client *httpClient) readAnswer() (a answer, status string, err error) {
+	client.conn.SetDeadline(time.Now().Add(connectionTimeout))
+	res, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
 		return a, "", err
 	}
@@ -80,7 +80,7 @@
 	if err == nil && res.StatusCode == http.StatusOK {
 		err = json.Unmarshal(data, &a)
 	}
-	a.twice = client.in.Buffered() > 0
+	a.duplicated = client.reader.Buffered() > 0
 	if res.Close {
 		client.disconnect()
 	}
@@ -89,24 +89,24 @@
 
 // answer is what a request was served with.
 type answer struct {
-	Entire bool
-	Items  []struct {
+	Complete bool
+	Parts    []struct {
 		Slice int
 		Body  string
 	}
-	twice bool
+	duplicated bool
 }
 
 // holds tells whether the values are those that nodes serve for these sections, each at most once, as many of them as make
 // an answer, and as many as make it whole where it says so.
-func (a answer) holds(q question) bool {
+func (a answer) isCorrectFor(q query) bool {
 	seen := map[int]bool{}
-	for _, v := range a.Items {
-		if seen[v.Slice] || !slices.Contains(q.sections, v.Slice) || v.Body != fmt.Sprint("v", v.Slice) {
+	for _, v := range a.Parts {
+		if seen[v.Slice] || !slices.Contains(q.shards, v.Slice) || v.Body != fmt.Sprint("v", v.Slice) {
 			return false
 		}
 		seen[v.Slice] = true
 	}
-	share := float64(len(seen))/float64(len(q.sections)) + shareSlack
-	return share >= min(q.class.floor, q.class.need) && (!a.Entire || share >= q.class.need)
+	share := float64(len(seen))/float64(len(q.shards)) + fractionSlack
+	return share >= min(q.class.minFraction, q.class.completeFraction) && (!a.Complete || share >= q.class.completeFraction)
 }
--- a/internal/test/faultinjection/link.go
+++ b/internal/test/faultinjection/link.go
@@ -18,35 +18,35 @@
 
 // The directions, as whoever connects sees them.
 const (
-	There Direction = iota
-	Back
+	ToServer Direction = iota
+	ToClient
 )
 
 // pieceSize is how much a link passes on at once, at most.
-const pieceSize = 16 << 10
+const maxPieceBytes = 16 << 10
 
 // Link stands in the way to an address and can be broken.
 type Link struct {
-	l      net.Listener
-	to     string
-	framed bool
+	listener net.Listener
+	target   string
+	framed   bool
 
-	mu    sync.Mutex
-	heal  *sync.Cond
-	cut   [2]bool
-	delay time.Duration
-	rate  int // bytes a second; 0 for as many as come
-	spoil Spoil
-	rng   *rand.Rand
-	since time.Time // when the last fault ended; of one that lasts, zero
-	conns map[net.Conn]struct{}
-	ended bool
+	mu             sync.Mutex
+	changed        *sync.Cond
+	cut            [2]bool
+	delay          time.Duration
+	bytesPerSecond int // bytes a second; 0 for as many as come
+	messageFaults  MessageFaults
+	rng            *rand.Rand
+	healthySince   time.Time // when the last fault ended; of one that lasts, zero
+	conns          map[net.Conn]struct{}
+	closed         bool
 }
 
 // Spoil is what becomes of whole messages on the way back, as shares of them, drawn from a seed.
-type Spoil struct {
-	Lose, Twice, Swap float64
-	Seed              uint64
+type MessageFaults struct {
+	Drop, Duplicate, Reorder float64
+	Seed                     uint64
 }
 
 // NewLink opens a way to an address; Address is where it begins.
@@ -60,68 +60,68 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{l: l, to: to, framed: framed, conns: map[net.Conn]struct{}{}, since: time.Now()}
-	k.heal = sync.NewCond(&k.mu)
+	k := &Link{listener: l, target: to, framed: framed, conns: map[net.Conn]struct{}{}, healthySince: time.Now()}
+	k.changed = sync.NewCond(&k.mu)
 	go k.serve()
 	return k, nil
 }
 
 // Address is where the way begins.
-func (k *Link) Address() string { return k.l.Addr().String() }
+func (k *Link) Address() string { return k.listener.Addr().String() }
 
 // Cut stops what goes in a direction, without a word: it arrives when the cut is over, if the connection still stands.
 func (k *Link) Cut(d Direction, yes bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.cut[d] = yes
-	k.note()
-	k.heal.Broadcast()
+	k.updateHealthySince()
+	k.changed.Broadcast()
 }
 
 // note keeps when the link became whole; under the lock.
-func (k *Link) note() {
-	if k.cut[There] || k.cut[Back] || k.delay > 0 || k.rate > 0 || k.spoil != (Spoil{}) {
-		k.since = time.Time{}
+func (k *Link) updateHealthySince() {
+	if k.cut[ToServer] || k.cut[ToClient] || k.delay > 0 || k.bytesPerSecond > 0 || k.messageFaults != (MessageFaults{}) {
+		k.healthySince = time.Time{}
 	} else {
-		k.since = time.Now()
+		k.healthySince = time.Now()
 	}
 }
 
 // WholeFor is how long the link has had no fault; 0 while it has one.
-func (k *Link) WholeFor() time.Duration {
+func (k *Link) HealthyFor() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.since.IsZero() {
+	if k.healthySince.IsZero() {
 		return 0
 	}
-	return time.Since(k.since)
+	return time.Since(k.healthySince)
 }
 
 // Throttle is how many bytes a second pass in each direction from now on; 0 for as many as come.
 func (k *Link) Throttle(rate int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.rate = rate
-	k.note()
+	k.bytesPerSecond = rate
+	k.updateHealthySince()
 }
 
 // Spoil is what becomes of messages that come back on a framed link from now on.
-func (k *Link) Spoil(s Spoil) {
+func (k *Link) InjectMessageFaults(s MessageFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.spoil, k.rng = s, rand.New(rand.NewPCG(s.Seed, 0x6c696e6b))
-	k.note()
+	k.messageFaults, k.rng = s, rand.New(rand.NewPCG(s.Seed, 0x6c696e6b))
+	k.updateHealthySince()
 }
 
 // Mend ends all faults. What was held up arrives now.
-func (k *Link) Mend() {
+func (k *Link) Heal() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.since.IsZero() {
-		k.cut, k.delay, k.rate, k.spoil = [2]bool{}, 0, 0, Spoil{}
-		k.note()
+	if k.healthySince.IsZero() {
+		k.cut, k.delay, k.bytesPerSecond, k.messageFaults = [2]bool{}, 0, 0, MessageFaults{}
+		k.updateHealthySince()
 	}
-	k.heal.Broadcast()
+	k.changed.Broadcast()
 }
 
 // Delay is how long each piece is held back from now on.
@@ -129,18 +129,18 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.delay = d
-	k.note()
+	k.updateHealthySince()
 }
 
 // Reset breaks all connections that stand.
 func (k *Link) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.reset()
+	k.resetLocked()
 }
 
 // reset is called under the lock.
-func (k *Link) reset() {
+func (k *Link) resetLocked() {
 	for c := range k.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			tcp.SetLinger(0)
@@ -148,47 +148,47 @@
 		c.Close()
 		delete(k.conns, c)
 	}
-	k.heal.Broadcast()
+	k.changed.Broadcast()
 }
 
 // Close ends the way; new connections are refused.
 func (k *Link) Close() {
-	k.l.Close()
+	k.listener.Close()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.ended = true
-	k.reset()
+	k.closed = true
+	k.resetLocked()
 }
 
 func (k *Link) serve() {
 	for {
-		here, err := k.l.Accept()
+		here, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.join(here)
+		go k.connect(here)
 	}
 }
 
 // join connects one caller on. A way that is cut there does not come up either.
-func (k *Link) join(here net.Conn) {
-	if !k.keep(here) || !k.pass(There, here, 0) {
+func (k *Link) connect(here net.Conn) {
+	if !k.track(here) || !k.awaitPassage(ToServer, here, 0) {
 		here.Close()
 		return
 	}
-	there, err := net.Dial("tcp", k.to)
-	if err != nil || !k.keep(there) {
+	there, err := net.Dial("tcp", k.target)
+	if err != nil || !k.track(there) {
 		here.Close()
 		return
 	}
-	go k.copy(There, here, there)
-	k.copy(Back, there, here)
+	go k.copy(ToServer, here, there)
+	k.copy(ToClient, there, here)
 }
 
-func (k *Link) keep(c net.Conn) bool {
+func (k *Link) track(c net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ended {
+	if k.closed {
 		c.Close()
 		return false
 	}
@@ -197,24 +197,24 @@
 }
 
 // pass waits until so many bytes may go in a direction; false where the connection has been reset meanwhile.
-func (k *Link) pass(d Direction, c net.Conn, size int) bool {
+func (k *Link) awaitPassage(d Direction, c net.Conn, size int) bool {
 	k.mu.Lock()
 	wait := k.delay
-	if k.rate > 0 {
-		wait += time.Duration(size) * time.Second / time.Duration(k.rate)
+	if k.bytesPerSecond > 0 {
+		wait += time.Duration(size) * time.Second / time.Duration(k.bytesPerSecond)
 	}
 	k.mu.Unlock()
 	time.Sleep(wait)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for {
-		if _, stands := k.conns[c]; !stands || k.ended {
+		if _, stands := k.conns[c]; !stands || k.closed {
 			return false
 		}
 		if !k.cut[d] {
 			return true
 		}
-		k.heal.Wait()
+		k.changed.Wait()
 	}
 }
 
@@ -224,7 +224,7 @@
 		k.mu.Lock()
 		delete(k.conns, from)
 		delete(k.conns, to)
-		k.heal.Broadcast()
+		k.changed.Broadcast()
 		k.mu.Unlock()
 		from.Close()
 		to.Close()
@@ -233,20 +233,20 @@
 	for next := k.reader(d, from); ; {
 		piece, err := next()
 		if len(piece) > 0 {
-			if !k.pass(d, from, len(piece)) {
+			if !k.awaitPassage(d, from, len(piece)) {
 				return
 			}
-			var fate fate
-			if d == Back && k.framed {
-				fate = k.fate()
+			var fate messageFault
+			if d == ToClient && k.framed {
+				fate = k.drawMessageFault()
 			}
 			switch {
-			case fate == lost:
+			case fate == messageDropped:
 				continue
-			case fate == swap && swapped == nil:
+			case fate == messageReordered && swapped == nil:
 				swapped = bytes.Clone(piece)
 				continue
-			case fate == twice:
+			case fate == messageDuplicated:
 				piece = append(bytes.Clone(piece), piece...)
 			}
 			if _, err := to.Write(append(bytes.Clone(piece), swapped...)); err != nil {
@@ -262,8 +262,8 @@
 
 // reader reads whole messages where they are told apart, pieces as they come elsewhere.
 func (k *Link) reader(d Direction, from net.Conn) func() ([]byte, error) {
-	if d == There || !k.framed {
-		buf := make([]byte, pieceSize)
+	if d == ToServer || !k.framed {
+		buf := make([]byte, maxPieceBytes)
 		return func() ([]byte, error) {
 			n, err := from.Read(buf)
 			return buf[:n], err
@@ -282,28 +282,28 @@
 }
 
 // fate is what becomes of a message.
-type fate int
+type messageFault int
 
 const (
-	passes fate = iota
-	lost
-	twice
-	swap
+	noMessageFault messageFault = iota
+	messageDropped
+	messageDuplicated
+	messageReordered
 )
 
-func (k *Link) fate() fate {
+func (k *Link) drawMessageFault() messageFault {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.spoil == (Spoil{}) {
-		return passes
+	if k.messageFaults == (MessageFaults{}) {
+		return noMessageFault
 	}
 	for _, c := range []struct {
 		share float64
-		fate  fate
-	}{{k.spoil.Lose, lost}, {k.spoil.Twice, twice}, {k.spoil.Swap, swap}} {
+		fate  messageFault
+	}{{k.messageFaults.Drop, messageDropped}, {k.messageFaults.Duplicate, messageDuplicated}, {k.messageFaults.Reorder, messageReordered}} {
 		if k.rng.Float64() < c.share {
 			return c.fate
 		}
 	}
-	return passes
+	return noMessageFault
 }
--- a/internal/test/faultinjection/play.go
+++ b/internal/test/faultinjection/play.go
@@ -25,15 +25,15 @@
 			return err
 		}
 	}
-	time.Sleep(f.Lasts - time.Since(began))
+	time.Sleep(f.Duration - time.Since(began))
 	f.healAll()
 	if err := f.awaitBackground(); err != nil {
 		return err
 	}
-	err := f.awaitWholeSummaries()
+	err := f.awaitCompleteAnswers()
 	for _, m := range f.members {
-		if m.crowd != nil {
-			m.crowd.End()
+		if m.clients != nil {
+			m.clients.Stop()
 		}
 	}
 	return errors.Join(err, f.stopAll(f.running()), f.verdict())
@@ -43,14 +43,14 @@
 func (f *Fleet) playStep(st Step) error {
 	switch {
 	case st.Kill != "":
-		return f.eachRunning(st.Kill, "kill", func(m *Member) error { f.kill(m); return nil })
-	case st.Hold != "":
-		f.hold(st.Hold, st.For)
+		return f.eachRunning(st.Kill, "kill", func(m *member) error { f.kill(m); return nil })
+	case st.Suspend != "":
+		f.suspend(st.Suspend, st.For)
 		return nil
 	case st.Reload != "":
 		return f.eachRunning(st.Reload, "reload", f.reload)
-	case st.Term != "":
-		return f.eachRunning(st.Term, "terminate", func(m *Member) error { f.terminate(m, st.For); return nil })
+	case st.Terminate != "":
+		return f.eachRunning(st.Terminate, "terminate", func(m *member) error { f.terminate(m, st.For); return nil })
 	case st.Discovery != "":
 		f.setDiscovery(st.Discovery)
 		return nil
@@ -62,12 +62,12 @@
 		return f.eachRunning(st.Resume, "resume", f.resume)
 	case st.Start != "":
 		return f.startAll(match(st.Start, "c", len(f.members)))
-	case st.Grow > 0:
-		return f.grow(st.Grow, st.Told)
-	case st.Node != "":
-		for _, i := range match(st.Node, "n", len(f.nodes)) {
+	case st.Resize > 0:
+		return f.resize(st.Resize, st.Reconfigure)
+	case st.Replica != "":
+		for _, i := range match(st.Replica, "n", len(f.replicas)) {
 			f.Note("rig", "n%d becomes %s", i, st.Becomes)
-			f.setState(f.nodes[i], st.Becomes)
+			f.setState(f.replicas[i], st.Becomes)
 		}
 		return nil
 	}
@@ -75,10 +75,10 @@
 }
 
 // eachRunning does an action to each member that patterns name and whose process runs, under a name for the timeline.
-func (f *Fleet) eachRunning(patterns, action string, act func(*Member) error) error {
+func (f *Fleet) eachRunning(patterns, action string, act func(*member) error) error {
 	for _, i := range match(patterns, "c", len(f.members)) {
 		m := f.members[i]
-		if m.ending.Load() || m.Process == nil {
+		if m.terminating.Load() || m.Process == nil {
 			continue
 		}
 		f.Note("rig", "%s %s", action, m.name)
@@ -91,16 +91,16 @@
 
 // grow changes the size of the fleet. Members that start have the new size in their configuration; of the others, those that
 // the patterns name (all if empty) are reconfigured now, and the rest at the next step of this kind.
-func (f *Fleet) grow(size int, reconfigured string) error {
-	f.size = size
-	if err := f.resizeRunning(reconfigured); err != nil {
+func (f *Fleet) resize(size int, reconfigured string) error {
+	f.targetSize = size
+	if err := f.reconfigureRunning(reconfigured); err != nil {
 		return err
 	}
 	var within []int
 	for i := range min(size, len(f.members)) {
 		within = append(within, i)
 	}
-	var beyond []*Member
+	var beyond []*member
 	for _, m := range f.members[size:] {
 		if m.Process != nil {
 			f.Note("rig", "stop %s", m.name)
@@ -112,20 +112,20 @@
 
 // resizeRunning writes the fleet's size to the configuration of members that patterns name (all if empty), and has their
 // processes reload it.
-func (f *Fleet) resizeRunning(patterns string) error {
+func (f *Fleet) reconfigureRunning(patterns string) error {
 	named := map[int]bool{}
 	for _, i := range match(patterns, "c", len(f.members)) {
 		named[i] = true
 	}
-	for i, m := range f.members[:min(f.size, len(f.members))] {
-		if m.Process == nil || m.knownSize == f.size || patterns != "" && !named[i] {
+	for i, m := range f.members[:min(f.targetSize, len(f.members))] {
+		if m.Process == nil || m.configuredSize == f.targetSize || patterns != "" && !named[i] {
 			continue
 		}
-		m.knownSize = f.size
+		m.configuredSize = f.targetSize
 		if err := f.configure(m); err != nil {
 			return err
 		}
-		f.Note("rig", "%s hears of %d coordinators", m.name, f.size)
+		f.Note("rig", "%s hears of %d coordinators", m.name, f.targetSize)
 		if err := m.Process.Process.Signal(syscall.SIGHUP); err != nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 		if m := f.members[i]; names[1] == "registry" {
 			links = append(links, m.discovery)
 		} else {
-			for _, j := range match(names[1], "n", len(f.nodes)) {
+			for _, j := range match(names[1], "n", len(f.replicas)) {
 				links = append(links, m.links[j])
 			}
 		}
@@ -154,14 +154,14 @@
 	if len(links) == 0 {
 		return fmt.Errorf("rig: no link is like %q", st.Link)
 	}
-	f.Note("rig", "%d links %s: cut %q heal %t reset %t delay %v rate %d lose %v twice %v swap %v", len(links), st.Link, st.Cut, st.Heal, st.Reset, st.Delay, st.Rate, st.Lose, st.Twice, st.Swap)
+	f.Note("rig", "%d links %s: cut %q heal %t reset %t delay %v rate %d lose %v twice %v swap %v", len(links), st.Link, st.Cut, st.Heal, st.Reset, st.Delay, st.Rate, st.Drop, st.Duplicate, st.Reorder)
 	for _, k := range links {
 		switch {
 		case st.Cut != "":
-			k.Cut(There, st.Cut != "back")
-			k.Cut(Back, st.Cut != "there")
+			k.Cut(ToServer, st.Cut != "back")
+			k.Cut(ToClient, st.Cut != "there")
 		case st.Heal:
-			k.Mend()
+			k.Heal()
 		case st.Reset:
 			k.Reset()
 		case st.Delay > 0:
@@ -169,7 +169,7 @@
 		case st.Rate > 0:
 			k.Throttle(st.Rate)
 		default:
-			k.Spoil(Spoil{Lose: st.Lose, Twice: st.Twice, Swap: st.Swap, Seed: uint64(len(f.nodes))})
+			k.InjectMessageFaults(MessageFaults{Drop: st.Drop, Duplicate: st.Duplicate, Reorder: st.Reorder, Seed: uint64(len(f.replicas))})
 		}
 	}
 	return nil
@@ -179,39 +179,39 @@
 func (f *Fleet) healAll() {
 	f.Note("rig", "all faults end")
 	if f.registry.Mode() != fake.RegistrySound {
-		f.setDiscovery(discoverySound)
+		f.setDiscovery(discoveryHealthy)
 	}
 	for _, m := range f.members {
 		for _, k := range append([]*Link{m.discovery}, m.links...) {
-			k.Mend()
+			k.Heal()
 		}
-		if !m.ending.Load() && m.Process != nil && m.paused {
+		if !m.terminating.Load() && m.Process != nil && m.paused {
 			f.resume(m)
 		}
 	}
-	for _, n := range f.nodes {
+	for _, n := range f.replicas {
 		n.mu.Lock()
 		state, status := n.state, n.entry.Status
 		n.mu.Unlock()
 		if status != statusInService {
-			f.setState(n, nodeBack)
-		} else if state != nodeSound {
-			f.setState(n, nodeSound)
+			f.setState(n, replicaRestarted)
+		} else if state != replicaHealthy {
+			f.setState(n, replicaHealthy)
 		}
 	}
 }
 
 // awaitWholeSummaries waits until every coordinator that runs has served a whole summary: each section was reached.
-func (f *Fleet) awaitWholeSummaries() (err error) {
-	summary := f.site.summary(f.sections())
+func (f *Fleet) awaitCompleteAnswers() (err error) {
+	summary := f.site.queryOfAllShards(f.shards())
 	for _, m := range f.running() {
 		tries := 0
-		err = errors.Join(err, Wait(m.name+" serves a whole summary after the faults", func() bool {
+		err = errors.Join(err, WaitFor(m.name+" serves a whole summary after the faults", func() bool {
 			tries++
-			client := &httpClient{address: m.listen}
+			client := &httpClient{address: m.clientAddress}
 			defer client.disconnect()
-			answer, _, err := client.roundTrip(summary.request(summary.class.id(fmt.Sprintf("after-%s-%d", m.name, tries)), f.site.tenant))
-			return err == nil && answer.Entire
+			answer, _, err := client.roundTrip(summary.request(summary.class.queryID(fmt.Sprintf("after-%s-%d", m.name, tries)), f.site.tenant))
+			return err == nil && answer.Complete
 		}))
 	}
 	if err == nil {
--- a/internal/test/faultinjection/rig_test.go
+++ b/internal/test/faultinjection/rig_test.go
@@ -15,7 +15,7 @@
 )
 
 // through sends so many messages back through a link with a fault and tells in which order they arrive.
-func through(t *testing.T, n int, s Spoil) (got []int) {
+func through(t *testing.T, n int, s MessageFaults) (got []int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	defer k.Close()
-	k.Spoil(s)
+	k.InjectMessageFaults(s)
 	c, err := net.Dial("tcp", k.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -51,20 +51,20 @@
 
 // Messages are lost, doubled and swapped as whole ones, in the shares asked for, and the same for the same seed.
 func TestSpoiltMessages(t *testing.T) {
-	if got := through(t, 100, Spoil{}); len(got) != 100 || got[99] != 99 {
+	if got := through(t, 100, MessageFaults{}); len(got) != 100 || got[99] != 99 {
 		t.Errorf("a sound link: %v", got)
 	}
-	lost := through(t, 400, Spoil{Lose: 0.25, Seed: 3})
+	lost := through(t, 400, MessageFaults{Drop: 0.25, Seed: 3})
 	if len(lost) < 250 || len(lost) > 350 {
 		t.Errorf("%d of 400 arrive where a quarter is lost", len(lost))
 	}
-	if again := through(t, 400, Spoil{Lose: 0.25, Seed: 3}); fmt.Sprint(again) != fmt.Sprint(lost) {
+	if again := through(t, 400, MessageFaults{Drop: 0.25, Seed: 3}); fmt.Sprint(again) != fmt.Sprint(lost) {
 		t.Error("the same seed loses others")
 	}
-	if twice := through(t, 400, Spoil{Twice: 0.25, Seed: 3}); len(twice) < 450 || len(twice) > 550 {
+	if twice := through(t, 400, MessageFaults{Duplicate: 0.25, Seed: 3}); len(twice) < 450 || len(twice) > 550 {
 		t.Errorf("%d of 400 arrive where a quarter is doubled", len(twice))
 	}
-	swapped, back := through(t, 400, Spoil{Swap: 0.25, Seed: 3}), 0
+	swapped, back := through(t, 400, MessageFaults{Reorder: 0.25, Seed: 3}), 0
 	for i := 1; i < len(swapped); i++ {
 		if swapped[i] < swapped[i-1] {
 			back++
@@ -111,48 +111,48 @@
 
 // The checker sees what breaks a rule, and lets pass what a fault has merely held up.
 func TestRecordsSeeBreaches(t *testing.T) {
-	link := func(whole time.Duration) *Link { return &Link{since: time.Now().Add(-whole)} }
-	f := &Fleet{Scenario: &Scenario{Nodes: 4}, Timeline: newTimeline(), site: &site{classes: []class{
-		{name: "report", repeat: "single_shot"}, {name: "search", repeat: "free"}, {name: "update", repeat: "guarded"}}}}
-	n := &fleetNode{name: "n0"}
-	m := &Member{name: "c0", links: []*Link{link(time.Hour)}, discovery: link(time.Hour)}
-	f.records.open(f)
-	f.records.started(m)
-	f.records.freshSince[m] = time.Now().Add(-time.Hour)
-	breaches := func() int { return len(f.records.breaches) }
-	f.records.part(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Reject)
-	f.records.part(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Serve)
+	link := func(whole time.Duration) *Link { return &Link{healthySince: time.Now().Add(-whole)} }
+	f := &Fleet{Scenario: &Scenario{Replicas: 4}, Timeline: newTimeline(), site: &site{classes: []class{
+		{name: "report", idempotency: "single_shot"}, {name: "search", idempotency: "free"}, {name: "update", idempotency: "guarded"}}}}
+	n := &fleetReplica{name: "n0"}
+	m := &member{name: "c0", links: []*Link{link(time.Hour)}, discovery: link(time.Hour)}
+	f.checker.init(f)
+	f.checker.processStarted(m)
+	f.checker.runningSince[m] = time.Now().Add(-time.Hour)
+	breaches := func() int { return len(f.checker.violations) }
+	f.checker.partReceived(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Reject)
+	f.checker.partReceived(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Serve)
 	if breaches() > 0 {
 		t.Error("a report that was turned away has not run")
 	}
-	f.records.part(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Silent)
+	f.checker.partReceived(m, n, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Silent)
 	if breaches() != 1 {
 		t.Error("a report that ran twice passes")
 	}
-	f.records.listed(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminating"}}})
-	f.records.part(m, n, fake.Part{ID: "search-1.0", List: "d=9"}, fake.Serve)
+	f.checker.listSent(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminating"}}})
+	f.checker.partReceived(m, n, fake.Part{ID: "search-1.0", List: "d=9"}, fake.Serve)
 	if breaches() != 1 {
 		t.Error("a part within the grace is a breach")
 	}
-	f.records.withdrawn[m]["n0"] = time.Now().Add(-2 * time.Second)
-	f.records.listed(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminated"}}}) // told again: the first word counts
-	f.records.part(m, n, fake.Part{ID: "search-2.0", List: "d=9"}, fake.Serve)
+	f.checker.withdrawn[m]["n0"] = time.Now().Add(-2 * time.Second)
+	f.checker.listSent(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminated"}}}) // told again: the first word counts
+	f.checker.partReceived(m, n, fake.Part{ID: "search-2.0", List: "d=9"}, fake.Serve)
 	if breaches() != 2 {
 		t.Error("a part at a node that has drained for 2 s passes")
 	}
 	// Held up on its way, the part or discovery's word; of one that was paused until now; at one that is back.
 	m.links[0] = link(100 * time.Millisecond)
-	f.records.part(m, n, fake.Part{ID: "search-3.0", List: "d=9"}, fake.Serve)
+	f.checker.partReceived(m, n, fake.Part{ID: "search-3.0", List: "d=9"}, fake.Serve)
 	m.links[0], m.discovery = link(time.Hour), link(900*time.Millisecond)
-	f.records.part(m, n, fake.Part{ID: "search-4.0", List: "d=9"}, fake.Serve)
+	f.checker.partReceived(m, n, fake.Part{ID: "search-4.0", List: "d=9"}, fake.Serve)
 	m.discovery = link(time.Hour)
-	f.records.resumed(m)
-	f.records.part(m, n, fake.Part{ID: "search-5.0", List: "d=9"}, fake.Serve)
-	f.records.freshSince[m] = time.Now().Add(-time.Hour)
-	f.records.listed(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "in_service"}}})
-	f.records.part(m, n, fake.Part{ID: "search-6.0", List: "d=9"}, fake.Serve)
+	f.checker.processResumed(m)
+	f.checker.partReceived(m, n, fake.Part{ID: "search-5.0", List: "d=9"}, fake.Serve)
+	f.checker.runningSince[m] = time.Now().Add(-time.Hour)
+	f.checker.listSent(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "in_service"}}})
+	f.checker.partReceived(m, n, fake.Part{ID: "search-6.0", List: "d=9"}, fake.Serve)
 	if breaches() != 2 {
-		t.Errorf("what a fault held up is a breach: %v", f.records.breaches)
+		t.Errorf("what a fault held up is a breach: %v", f.checker.violations)
 	}
 	for i, part := range []fake.Part{
 		{ID: "update-1.0", List: "d=9"},
@@ -160,14 +160,14 @@
 		{ID: "search-7.0", List: "d=9,k=key-search-7"},
 		{ID: "search-8.1", Shard: 1, List: "d=9"}, // n0 holds 0, 2 and 3
 	} {
-		if f.records.part(m, n, part, fake.Serve); breaches() != 3+i {
+		if f.checker.partReceived(m, n, part, fake.Serve); breaches() != 3+i {
 			t.Errorf("%+v passes", part)
 		}
 	}
-	f.records.part(m, n, fake.Part{ID: "update-1.0", List: "d=9,k=key-update-1"}, fake.Serve)
-	f.records.part(m, n, fake.Part{ID: "search-8.2", Shard: 2, List: "d=9"}, fake.Serve)
+	f.checker.partReceived(m, n, fake.Part{ID: "update-1.0", List: "d=9,k=key-update-1"}, fake.Serve)
+	f.checker.partReceived(m, n, fake.Part{ID: "search-8.2", Shard: 2, List: "d=9"}, fake.Serve)
 	if breaches() != 6 {
-		t.Errorf("what is sound is a breach: %v", f.records.breaches)
+		t.Errorf("what is sound is a breach: %v", f.checker.violations)
 	}
 	if err := f.verdict(); err == nil || !strings.Contains(err.Error(), "ran at n0 and at n0") || !strings.Contains(err.Error(), "nothing was served") {
 		t.Errorf("the verdict is %v", err)
--- a/internal/test/faultinjection/site.go
+++ b/internal/test/faultinjection/site.go
@@ -11,15 +11,15 @@
 type site struct {
 	classes []class
 	tenant  string // of all clients
-	rules   nodeRules
+	rules   replicaRules
 }
 
 // class is one class of query.
 type class struct {
-	name   string
-	repeat string  // free, guarded or single_shot
-	need   float64 // the share of the parts that makes a whole answer
-	floor  float64 // the least share of any answer
+	name             string
+	idempotency      string  // free, guarded or single_shot
+	completeFraction float64 // the share of the parts that makes a whole answer
+	minFraction      float64 // the least share of any answer
 }
 
 // readSite reads the settings as they are written for a program.
@@ -36,7 +36,7 @@
 			Need  []float64 `json:"need_by_class"`
 			Floor []float64 `json:"floor_by_class"`
 		} `json:"family_info"`
-		Rules nodeRules `json:"rules"`
+		Rules replicaRules `json:"rules"`
 	}
 	if err := json.Unmarshal(settings, &raw); err != nil {
 		return nil, err
@@ -46,13 +46,13 @@
 	}
 	s := &site{tenant: raw.Customers[0].Name, rules: raw.Rules}
 	for i, c := range raw.Classes {
-		s.classes = append(s.classes, class{c.Name, c.Repeat, item(raw.Family.Need, i), item(raw.Family.Floor, i)})
+		s.classes = append(s.classes, class{c.Name, c.Repeat, fractionAt(raw.Family.Need, i), fractionAt(raw.Family.Floor, i)})
 	}
 	return s, nil
 }
 
 // item is an entry of a list of shares; all where the list is shorter.
-func item(list []float64, i int) float64 {
+func fractionAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
 	}
@@ -60,23 +60,23 @@
 }
 
 // partial tells whether less than all parts may make an answer: these classes ask for the whole map.
-func (c class) partial() bool { return c.floor < 1 || c.need < 1 }
+func (c class) allowsPartial() bool { return c.minFraction < 1 || c.completeFraction < 1 }
 
 // id words a query's id, which tells its class.
-func (c class) id(rest string) string { return c.name + "-" + rest }
+func (c class) queryID(rest string) string { return c.name + "-" + rest }
 
 // key is the idempotency key of a query; empty in a class without keys.
-func (c class) key(id string) string {
-	if c.repeat != "guarded" {
+func (c class) idempotencyKey(id string) string {
+	if c.idempotency != "guarded" {
 		return ""
 	}
 	return "key-" + id
 }
 
 // class finds the class of a query by its id.
-func (s *site) class(id string) (found class) {
+func (s *site) classOf(id string) (found class) {
 	for _, c := range s.classes {
-		if strings.HasPrefix(id, c.id("")) && len(c.name) > len(found.name) {
+		if strings.HasPrefix(id, c.queryID("")) && len(c.name) > len(found.name) {
 			found = c
 		}
 	}
@@ -85,8 +85,8 @@
 
 // keyFault tells what is wrong with the key that came with a part of a query, given the list of its line in a frame; empty
 // where nothing is.
-func (s *site) keyFault(id, list string) string {
-	want, got := s.class(id).key(id), ""
+func (s *site) keyViolation(id, list string) string {
+	want, got := s.classOf(id).idempotencyKey(id), ""
 	for entry := range strings.SplitSeq(list, ",") {
 		if value, found := strings.CutPrefix(entry, "k="); found {
 			got = value
@@ -99,31 +99,31 @@
 }
 
 // question is what a client asks.
-type question struct {
-	class    class
-	sections []int
+type query struct {
+	class  class
+	shards []int
 }
 
 // ask is the i-th question of a client, each class in turn, of so many sections: all of them where an answer in part will
 // do, four in a row for other lookups, and one where it is a report.
-func (s *site) ask(who, i, sections int) question {
+func (s *site) query(who, i, sections int) query {
 	c := s.classes[i%len(s.classes)]
 	first := (who*7 + i*5) % sections
-	q := question{class: c}
+	q := query{class: c}
 	switch {
-	case c.partial():
-		q.sections = upTo(sections)
-	case c.repeat == "free":
+	case c.allowsPartial():
+		q.shards = allShards(sections)
+	case c.idempotency == "free":
 		for j := range min(4, sections) {
-			q.sections = append(q.sections, (first+j)%sections)
+			q.shards = append(q.shards, (first+j)%sections)
 		}
 	default:
-		q.sections = []int{first}
+		q.shards = []int{first}
 	}
 	return q
 }
 
-func upTo(n int) (list []int) {
+func allShards(n int) (list []int) {
 	for i := range n {
 		list = append(list, i)
 	}
@@ -131,10 +131,10 @@
 }
 
 // summary asks for all sections, in a class of which less may make an answer if there is one.
-func (s *site) summary(sections int) question {
-	q := question{class: s.classes[0], sections: upTo(sections)}
+func (s *site) queryOfAllShards(sections int) query {
+	q := query{class: s.classes[0], shards: allShards(sections)}
 	for _, c := range s.classes {
-		if c.partial() {
+		if c.allowsPartial() {
 			q.class = c
 		}
 	}
--- a/internal/test/scaletest/fleet.go
+++ b/internal/test/scaletest/fleet.go
@@ -67,7 +67,7 @@
 	reals     map[string]*process
 	hosts     []*process
 	sources   [][]SourceSpec // by region
-	crowds    []*faultinjection.Crowd
+	crowds    []*faultinjection.ClientPool
 	spoiler   *spoiler
 
 	clientsOver  sync.Once
--- a/internal/test/scaletest/judge.go
+++ b/internal/test/scaletest/judge.go
@@ -53,7 +53,7 @@
 		miss("%s", example)
 	}
 	for _, how := range slices.Sorted(maps.Keys(r.Requests)) {
-		if how == faultinjection.OutcomeUntrue || how == faultinjection.OutcomeTwice {
+		if how == faultinjection.OutcomeWrongAnswer || how == faultinjection.OutcomeDuplicateAnswer {
 			miss("%d requests were answered %s", r.Requests[how], how)
 		}
 	}
--- a/internal/test/scaletest/measure.go
+++ b/internal/test/scaletest/measure.go
@@ -34,7 +34,7 @@
 	}
 	result.Broken = f.broken(published)
 	for _, c := range f.crowds {
-		for how, n := range c.Tally() {
+		for how, n := range c.Outcomes() {
 			result.Requests[how] += n
 		}
 	}
--- a/internal/test/scaletest/network.go
+++ b/internal/test/scaletest/network.go
@@ -58,9 +58,9 @@
 // cut holds what goes between a region and all others; one-sided, only what goes into it.
 func (n *network) cut(region int, oneSided bool) {
 	for _, w := range n.between(region) {
-		into := faultinjection.There
+		into := faultinjection.ToServer
 		if w.from == region {
-			into = faultinjection.Back
+			into = faultinjection.ToClient
 		}
 		w.Cut(into, true)
 		if !oneSided {
@@ -72,8 +72,8 @@
 // heal ends a cut. Connections that stood through it break, as they do once a machine is back that has been away.
 func (n *network) heal(region int) {
 	for _, w := range n.between(region) {
-		w.Cut(faultinjection.There, false)
-		w.Cut(faultinjection.Back, false)
+		w.Cut(faultinjection.ToServer, false)
+		w.Cut(faultinjection.ToClient, false)
 		w.Reset()
 	}
 }
--- a/internal/test/scaletest/nodes.go
+++ b/internal/test/scaletest/nodes.go
@@ -127,7 +127,7 @@
 }
 
 // ask lets clients ask a member for the sections that only these nodes hold.
-func (n *nodes) ask(plan *Plan, settings []byte, member, address string) (*faultinjection.Crowd, error) {
+func (n *nodes) ask(plan *Plan, settings []byte, member, address string) (*faultinjection.ClientPool, error) {
 	n.mu.Lock()
 	n.origins[faultinjection.QueryOrigin(address)] = member
 	n.mu.Unlock()
@@ -135,5 +135,5 @@
 	for s := reach - 1; s <= plan.nodeCells()-reach; s++ {
 		sections = append(sections, s)
 	}
-	return faultinjection.NewCrowd(plan.Clients, address, settings, sections, n.sent)
+	return faultinjection.NewClientPool(plan.Clients, address, settings, sections, n.sent)
 }
--- a/internal/test/scaletest/run.go
+++ b/internal/test/scaletest/run.go
@@ -160,7 +160,7 @@
 func (f *fleet) endClients() {
 	f.clientsOver.Do(func() {
 		for _, c := range f.crowds {
-			c.End()
+			c.Stop()
 		}
 	})
 }
--- a/internal/test/scaletest/verdict.go
+++ b/internal/test/scaletest/verdict.go
@@ -39,7 +39,7 @@
 	}
 	f.checkSends(&b, published)
 	for _, c := range f.crowds {
-		if lost := c.Tally()[faultinjection.OutcomeLost]; lost > 0 {
+		if lost := c.Outcomes()[faultinjection.OutcomeLost]; lost > 0 {
 			b.Lost += lost
 			b.examples = append(b.examples, fmt.Sprintf("%d requests were heard and never answered", lost))
 		}
