--- /dev/null
+++ b/internal/test/faultinjection/fleet_replica.go
@@ -0,0 +1,170 @@
+package faultinjection
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"harepass/internal/test/fake"
+)
+
+// ReplicaState is how a replica behaves, as a scenario's steps name it.
+type ReplicaState string
+
+// The states of a replica. replicaRestarted is an event: a new process starts, in slow start, and is healthy.
+const (
+	replicaHealthy      ReplicaState = "sound"
+	replicaUnresponsive ReplicaState = "hung"    // takes parts and answers none
+	replicaFailing      ReplicaState = "failing" // answers each part with an error
+	replicaDraining     ReplicaState = "drained" // rejects parts, and discovery lists it as leaving
+	replicaRemoved      ReplicaState = "gone"    // breaks connections, and discovery lists it as ended
+	replicaRestarted    ReplicaState = "back"
+)
+
+var replicaStates = []ReplicaState{
+	replicaDraining, replicaRemoved, replicaRestarted, replicaUnresponsive, replicaFailing, replicaHealthy,
+}
+
+// statusInService is the status under which discovery lists a replica that may be sent to.
+const statusInService = "in_service"
+
+// registryStatus is the status under which discovery lists a replica from a state on; other states leave it as it was.
+var registryStatus = map[ReplicaState]string{
+	replicaDraining:  "terminating",
+	replicaRemoved:   "terminated",
+	replicaRestarted: statusInService,
+}
+
+const (
+	// replicaCores is how many parts a replica works on at once.
+	replicaCores = 2
+	// replicaQueue is how many parts may wait at a replica; it rejects more.
+	replicaQueue = 40
+	// defaultDrainGrace is the grace of a drain where the settings have none.
+	defaultDrainGrace = time.Second
+)
+
+// fleetReplica is a replica that all coordinators of a fleet reach, each by a link of its own.
+type fleetReplica struct {
+	name   string // n0, n1, ...
+	number int
+
+	mu      sync.Mutex
+	entry   fake.Entry // as discovery lists it
+	machine fake.Machine
+	state   ReplicaState
+}
+
+// replicaRules are the platform's rules on replicas, as the settings have them.
+type replicaRules struct {
+	InitialCapacity float64 `json:"start_capacity"`         // share of its capacity that a new process has
+	SlowStart       int64   `json:"warm_within_us"`         // microseconds after which a process has all of it
+	OverloadFactor  float64 `json:"fall_multiple"`          // multiple of its capacity that a process cannot bear
+	OverloadWindow  int64   `json:"fall_us"`                // microseconds of that after which it falls over
+	DrainGrace      int64   `json:"stop_sending_within_us"` // microseconds; see drainGrace
+}
+
+// drainGrace is how long after the notification of its drain a replica may still be sent to.
+func (r replicaRules) drainGrace() time.Duration {
+	if r.DrainGrace == 0 {
+		return defaultDrainGrace
+	}
+	return microseconds(r.DrainGrace)
+}
+
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+
+// newFleetReplica returns the replica of a number and a ring position: healthy, warmed up and listed as such.
+func newFleetReplica(number, ringPosition int, serviceTime time.Duration, rules replicaRules) *fleetReplica {
+	name := fmt.Sprint("n", number)
+	return &fleetReplica{
+		name:   name,
+		number: number,
+		state:  replicaHealthy,
+		entry: fake.Entry{
+			Name:   name,
+			Zone:   fmt.Sprint("z", number%holdersPerShard),
+			Type:   "m",
+			Group:  ringPosition,
+			Status: statusInService,
+			Weight: 1,
+		},
+		machine: fake.Machine{
+			Work:   serviceTime,
+			Cores:  replicaCores,
+			Queue:  replicaQueue,
+			Start:  rules.InitialCapacity,
+			Warm:   microseconds(rules.SlowStart),
+			Fall:   rules.OverloadFactor,
+			Window: microseconds(rules.OverloadWindow),
+		},
+	}
+}
+
+// decideReply decides what a replica does with a part that has just arrived.
+func (f *Fleet) decideReply(r *fleetReplica) fake.Reply {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch r.state {
+	case replicaUnresponsive:
+		return fake.Reply{Kind: fake.Silent}
+	case replicaFailing:
+		return fake.Reply{Kind: fake.Fail}
+	case replicaRemoved:
+		return fake.Reply{Kind: fake.Break}
+	}
+	now := f.machineTime()
+	end, accepted := r.machine.Take(now)
+	if !accepted || r.state == replicaDraining {
+		return fake.Reply{Kind: fake.Reject}
+	}
+	return fake.Reply{After: end - now}
+}
+
+// changeReplicas changes the replicas that patterns name.
+func (f *Fleet) changeReplicas(patterns string, state ReplicaState) {
+	for _, i := range match(patterns, "n", len(f.replicas)) {
+		f.Note(sourceHarness, "n%d becomes %s", i, state)
+		f.setState(f.replicas[i], state)
+	}
+}
+
+// setState changes a replica, and its entry in discovery where the new state is one that discovery knows of.
+func (f *Fleet) setState(r *fleetReplica, state ReplicaState) {
+	r.mu.Lock()
+	r.state = state
+	status := registryStatus[state]
+	if state == replicaRestarted {
+		r.state = replicaHealthy
+		r.machine.Restart(f.machineTime())
+		r.entry.SinceMS = time.Now().UnixMilli()
+	}
+	if status != "" {
+		r.entry.Status = status
+	}
+	entry := r.entry
+	r.mu.Unlock()
+	if status != "" {
+		f.registry.Put(entry)
+		f.checker.statusListed(r, status)
+	}
+}
+
+// healReplica ends a replica's fault. One that discovery lists as leaving or ended comes back as a new process.
+func (f *Fleet) healReplica(r *fleetReplica) {
+	r.mu.Lock()
+	state, status := r.state, r.entry.Status
+	r.mu.Unlock()
+	if status != statusInService {
+		f.setState(r, replicaRestarted)
+	} else if state != replicaHealthy {
+		f.setState(r, replicaHealthy)
+	}
+}
+
+// pressure is the machine's greatest load so far, as a multiple of what makes it fall over.
+func (r *fleetReplica) pressure() float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.machine.Pressure()
+}
--- a/internal/test/faultinjection/host.go
+++ b/internal/test/faultinjection/host.go
@@ -15,47 +15,47 @@
 	"harepass/internal/test/fake"
 )
 
-// Config says what a Host is made of.
+// hostRingSize is how many ring positions the replicas of a Host share; each position holds several shards.
+const hostRingSize = 3
+
+// HostConfig says what a Host runs.
 type HostConfig struct {
-	Dir              string   // for the configuration, and $TMPDIR of all processes
-	Command          []string // the program with its arguments
-	Env              []string // beside that of this process
-	Settings         []byte
-	Replicas         int           // each listed in a cell of three
-	ServiceTime      time.Duration // that a node takes for a part
-	MaintenanceGrace time.Duration // after the yes to a node's being taken out, until which it may be sent to
+	Dir              string        // existing folder for the configuration, and $TMPDIR of all processes
+	Command          []string      // the program with its arguments
+	Env              []string      // variables of each process besides those of this one
+	Settings         []byte        // of the site, as JSON
+	Replicas         int           // each at one of three ring positions, in turn
+	ServiceTime      time.Duration // of a part at a replica
+	MaintenanceGrace time.Duration // after maintenance of a replica was confirmed, until which it may be sent to
 }
 
-const (
-	hostRingSize = 3
-	waitTimeout  = 30 * time.Second // for what is only a matter of time
-	pollInterval = 10 * time.Millisecond
-)
-
-// Host stands in for the platform, which starts processes of one coordinator: it holds the clients' socket and has nodes and
-// discovery, each behind a Link.
+// Host does for one coordinator what the platform does: it holds the client socket, starts processes that take over
+// from each other, and has replicas and discovery, each behind a Link. Its exported methods are for one goroutine, but
+// for Forwarded.
 type Host struct {
 	HostConfig
-	ClientListener *net.TCPListener
+	ClientListener *net.TCPListener // inherited by each process
 	Replicas       []*HostReplica
 	Discovery      *Link
-	ListsServed    atomic.Int32 // answers of discovery, each given when its watch ends
+	ListsServed    atomic.Int32 // endpoint lists that discovery has given out, each when its watch ends
+
+	site      *site
+	listeners linkedListeners
+	processes []*Process // all that were started
 
-	site          *site
-	listeners     linkedListeners
 	mu            sync.Mutex
-	inMaintenance map[int]time.Time // nodes taken out by hand, and when that was confirmed
-	misdirected   []string          // parts that reached such a node too late
-	processes     []*Process
+	inMaintenance map[int]time.Time // when maintenance of a replica was confirmed
+	misdirected   []string          // parts that reached such a replica after the grace
 }
 
-// Node is a stand-in node behind a link.
+// HostReplica is a fake replica behind a link.
 type HostReplica struct {
 	fake.Fleet
 	Link *Link
 }
 
-// NewHost opens all that a process needs.
+// NewHost opens all that a process needs. The caller closes the host. Errors are those of the settings, of listening
+// and of writing the configuration.
 func NewHost(c HostConfig) (*Host, error) {
 	h := &Host{HostConfig: c, inMaintenance: map[int]time.Time{}}
 	var err error
@@ -68,12 +68,12 @@
 	}
 	h.ClientListener = clients.(*net.TCPListener)
 	for i := range c.Replicas {
-		n := &HostReplica{}
-		n.Script = func(int, int) fake.Reply { return h.recordPart(i) }
-		if n.Link, err = h.listeners.serveBehindLink(NewLink, n.Frames); err != nil {
+		r := &HostReplica{}
+		r.Script = func(int, int) fake.Reply { return h.decideReply(i) }
+		if r.Link, err = h.listeners.serveBehindLink(NewLink, r.Frames); err != nil {
 			return nil, errors.Join(err, h.Close())
 		}
-		h.Replicas = append(h.Replicas, n)
+		h.Replicas = append(h.Replicas, r)
 	}
 	h.Discovery, err = h.listeners.serveBehindLink(NewLink, func(l net.Listener) { fake.Discovery(l, h.endpointList) })
 	if err == nil {
@@ -85,7 +85,7 @@
 	return h, nil
 }
 
-// Close kills what still runs and closes the rest.
+// Close kills what still runs, and closes listeners and links.
 func (h *Host) Close() (err error) {
 	for _, p := range h.processes {
 		p.Process.Kill()
@@ -94,116 +94,100 @@
 	return errors.Join(err, h.ClientListener.Close(), h.listeners.close())
 }
 
-// Path is the configuration's file.
+// ConfigPath is the file of the configuration.
 func (h *Host) ConfigPath() string { return filepath.Join(h.Dir, "config.json") }
 
-// Configure writes the configuration. Its known list is empty, so what a process knows at its start another one left.
+// Configure writes the configuration with these settings. Its endpoint list is empty: what a process knows when it
+// starts, it has from the process before it.
 func (h *Host) Configure(settings []byte) error {
-	data, err := json.Marshal(map[string]any{"name": "n1", "listen": h.ClientListener.Addr().String(), "discovery": h.Discovery.Address(), "seed": "8c1f30d27a5be964",
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"known":    map[string]any{"index": 0, "snapshot": true, "endpoints": []any{}},
-		"settings": json.RawMessage(settings)})
+	data, err := json.Marshal(map[string]any{
+		"name":      "n1",
+		"listen":    h.ClientListener.Addr().String(),
+		"discovery": h.Discovery.Address(),
+		"seed":      fmt.Sprintf("%016x", memberSeed),
+		"limits":    processLimits,
+		"known":     map[string]any{"index": 0, "snapshot": true, "endpoints": []any{}},
+		"settings":  json.RawMessage(settings),
+	})
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(h.ConfigPath(), data, 0o600)
 }
 
-// script is what a node does with a part; it also records what it should not have been sent.
-func (h *Host) recordPart(i int) fake.Reply {
+// decideReply decides what a replica does with a part, and records a part that it should not have been sent.
+func (h *Host) decideReply(replica int) fake.Reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if at, out := h.inMaintenance[i]; out && time.Since(at) > h.MaintenanceGrace {
-		h.misdirected = append(h.misdirected, fmt.Sprintf("node %d %v after the yes", i, time.Since(at)))
+	if at, confirmed := h.inMaintenance[replica]; confirmed && time.Since(at) > h.MaintenanceGrace {
+		h.misdirected = append(h.misdirected,
+			fmt.Sprintf("replica %d, %v after maintenance was confirmed", replica, time.Since(at)))
 	}
 	return fake.Reply{After: h.ServiceTime}
 }
 
-// list is discovery's: whatever operators say, every node is in service.
+// endpointList is discovery's list: whatever operators say, every replica is in service.
 func (h *Host) endpointList() string {
 	h.ListsServed.Add(1)
+	const entry = `{"name":"f%d","address":%q,"zone":"z","type":"m","group":%d,` +
+		`"status":"in_service","weight":1,"since_ms":0}`
 	var entries []string
-	for i, n := range h.Replicas {
-		entries = append(entries, fmt.Sprintf(`{"name":"f%d","address":%q,"zone":"z","type":"m","group":%d,"status":"in_service","weight":1,"since_ms":0}`, i, n.Link.Address(), i%hostRingSize))
+	for i, r := range h.Replicas {
+		entries = append(entries, fmt.Sprintf(entry, i, r.Link.Address(), i%hostRingSize))
 	}
 	return fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ","))
 }
 
-// Start starts a process with a door of its own and the clients' socket as descriptor 4, and with further variables.
+// Start starts a process with an admin endpoint of its own, with the client socket as descriptor 4, and with further
+// variables.
 func (h *Host) Start(env ...string) (*Process, error) {
 	socket, err := h.ClientListener.File()
 	if err != nil {
 		return nil, err
 	}
 	defer socket.Close()
-	p, err := start(h.Command, append(append(h.Env[:len(h.Env):len(h.Env)], "PROXY_CONFIG="+h.ConfigPath(), "PROXY_FD=4", "TMPDIR="+h.Dir), env...),
-		[]*os.File{os.Stdin, socket}, nil)
+	own := append(h.Env[:len(h.Env):len(h.Env)], "PROXY_CONFIG="+h.ConfigPath(), "PROXY_FD=4", "TMPDIR="+h.Dir)
+	p, err := start(h.Command, append(own, env...), []*os.File{os.Stdin, socket}, nil)
 	if err == nil {
 		h.processes = append(h.processes, p)
 	}
 	return p, err
 }
 
-// Take takes a node out at a process, or calls it back.
-func (h *Host) SetMaintenance(p *Process, i int, out bool) error {
-	line := "maint-on"
+// SetMaintenance takes a replica out at a process, or back in. The error wraps ErrAdminRequestFailed, with the reply,
+// where the process did not accept it.
+func (h *Host) SetMaintenance(p *Process, replica int, out bool) error {
+	request := "maint-on"
 	if !out {
-		line = "maint-off"
+		request = "maint-off"
 		h.mu.Lock()
-		delete(h.inMaintenance, i) // from the call on it may be sent to
+		delete(h.inMaintenance, replica) // it may be sent to from the request on
 		h.mu.Unlock()
 	}
-	if answer := p.CallAdmin(fmt.Sprintf("%s f%d", line, i)); !strings.HasPrefix(answer, "200") {
-		return fmt.Errorf("rig: %s f%d: %q", line, i, answer)
+	request += fmt.Sprintf(" f%d", replica)
+	if reply := p.CallAdmin(request); !strings.HasPrefix(reply, "200") {
+		return fmt.Errorf("%w: %s: %q", ErrAdminRequestFailed, request, reply)
 	}
 	if out {
 		h.mu.Lock()
-		h.inMaintenance[i] = time.Now()
+		h.inMaintenance[replica] = time.Now()
 		h.mu.Unlock()
 	}
 	return nil
 }
 
-// Sent tells whether a node was asked for some part of a query.
-func (h *Host) Forwarded(id string) bool {
-	for _, n := range h.Replicas {
-		for _, line := range n.Seen() {
-			if strings.HasPrefix(line, id+".") {
-				return true
-			}
-		}
-	}
-	return false
+// StartClients starts clients of the coordinator. The caller stops them.
+func (h *Host) StartClients(n int) *ClientPool {
+	nextQuery := func(_, i int) query { return h.query(i) }
+	return newClientPool(n, h.ClientListener.Addr().String(), h.site.tenant, h.Forwarded, nextQuery)
 }
 
-// Check holds the nodes' own records against the rules: nothing that may run once only runs twice, each part comes with its
-// client's key or with none, nothing reaches a node that is out.
-func (h *Host) Check() (err error) {
-	runs, classes := map[string]int{}, map[string]bool{}
-	for _, n := range h.Replicas {
-		for _, line := range n.Seen() {
-			words := strings.Fields(line)
-			id, list := words[0], words[2]
-			query, _, _ := strings.Cut(id, ".")
-			c := h.site.classOf(query)
-			classes[c.name] = true
-			if runs[id]++; runs[id] == 2 && c.idempotency == "single_shot" {
-				err = errors.Join(err, fmt.Errorf("rig: the report %s ran twice", id))
-			}
-			if fault := h.site.keyViolation(query, list); fault != "" {
-				err = errors.Join(err, fmt.Errorf("rig: %s", fault))
-			}
-		}
-	}
-	for _, c := range h.site.classes {
-		if !classes[c.name] {
-			err = errors.Join(err, fmt.Errorf("rig: no %s was seen", c.name))
-		}
-	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if len(h.misdirected) > 0 {
-		err = errors.Join(err, fmt.Errorf("rig: %d parts at nodes that are out, the first: %s", len(h.misdirected), h.misdirected[0]))
+// query is the i-th query of each client. Classes come in turn; a query asks one shard, or two that lie far apart where
+// its class allows partial answers.
+func (h *Host) query(i int) query {
+	c := h.site.classes[i%len(h.site.classes)]
+	if c.allowsPartial() {
+		return query{c, []int{0, 4}}
 	}
-	return err
+	return query{c, []int{1}}
 }
--- /dev/null
+++ b/internal/test/faultinjection/host_check.go
@@ -0,0 +1,55 @@
+package faultinjection
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// Forwarded reports whether a replica was asked for some part of a query. Any goroutine may call it.
+func (h *Host) Forwarded(queryID string) bool {
+	for _, r := range h.Replicas {
+		for _, line := range r.Seen() {
+			if strings.HasPrefix(line, queryID+".") {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// Check holds what the replicas have recorded against the rules: parts that may run once only have run once, each part
+// came with its client's idempotency key or with none, nothing reached a replica in maintenance after the grace, and
+// every class was seen. The error joins one that wraps ErrRuleViolated for each violation.
+func (h *Host) Check() (err error) {
+	violation := func(format string, args ...any) {
+		err = errors.Join(err, fmt.Errorf("%w: %s", ErrRuleViolated, fmt.Sprintf(format, args...)))
+	}
+	runs, classesSeen := map[string]int{}, map[string]bool{}
+	for _, r := range h.Replicas {
+		for _, line := range r.Seen() {
+			words := strings.Fields(line)
+			partID, list := words[0], words[2]
+			queryID, _, _ := strings.Cut(partID, ".")
+			class := h.site.classOf(queryID)
+			classesSeen[class.name] = true
+			if runs[partID]++; runs[partID] == 2 && class.idempotency == nonIdempotent {
+				violation("the report %s ran twice", partID)
+			}
+			if key := h.site.keyViolation(queryID, list); key != "" {
+				violation("%s", key)
+			}
+		}
+	}
+	for _, c := range h.site.classes {
+		if !classesSeen[c.name] {
+			violation("no %s was seen", c.name)
+		}
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.misdirected) > 0 {
+		violation("%d parts at replicas in maintenance, the first: %s", len(h.misdirected), h.misdirected[0])
+	}
+	return err
+}
--- a/internal/test/faultinjection/link.go
+++ b/internal/test/faultinjection/link.go
@@ -1,12 +1,6 @@
-// Package faultinjection starts real processes of the program on loopback among stand-ins for all that surrounds them, breaks the ways
-// between them, and holds what the stand-ins have recorded against the rules. It is for tests and the laboratory only.
 package faultinjection
 
 import (
-	"bufio"
-	"bytes"
-	"encoding/binary"
-	"io"
 	"math/rand/v2"
 	"net"
 	"sync"
@@ -16,294 +10,141 @@
 // Direction is one of a link's two.
 type Direction int
 
-// The directions, as whoever connects sees them.
+// The directions, as seen by whoever connects.
 const (
 	ToServer Direction = iota
 	ToClient
 )
 
-// pieceSize is how much a link passes on at once, at most.
-const maxPieceBytes = 16 << 10
-
-// Link stands in the way to an address and can be broken.
+// Link forwards connections to a server and can be given faults. Its methods may be called by any goroutine. The zero
+// value is of use to tests only: it forwards nothing.
 type Link struct {
 	listener net.Listener
-	target   string
-	framed   bool
+	target   string // address of the server
+	framed   bool   // the server's messages have their length in front, so that single ones can meet a fault
 
 	mu             sync.Mutex
-	changed        *sync.Cond
-	cut            [2]bool
+	changed        *sync.Cond // signalled when a cut ends, connections are reset, or the link is closed
+	cut            [2]bool    // by Direction: nothing passes
 	delay          time.Duration
-	bytesPerSecond int // bytes a second; 0 for as many as come
+	bytesPerSecond int // that pass in each direction; 0 for no bound
 	messageFaults  MessageFaults
-	rng            *rand.Rand
-	healthySince   time.Time // when the last fault ended; of one that lasts, zero
-	conns          map[net.Conn]struct{}
+	rng            *rand.Rand            // draws messageFaults
+	healthySince   time.Time             // when the last fault ended; zero while there is one
+	connections    map[net.Conn]struct{} // both ends of all that stand
 	closed         bool
 }
 
-// Spoil is what becomes of whole messages on the way back, as shares of them, drawn from a seed.
-type MessageFaults struct {
-	Drop, Duplicate, Reorder float64
-	Seed                     uint64
-}
-
-// NewLink opens a way to an address; Address is where it begins.
-func NewLink(to string) (*Link, error) { return newLink(to, false) }
+// NewLink opens a link to the server at an address. The error is that of listening.
+func NewLink(target string) (*Link, error) { return newLink(target, false) }
 
-// NewFramedLink does so where each message that comes back has its length in four bytes before it, least significant first.
-func NewFramedLink(to string) (*Link, error) { return newLink(to, true) }
+// NewFramedLink opens a link to a server each of whose messages has its length in four bytes before it, least
+// significant first. The error is that of listening.
+func NewFramedLink(target string) (*Link, error) { return newLink(target, true) }
 
-func newLink(to string, framed bool) (*Link, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func newLink(target string, framed bool) (*Link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, target: to, framed: framed, conns: map[net.Conn]struct{}{}, healthySince: time.Now()}
-	k.changed = sync.NewCond(&k.mu)
-	go k.serve()
-	return k, nil
-}
-
-// Address is where the way begins.
-func (k *Link) Address() string { return k.listener.Addr().String() }
-
-// Cut stops what goes in a direction, without a word: it arrives when the cut is over, if the connection still stands.
-func (k *Link) Cut(d Direction, yes bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cut[d] = yes
-	k.updateHealthySince()
-	k.changed.Broadcast()
-}
-
-// note keeps when the link became whole; under the lock.
-func (k *Link) updateHealthySince() {
-	if k.cut[ToServer] || k.cut[ToClient] || k.delay > 0 || k.bytesPerSecond > 0 || k.messageFaults != (MessageFaults{}) {
-		k.healthySince = time.Time{}
-	} else {
-		k.healthySince = time.Now()
-	}
-}
-
-// WholeFor is how long the link has had no fault; 0 while it has one.
-func (k *Link) HealthyFor() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.healthySince.IsZero() {
-		return 0
-	}
-	return time.Since(k.healthySince)
-}
-
-// Throttle is how many bytes a second pass in each direction from now on; 0 for as many as come.
-func (k *Link) Throttle(rate int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.bytesPerSecond = rate
-	k.updateHealthySince()
-}
-
-// Spoil is what becomes of messages that come back on a framed link from now on.
-func (k *Link) InjectMessageFaults(s MessageFaults) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.messageFaults, k.rng = s, rand.New(rand.NewPCG(s.Seed, 0x6c696e6b))
-	k.updateHealthySince()
-}
-
-// Mend ends all faults. What was held up arrives now.
-func (k *Link) Heal() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.healthySince.IsZero() {
-		k.cut, k.delay, k.bytesPerSecond, k.messageFaults = [2]bool{}, 0, 0, MessageFaults{}
-		k.updateHealthySince()
+	l := &Link{
+		listener:     listener,
+		target:       target,
+		framed:       framed,
+		connections:  map[net.Conn]struct{}{},
+		healthySince: time.Now(),
 	}
-	k.changed.Broadcast()
+	l.changed = sync.NewCond(&l.mu)
+	go l.serve() // until Close
+	return l, nil
 }
 
-// Delay is how long each piece is held back from now on.
-func (k *Link) Delay(d time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.delay = d
-	k.updateHealthySince()
-}
-
-// Reset breaks all connections that stand.
-func (k *Link) Reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.resetLocked()
-}
+// Address is where clients connect to the link.
+func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// reset is called under the lock.
-func (k *Link) resetLocked() {
-	for c := range k.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
-		}
-		c.Close()
-		delete(k.conns, c)
-	}
-	k.changed.Broadcast()
+// Cut stops all bytes in a direction, or lets them pass again. Nobody is notified: what was sent arrives when the cut
+// is over, if its connection still stands.
+func (l *Link) Cut(d Direction, cut bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cut[d] = cut
+	l.updateHealthySince()
+	l.changed.Broadcast()
 }
 
-// Close ends the way; new connections are refused.
-func (k *Link) Close() {
-	k.listener.Close()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closed = true
-	k.resetLocked()
+// Delay holds back each piece of at most 16 KB for a time from now on.
+func (l *Link) Delay(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.delay = d
+	l.updateHealthySince()
 }
 
-func (k *Link) serve() {
-	for {
-		here, err := k.listener.Accept()
-		if err != nil {
-			return
-		}
-		go k.connect(here)
-	}
+// Throttle bounds the bytes a second that pass in each direction from now on; 0 lifts the bound.
+func (l *Link) Throttle(bytesPerSecond int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.bytesPerSecond = bytesPerSecond
+	l.updateHealthySince()
 }
 
-// join connects one caller on. A way that is cut there does not come up either.
-func (k *Link) connect(here net.Conn) {
-	if !k.track(here) || !k.awaitPassage(ToServer, here, 0) {
-		here.Close()
-		return
-	}
-	there, err := net.Dial("tcp", k.target)
-	if err != nil || !k.track(there) {
-		here.Close()
-		return
-	}
-	go k.copy(ToServer, here, there)
-	k.copy(ToClient, there, here)
+// Reset resets all connections that stand.
+func (l *Link) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.resetLocked()
 }
 
-func (k *Link) track(c net.Conn) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.closed {
-		c.Close()
-		return false
+// Heal ends all faults. What was held up arrives now.
+func (l *Link) Heal() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.healthySince.IsZero() {
+		l.cut, l.delay, l.bytesPerSecond, l.messageFaults = [2]bool{}, 0, 0, MessageFaults{}
+		l.updateHealthySince()
 	}
-	k.conns[c] = struct{}{}
-	return true
+	l.changed.Broadcast()
 }
 
-// pass waits until so many bytes may go in a direction; false where the connection has been reset meanwhile.
-func (k *Link) awaitPassage(d Direction, c net.Conn, size int) bool {
-	k.mu.Lock()
-	wait := k.delay
-	if k.bytesPerSecond > 0 {
-		wait += time.Duration(size) * time.Second / time.Duration(k.bytesPerSecond)
-	}
-	k.mu.Unlock()
-	time.Sleep(wait)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for {
-		if _, stands := k.conns[c]; !stands || k.closed {
-			return false
-		}
-		if !k.cut[d] {
-			return true
-		}
-		k.changed.Wait()
+// HealthyFor is for how long the link has had no fault; 0 while it has one.
+func (l *Link) HealthyFor() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.healthySince.IsZero() {
+		return 0
 	}
+	return time.Since(l.healthySince)
 }
 
-// copy passes bytes on in order. When one side ends, both do.
-func (k *Link) copy(d Direction, from, to net.Conn) {
-	defer func() {
-		k.mu.Lock()
-		delete(k.conns, from)
-		delete(k.conns, to)
-		k.changed.Broadcast()
-		k.mu.Unlock()
-		from.Close()
-		to.Close()
-	}()
-	var swapped []byte // waits for the next one
-	for next := k.reader(d, from); ; {
-		piece, err := next()
-		if len(piece) > 0 {
-			if !k.awaitPassage(d, from, len(piece)) {
-				return
-			}
-			var fate messageFault
-			if d == ToClient && k.framed {
-				fate = k.drawMessageFault()
-			}
-			switch {
-			case fate == messageDropped:
-				continue
-			case fate == messageReordered && swapped == nil:
-				swapped = bytes.Clone(piece)
-				continue
-			case fate == messageDuplicated:
-				piece = append(bytes.Clone(piece), piece...)
-			}
-			if _, err := to.Write(append(bytes.Clone(piece), swapped...)); err != nil {
-				return
-			}
-			swapped = nil
-		}
-		if err != nil {
-			return
-		}
+// updateHealthySince is to be called under the lock after every change of a fault. A change that leaves the link
+// without faults counts as the end of one.
+func (l *Link) updateHealthySince() {
+	faulty := l.cut[ToServer] || l.cut[ToClient] || l.delay > 0 || l.bytesPerSecond > 0 ||
+		l.messageFaults != (MessageFaults{})
+	if faulty {
+		l.healthySince = time.Time{}
+	} else {
+		l.healthySince = time.Now()
 	}
 }
 
-// reader reads whole messages where they are told apart, pieces as they come elsewhere.
-func (k *Link) reader(d Direction, from net.Conn) func() ([]byte, error) {
-	if d == ToServer || !k.framed {
-		buf := make([]byte, maxPieceBytes)
-		return func() ([]byte, error) {
-			n, err := from.Read(buf)
-			return buf[:n], err
-		}
-	}
-	r := bufio.NewReader(from)
-	return func() ([]byte, error) {
-		head, err := r.Peek(4)
-		if err != nil {
-			return nil, err
-		}
-		frame := make([]byte, 4+binary.LittleEndian.Uint32(head)) // the stand-ins' own length
-		_, err = io.ReadFull(r, frame)
-		return frame, err
-	}
+// Close resets all connections; new ones are refused. It does not wait for what is held back at that moment.
+func (l *Link) Close() {
+	l.listener.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
+	l.resetLocked()
 }
 
-// fate is what becomes of a message.
-type messageFault int
-
-const (
-	noMessageFault messageFault = iota
-	messageDropped
-	messageDuplicated
-	messageReordered
-)
-
-func (k *Link) drawMessageFault() messageFault {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.messageFaults == (MessageFaults{}) {
-		return noMessageFault
-	}
-	for _, c := range []struct {
-		share float64
-		fate  messageFault
-	}{{k.messageFaults.Drop, messageDropped}, {k.messageFaults.Duplicate, messageDuplicated}, {k.messageFaults.Reorder, messageReordered}} {
-		if k.rng.Float64() < c.share {
-			return c.fate
+// resetLocked resets all connections. It is to be called under the lock.
+func (l *Link) resetLocked() {
+	for c := range l.connections {
+		if tcp, ok := c.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
 		}
+		c.Close()
+		delete(l.connections, c)
 	}
-	return noMessageFault
+	l.changed.Broadcast()
 }
--- /dev/null
+++ b/internal/test/faultinjection/notification.go
@@ -0,0 +1,69 @@
+package faultinjection
+
+import (
+	"time"
+
+	"harepass/internal/test/fake"
+)
+
+// notificationDelay is how long after discovery had a change, and could be reached, a coordinator that polls counts as
+// notified of it although nothing was written to it.
+const notificationDelay = 6 * time.Second
+
+// listSent records an endpoint list that discovery has written to a member. The grace of a drain counts from the first
+// list that has it; later ones repeat it.
+func (c *ruleChecker) listSent(m *member, list fake.Listing) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.listCount++
+	for _, e := range list.Endpoints {
+		if e.Status == statusInService {
+			delete(c.withdrawn[m], e.Name)
+		} else if _, known := c.withdrawn[m][e.Name]; !known && c.withdrawn[m] != nil {
+			c.withdrawn[m][e.Name] = time.Now()
+		}
+	}
+}
+
+// statusListed records the status under which discovery lists a replica from now on.
+func (c *ruleChecker) statusListed(r *fleetReplica, status string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if status == statusInService {
+		delete(c.drainingSince, r.name)
+	} else if _, known := c.drainingSince[r.name]; !known {
+		c.drainingSince[r.name] = time.Now()
+	}
+}
+
+// setDiscoveryReachable records whether discovery can be reached from now on.
+func (c *ruleChecker) setDiscoveryReachable(reachable bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !reachable {
+		c.reachableSince = time.Time{}
+	} else if c.reachableSince.IsZero() {
+		c.reachableSince = time.Now()
+	}
+}
+
+// notifiedAt is from when on a member counts as notified that it may no longer send to a replica, given for how long
+// its link to discovery has been healthy: when discovery first wrote so, or notificationDelay after discovery had the
+// change and could be reached. It is to be called under the lock.
+func (c *ruleChecker) notifiedAt(
+	m *member, r *fleetReplica, discoveryHealthy time.Duration,
+) (at time.Time, notified bool) {
+	if at, notified = c.withdrawn[m][r.name]; notified {
+		return at, true
+	}
+	known, draining := c.drainingSince[r.name]
+	if !draining || c.fleet.Push || c.reachableSince.IsZero() {
+		return at, false
+	}
+	for _, since := range []time.Time{c.reachableSince, time.Now().Add(-discoveryHealthy)} {
+		if known.Before(since) {
+			known = since
+		}
+	}
+	return known.Add(notificationDelay), time.Since(known) > notificationDelay
+}
--- a/internal/test/faultinjection/process.go
+++ b/internal/test/faultinjection/process.go
@@ -1,67 +1,44 @@
 package faultinjection
 
 import (
-	"bytes"
 	"fmt"
 	"io"
 	"net"
 	"os"
 	"os/exec"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// Process is a running one.
+const (
+	// adminConnectTimeout bounds how long a connection to an admin endpoint may take to come up.
+	adminConnectTimeout = time.Second
+	// adminReplyTimeout bounds how long an admin endpoint may take to reply.
+	adminReplyTimeout = 5 * time.Second
+	// waitTimeout bounds how long a condition that is only a matter of time may take.
+	waitTimeout = 30 * time.Second
+	// pollInterval is the time between two looks at a condition, and between two attempts to connect.
+	pollInterval = 10 * time.Millisecond
+)
+
+// Process is a process of the program that was started.
 type Process struct {
 	*exec.Cmd
-	AdminAddress string
-	Exited       chan error // closed after its end is told
-	log          Log
-}
-
-// Log is what a process writes, read meanwhile.
-type Log struct {
-	mu             sync.Mutex
-	text           bytes.Buffer
-	onLine         func(string) // told of each whole line; nil for nobody
-	incompleteLine []byte
+	AdminAddress string     // of its admin endpoint
+	Exited       chan error // gives the result of the process's end once, and is closed then
+	log          Log        // what it writes to its standard error
 }
 
-// Write implements io.Writer.
-func (l *Log) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.onLine != nil {
-		l.incompleteLine = append(l.incompleteLine, p...)
-		for {
-			line, rest, whole := bytes.Cut(l.incompleteLine, []byte("\n"))
-			if !whole {
-				break
-			}
-			l.onLine(string(line))
-			l.incompleteLine = rest
-		}
-	}
-	return l.text.Write(p)
-}
-
-// String is what has been written so far.
-func (l *Log) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
-// Log is what the process has written so far.
+// Log returns what the process has written to its standard error so far.
 func (p *Process) Log() string { return p.log.String() }
 
+// reservedAddresses counts the addresses that were reserved.
 var reservedAddresses atomic.Int32
 
-// reserve finds an address for a process that binds it later. It is on a loopback address of its own: on that of everybody
-// else's connections one of these may take the port meanwhile.
-func reserve() (string, error) {
+// Reserve finds an address for a process that binds it later. It is on a loopback address of its own: a port that is
+// free on the usual one may be taken meanwhile by somebody's outgoing connection. The error is that of listening.
+func Reserve() (string, error) {
 	n := int(reservedAddresses.Add(1))
 	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 2+n/250%250, 1+n%250))
 	if err != nil {
@@ -70,13 +47,19 @@
 	return l.Addr().String(), l.Close()
 }
 
-// start starts a command with a door of its own, with further variables and files from descriptor 3 on.
-func start(command, env []string, files []*os.File, line func(string)) (*Process, error) {
-	door, err := reserve()
+// start starts a command with an admin endpoint of its own, with variables besides those of this process, with files
+// from descriptor 3 on, and with onLine (unless it is nil) called for each line that it writes to its standard error.
+func start(command, env []string, files []*os.File, onLine func(string)) (*Process, error) {
+	address, err := Reserve()
 	if err != nil {
 		return nil, err
 	}
-	p := &Process{Cmd: exec.Command(command[0], command[1:]...), AdminAddress: door, Exited: make(chan error, 1), log: Log{onLine: line}}
+	p := &Process{
+		Cmd:          exec.Command(command[0], command[1:]...),
+		AdminAddress: address,
+		Exited:       make(chan error, 1),
+		log:          Log{onLine: onLine},
+	}
 	p.Env = append(append(os.Environ(), "PROXY_OPERATOR="+p.AdminAddress), env...)
 	p.ExtraFiles = files
 	p.Stderr = &p.log
@@ -90,27 +73,27 @@
 	return p, nil
 }
 
-// Call says a line at the door; the answer is empty where none comes.
+// CallAdmin sends a line to the admin endpoint and returns the reply. It is empty where none comes in time.
 func (p *Process) CallAdmin(line string) string {
-	c, err := net.DialTimeout("tcp", p.AdminAddress, time.Second)
+	conn, err := net.DialTimeout("tcp", p.AdminAddress, adminConnectTimeout)
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintln(c, line)
-	answer, _ := io.ReadAll(c)
-	return string(answer)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(adminReplyTimeout))
+	fmt.Fprintln(conn, line)
+	reply, _ := io.ReadAll(conn)
+	return string(reply)
 }
 
-// Serves tells whether the process says so.
+// Serves reports whether the process's status says that it serves queries.
 func (p *Process) Serves() bool { return strings.HasPrefix(p.CallAdmin("status"), "200") }
 
-// Wait waits for something that is only a matter of time.
+// WaitFor polls until ok reports true. After 30 s the error wraps ErrWaitTimeout and names what was waited for.
 func WaitFor(what string, ok func() bool) error {
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			return fmt.Errorf("rig: never: %s", what)
+			return fmt.Errorf("%w: %s", ErrWaitTimeout, what)
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/test/faultinjection/strict_client.go
@@ -0,0 +1,249 @@
+package faultinjection
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"harepass/internal/socket"
+)
+
+// Outcomes of strict clients besides those of a ClientPool.
+const (
+	outcomeLeft    = "left"    // the client closed its connection before an answer could come
+	outcomeStalled = "stalled" // the client sent half a request
+	outcomeKilled  = "killed"  // the coordinator was killed under the request
+	outcomeCrossed = "crossed" // the coordinator had ended the connection before the request was written
+)
+
+const (
+	// answerSlack is how long after its client's timeout an answer may come; a later one counts as lost.
+	answerSlack = 500 * time.Millisecond
+	// connectAfterTerm is how long after SIGTERM clients still open new connections.
+	connectAfterTerm = 400 * time.Millisecond
+	// stallLimit is the time by which a client that stalls has its error or its close.
+	stallLimit = 3 * time.Second
+	// longIdleTime is how long a connection is idle before some requests, plus up to idleTimeSpread.
+	longIdleTime   = 2100 * time.Millisecond
+	idleTimeSpread = 200 * time.Millisecond
+	// maxTimeToLeave bounds the time between a request and the close of a client that leaves.
+	maxTimeToLeave = 150 * time.Millisecond
+	// maxSlowThinkTime bounds the time between two requests of every other client, so that its connection is idle.
+	maxSlowThinkTime = 400 * time.Millisecond
+)
+
+// Cumulative percentages of the ways in which a strict client sends a request; all others are sent at once.
+const (
+	percentLeave     = 12
+	percentHalfLeave = 16 // leaves after half the request
+	percentStall     = 17
+	percentLongIdle  = 19 // sends after the connection has long been idle
+)
+
+// strictClient does what clients do in production and holds its coordinator to each request: its connection is idle at
+// times, it leaves, also in the middle of a request, it stalls, and it uses a connection until that ends. Nothing but a
+// kill excuses a request without its answer.
+type strictClient struct {
+	fleet  *Fleet
+	member *member
+	client httpClient
+	rng    *rand.Rand // for one goroutine
+	number int        // among the member's strict clients
+
+	requestsOnConnection int       // requests on the present connection
+	connectedAt          time.Time // when the present connection was opened
+}
+
+// startStrictClients starts a member's strict clients, and its connections that bring nothing.
+func (f *Fleet) startStrictClients(m *member) {
+	for number := range f.StrictClients {
+		s := &strictClient{
+			fleet:  f,
+			member: m,
+			client: httpClient{address: m.clientAddress},
+			rng:    rand.New(rand.NewPCG(uint64(m.ordinal), uint64(number))),
+			number: number,
+		}
+		m.clients.running.Go(s.run)
+	}
+	for range f.IdleConnections {
+		m.clients.running.Go(func() { f.keepIdleConnection(m) })
+	}
+}
+
+// keepIdleConnection keeps a connection that brings nothing, and opens another one when it is ended.
+func (f *Fleet) keepIdleConnection(m *member) {
+	for !m.clients.stopped() {
+		conn, err := net.DialTimeout("tcp", m.clientAddress, time.Second)
+		if err != nil {
+			time.Sleep(pollInterval)
+			continue
+		}
+		conn.SetReadDeadline(time.Now().Add(longIdleTime / 4))
+		io.Copy(io.Discard, conn)
+		conn.Close()
+	}
+}
+
+// run sends requests until the member's clients are stopped.
+func (s *strictClient) run() {
+	defer s.client.disconnect()
+	for i := 0; !s.member.clients.stopped(); i++ {
+		time.Sleep(s.thinkTime())
+		if !s.connect() {
+			time.Sleep(pollInterval)
+			continue
+		}
+		q := s.fleet.site.query(s.number, i, s.fleet.shards())
+		id := q.class.queryID(fmt.Sprintf("j%s-%d-%d", QueryOrigin(s.member.clientAddress), s.number, i))
+		switch percent := s.rng.IntN(100); {
+		case percent < percentLeave:
+			s.leave(id, q, 1)
+		case percent < percentHalfLeave:
+			s.leave(id, q, 0.5)
+		case percent < percentStall:
+			s.stall(id, q)
+		case percent < percentLongIdle:
+			time.Sleep(longIdleTime + s.randomUpTo(idleTimeSpread))
+			s.sendQuery(id, q)
+		default:
+			s.sendQuery(id, q)
+		}
+	}
+}
+
+// randomUpTo draws a time below a bound.
+func (s *strictClient) randomUpTo(bound time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(bound)))
+}
+
+// thinkTime draws the time before the next request.
+func (s *strictClient) thinkTime() time.Duration {
+	if s.number%2 == 0 {
+		return s.randomUpTo(maxThinkTime)
+	}
+	return s.randomUpTo(maxSlowThinkTime)
+}
+
+// connect opens a connection if there is none, and reports whether there is one then. It opens none to a coordinator
+// that got its SIGTERM a while ago.
+func (s *strictClient) connect() bool {
+	if s.client.conn != nil {
+		return true
+	}
+	terminatedAt := s.member.terminatedAt.Load()
+	if terminatedAt > 0 && time.Since(time.Unix(0, terminatedAt)) > connectAfterTerm {
+		return false
+	}
+	conn, err := net.DialTimeout("tcp", s.member.clientAddress, time.Second)
+	if err != nil {
+		return false
+	}
+	s.client.setConnection(conn)
+	s.requestsOnConnection, s.connectedAt = 0, time.Now()
+	return true
+}
+
+// timeout is how long the client waits for an answer.
+func (s *strictClient) timeout() time.Duration {
+	if s.fleet.Deadline > 0 {
+		return min(clientTimeout, s.fleet.Deadline*9/10)
+	}
+	return clientTimeout
+}
+
+// leave sends a share of a request and closes the connection a moment later.
+func (s *strictClient) leave(id string, q query, share float64) {
+	request := q.requestWithin(s.timeout(), id, s.fleet.site.tenant)
+	s.fleet.checker.requestSent(id, time.Now().Add(s.timeout()))
+	io.WriteString(s.client.conn, request[:int(share*float64(len(request)))])
+	time.Sleep(s.randomUpTo(maxTimeToLeave))
+	s.client.disconnect()
+	s.fleet.checker.clientLeft(id)
+	s.member.clients.count(outcomeLeft)
+}
+
+// stall sends half a request and waits: the coordinator owes it an error or a close.
+func (s *strictClient) stall(id string, q query) {
+	request := q.requestWithin(s.timeout(), id, s.fleet.site.tenant)
+	io.WriteString(s.client.conn, request[:len(request)/2])
+	began := time.Now()
+	s.client.conn.SetReadDeadline(began.Add(stallLimit + recordingSlack))
+	_, err := io.Copy(io.Discard, s.client.conn)
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() && !s.killedSince(began) {
+		s.addViolation(id, "stalled for %v and was not ended", time.Since(began))
+	}
+	s.client.disconnect()
+	s.member.clients.count(outcomeStalled)
+}
+
+// sendQuery sends a request and waits for its answer. It sends the request once more on a new connection where the
+// coordinator had ended the connection before the request was written: on loopback, what is written is in the other
+// socket at once, so that an end which comes later leaves a request without its answer that had arrived.
+func (s *strictClient) sendQuery(id string, q query) {
+	began := time.Now()
+	s.requestsOnConnection++
+	s.fleet.checker.requestSent(id, began.Add(s.timeout()))
+	_, err := io.WriteString(s.client.conn, q.requestWithin(s.timeout(), id, s.fleet.site.tenant))
+	crossed := err != nil || socket.PeerEnded(s.client.conn)
+	var a answer
+	var status string
+	if err == nil {
+		a, status, err = s.client.readAnswer()
+	}
+	latency := time.Since(began)
+	if err == nil {
+		s.checkAnswer(id, q, a, status, latency)
+		return
+	}
+	s.client.disconnect()
+	switch {
+	case s.killedSince(began):
+		s.member.clients.count(outcomeKilled)
+	case crossed:
+		s.member.clients.count(outcomeCrossed)
+		if s.connect() {
+			s.sendQuery(id+"-again", q)
+		}
+	default:
+		s.addViolation(id, "was lost: sent on a connection with %d requests before, opened %v ago, ended %v later: %v",
+			s.requestsOnConnection-1, time.Since(s.connectedAt).Round(time.Millisecond),
+			latency.Round(time.Millisecond), err)
+	}
+}
+
+// checkAnswer counts an answer, unless it came too late to be one.
+func (s *strictClient) checkAnswer(id string, q query, a answer, status string, latency time.Duration) {
+	if s.isOverdue(latency) {
+		s.addViolation(id, "was answered %v after it was sent, of %v", latency, s.timeout())
+		return
+	}
+	s.member.clients.countAnswer(q, a, status)
+}
+
+// isOverdue reports whether an answer after this latency counts as lost. Where this process was not scheduled in
+// time, none does, and the answer is counted as unjudged.
+func (s *strictClient) isOverdue(latency time.Duration) bool {
+	slack, judged := s.fleet.schedulingDelay.slack()
+	if !judged {
+		s.fleet.checker.countUnjudged()
+	}
+	return judged && latency > s.timeout()+answerSlack+slack
+}
+
+// killedSince reports whether the coordinator has been killed without a warning since a moment, or just before it.
+func (s *strictClient) killedSince(moment time.Time) bool {
+	return s.member.killedAt.Load() > moment.Add(-pollInterval).UnixNano()
+}
+
+// addViolation records what happened to one of the client's requests.
+func (s *strictClient) addViolation(id, format string, args ...any) {
+	c := s.fleet.checker
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation("%s of %s "+format, append([]any{id, s.member.name}, args...)...)
+}
--- a/internal/test/faultinjection/timeline.go
+++ b/internal/test/faultinjection/timeline.go
@@ -8,7 +8,15 @@
 	"time"
 )
 
-// Timeline is what happened, of all processes and the rig in one order.
+// Sources of a timeline's entries besides the members, whose log lines bear their names.
+const (
+	sourceHarness = "harness" // what the fleet does to processes, links, replicas and discovery
+	sourceRule    = "rule"    // a rule was broken
+	sourceVerdict = "verdict" // an expectation was not met
+)
+
+// Timeline is what happened, of all processes and the fleet that runs them, in one order. Its methods may be called by
+// any goroutine.
 type Timeline struct {
 	began time.Time
 
@@ -16,29 +24,30 @@
 	entries []timelineEntry
 }
 
-// Note adds a line.
-func (t *Timeline) Note(who, format string, args ...any) {
+// timelineEntry is one thing that happened.
+type timelineEntry struct {
+	elapsed      time.Duration // since the timeline began
+	source, text string
+}
+
+func newTimeline() *Timeline { return &Timeline{began: time.Now()} }
+
+// Note adds an entry.
+func (t *Timeline) Note(source, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entries = append(t.entries, timelineEntry{time.Since(t.began), who, fmt.Sprintf(format, args...)})
+	t.entries = append(t.entries, timelineEntry{time.Since(t.began), source, fmt.Sprintf(format, args...)})
 }
 
-// Print writes all lines in order of time.
+// Print writes all entries in order of time: seconds since the beginning, source and text. Errors are those of out.
 func (t *Timeline) Print(out io.Writer) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	slices.SortStableFunc(t.entries, func(x, y timelineEntry) int { return int(x.elapsed - y.elapsed) })
-	for _, n := range t.entries {
-		if _, err := fmt.Fprintf(out, "%8.3f %-8s %s\n", n.elapsed.Seconds(), n.source, n.text); err != nil {
+	for _, e := range t.entries {
+		if _, err := fmt.Fprintf(out, "%8.3f %-8s %s\n", e.elapsed.Seconds(), e.source, e.text); err != nil {
 			return err
 		}
 	}
 	return nil
 }
-
-type timelineEntry struct {
-	elapsed      time.Duration
-	source, text string
-}
-
-func newTimeline() *Timeline { return &Timeline{began: time.Now()} }
--- a/internal/test/faultinjection/verdict.go
+++ b/internal/test/faultinjection/verdict.go
@@ -5,47 +5,55 @@
 	"fmt"
 )
 
-// breachesShown is how many breaches of the rules a verdict spells out.
+// violationsShown is how many violations of rules a verdict spells out.
 const violationsShown = 5
 
-// verdict joins an error for each expectation that was not met.
+// verdict joins an error that wraps ErrRuleViolated for each expectation that was not met.
 func (f *Fleet) verdict() (err error) {
-	say := func(format string, args ...any) {
-		f.Note("verdict", format, args...)
-		err = errors.Join(err, fmt.Errorf("rig: "+format, args...))
+	report := func(format string, args ...any) {
+		f.Note(sourceVerdict, format, args...)
+		err = errors.Join(err, fmt.Errorf("%w: %s", ErrRuleViolated, fmt.Sprintf(format, args...)))
 	}
+	f.judgeOutcomes(report)
+	for _, r := range f.replicas {
+		if pressure := r.pressure(); pressure > 1 {
+			report("%s was sent %.2f times what makes it fall", r.name, pressure)
+		}
+	}
+	f.checker.report(report)
+	return err
+}
+
+// judgeOutcomes reports wrong and lost answers, and a fleet that served nothing: its checks would show nothing.
+func (f *Fleet) judgeOutcomes(report func(format string, args ...any)) {
 	total := f.outcomes()
-	for _, bad := range []string{OutcomeDuplicateAnswer, OutcomeWrongAnswer} {
-		if total[bad] > 0 {
-			say("%d requests were answered %s", total[bad], bad)
+	for _, outcome := range []string{OutcomeDuplicateAnswer, OutcomeWrongAnswer} {
+		if total[outcome] > 0 {
+			report("%d requests were answered %s", total[outcome], outcome)
 		}
 	}
 	if total[OutcomeLost] > f.MaxLost {
-		say("%d requests were heard and never answered, at most %d may be", total[OutcomeLost], f.MaxLost)
+		report("%d requests were heard and never answered, at most %d may be", total[OutcomeLost], f.MaxLost)
 	}
 	if total["200"] == 0 {
-		say("nothing was served: no load")
+		report("nothing was served: no load")
 	}
-	for _, n := range f.replicas {
-		n.mu.Lock()
-		if p := n.machine.Pressure(); p > 1 {
-			say("%s was sent %.2f times what makes it fall", n.name, p)
-		}
-		n.mu.Unlock()
-	}
-	f.checker.mu.Lock()
-	defer f.checker.mu.Unlock()
-	for _, c := range f.site.classes {
-		if !f.checker.classesSeen[c.name] {
-			say("no %s was seen", c.name)
+}
+
+// report reports classes that were never seen, and the first of the violations.
+func (c *ruleChecker) report(report func(format string, args ...any)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, class := range c.fleet.site.classes {
+		if !c.classesSeen[class.name] {
+			report("no %s was seen", class.name)
 		}
 	}
-	for i, b := range f.checker.violations {
+	for i, violation := range c.violations {
 		if i == violationsShown {
-			say("and %d more", len(f.checker.violations)-i)
+			report("and %d more", len(c.violations)-i)
 			break
 		}
-		say("%s", b)
+		report("%s", violation)
 	}
-	return err
 }
