--- a/internal/test/faultinjection/strict_client.go
+++ b/internal/test/faultinjection/strict_client.go
@@ -189,7 +189,7 @@
 	s.requestsOnConnection++
 	s.fleet.checker.requestSent(id, began.Add(s.timeout()))
 	_, err := io.WriteString(s.client.conn, q.requestWithin(s.timeout(), id, s.fleet.site.tenant))
-	crossed := err != nil || socket.PeerEnded(s.client.conn)
+	crossed := err != nil || socket.PeerClosed(s.client.conn)
 	var a answer
 	var status string
 	if err == nil {
