--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -126,10 +126,10 @@
 // by the next relay where the first is gone, bad settings are refused whole in one line, a file that is read again does not
 // take settings back, and with no relay left it serves on by what it has.
 func TestDistribution(t *testing.T) {
-	first, second := &fake.Fleet{}, &fake.Fleet{}
+	first, second := &fake.Replicas{}, &fake.Replicas{}
 	at := []net.Listener{listen(t), listen(t)}
-	go first.Frames(at[0])
-	go second.Frames(at[1])
+	go first.ServeFrames(at[0])
+	go second.ServeFrames(at[1])
 	settings, err := os.ReadFile("../../deploy/settings.example.json")
 	if err != nil {
 		t.Fatal(err)
@@ -173,13 +173,13 @@
 	p.logged(logmsg.SourceFollowed + ` resource=settings source=` + r.addresses[1])
 	r.node("f0", "terminating", at[0])
 	p.logged(`version in force resource=instances epoch=7 index=3`)
-	before := len(first.Seen())
+	before := len(first.Received())
 	for range 5 {
 		if status := p.classes("lift-status"); status != 200 {
 			t.Errorf("after the drain: %d", status)
 		}
 	}
-	if n := len(first.Seen()) - before; n > 0 {
+	if n := len(first.Received()) - before; n > 0 {
 		t.Errorf("the draining node got %d parts", n)
 	}
 	r.set(settings)
@@ -203,8 +203,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet, at, dir := &fake.Fleet{}, listen(t), t.TempDir()
-	go fleet.Frames(at)
+	fleet, at, dir := &fake.Replicas{}, listen(t), t.TempDir()
+	go fleet.ServeFrames(at)
 	r := newRelays(t)
 	r.node("f0", "in_service", at)
 	r.node("f1", "in_service", at)
--- a/cmd/harepass/incident_test.go
+++ b/cmd/harepass/incident_test.go
@@ -108,7 +108,7 @@
 			var late, sent int
 			var told time.Time // from when on nothing new may go to the first two nodes
 			for _, n := range s.nodes[:2] {
-				n.Heard = func(fake.Part, fake.Kind) {
+				n.OnPart = func(fake.Part, fake.Kind) {
 					mu.Lock()
 					defer mu.Unlock()
 					if sent++; !told.IsZero() && time.Now().After(told) {
@@ -306,7 +306,7 @@
 	{"a long query is open at a shutdown", func(h *heldUpRun) time.Duration {
 		h.connect(true)
 		h.mu.Lock()
-		h.reply = fake.Reply{Kind: fake.Silent}
+		h.reply = fake.Reply{Kind: fake.NoReply}
 		h.mu.Unlock()
 		for i, c := range h.clients {
 			c.send(h.T, fmt.Sprint("long-", i), "conditions-summary", 5*time.Second, 0, 1, 2, 3, 4, 5)
@@ -337,7 +337,7 @@
 					defer h.mu.Unlock()
 					return h.reply
 				}
-				n.Heard = func(p fake.Part, _ fake.Kind) {
+				n.OnPart = func(p fake.Part, _ fake.Kind) {
 					h.mu.Lock()
 					defer h.mu.Unlock()
 					query, _, _ := strings.Cut(p.ID, ".")
@@ -401,7 +401,7 @@
 	}), s.address)
 	again := exec.Command(s.cmd.Path, s.cmd.Args[1:]...)
 	again.Env, again.Stderr = s.cmd.Env, s.log
-	before := len(s.nodes[2].Seen())
+	before := len(s.nodes[2].Received())
 	if err := again.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -412,7 +412,7 @@
 			t.Errorf("a query ended with %d", status)
 		}
 	}
-	if n := len(s.nodes[2].Seen()) - before; n > 0 {
+	if n := len(s.nodes[2].Received()) - before; n > 0 {
 		t.Errorf("%d parts went to a node that the configuration's list has as leaving\n%s", n, s.log)
 	}
 }
--- a/cmd/harepass/keyed_test.go
+++ b/cmd/harepass/keyed_test.go
@@ -53,16 +53,16 @@
 // that follows a connection broken after SIGTERM, and an update without one is told what it lacks.
 func TestKeysThroughTheProgram(t *testing.T) {
 	const breaks = 5
-	nodes := &fake.Fleet{Script: func(shard, try int) fake.Reply {
+	nodes := &fake.Replicas{Script: func(shard, try int) fake.Reply {
 		if shard == breaks && try == 0 {
-			return fake.Reply{Kind: fake.Break, After: 300 * time.Millisecond}
+			return fake.Reply{Kind: fake.Disconnect, After: 300 * time.Millisecond}
 		}
 		return fake.Reply{}
 	}}
 	frames, api, discovery := listen(t), listen(t), listen(t)
-	go nodes.Frames(frames)
-	go nodes.API(api)
-	go fake.Discovery(discovery, func() string {
+	go nodes.ServeFrames(frames)
+	go nodes.ServeAPI(api)
+	go fake.ServeDiscovery(discovery, func() string {
 		return fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[{"name":"f0","address":%q,"zone":"z","type":"m","group":0,"status":"in_service","weight":1,"since_ms":0}]}`, frames.Addr())
 	})
 	dir := t.TempDir()
@@ -93,7 +93,7 @@
 	}
 	defer cmd.Process.Kill()
 	kinds := func() (framed, asked bool) {
-		for _, line := range nodes.Seen() {
+		for _, line := range nodes.Received() {
 			framed, asked = framed || !strings.HasPrefix(line, "PUT "), asked || strings.HasPrefix(line, "PUT ")
 		}
 		return framed, asked
@@ -116,24 +116,24 @@
 	if status, body := update(t, native, "bare", "", 2); status != 400 || !strings.Contains(body, "Idempotency-Key") {
 		t.Errorf("an update without a key: %d %s", status, body)
 	}
-	for _, line := range nodes.Seen() {
+	for _, line := range nodes.Received() {
 		if !strings.Contains(line, ",k=k") && !strings.Contains(line, " key=k") {
 			t.Errorf("a node was asked %q", line)
 		}
 	}
 
-	before := len(nodes.Seen())
+	before := len(nodes.Received())
 	done := make(chan int)
 	go func() {
 		status, _ := update(t, native, "last", "the-last-key", breaks)
 		done <- status
 	}()
-	eventually(t, "an update under way", func() bool { return len(nodes.Seen()) > before })
+	eventually(t, "an update under way", func() bool { return len(nodes.Received()) > before })
 	cmd.Process.Signal(syscall.SIGTERM)
 	if status := <-done; status != 200 {
 		t.Errorf("under way at SIGTERM: %d", status)
 	}
-	last := nodes.Seen()[before:]
+	last := nodes.Received()[before:]
 	if len(last) != 2 {
 		t.Errorf("the last update came as %q, want two attempts", last)
 	}
@@ -159,7 +159,7 @@
 		family["need_by_class"], family["floor_by_class"] = []any{1.0, 1.0, 0.67, 1.0}, []any{1.0, 1.0, 0.67, 1.0}
 	}
 	l := listen(t)
-	go fake.Discovery(l, func() string { return string(s.list(1, inService)) })
+	go fake.ServeDiscovery(l, func() string { return string(s.list(1, inService)) })
 	s.mode = "push"
 	s.config(s.list(1, inService), l.Addr().String())
 	if err := s.cmd.Start(); err != nil {
@@ -250,7 +250,7 @@
 	time.Sleep(20 * time.Millisecond)
 	changed.Store(true)
 	load(800 * time.Millisecond)
-	count := func() int { return len(s.nodes[0].Seen()) + len(s.nodes[1].Seen()) }
+	count := func() int { return len(s.nodes[0].Received()) + len(s.nodes[1].Received()) }
 	before := count()
 	if before == 0 {
 		t.Error("nothing ever went to the nodes that drain")
--- a/cmd/harepass/limits_test.go
+++ b/cmd/harepass/limits_test.go
@@ -32,7 +32,7 @@
 	discovery string
 	address   string // of a discovery that a test serves
 	config    func(known []byte, discovery string)
-	nodes     []*fake.Fleet
+	nodes     []*fake.Replicas
 	mode      string                        // of discovery
 	adapt     func(settings map[string]any) // changes the example's settings; nil for none
 	list      func(version int, state func(node int) string) []byte
@@ -65,15 +65,15 @@
 	s := &small{native: apart(t), discovery: apart(t), log: &faultinjection.Log{}, mode: "ask"}
 	var addresses []string
 	for range nodes {
-		f, l := &fake.Fleet{}, listen(t)
-		go f.Frames(l)
+		f, l := &fake.Replicas{}, listen(t)
+		go f.ServeFrames(l)
 		s.nodes = append(s.nodes, f)
 		addresses = append(addresses, l.Addr().String())
 	}
 	s.list = func(version int, state func(int) string) []byte {
-		l := fake.Listing{Index: int64(version), Snapshot: true}
+		l := fake.EndpointList{Index: int64(version), Snapshot: true}
 		for i, a := range addresses {
-			l.Endpoints = append(l.Endpoints, fake.Entry{Name: fmt.Sprint("f", i), Address: a, Zone: "z", Group: i % 3, Status: state(i), Weight: 1})
+			l.Endpoints = append(l.Endpoints, fake.Endpoint{Name: fmt.Sprint("f", i), Address: a, Zone: "z", Group: i % 3, Status: state(i), Weight: 1})
 		}
 		data, err := json.Marshal(l)
 		if err != nil {
@@ -165,12 +165,12 @@
 	defer l.Close()
 	var told atomic.Bool
 	draining := s.list(2, func(i int) string { return []string{"terminating", "in_service"}[min(i, 1)] })
-	go fake.Discovery(l, func() string { told.Store(true); return string(draining) })
+	go fake.ServeDiscovery(l, func() string { told.Store(true); return string(draining) })
 	eventually(t, "discovery is asked", func() bool { fill(); return told.Load() })
 	time.Sleep(200 * time.Millisecond)
-	before := len(s.nodes[0].Seen())
+	before := len(s.nodes[0].Received())
 	served("with discovery back")
-	if n := len(s.nodes[0].Seen()) - before; n > 0 {
+	if n := len(s.nodes[0].Received()) - before; n > 0 {
 		t.Errorf("%d parts went to a node that was announced as leaving", n)
 	}
 	s.config(s.list(1, inService), l.Addr().String())
@@ -258,7 +258,7 @@
 	s.mode = "push"
 	l := listen(t)
 	var changed atomic.Bool
-	go fake.Discovery(l, func() string {
+	go fake.ServeDiscovery(l, func() string {
 		if changed.Load() {
 			return string(s.list(2, func(i int) string { return []string{"terminating", "in_service"}[min(i, 1)] }))
 		}
@@ -272,18 +272,18 @@
 	for range 30 {
 		ask(t, s.native, 0, 1)
 	}
-	if len(s.nodes[0].Seen()) == 0 {
+	if len(s.nodes[0].Received()) == 0 {
 		t.Error("nothing ever went to the node that drains")
 	}
 	changed.Store(true)
 	time.Sleep(backoff.WatchHold + backoff.WatchSilence)
-	before := len(s.nodes[0].Seen())
+	before := len(s.nodes[0].Received())
 	for range 30 {
 		if status := ask(t, s.native, 0, 1); status != 200 {
 			t.Errorf("a query ended with %d", status)
 		}
 	}
-	if n := len(s.nodes[0].Seen()) - before; n > 0 {
+	if n := len(s.nodes[0].Received()) - before; n > 0 {
 		t.Errorf("%d parts went to a node that had been announced as leaving", n)
 	}
 }
@@ -332,7 +332,7 @@
 		}
 	}
 	load(backoff.NotifiedAfter + 300*time.Millisecond)
-	count := func() int { return len(s.nodes[0].Seen()) + len(s.nodes[1].Seen()) }
+	count := func() int { return len(s.nodes[0].Received()) + len(s.nodes[1].Received()) }
 	before := count()
 	if before == 0 {
 		t.Error("nothing ever went to the nodes that drain")
--- a/cmd/harepass/main_test.go
+++ b/cmd/harepass/main_test.go
@@ -144,12 +144,12 @@
 // The whole program on real loopback sockets, both fronts at once: frame nodes from discovery and API nodes
 // from an inventory, a reload, a bad reload, and a SIGTERM that finds a query under way.
 func TestServe(t *testing.T) {
-	frames, api := &fake.Fleet{Script: slowAt(5)}, &fake.Fleet{Script: slowAt(5)}
+	frames, api := &fake.Replicas{Script: slowAt(5)}, &fake.Replicas{Script: slowAt(5)}
 	frameNode, apiNode, discovery := listen(t), listen(t), listen(t)
-	go frames.Frames(frameNode)
-	go api.API(apiNode)
+	go frames.ServeFrames(frameNode)
+	go api.ServeAPI(apiNode)
 	list := fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[{"name":"f0","address":%q,"zone":"z","type":"m","group":0,"status":"in_service","weight":1,"since_ms":0}]}`, frameNode.Addr())
-	go fake.Discovery(discovery, func() string { return list })
+	go fake.ServeDiscovery(discovery, func() string { return list })
 
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -194,7 +194,7 @@
 		return res.StatusCode
 	}
 	eventually(t, "ready", func() bool { return get("http://"+native+"/health/ready") == 200 })
-	eventually(t, "discovery's list", func() bool { return ask(t, native, 0, 1) == 200 && len(frames.Seen()) > 0 })
+	eventually(t, "discovery's list", func() bool { return ask(t, native, 0, 1) == 200 && len(frames.Received()) > 0 })
 	if status, body := post(t, "http://"+search+"/trails/_search", `{"query":{"range":{"section":{"lt":5}}}}`); status != 200 || !strings.Contains(body, `"timed_out":false`) {
 		t.Errorf("search: %d %s", status, body)
 	}
@@ -213,13 +213,13 @@
 	for range 3 { // queries that go out after the reload is known to be taken
 		ask(t, native, 0)
 	}
-	before := len(api.Seen())
+	before := len(api.Received())
 	for range 5 {
 		if status := ask(t, native, 0, 1, 2); status != 200 {
 			t.Errorf("after the reload: %d", status)
 		}
 	}
-	if n := len(api.Seen()) - before; n > 0 {
+	if n := len(api.Received()) - before; n > 0 {
 		t.Errorf("a drained node was sent %d parts", n)
 	}
 
@@ -228,29 +228,29 @@
 	write("config.json", "{")
 	cmd.Process.Signal(syscall.SIGHUP)
 	eventually(t, "a refused configuration", func() bool { return strings.Contains(log.String(), "config.json: unexpected end") })
-	fresh, moved := &fake.Fleet{Script: slowAt(5)}, listen(t)
+	fresh, moved := &fake.Replicas{Script: slowAt(5)}, listen(t)
 	freshNode := listen(t)
-	go fresh.Frames(freshNode)
-	go fake.Discovery(moved, func() string {
+	go fresh.ServeFrames(freshNode)
+	go fake.ServeDiscovery(moved, func() string {
 		return strings.NewReplacer(`"index":1`, `"index":0`, "f0", "f2", frameNode.Addr().String(), freshNode.Addr().String()).Replace(list)
 	})
 	write("nodes.csv", "name,address,port,cell,api\n")
 	write("config.json", conf(moved))
 	cmd.Process.Signal(syscall.SIGHUP)
-	eventually(t, "discovery's move", func() bool { return ask(t, native, 0) == 200 && len(fresh.Seen()) > 0 })
-	before = len(frames.Seen())
+	eventually(t, "discovery's move", func() bool { return ask(t, native, 0) == 200 && len(fresh.Received()) > 0 })
+	before = len(frames.Received())
 	for range 5 {
-		if status := ask(t, native, 0, 1, 2); status != 200 || len(frames.Seen()) > before {
-			t.Errorf("after the move: %d, %d parts to a node that is gone", status, len(frames.Seen())-before)
+		if status := ask(t, native, 0, 1, 2); status != 200 || len(frames.Received()) > before {
+			t.Errorf("after the move: %d, %d parts to a node that is gone", status, len(frames.Received())-before)
 		}
 	}
 	frames = fresh
 
 	// What is under way at SIGTERM is answered, what comes right after it too, and readiness fails.
 	slow := make(chan int)
-	count := len(frames.Seen())
+	count := len(frames.Received())
 	go func() { slow <- ask(t, native, 5) }()
-	eventually(t, "a query under way", func() bool { return len(frames.Seen()) > count })
+	eventually(t, "a query under way", func() bool { return len(frames.Received()) > count })
 	cmd.Process.Signal(syscall.SIGTERM)
 	eventually(t, "draining", func() bool { return get("http://"+native+"/health/ready") == 503 })
 	if status := ask(t, native, 0); status != 200 {
@@ -279,7 +279,7 @@
 			t.Fatal(err)
 		}
 		go p.owner.Run()
-		var memory fake.Net
+		var memory fake.Network
 		l := memory.Listen("c")
 		s := &http1.Server{Handler: (&platform.Front{Coordinator: p.owner, Clock: p.clock}).Handle, Limits: http1.DefaultLimits}
 		go s.Serve(l)
--- a/internal/http1/eviction_test.go
+++ b/internal/http1/eviction_test.go
@@ -15,7 +15,7 @@
 )
 
 // dial connects a client to the server that listens as s in memory.
-func dial(t *testing.T, memory *fake.Net) net.Conn {
+func dial(t *testing.T, memory *fake.Network) net.Conn {
 	t.Helper()
 	c, err := memory.Dial(context.Background(), "s")
 	if err != nil {
@@ -28,7 +28,7 @@
 // busy one stays; nothing is evicted before.
 func TestFullServerEvictsTheIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		l := memory.Listen("s")
 		s := &Server{Limits: small, MaxConns: 2, Handler: func(_ *Message, clientLeft <-chan struct{}) *Message {
 			<-clientLeft
@@ -68,7 +68,7 @@
 // has brought a request before, nor one whose request is being handled, nor a request that has only just begun.
 func TestFloodOfConnectionsDisplacesItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		l := memory.Listen("s")
 		s := &Server{Limits: small, MaxConns: 12, Handler: func(req *Message, _ <-chan struct{}) *Message {
 			if req.Target == "/slow" {
@@ -114,7 +114,7 @@
 // connection goes before it, though that has brought a request.
 func TestNewConnectionIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		l := memory.Listen("s")
 		s := &Server{Limits: small, MaxConns: 3, Handler: answerOK}
 		go s.Serve(l)
@@ -153,7 +153,7 @@
 // busy one and none that is new.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		l := memory.Listen("s")
 		handler := func(req *Message, clientLeft <-chan struct{}) *Message {
 			if req.Target == "/slow" {
--- a/internal/http1/server_fuzz_test.go
+++ b/internal/http1/server_fuzz_test.go
@@ -75,7 +75,7 @@
 // newServerPlay starts the server and connects the client. A handler answers when finish gets a token, or when the
 // client leaves.
 func newServerPlay(t *testing.T, steps []byte) *serverPlay {
-	var memory fake.Net
+	var memory fake.Network
 	p := &serverPlay{t: t, steps: steps, model: connModel{open: true}, listener: memory.Listen("s"),
 		served: make(chan error), finish: make(chan struct{}), ended: make(chan struct{})}
 	p.server = &Server{Limits: small, Handler: func(req *Message, clientLeft <-chan struct{}) *Message {
--- a/internal/opensearch/attempt_begin_test.go
+++ b/internal/opensearch/attempt_begin_test.go
@@ -22,8 +22,8 @@
 	dialer      *heldDialer
 	release     chan struct{} // closed to let the held connection come up
 	endpoints   []core.Endpoint
-	fleets      []*fake.Fleet // one for each endpoint
-	first       int           // index of the endpoint whose connection is held up
+	fleets      []*fake.Replicas // one for each endpoint
+	first       int              // index of the endpoint whose connection is held up
 	clientLeft  chan struct{}
 	done        chan core.Answer
 }
@@ -53,7 +53,7 @@
 	fx.coordinator = fx.calls.newCoordinator(t, s, core.Limits{}, clock)
 	for i := range 2 {
 		l := listenTCP(t)
-		fleet := &fake.Fleet{}
+		fleet := &fake.Replicas{}
 		fx.fleets = append(fx.fleets, fleet)
 		go serveReplica(fleet, scheme, l)
 		address := l.Addr().String()
@@ -118,7 +118,7 @@
 				}
 				fx.coordinator.Stop()
 				time.Sleep(100 * ms) // for what would still go out
-				first, other := fx.fleets[fx.first].Seen(), fx.fleets[1-fx.first].Seen()
+				first, other := fx.fleets[fx.first].Received(), fx.fleets[1-fx.first].Received()
 				if (len(first) > 0) != tc.begins {
 					t.Errorf("the replica whose connection was held up got %q", strings.Join(first, "; "))
 				}
--- a/internal/opensearch/both_fronts_test.go
+++ b/internal/opensearch/both_fronts_test.go
@@ -72,7 +72,7 @@
 type bothFronts struct {
 	*testing.T
 	coordinator *core.Coordinator
-	fleet       *fake.Fleet
+	fleet       *fake.Replicas
 	endpoints   []core.Endpoint
 	dialer      *heldDialer       // of the connections to replicas
 	front       map[string]string // addresses, by the protocol's Scheme
@@ -138,7 +138,7 @@
 	s := bothFrontsSettings()
 	c := checkedConfig(t, s, "free", map[string]*opensearch.Index{"free": {Class: "free"},
 		"keyed": {Class: "keyed", Reports: true}, "lookup": {Class: "keyed"}, "once": {Class: "once", Reports: true}})
-	fx := &bothFronts{T: t, fleet: &fake.Fleet{Script: script}, dialer: newHeldDialer(), front: map[string]string{},
+	fx := &bothFronts{T: t, fleet: &fake.Replicas{Script: script}, dialer: newHeldDialer(), front: map[string]string{},
 		read: map[string]bool{}}
 	calls := newCallers(c, 20*time.Second, time.Second, fx.dialer.dial)
 	clock := core.SystemClock()
@@ -223,7 +223,7 @@
 
 // keysAtReplicas are the idempotency keys of the attempts that reached replicas, in order; empty where one had none.
 func (fx *bothFronts) keysAtReplicas() (keys []string) {
-	for _, line := range fx.fleet.Seen() {
+	for _, line := range fx.fleet.Received() {
 		_, after, found := strings.Cut(line, " key=")
 		if !found {
 			_, after, _ = strings.Cut(line, ",k=")
--- a/internal/opensearch/fixture_test.go
+++ b/internal/opensearch/fixture_test.go
@@ -101,11 +101,11 @@
 }
 
 // serveReplica serves a replica of the fleet that speaks the scheme's protocol.
-func serveReplica(fleet *fake.Fleet, scheme string, l net.Listener) {
+func serveReplica(fleet *fake.Replicas, scheme string, l net.Listener) {
 	if scheme == platform.Scheme {
-		fleet.Frames(l)
+		fleet.ServeFrames(l)
 	} else {
-		fleet.API(l)
+		fleet.ServeAPI(l)
 	}
 }
 
@@ -113,8 +113,8 @@
 // test's.
 type frontFixture struct {
 	t           *testing.T
-	net         fake.Net
-	fleet       *fake.Fleet
+	net         fake.Network
+	fleet       *fake.Replicas
 	coordinator *core.Coordinator
 	config      *opensearch.Config
 	client      *http.Client
@@ -124,7 +124,7 @@
 // newFrontFixture starts the front of a scheme. The first replicas, as many as unreachable says, refuse connections.
 func newFrontFixture(
 	t *testing.T, scheme string, script func(shard, try int) fake.Reply, unreachable int) *frontFixture {
-	fx := &frontFixture{t: t, net: fake.Net{HalfClose: true}, fleet: &fake.Fleet{Script: script}}
+	fx := &frontFixture{t: t, net: fake.Network{HalfClose: true}, fleet: &fake.Replicas{Script: script}}
 	clock := core.SystemClock()
 	fx.config = checkedConfig(t, settings(), "conditions", map[string]*opensearch.Index{
 		"trails": {Class: "route-lookup"}, "conditions": {Class: "conditions-summary"},
--- a/internal/opensearch/front_test.go
+++ b/internal/opensearch/front_test.go
@@ -80,7 +80,7 @@
 				t.Errorf("%s %s: %d %s, want %d %s", tc.method, tc.path, status, data, tc.status, tc.errorType)
 			}
 		}
-		if seen := fx.fleet.Seen(); len(seen) > 0 {
+		if seen := fx.fleet.Received(); len(seen) > 0 {
 			t.Errorf("replicas were sent %q", seen)
 		}
 	})
@@ -139,7 +139,7 @@
 // A client leaves while all replicas are silent. Its query ends with it: the connections to the replicas are closed,
 // and the coordinator stops at once though it waits for open queries.
 func TestQueryEndsWhenClientLeaves(t *testing.T) {
-	withAPIFront(t, firstAttempts(9, fake.Silent, allShards()...), func(fx *frontFixture) {
+	withAPIFront(t, firstAttempts(9, fake.NoReply, allShards()...), func(fx *frontFixture) {
 		fx.client.Timeout = 100 * ms
 		req, _ := http.NewRequest("GET", "http://front/trails/_search", nil)
 		if _, err := fx.client.Do(req); err == nil {
--- a/internal/opensearch/idempotency_key_test.go
+++ b/internal/opensearch/idempotency_key_test.go
@@ -25,11 +25,11 @@
 		attempts int
 	}{
 		"served":     {fake.Reply{}, 1},
-		"reset":      {fake.Reply{Kind: fake.Break}, 2},
+		"reset":      {fake.Reply{Kind: fake.Disconnect}, 2},
 		"error":      {fake.Reply{Kind: fake.Fail}, 2},
 		"rejected":   {fake.Reply{Kind: fake.Reject}, 2},
-		"unreadable": {fake.Reply{Kind: fake.Spoil}, 2},
-		"silent":     {fake.Reply{Kind: fake.Silent}, 2},
+		"unreadable": {fake.Reply{Kind: fake.Corrupt}, 2},
+		"silent":     {fake.Reply{Kind: fake.NoReply}, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -95,7 +95,7 @@
 		if got := fx.keysAtReplicas(); !slices.Equal(got, []string{key, key}) {
 			t.Errorf("attempts came with the keys %q", got)
 		}
-		if seen := fx.fleet.Seen(); seen[0] == seen[1] {
+		if seen := fx.fleet.Received(); seen[0] == seen[1] {
 			t.Errorf("both attempts are %q", seen[0])
 		}
 	})
@@ -135,7 +135,7 @@
 				t.Errorf("a search in a keyed class without a key: %d %s", status, answer)
 			}
 		}
-		if seen := fx.fleet.Seen(); len(seen) > 0 {
+		if seen := fx.fleet.Received(); len(seen) > 0 {
 			t.Errorf("replicas were sent %q", seen)
 		}
 	})
@@ -166,7 +166,7 @@
 		"/keyed/_create/claim-8": "PUT /keyed/_create/claim-8?routing=3&",
 	} {
 		status, answer := fx.send(opensearch.Scheme, "PUT", target, "keyed", `{"section":3,"pin":"x"}`, key)
-		seen := fx.fleet.Seen()
+		seen := fx.fleet.Received()
 		last := seen[len(seen)-1]
 		if status != 201 || !strings.HasPrefix(last, want) || !strings.HasSuffix(last, " key="+key) {
 			t.Errorf("%s: %d %s; the replica was sent %q", target, status, answer, last)
--- a/internal/opensearch/parity_test.go
+++ b/internal/opensearch/parity_test.go
@@ -42,7 +42,7 @@
 	slices.Sort(r.Values)
 	time.Sleep(10 * time.Second) // an attempt that should not be made would have been made by then
 	for _, s := range shards {
-		r.Runs = append(r.Runs, fx.fleet.Runs(s))
+		r.Runs = append(r.Runs, fx.fleet.Executions(s))
 	}
 	return r
 }
@@ -151,13 +151,13 @@
 		"complete", 3, 500 * ms, 2},
 	{"route after a rejection", "route-lookup", []int{1, 2, 3}, 3 * time.Second, firstAttempts(1, fake.Reject, 1), 0,
 		"complete", 3, 600 * ms, 1},
-	{"route after a reset", "route-lookup", []int{1, 2, 3}, 3 * time.Second, firstAttempts(1, fake.Break, 1), 0,
+	{"route after a reset", "route-lookup", []int{1, 2, 3}, 3 * time.Second, firstAttempts(1, fake.Disconnect, 1), 0,
 		"complete", 3, time.Second, 2},
 	{"route never complete", "route-lookup", []int{1, 2, 3}, 3 * time.Second, firstAttempts(9, fake.Fail, 1), 0,
 		"rejected", 0, 3 * time.Second, -1},
 	{"route out of time", "route-lookup", []int{1, 2, 3}, 120 * ms, served, 0,
 		"rejected", 0, 120 * ms, -1},
-	{"route with a silent replica", "route-lookup", []int{1, 2}, 3 * time.Second, firstAttempts(9, fake.Silent, 1), 0,
+	{"route with a silent replica", "route-lookup", []int{1, 2}, 3 * time.Second, firstAttempts(9, fake.NoReply, 1), 0,
 		"rejected", 0, 3 * time.Second, -1},
 	{"route with an unreachable replica", "route-lookup", []int{1, 2, 3}, 3 * time.Second, served, 1,
 		"complete", 3, 600 * ms, 1},
@@ -166,7 +166,7 @@
 	{"conditions complete", "conditions-summary", allShards(), 5 * time.Second, served, 0,
 		"complete", shards, 200 * ms, 1},
 	{"conditions of eight in ten", "conditions-summary", allShards(), 5 * time.Second,
-		firstAttempts(9, fake.Silent, 0, 5), 0, "partial", 8, 1500 * ms, -1},
+		firstAttempts(9, fake.NoReply, 0, 5), 0, "partial", 8, 1500 * ms, -1},
 	{"conditions of seven in ten", "conditions-summary", allShards(), 5 * time.Second,
 		firstAttempts(9, fake.Fail, 0, 4, 5), 0, "partial", 7, 1500 * ms, -1},
 	{"conditions of six in ten", "conditions-summary", allShards(), 5 * time.Second,
@@ -177,9 +177,9 @@
 		"complete", 1, 1500 * ms, 1},
 	{"hazard after an error", "hazard-report", []int{4}, 5 * time.Second, firstAttempts(1, fake.Fail, 4), 0,
 		"failed", 0, 5 * time.Second, 1},
-	{"hazard after a reset", "hazard-report", []int{4}, 5 * time.Second, firstAttempts(1, fake.Break, 4), 0,
+	{"hazard after a reset", "hazard-report", []int{4}, 5 * time.Second, firstAttempts(1, fake.Disconnect, 4), 0,
 		"failed", 0, 5 * time.Second, 1},
-	{"hazard never answered", "hazard-report", []int{4}, 5 * time.Second, firstAttempts(1, fake.Silent, 4), 0,
+	{"hazard never answered", "hazard-report", []int{4}, 5 * time.Second, firstAttempts(1, fake.NoReply, 4), 0,
 		"failed", 0, 5 * time.Second, 1},
 	{"hazard with all replicas unreachable", "hazard-report", []int{4}, 5 * time.Second, served, 3,
 		"rejected", 0, 5 * time.Second, 0},
--- a/internal/opensearch/report_test.go
+++ b/internal/opensearch/report_test.go
@@ -17,7 +17,7 @@
 			{"POST", "/hazards/_doc?pretty", `{"section":7}`, "PUT /hazards/_create/"},
 		} {
 			status, _, data := fx.do(tc.method, tc.path, tc.body, nil)
-			seen := fx.fleet.Seen()
+			seen := fx.fleet.Received()
 			last := seen[len(seen)-1]
 			if status != 201 || !strings.HasPrefix(last, tc.want) || !strings.Contains(string(data), `"created"`) {
 				t.Errorf("%s %s: %d %s, replica was sent %q", tc.method, tc.path, status, data, last)
--- a/internal/opensearch/search_test.go
+++ b/internal/opensearch/search_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("%s", data)
 		}
 		const want = "POST /conditions/_search?preference=_shards:"
-		if seen := fx.fleet.Seen(); len(seen) != shards || !strings.HasPrefix(seen[0], want) {
+		if seen := fx.fleet.Received(); len(seen) != shards || !strings.HasPrefix(seen[0], want) {
 			t.Errorf("replicas were sent %q", seen)
 		}
 	})
--- a/internal/platform/agent_test.go
+++ b/internal/platform/agent_test.go
@@ -54,7 +54,7 @@
 		for _, holds := range []bool{true, false} {
 			for i := range 20 {
 				synctest.Test(t, func(t *testing.T) {
-					var memory fake.Net
+					var memory fake.Network
 					a := &agent{holds: holds}
 					served := &http.Server{Handler: a}
 					go served.Serve(memory.Listen("d"))
--- a/internal/platform/cost_test.go
+++ b/internal/platform/cost_test.go
@@ -33,9 +33,9 @@
 			b.Fatal(err)
 		}
 		defer l.Close()
-		go (&fake.Fleet{Script: func(shard, _ int) fake.Reply { // apart from each other, as nodes answer
+		go (&fake.Replicas{Script: func(shard, _ int) fake.Reply { // apart from each other, as nodes answer
 			return fake.Reply{After: time.Duration(5+shard*37%50) * time.Millisecond}
-		}}).Frames(l)
+		}}).ServeFrames(l)
 		list = append(list, core.Endpoint{Replica: scatter.Replica{ID: fmt.Sprint("n", i), RingPosition: i}, Address: l.Addr().String(), Scheme: Scheme})
 	}
 	go owner.Run()
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -27,13 +27,13 @@
 		at   time.Time
 	}
 	parts := make(chan heard, 8)
-	fleet := &fake.Fleet{Heard: func(p fake.Part, _ fake.Kind) { parts <- heard{p.List, time.Now()} }}
+	fleet := &fake.Replicas{OnPart: func(p fake.Part, _ fake.Kind) { parts <- heard{p.List, time.Now()} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	go fleet.Frames(l)
+	go fleet.ServeFrames(l)
 	nodes := &Caller{CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			time.Sleep(late)
@@ -67,7 +67,7 @@
 func TestPipelinedRequestHasWhatIsLeftOfItsTime(t *testing.T) {
 	const budget, first = 1400 * time.Millisecond, 600 * time.Millisecond
 	parts := make(chan fake.Part, 8)
-	fleet := &fake.Fleet{Heard: func(p fake.Part, _ fake.Kind) { parts <- p },
+	fleet := &fake.Replicas{OnPart: func(p fake.Part, _ fake.Kind) { parts <- p },
 		Script: func(shard, _ int) fake.Reply {
 			return fake.Reply{After: time.Duration(1-shard) * first} // the first request asks for shard 0
 		}}
@@ -92,9 +92,9 @@
 }
 
 // serveBehindOwner serves the platform's protocol before one node, and returns the address.
-func serveBehindOwner(t *testing.T, fleet *fake.Fleet) string {
+func serveBehindOwner(t *testing.T, fleet *fake.Replicas) string {
 	node, clients := listenLocal(t), listenLocal(t)
-	go fleet.Frames(node)
+	go fleet.ServeFrames(node)
 	nodes := &Caller{CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second}
 	t.Cleanup(nodes.Close)
 	clock := core.SystemClock()
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -24,7 +24,7 @@
 // answered; its end is told once for each call that fails, and the next one begins by itself, with what is new.
 func TestSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		l := memory.Listen("d")
 		var down, silent atomic.Bool
 		var mu sync.Mutex // calls go on while the test looks
@@ -121,7 +121,7 @@
 // index is another's. A new service that cannot be had is told like any other failure.
 func TestMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		var calls, told []string
 		for _, name := range []string{"old", "new"} {
 			served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -172,7 +172,7 @@
 // The list's body may be larger than a client's request.
 func TestLongList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		l := memory.Listen("d")
 		served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Has("from") {
@@ -207,7 +207,7 @@
 // discovery little; only what cannot be used is followed by a call for the whole list, and none of it is taken over.
 func TestWatchFromKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		var calls []string
 		answers := make(chan string, 8)
 		served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -317,7 +317,7 @@
 	} {
 		for seed := range uint64(30) {
 			synctest.Test(t, func(t *testing.T) {
-				var memory fake.Net
+				var memory fake.Network
 				var changed, over atomic.Bool
 				served := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					watch := r.URL.Query().Get("hold_ms") == held
@@ -385,7 +385,7 @@
 	} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
-				var memory fake.Net
+				var memory fake.Network
 				var calls atomic.Int32
 				old := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if r.URL.Query().Get("hold_ms") == held {
--- a/internal/relay/authority_test.go
+++ b/internal/relay/authority_test.go
@@ -125,12 +125,12 @@
 	defer listener.Close()
 	var registry fake.Registry
 	put := func(i int, status string) {
-		registry.Put(fake.Entry{Name: fmt.Sprintf("endpoint-%05d", i), Type: "m2", Group: i, Status: status, Weight: 1})
+		registry.Put(fake.Endpoint{Name: fmt.Sprintf("endpoint-%05d", i), Type: "m2", Group: i, Status: status, Weight: 1})
 	}
 	for i := range list {
 		put(i, "in_service")
 	}
-	go registry.Serve(listener, func(string) string { return "127.0.0.1:9" }, func(fake.Listing) {})
+	go registry.Serve(listener, func(string) string { return "127.0.0.1:9" }, func(fake.EndpointList) {})
 	server := newAuthorityServer(5, wideBudget)
 	address, _ := start(t, server)
 	a := &Authority{Endpoints: server.Endpoints, Settings: server.Settings, Discovery: listener.Addr().String()}
--- a/internal/test/capacity/helper.go
+++ b/internal/test/capacity/helper.go
@@ -123,9 +123,9 @@
 		return err
 	}
 	defer l.Close()
-	go (&fake.Fleet{Heard: func(fake.Part, fake.Kind) {}, Script: func(shard, _ int) fake.Reply {
+	go (&fake.Replicas{OnPart: func(fake.Part, fake.Kind) {}, Script: func(shard, _ int) fake.Reply {
 		return fake.Reply{After: time.Duration(5+shard*37%15) * time.Millisecond} // apart from each other
-	}}).Frames(l)
+	}}).ServeFrames(l)
 	if _, err := fmt.Fprintln(out, l.Addr()); err != nil {
 		return err
 	}
--- a/internal/test/endtoend/change_test.go
+++ b/internal/test/endtoend/change_test.go
@@ -16,7 +16,7 @@
 	truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
 	for i := range modelNodes {
 		n := &Node{ID: fmt.Sprint("node", i), Cell: i}
-		n.Data, n.Unit, n.Cores = fakedata.New(1, modelSections, 5).Data(true), ms, 2
+		n.Data, n.WorkUnit, n.Cores = fakedata.New(1, modelSections, 5).Data(true), ms, 2
 		if i < frames {
 			n.Scheme = platform.Scheme
 		}
--- a/internal/test/endtoend/coordinator.go
+++ b/internal/test/endtoend/coordinator.go
@@ -19,7 +19,7 @@
 
 // Node is an emulated map node. Its address on the network in memory is its ID.
 type Node struct {
-	fake.Fleet
+	fake.Replicas
 	ID     string
 	Cell   int
 	Scheme string // that it speaks; the OpenSearch-style API if empty
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	c := &Coordinator{Clock: core.SystemClock(), Planner: twophase.New(s.Memory)}
-	net := &fake.Net{}
+	net := &fake.Network{}
 	frames := &platform.Caller{CallsPerConn: framesStreams, ConnectTimeout: connectTimeout, ResponseTimeout: quietTimeout, KeepAlive: keepAlive, Dial: net.Dial}
 	api := &opensearch.Caller{Config: cfg, ConnectTimeout: connectTimeout, KeepAlive: keepAlive, Dial: net.Dial}
 	owner, err := core.New(core.Config{Seed: 1, Settings: s.Settings, Limits: core.Limits{Shards: s.Sections}, Clock: c.Clock,
@@ -80,16 +80,16 @@
 }
 
 // serveNodes has the nodes listen on the network in memory, and returns them as lists have them.
-func (c *Coordinator) serveNodes(net *fake.Net, nodes []*Node) (list []core.Endpoint) {
+func (c *Coordinator) serveNodes(net *fake.Network, nodes []*Node) (list []core.Endpoint) {
 	for _, n := range nodes {
 		listener := net.Listen(n.ID)
 		c.closers = append(c.closers, func() { listener.Close() })
 		scheme := opensearch.Scheme
 		if n.Scheme == platform.Scheme {
 			scheme = platform.Scheme
-			go n.Frames(listener)
+			go n.ServeFrames(listener)
 		} else {
-			go n.API(listener)
+			go n.ServeAPI(listener)
 		}
 		list = append(list, core.Endpoint{Replica: scatter.Replica{ID: n.ID, RingPosition: n.Cell}, Address: n.ID, Scheme: scheme})
 	}
--- a/internal/test/endtoend/drain_test.go
+++ b/internal/test/endtoend/drain_test.go
@@ -22,7 +22,7 @@
 		truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
 		for i := range modelNodes {
 			n := &Node{ID: fmt.Sprint("node", i), Cell: i}
-			n.Data, n.Unit, n.Cores = fakedata.New(1, modelSections, 5).Data(true), ms, 4
+			n.Data, n.WorkUnit, n.Cores = fakedata.New(1, modelSections, 5).Data(true), ms, 4
 			n.Script = func(_, try int) fake.Reply { return fake.Reply{Kind: fake.Kind(try % 23 / 21)} } // some errors
 			truth.Nodes = append(truth.Nodes, n)
 		}
--- a/internal/test/endtoend/model_test.go
+++ b/internal/test/endtoend/model_test.go
@@ -86,7 +86,7 @@
 	for range rapid.IntRange(0, 4).Draw(t, "troubles") {
 		from := span(modelTime, "from")
 		p.troubles = append(p.troubles, trouble{rapid.IntRange(0, modelNodes-1).Draw(t, "node"), from, from + span(modelTime, "for"),
-			fake.Reply{Kind: fake.Kind(rapid.IntRange(int(fake.Serve), int(fake.Spoil)).Draw(t, "trouble")), After: span(400*ms, "after")}})
+			fake.Reply{Kind: fake.Kind(rapid.IntRange(int(fake.Serve), int(fake.Corrupt)).Draw(t, "trouble")), After: span(400*ms, "after")}})
 	}
 	for range rapid.IntRange(1, 30).Draw(t, "queries") {
 		p.queries = append(p.queries, question{span(modelTime, "asked"), rapid.IntRange(0, len(texts)-1).Draw(t, "text"), rapid.Bool().Draw(t, "whole")})
@@ -101,11 +101,11 @@
 	fields := map[string]any{"open": int(version)%2 == 0, "snow_cm": float64(int(version*37) % 200)}
 	switch c.kind {
 	case "put":
-		d.Put(c.section, fake.Doc{ID: id, Version: version, Fields: fields})
+		d.Put(c.section, fake.Document{ID: id, Version: version, Fields: fields})
 	case "delete":
 		d.Delete(c.section, id)
 	case "newest": // a max of the versions would go back
-		newest := fake.Doc{}
+		newest := fake.Document{}
 		for _, doc := range docs {
 			if v, _ := doc.Version.(float64); v > 0 && (newest.ID == "" || v > newest.Version.(float64)) {
 				newest = doc
@@ -115,9 +115,9 @@
 	case "back": // the node was started again with what it first had
 		d.Set(c.section, fakedata.New(1, modelSections, 5).Data(false).Docs(c.section))
 	case "unversioned":
-		d.Put(c.section, fake.Doc{ID: id, Version: "", Fields: fields})
+		d.Put(c.section, fake.Document{ID: id, Version: "", Fields: fields})
 	case "word":
-		d.Put(c.section, fake.Doc{ID: id, Version: "v" + id, Fields: fields})
+		d.Put(c.section, fake.Document{ID: id, Version: "v" + id, Fields: fields})
 	case "clear":
 		d.Set(c.section, nil)
 	}
@@ -131,7 +131,7 @@
 	for i := range modelNodes {
 		n := &Node{ID: fmt.Sprint("node", i), Cell: i}
 		n.Data = trails.Data(true)
-		n.Unit, n.Cores = ms, 2
+		n.WorkUnit, n.Cores = ms, 2
 		n.Script = func(int, int) fake.Reply {
 			now := time.Since(began)
 			for _, tr := range p.troubles {
--- a/internal/test/endtoend/truth.go
+++ b/internal/test/endtoend/truth.go
@@ -68,9 +68,9 @@
 	json.Unmarshal(raw, &q)
 	had := map[string]bool{}
 	for _, n := range t.holders(section) {
-		for _, state := range n.Data.Between(section, from, to) {
+		for _, state := range n.Data.StatesBetween(section, from, to) {
 			if n.Scheme != "" {
-				ids, _ := fake.IDs(state.Docs)
+				ids, _ := fake.DocumentIDs(state.Docs)
 				had[ids] = true
 				continue
 			}
--- a/internal/test/experiments/handover/handover.go
+++ b/internal/test/experiments/handover/handover.go
@@ -88,8 +88,8 @@
 func newPlay(seed uint64) *play {
 	p := &play{now: startAt, rng: rand.New(rand.NewPCG(seed, 0x68616e64)), nodes: map[string]*fake.Machine{}, came: map[string]time.Duration{}}
 	for i := range nodeCount {
-		p.nodes[nodeID(i)] = &fake.Machine{Work: partWork, Cores: nodeCores, Queue: nodeQueue,
-			Start: cold.InitialCapacity, Warm: cold.Duration, Fall: cold.OverloadFactor, Window: cold.Window}
+		p.nodes[nodeID(i)] = &fake.Machine{ServiceTime: partWork, Cores: nodeCores, QueueLength: nodeQueue,
+			InitialCapacity: cold.InitialCapacity, SlowStart: cold.Duration, OverloadFactor: cold.OverloadFactor, OverloadWindow: cold.Window}
 	}
 	return p
 }
@@ -179,7 +179,7 @@
 	ev.Kind = scatter.FullUpdate
 	for i := range nodeCount {
 		id := nodeID(i)
-		ev.Replicas = append(ev.Replicas, scatter.Replica{ID: id, RingPosition: i, StartedAt: p.nodes[id].Since})
+		ev.Replicas = append(ev.Replicas, scatter.Replica{ID: id, RingPosition: i, StartedAt: p.nodes[id].StartedAt})
 	}
 	return ev
 }
@@ -206,7 +206,7 @@
 func (p *play) send(c *coordinator, a scatter.Send) {
 	attempt := c.attempts[a.Part]
 	c.attempts[a.Part]++
-	end, taken := p.nodes[a.Replica].Take(p.now)
+	end, taken := p.nodes[a.Replica].Accept(p.now)
 	ended := scatter.AttemptEnded{Part: a.Part, Attempt: attempt, Replica: a.Replica, Latency: end - p.now}
 	if !taken {
 		ended.Outcome = scatter.Rejected
--- a/internal/test/experiments/overload/site.go
+++ b/internal/test/experiments/overload/site.go
@@ -103,7 +103,7 @@
 			return nil, err
 		}
 		defer l.Close()
-		go (&fake.Fleet{Script: n.script, Data: n.data}).API(l)
+		go (&fake.Replicas{Script: n.script, Data: n.data}).ServeAPI(l)
 		id := fmt.Sprint("node", i)
 		c.Nodes = append(c.Nodes, core.Endpoint{Replica: scatter.Replica{ID: id, RingPosition: i}, Address: l.Addr().String(), Scheme: opensearch.Scheme})
 	}
--- a/internal/test/experiments/overload/slownodes.go
+++ b/internal/test/experiments/overload/slownodes.go
@@ -26,7 +26,7 @@
 		note[i] = 'a' + byte(i%26)
 	}
 	for s := range sections {
-		data.Put(s, fake.Doc{ID: fmt.Sprint("d", s), Fields: map[string]any{"note": string(note)}})
+		data.Put(s, fake.Document{ID: fmt.Sprint("d", s), Fields: map[string]any{"note": string(note)}})
 	}
 	return nodes{data: data, script: func(section, _ int) fake.Reply {
 		if section == slowSection {
--- a/internal/test/experiments/twophase/play.go
+++ b/internal/test/experiments/twophase/play.go
@@ -43,15 +43,15 @@
 	during := func(from, to float64) bool { return since.Seconds() >= from && since.Seconds() < to }
 	switch {
 	case node == 0 && during(1.5, 3):
-		return fake.Reply{Kind: fake.Silent}
+		return fake.Reply{Kind: fake.NoReply}
 	case node == 1 && during(3, 4.5):
 		return fake.Reply{Kind: fake.Fail}
 	case node == 2 && during(4.5, 6):
 		return fake.Reply{Kind: fake.Serve, After: 80 * time.Millisecond}
 	case node == 3 && during(6, 7):
-		return fake.Reply{Kind: fake.Spoil}
+		return fake.Reply{Kind: fake.Corrupt}
 	case node == 4 && during(7, 8):
-		return fake.Reply{Kind: fake.Break}
+		return fake.Reply{Kind: fake.Disconnect}
 	}
 	return fake.Reply{}
 }
@@ -61,7 +61,7 @@
 	trails := fakedata.New(m.seed, sectionCount, trailsPerSection)
 	for i := range nodeCount {
 		n := &endtoend.Node{ID: fmt.Sprint("node", i), Cell: i}
-		n.Data, n.Unit, n.Cores = trails.Data(true), workUnit, nodeCores
+		n.Data, n.WorkUnit, n.Cores = trails.Data(true), workUnit, nodeCores
 		if m.failures {
 			n.Script = func(int, int) fake.Reply { return failure(i, time.Since(began)) }
 		}
@@ -162,7 +162,7 @@
 
 func unitsOf(nodes []*endtoend.Node) (sum float64) {
 	for _, n := range nodes {
-		sum += n.Units()
+		sum += n.WorkDone()
 	}
 	return sum
 }
--- /dev/null
+++ b/internal/test/fake/documents.go
@@ -0,0 +1,119 @@
+package fake
+
+import (
+	"encoding/json"
+	"slices"
+	"sort"
+	"strings"
+	"sync"
+	"time"
+)
+
+// Document is a document of a shard.
+type Document struct {
+	ID      string
+	Version any // a number, unless a test wants it otherwise; nil for none
+	Fields  map[string]any
+}
+
+// Data is the documents of all shards. The zero value has none.
+type Data struct {
+	KeepHistory bool // keep the states that each shard had, for StatesBetween
+
+	mu          sync.Mutex
+	shards      map[int][]Document // in order of ID; a list is replaced, never changed
+	history     map[int][]ShardState
+	nextVersion float64 // of the next document that is put without one
+}
+
+// ShardState is what a shard held from an instant on.
+type ShardState struct {
+	Since time.Time
+	Docs  []Document // in order of ID
+}
+
+// Docs returns a shard's documents, in order of ID. The caller must not change them.
+func (d *Data) Docs(shard int) []Document {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.shards[shard]
+}
+
+// Set replaces a shard's documents.
+func (d *Data) Set(shard int, docs []Document) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.setLocked(shard, docs)
+}
+
+// setLocked replaces a shard's documents. It is to be called under the lock.
+func (d *Data) setLocked(shard int, docs []Document) {
+	if d.shards == nil {
+		d.shards, d.history = map[int][]Document{}, map[int][]ShardState{}
+	}
+	docs = slices.Clone(docs)
+	slices.SortFunc(docs, func(x, y Document) int { return strings.Compare(x.ID, y.ID) })
+	d.shards[shard] = docs
+	if d.KeepHistory {
+		d.history[shard] = append(d.history[shard], ShardState{time.Now(), docs})
+	}
+	for _, doc := range docs {
+		if version, ok := doc.Version.(float64); ok {
+			d.nextVersion = max(d.nextVersion, version+1)
+		}
+	}
+}
+
+// Put adds a document or replaces the one of its ID. Without a version it gets the next one.
+func (d *Data) Put(shard int, doc Document) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if doc.Version == nil {
+		doc.Version = max(1, d.nextVersion)
+	}
+	d.setLocked(shard, append(without(d.shards[shard], doc.ID), doc))
+}
+
+// Delete removes a document.
+func (d *Data) Delete(shard int, id string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.setLocked(shard, without(d.shards[shard], id))
+}
+
+// without returns a copy of documents without the one of an ID.
+func without(docs []Document, id string) []Document {
+	return slices.DeleteFunc(slices.Clone(docs), func(doc Document) bool { return doc.ID == id })
+}
+
+// StatesBetween lists the states that a shard had between two instants, both included, oldest first. It needs
+// KeepHistory.
+func (d *Data) StatesBetween(shard int, from, to time.Time) []ShardState {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list := d.history[shard]
+	begin := sort.Search(len(list), func(i int) bool { return !list[i].Since.Before(from) })
+	end := sort.Search(len(list), func(i int) bool { return list[i].Since.After(to) })
+	return list[max(0, begin-1):end:end] // the state before the first of these lasted until it
+}
+
+// DocumentIDs returns what a frame has of a shard: the IDs of its documents, as a JSON array.
+func DocumentIDs(docs []Document) (string, error) {
+	ids := []string{}
+	for _, doc := range docs {
+		ids = append(ids, doc.ID)
+	}
+	data, err := json.Marshal(ids)
+	return string(data), err
+}
+
+// fieldValue is the value of a document's field; "section" and "version" are fields of every document.
+func fieldValue(shard int, doc Document, field string) any {
+	switch field {
+	case "section":
+		return float64(shard)
+	case "version":
+		return doc.Version
+	}
+	return doc.Fields[field]
+}
--- a/internal/test/fake/frames.go
+++ b/internal/test/fake/frames.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// Frames serves data-node frames until the listener is closed.
-func (f *Fleet) Frames(l net.Listener) {
+// partCallType begins the frames that ask for a part. All other frames are ignored.
+const partCallType = '1'
+
+// ServeFrames serves the platform's frames until the listener is closed.
+func (r *Replicas) ServeFrames(l net.Listener) {
 	for {
-		c, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go f.serveFrames(c)
+		go r.serveConnection(conn)
 	}
 }
 
-// partCall is the frame with which the program asks for a part; it begins with partCallType.
+// partCall is a frame that asks for a part.
 type partCall struct {
 	Part
-	line string // its first one, which words the part
+	line string // the frame's first line, which has the part
 }
 
-// partCallType begins the frames that ask for a part; others are let be.
-const partCallType = '1'
-
 // parsePartCall reads a frame without its length.
 func parsePartCall(frame []byte) (call partCall, err error) {
 	call.line, _, _ = strings.Cut(string(frame[1:]), "\n")
@@ -39,10 +39,10 @@
 	return call, err
 }
 
-// frameConn is a connection that several parts answer on.
+// frameConn is a connection on which several parts are answered, each by a goroutine of its own.
 type frameConn struct {
 	net.Conn
-	mu sync.Mutex
+	mu sync.Mutex // held for each frame that is written
 }
 
 // writeFrame writes a frame behind its length.
@@ -64,12 +64,12 @@
 	return frame, err
 }
 
-// serveFrames takes the parts of a connection until it ends, and answers each when its reply is due.
-func (f *Fleet) serveFrames(conn net.Conn) {
+// serveConnection takes the parts of a connection until it ends, and answers each when its reply is due.
+func (r *Replicas) serveConnection(conn net.Conn) {
 	defer conn.Close()
-	c, r := &frameConn{Conn: conn}, bufio.NewReader(conn)
+	c, reader := &frameConn{Conn: conn}, bufio.NewReader(conn)
 	for {
-		frame, err := readFrame(r)
+		frame, err := readFrame(reader)
 		if err != nil {
 			return
 		}
@@ -81,37 +81,37 @@
 			c.writeFrame("Xbad line")
 			return
 		}
-		reply := f.take(call.Shard, call.line)
-		if f.Heard != nil {
-			f.Heard(call.Part, reply.Kind)
+		reply := r.receive(call.Shard, call.line)
+		if r.OnPart != nil {
+			r.OnPart(call.Part, reply.Kind)
 		}
-		time.AfterFunc(reply.After, func() { f.answer(c, call, reply.Kind) })
+		time.AfterFunc(reply.After, func() { r.reply(c, call, reply.Kind) })
 	}
 }
 
-// answer does with a part what its kind of reply says.
-func (f *Fleet) answer(c *frameConn, call partCall, kind Kind) {
+// reply does with a part what its kind of reply says.
+func (r *Replicas) reply(c *frameConn, call partCall, kind Kind) {
 	switch kind {
 	case Serve:
-		c.writeFrame(fmt.Sprintf("5%s S 1 -\n%s", call.ID, f.value(call.Shard)))
-	case Spoil:
+		c.writeFrame(fmt.Sprintf("5%s S 1 -\n%s", call.ID, r.value(call.Shard)))
+	case Corrupt:
 		c.writeFrame("5" + call.ID)
 	case Fail:
 		c.writeFrame(fmt.Sprintf("5%s E 0 -\n", call.ID))
 	case Reject:
 		c.writeFrame(fmt.Sprintf("5%s B 0 -\n", call.ID))
-	case Break:
+	case Disconnect:
 		c.Close()
 	}
 }
 
-// value is what a frame says of a section, once the work for it is done.
-func (f *Fleet) value(shard int) string {
-	if f.Data == nil {
+// value is what a frame has of a shard, once the work for it is done.
+func (r *Replicas) value(shard int) string {
+	if r.Data == nil {
 		return fmt.Sprintf("v%d", shard)
 	}
-	docs := f.Data.Docs(shard)
-	f.work(unitsOf(len(docs), len(docs), false), nil)
-	ids, _ := IDs(docs)
+	docs := r.Data.Docs(shard)
+	r.work(searchWork(len(docs), len(docs), false), nil)
+	ids, _ := DocumentIDs(docs)
 	return ids
 }
--- a/internal/test/fake/machine.go
+++ b/internal/test/fake/machine.go
@@ -6,67 +6,74 @@
 	"time"
 )
 
-// Machine is what a node's parts are done on, on any clock: cores that take one part at a time, a queue before them, and a
-// capacity that rises after its start. What it has taken it does to the end.
+// Machine is what a replica's parts are worked on with, on any clock: cores that take one part at a time, a queue
+// before them, and a slow start. It finishes every part that it accepts. Instants are readings of the caller's clock,
+// which never goes back.
 type Machine struct {
-	Work  time.Duration // of a part, on a core of a warm machine
-	Cores int
-	Queue int // parts that wait; more are turned away
+	ServiceTime time.Duration // of a part, on a core of a machine that is warmed up
+	Cores       int
+	QueueLength int // parts that may wait; more are rejected
 
-	Since  time.Duration // its start; 0 for long ago
-	Start  float64       // share of its capacity that it has then
-	Warm   time.Duration // after this it has all of it
-	Fall   float64       // sent more than this multiple of its present capacity
-	Window time.Duration // for this long, it falls over
+	StartedAt       time.Duration // when the process started; 0 for long ago
+	InitialCapacity float64       // share of its capacity that a process has when it starts
+	SlowStart       time.Duration // after which a process has all of its capacity; 0 for at once
+	OverloadFactor  float64       // multiple of its present capacity that a process in slow start cannot bear
+	OverloadWindow  time.Duration // for which it would have to bear it before it falls over
 
-	free []time.Duration // by core, when it is idle
-	cold []time.Duration // arrivals since it is cold
+	idleAt            []time.Duration // when each core is idle
+	slowStartArrivals []time.Duration // arrivals during the present slow start, oldest first
 }
 
-// Ramp is the share of its capacity that it has.
-func (m *Machine) Ramp(now time.Duration) float64 {
-	if m.Since == 0 || m.Warm == 0 {
+// Capacity is the share of its capacity that the machine has at now.
+func (m *Machine) Capacity(now time.Duration) float64 {
+	if m.StartedAt == 0 || m.SlowStart == 0 {
 		return 1
 	}
-	return min(1, m.Start+(1-m.Start)*(now-m.Since).Seconds()/m.Warm.Seconds())
+	running := (now - m.StartedAt).Seconds()
+	return min(1, m.InitialCapacity+(1-m.InitialCapacity)*running/m.SlowStart.Seconds())
 }
 
-// Take is when a part that arrives now is done; false where it is turned away.
-func (m *Machine) Take(now time.Duration) (time.Duration, bool) {
-	ramp := m.Ramp(now)
-	if ramp < 1 {
-		m.cold = append(m.cold, now)
+// Accept returns when a part that arrives at now is done. It reports false where the part is rejected, since too many
+// wait.
+func (m *Machine) Accept(now time.Duration) (done time.Duration, accepted bool) {
+	capacity := m.Capacity(now)
+	if capacity < 1 {
+		m.slowStartArrivals = append(m.slowStartArrivals, now)
 	}
-	if m.free == nil {
-		m.free = make([]time.Duration, m.Cores)
+	if m.idleAt == nil {
+		m.idleAt = make([]time.Duration, m.Cores)
 	}
-	work := time.Duration(float64(m.Work) / ramp)
-	i := slices.Index(m.free, slices.Min(m.free))
-	if m.free[i]-now > time.Duration(m.Queue)*work/time.Duration(m.Cores) {
+	serviceTime := time.Duration(float64(m.ServiceTime) / capacity)
+	core := slices.Index(m.idleAt, slices.Min(m.idleAt))
+	if m.idleAt[core]-now > time.Duration(m.QueueLength)*serviceTime/time.Duration(m.Cores) {
 		return now, false
 	}
-	m.free[i] = max(now, m.free[i]) + work
-	return m.free[i], true
+	m.idleAt[core] = max(now, m.idleAt[core]) + serviceTime
+	return m.idleAt[core], true
 }
 
-// Restart is a new process: idle, and cold from now on.
-func (m *Machine) Restart(now time.Duration) { m.Since, m.free, m.cold = now, nil, nil }
+// Restart makes the machine a new process that starts at now: idle, and in slow start.
+func (m *Machine) Restart(now time.Duration) {
+	m.StartedAt, m.idleAt, m.slowStartArrivals = now, nil, nil
+}
 
-// Pressure is the most that arrived within a window since the start, in what makes the machine fall.
-func (m *Machine) Pressure() (worst float64) {
+// Pressure is the greatest number of arrivals in a window of the present slow start, as a multiple of what the machine
+// tolerates. It falls over above 1.
+func (m *Machine) Pressure() (greatest float64) {
 	from := 0
-	for i, at := range m.cold {
-		for at-m.cold[from] > m.Window {
+	for i, at := range m.slowStartArrivals {
+		for at-m.slowStartArrivals[from] > m.OverloadWindow {
 			from++
 		}
-		worst = max(worst, float64(i-from+1)/m.Bears(m.cold[from]))
+		greatest = max(greatest, float64(i-from+1)/m.Tolerates(m.slowStartArrivals[from]))
 	}
-	return worst
+	return greatest
 }
 
-// Bears is how many parts in the window from then on it takes to make the machine fall: more than the N that are allowed by
-// as much as is put down to chance, N + 2 root N + 2.
-func (m *Machine) Bears(from time.Duration) float64 {
-	n := m.Fall * m.Ramp(from) * float64(m.Cores) / m.Work.Seconds() * m.Window.Seconds()
+// Tolerates is how many arrivals the machine tolerates in the window that begins at from. To the N that its overload
+// factor grants, 2 root N + 2 are added: so many more may come by chance.
+func (m *Machine) Tolerates(from time.Duration) float64 {
+	perSecond := m.OverloadFactor * m.Capacity(from) * float64(m.Cores) / m.ServiceTime.Seconds()
+	n := perSecond * m.OverloadWindow.Seconds()
 	return n + 2*math.Sqrt(n) + 2
 }
--- /dev/null
+++ b/internal/test/fake/match.go
@@ -0,0 +1,98 @@
+package fake
+
+import (
+	"encoding/json"
+	"slices"
+)
+
+// Matches reports whether a document of a shard matches a query of the kinds that replicas know: match_all, match_none,
+// term, terms, range and bool of these. A kind that they do not know matches.
+func Matches(shard int, doc Document, query map[string]json.RawMessage) bool {
+	for kind, raw := range query {
+		var fields map[string]json.RawMessage
+		json.Unmarshal(raw, &fields)
+		switch kind {
+		case "match_none":
+			return false
+		case "bool":
+			return matchesBool(shard, doc, fields)
+		case "term", "terms", "range":
+			for field, wanted := range fields {
+				if !matchesValue(kind, fieldValue(shard, doc, field), wanted) {
+					return false
+				}
+			}
+		}
+	}
+	return true
+}
+
+// matchesBool reports whether a document matches a bool query. Where it has should clauses, one of them has to match.
+func matchesBool(shard int, doc Document, clauses map[string]json.RawMessage) bool {
+	hasShould, shouldMatches := false, false
+	for name, raw := range clauses {
+		for _, query := range clauseQueries(raw) {
+			matches := Matches(shard, doc, query)
+			switch name {
+			case "must", "filter":
+				if !matches {
+					return false
+				}
+			case "must_not":
+				if matches {
+					return false
+				}
+			case "should":
+				hasShould, shouldMatches = true, shouldMatches || matches
+			}
+		}
+	}
+	return shouldMatches || !hasShould
+}
+
+// clauseQueries are the queries of a bool query's clause: an array of them, or a single one.
+func clauseQueries(raw json.RawMessage) (queries []map[string]json.RawMessage) {
+	if json.Unmarshal(raw, &queries) == nil {
+		return queries
+	}
+	var single map[string]json.RawMessage
+	json.Unmarshal(raw, &single)
+	return append(queries, single)
+}
+
+// matchesValue reports whether a field's value matches what a term, terms or range query wants of it.
+func matchesValue(kind string, value any, raw json.RawMessage) bool {
+	var wanted any
+	json.Unmarshal(raw, &wanted)
+	switch kind {
+	case "terms":
+		list, _ := wanted.([]any)
+		return slices.Contains(list, value)
+	case "range":
+		bounds, _ := wanted.(map[string]any)
+		return matchesRange(value, bounds)
+	}
+	if object, ok := wanted.(map[string]any); ok {
+		wanted = object["value"]
+	}
+	return value == wanted
+}
+
+// matchesRange reports whether a value is a number within bounds.
+func matchesRange(value any, bounds map[string]any) bool {
+	number, within := value.(float64)
+	for name, raw := range bounds {
+		bound, _ := raw.(float64)
+		switch name {
+		case "gt":
+			within = within && number > bound
+		case "gte":
+			within = within && number >= bound
+		case "lt":
+			within = within && number < bound
+		case "lte":
+			within = within && number <= bound
+		}
+	}
+	return within
+}
--- a/internal/test/fake/net_test.go
+++ b/internal/test/fake/network_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// A server that ends its direction while its client still writes gets the rest, and the client gets what was sent before
-// the end.
-func TestHalfClose(t *testing.T) {
+// A server ends its direction while its client still writes. It gets the rest of what the client sends, and the client
+// gets what was sent before the end.
+func TestNetworkHalfClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		memory := Net{HalfClose: true}
-		l := memory.Listen("s")
+		network := Network{HalfClose: true}
+		l := network.Listen("s")
 		defer l.Close()
 		const request, answer = "request", "answer"
 		read := make(chan string, 1)
@@ -31,7 +31,7 @@
 			data, _ := io.ReadAll(c)
 			read <- string(data)
 		}()
-		c, err := memory.Dial(context.Background(), "s")
+		c, err := network.Dial(context.Background(), "s")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/test/fakedata/mountain.go
+++ b/internal/test/fakedata/mountain.go
@@ -74,15 +74,15 @@
 }
 
 // Doc is the trail as nodes hold it.
-func (t Trail) Doc() fake.Doc {
-	return fake.Doc{ID: t.ID, Version: t.Version, Fields: map[string]any{"name": t.Name, "open": t.Open, "snow_cm": t.SnowCM}}
+func (t Trail) Doc() fake.Document {
+	return fake.Document{ID: t.ID, Version: t.Version, Fields: map[string]any{"name": t.Name, "open": t.Open, "snow_cm": t.SnowCM}}
 }
 
 // Data is a copy for a node, which records its states over time if asked to.
 func (m Sections) Data(record bool) *fake.Data {
-	d := &fake.Data{Record: record}
+	d := &fake.Data{KeepHistory: record}
 	for s, trails := range m {
-		var docs []fake.Doc
+		var docs []fake.Document
 		for _, t := range trails {
 			docs = append(docs, t.Doc())
 		}
--- a/internal/test/fakeserver/nodeserver.go
+++ b/internal/test/fakeserver/nodeserver.go
@@ -60,11 +60,11 @@
 			return fmt.Errorf("host %s: %w", h.Name, err)
 		}
 		defer l.Close()
-		f := &fake.Fleet{Data: data, Unit: c.Unit, Cores: nodeCores}
+		f := &fake.Replicas{Data: data, WorkUnit: c.Unit, Cores: nodeCores}
 		if h.API == platform.Scheme {
-			go f.Frames(l)
+			go f.ServeFrames(l)
 		} else {
-			go f.API(l)
+			go f.ServeAPI(l)
 		}
 		fmt.Fprintf(out, "%s on %s, cell %d, speaks %s\n", h.Name, h.Address, h.RingPosition, h.API)
 	}
--- a/internal/test/faultinjection/discovery_modes.go
+++ b/internal/test/faultinjection/discovery_modes.go
@@ -7,14 +7,14 @@
 
 // discoveryModes are all modes of discovery, as a scenario names them. A soak draws from them by their order.
 var discoveryModes = []string{
-	discoveryHealthy, string(fake.RegistryDown), string(fake.RegistryCrowded), string(fake.RegistrySilent),
+	discoveryHealthy, string(fake.RegistryDown), string(fake.RegistryOverloaded), string(fake.RegistrySilent),
 }
 
 // setDiscovery changes how discovery treats calls.
 func (f *Fleet) setDiscovery(mode string) {
 	f.Note(sourceHarness, "discovery is %s", mode)
 	if mode == discoveryHealthy {
-		mode = string(fake.RegistrySound)
+		mode = string(fake.RegistryHealthy)
 	}
 	f.registry.SetMode(fake.RegistryMode(mode))
 	f.checker.setDiscoveryReachable(mode != string(fake.RegistryDown))
--- a/internal/test/faultinjection/fleet_replica.go
+++ b/internal/test/faultinjection/fleet_replica.go
@@ -25,14 +25,11 @@
 	replicaDraining, replicaRemoved, replicaRestarted, replicaUnresponsive, replicaFailing, replicaHealthy,
 }
 
-// statusInService is the status under which discovery lists a replica that may be sent to.
-const statusInService = "in_service"
-
 // registryStatus is the status under which discovery lists a replica from a state on; other states leave it as it was.
 var registryStatus = map[ReplicaState]string{
-	replicaDraining:  "terminating",
-	replicaRemoved:   "terminated",
-	replicaRestarted: statusInService,
+	replicaDraining:  fake.StatusTerminating,
+	replicaRemoved:   fake.StatusTerminated,
+	replicaRestarted: fake.StatusInService,
 }
 
 const (
@@ -50,7 +47,7 @@
 	number int
 
 	mu      sync.Mutex
-	entry   fake.Entry // as discovery lists it
+	entry   fake.Endpoint // as discovery lists it
 	machine fake.Machine
 	state   ReplicaState
 }
@@ -81,22 +78,22 @@
 		name:   name,
 		number: number,
 		state:  replicaHealthy,
-		entry: fake.Entry{
+		entry: fake.Endpoint{
 			Name:   name,
 			Zone:   fmt.Sprint("z", number%holdersPerShard),
 			Type:   "m",
 			Group:  ringPosition,
-			Status: statusInService,
+			Status: fake.StatusInService,
 			Weight: 1,
 		},
 		machine: fake.Machine{
-			Work:   serviceTime,
-			Cores:  replicaCores,
-			Queue:  replicaQueue,
-			Start:  rules.InitialCapacity,
-			Warm:   microseconds(rules.SlowStart),
-			Fall:   rules.OverloadFactor,
-			Window: microseconds(rules.OverloadWindow),
+			ServiceTime:     serviceTime,
+			Cores:           replicaCores,
+			QueueLength:     replicaQueue,
+			InitialCapacity: rules.InitialCapacity,
+			SlowStart:       microseconds(rules.SlowStart),
+			OverloadFactor:  rules.OverloadFactor,
+			OverloadWindow:  microseconds(rules.OverloadWindow),
 		},
 	}
 }
@@ -107,14 +104,14 @@
 	defer r.mu.Unlock()
 	switch r.state {
 	case replicaUnresponsive:
-		return fake.Reply{Kind: fake.Silent}
+		return fake.Reply{Kind: fake.NoReply}
 	case replicaFailing:
 		return fake.Reply{Kind: fake.Fail}
 	case replicaRemoved:
-		return fake.Reply{Kind: fake.Break}
+		return fake.Reply{Kind: fake.Disconnect}
 	}
 	now := f.machineTime()
-	end, accepted := r.machine.Take(now)
+	end, accepted := r.machine.Accept(now)
 	if !accepted || r.state == replicaDraining {
 		return fake.Reply{Kind: fake.Reject}
 	}
@@ -155,7 +152,7 @@
 	r.mu.Lock()
 	state, status := r.state, r.entry.Status
 	r.mu.Unlock()
-	if status != statusInService {
+	if status != fake.StatusInService {
 		f.setState(r, replicaRestarted)
 	} else if state != replicaHealthy {
 		f.setState(r, replicaHealthy)
--- a/internal/test/faultinjection/host.go
+++ b/internal/test/faultinjection/host.go
@@ -50,7 +50,7 @@
 
 // HostReplica is a fake replica behind a link.
 type HostReplica struct {
-	fake.Fleet
+	fake.Replicas
 	Link *Link
 }
 
@@ -70,12 +70,12 @@
 	for i := range c.Replicas {
 		r := &HostReplica{}
 		r.Script = func(int, int) fake.Reply { return h.decideReply(i) }
-		if r.Link, err = h.listeners.serveBehindLink(NewLink, r.Frames); err != nil {
+		if r.Link, err = h.listeners.serveBehindLink(NewLink, r.ServeFrames); err != nil {
 			return nil, errors.Join(err, h.Close())
 		}
 		h.Replicas = append(h.Replicas, r)
 	}
-	h.Discovery, err = h.listeners.serveBehindLink(NewLink, func(l net.Listener) { fake.Discovery(l, h.endpointList) })
+	h.Discovery, err = h.listeners.serveBehindLink(NewLink, func(l net.Listener) { fake.ServeDiscovery(l, h.endpointList) })
 	if err == nil {
 		err = h.Configure(c.Settings)
 	}
@@ -129,13 +129,20 @@
 // endpointList is discovery's list: whatever operators say, every replica is in service.
 func (h *Host) endpointList() string {
 	h.ListsServed.Add(1)
-	const entry = `{"name":"f%d","address":%q,"zone":"z","type":"m","group":%d,` +
-		`"status":"in_service","weight":1,"since_ms":0}`
-	var entries []string
+	list := fake.EndpointList{Index: 1, Snapshot: true, Endpoints: []fake.Endpoint{}}
 	for i, r := range h.Replicas {
-		entries = append(entries, fmt.Sprintf(entry, i, r.Link.Address(), i%hostRingSize))
+		list.Endpoints = append(list.Endpoints, fake.Endpoint{
+			Name:    fmt.Sprint("f", i),
+			Address: r.Link.Address(),
+			Zone:    "z",
+			Type:    "m",
+			Group:   i % hostRingSize,
+			Status:  fake.StatusInService,
+			Weight:  1,
+		})
 	}
-	return fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, strings.Join(entries, ","))
+	data, _ := json.Marshal(list)
+	return string(data)
 }
 
 // Start starts a process with an admin endpoint of its own, with the client socket as descriptor 4, and with further
--- a/internal/test/faultinjection/host_check.go
+++ b/internal/test/faultinjection/host_check.go
@@ -9,7 +9,7 @@
 // Forwarded reports whether a replica was asked for some part of a query. Any goroutine may call it.
 func (h *Host) Forwarded(queryID string) bool {
 	for _, r := range h.Replicas {
-		for _, line := range r.Seen() {
+		for _, line := range r.Received() {
 			if strings.HasPrefix(line, queryID+".") {
 				return true
 			}
@@ -27,7 +27,7 @@
 	}
 	runs, classesSeen := map[string]int{}, map[string]bool{}
 	for _, r := range h.Replicas {
-		for _, line := range r.Seen() {
+		for _, line := range r.Received() {
 			words := strings.Fields(line)
 			partID, list := words[0], words[2]
 			queryID, _, _ := strings.Cut(partID, ".")
--- a/internal/test/faultinjection/member.go
+++ b/internal/test/faultinjection/member.go
@@ -49,18 +49,18 @@
 		return nil, err
 	}
 	for _, r := range f.replicas {
-		server := &fake.Fleet{
+		server := &fake.Replicas{
 			Script: func(int, int) fake.Reply { return f.decideReply(r) },
-			Heard:  func(part fake.Part, reply fake.Kind) { f.checker.partReceived(m, r, part, reply) },
+			OnPart: func(part fake.Part, reply fake.Kind) { f.checker.partReceived(m, r, part, reply) },
 		}
-		link, err := f.listeners.serveBehindLink(NewFramedLink, server.Frames)
+		link, err := f.listeners.serveBehindLink(NewFramedLink, server.ServeFrames)
 		if err != nil {
 			return nil, err
 		}
 		m.links = append(m.links, link)
 	}
 	m.discovery, err = f.listeners.serveBehindLink(NewLink, func(l net.Listener) {
-		f.registry.Serve(l, m.replicaAddress, func(list fake.Listing) { f.checker.listSent(m, list) })
+		f.registry.Serve(l, m.replicaAddress, func(list fake.EndpointList) { f.checker.listSent(m, list) })
 	})
 	return m, err
 }
--- a/internal/test/faultinjection/notification.go
+++ b/internal/test/faultinjection/notification.go
@@ -12,12 +12,12 @@
 
 // listSent records an endpoint list that discovery has written to a member. The grace of a drain counts from the first
 // list that has it; later ones repeat it.
-func (c *ruleChecker) listSent(m *member, list fake.Listing) {
+func (c *ruleChecker) listSent(m *member, list fake.EndpointList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listCount++
 	for _, e := range list.Endpoints {
-		if e.Status == statusInService {
+		if e.Status == fake.StatusInService {
 			delete(c.withdrawn[m], e.Name)
 		} else if _, known := c.withdrawn[m][e.Name]; !known && c.withdrawn[m] != nil {
 			c.withdrawn[m][e.Name] = time.Now()
@@ -29,7 +29,7 @@
 func (c *ruleChecker) statusListed(r *fleetReplica, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if status == statusInService {
+	if status == fake.StatusInService {
 		delete(c.drainingSince, r.name)
 	} else if _, known := c.drainingSince[r.name]; !known {
 		c.drainingSince[r.name] = time.Now()
--- a/internal/test/faultinjection/play.go
+++ b/internal/test/faultinjection/play.go
@@ -89,7 +89,7 @@
 // healAll ends all faults: of discovery, links and replicas; paused processes go on.
 func (f *Fleet) healAll() {
 	f.Note(sourceHarness, "all faults end")
-	if f.registry.Mode() != fake.RegistrySound {
+	if f.registry.Mode() != fake.RegistryHealthy {
 		f.setDiscovery(discoveryHealthy)
 	}
 	for _, m := range f.members {
--- a/internal/test/faultinjection/rule_checker_test.go
+++ b/internal/test/faultinjection/rule_checker_test.go
@@ -37,19 +37,19 @@
 	if violations() > 0 {
 		t.Error("a report that was rejected has not run")
 	}
-	f.checker.partReceived(m, r, fake.Part{ID: "report-1.0", List: "d=9"}, fake.Silent)
+	f.checker.partReceived(m, r, fake.Part{ID: "report-1.0", List: "d=9"}, fake.NoReply)
 	if violations() != 1 {
 		t.Error("a report that ran twice passes")
 	}
 
 	// A replica that drains may be sent to for a grace, which counts from the first notification.
-	f.checker.listSent(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminating"}}})
+	f.checker.listSent(m, fake.EndpointList{Endpoints: []fake.Endpoint{{Name: "n0", Status: "terminating"}}})
 	f.checker.partReceived(m, r, fake.Part{ID: "search-1.0", List: "d=9"}, fake.Serve)
 	if violations() != 1 {
 		t.Error("a part within the grace is a violation")
 	}
 	f.checker.withdrawn[m]["n0"] = time.Now().Add(-2 * time.Second)
-	f.checker.listSent(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "terminated"}}})
+	f.checker.listSent(m, fake.EndpointList{Endpoints: []fake.Endpoint{{Name: "n0", Status: "terminated"}}})
 	f.checker.partReceived(m, r, fake.Part{ID: "search-2.0", List: "d=9"}, fake.Serve)
 	if violations() != 2 {
 		t.Error("a part at a replica that has drained for 2 s passes")
@@ -65,7 +65,7 @@
 	f.checker.processResumed(m)
 	f.checker.partReceived(m, r, fake.Part{ID: "search-5.0", List: "d=9"}, fake.Serve)
 	f.checker.runningSince[m] = time.Now().Add(-time.Hour)
-	f.checker.listSent(m, fake.Listing{Endpoints: []fake.Entry{{Name: "n0", Status: "in_service"}}})
+	f.checker.listSent(m, fake.EndpointList{Endpoints: []fake.Endpoint{{Name: "n0", Status: "in_service"}}})
 	f.checker.partReceived(m, r, fake.Part{ID: "search-6.0", List: "d=9"}, fake.Serve)
 	if violations() != 2 {
 		t.Errorf("what a fault held up is a violation: %v", f.checker.violations)
--- a/internal/test/fleetsim/fleet_test.go
+++ b/internal/test/fleetsim/fleet_test.go
@@ -129,7 +129,7 @@
 				count(n.coldArrivals[from], -1)
 			}
 			if all := i - from + 1; told*3 > all*2 {
-				worst = max(worst, float64(all)/n.Bears(n.coldArrivals[from].at))
+				worst = max(worst, float64(all)/n.Tolerates(n.coldArrivals[from].at))
 			}
 		}
 	}
--- a/internal/test/fleetsim/node.go
+++ b/internal/test/fleetsim/node.go
@@ -31,8 +31,8 @@
 
 func newNode(number int, c Config) *Node {
 	return &Node{id: fmt.Sprint("n", number), number: number, cell: number / c.NodesPerCell, Zone: number % zones, lastUsed: map[int]time.Duration{},
-		Machine: fake.Machine{Work: partWork, Cores: nodeCores, Queue: nodeQueue,
-			Start: c.Cold.InitialCapacity, Warm: c.Cold.Duration, Fall: c.Cold.OverloadFactor, Window: c.Cold.Window}}
+		Machine: fake.Machine{ServiceTime: partWork, Cores: nodeCores, QueueLength: nodeQueue,
+			InitialCapacity: c.Cold.InitialCapacity, SlowStart: c.Cold.Duration, OverloadFactor: c.Cold.OverloadFactor, OverloadWindow: c.Cold.Window}}
 }
 
 // DropConnections closes all of them.
@@ -40,7 +40,7 @@
 
 // replica is the node as lists have it.
 func (n *Node) replica() scatter.Replica {
-	return scatter.Replica{ID: n.id, RingPosition: n.cell, Zone: fmt.Sprint("z", n.Zone), StartedAt: n.Since}
+	return scatter.Replica{ID: n.id, RingPosition: n.cell, Zone: fmt.Sprint("z", n.Zone), StartedAt: n.StartedAt}
 }
 
 // take is how an attempt ends that a member begins now, and after what time.
@@ -57,10 +57,10 @@
 	if n.Hung {
 		return scatter.TimedOut, timeout
 	}
-	if n.Ramp(began) < 1 {
-		n.coldArrivals = append(n.coldArrivals, coldArrival{began, m.startsKnown[n.id] == n.Since})
+	if n.Capacity(began) < 1 {
+		n.coldArrivals = append(n.coldArrivals, coldArrival{began, m.startsKnown[n.id] == n.StartedAt})
 	}
-	end, taken := n.Take(began)
+	end, taken := n.Accept(began)
 	switch took = end - now; {
 	case !taken:
 		return scatter.Rejected, took
--- a/internal/test/scaletest/changes.go
+++ b/internal/test/scaletest/changes.go
@@ -4,6 +4,8 @@
 	"context"
 	"math/rand/v2"
 	"time"
+
+	"harepass/internal/test/fake"
 )
 
 // drainLasts is how long a drained node takes nothing, before it is back.
@@ -46,8 +48,8 @@
 		return
 	}
 	i := f.plan.Nodes + rng.IntN(listed)
-	if f.publisher.status(i) == inService {
-		f.publisher.change(inService, i)
+	if f.publisher.status(i) == fake.StatusInService {
+		f.publisher.change(fake.StatusInService, i)
 	}
 }
 
@@ -57,18 +59,18 @@
 		return
 	}
 	i := rng.IntN(f.plan.Nodes)
-	if f.publisher.status(i) != inService {
+	if f.publisher.status(i) != fake.StatusInService {
 		return
 	}
 	f.nodes.takes(false, i)
-	f.publisher.change(terminating, i)
+	f.publisher.change(fake.StatusTerminating, i)
 	select {
 	case <-time.After(drainLasts):
 	case <-ctx.Done():
 	}
-	if f.publisher.status(i) == terminating {
+	if f.publisher.status(i) == fake.StatusTerminating {
 		f.nodes.takes(true, i)
-		f.publisher.change(inService, i)
+		f.publisher.change(fake.StatusInService, i)
 	}
 }
 
@@ -84,5 +86,5 @@
 
 // probe publishes a change of the list, to see when it is in force everywhere.
 func (f *fleet) probe() *Publication {
-	return f.publisher.change(inService, f.plan.Entries-1)
+	return f.publisher.change(fake.StatusInService, f.plan.Entries-1)
 }
--- a/internal/test/scaletest/nodes.go
+++ b/internal/test/scaletest/nodes.go
@@ -25,12 +25,12 @@
 )
 
 // makeEntries lists the fleet's data nodes: those that answer at some addresses first.
-func makeEntries(plan *Plan, addresses []string) []Entry {
+func makeEntries(plan *Plan, addresses []string) []fake.Endpoint {
 	own, others := plan.nodeCells(), max(1, plan.cells()-plan.nodeCells())
-	var list []Entry
+	var list []fake.Endpoint
 	for i := range plan.Entries {
-		e := Entry{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Address: nobody, Zone: zoneName(i % plan.Zones), Type: "m2",
-			Status: inService, Weight: 1}
+		e := fake.Endpoint{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Address: nobody, Zone: zoneName(i % plan.Zones), Type: "m2",
+			Status: fake.StatusInService, Weight: 1}
 		if i < len(addresses) {
 			e.Address, e.Group = addresses[i], i%own
 		} else {
@@ -72,9 +72,9 @@
 			n.close()
 			return nil, nil, err
 		}
-		fleet := &fake.Fleet{Script: func(int, int) fake.Reply { return fake.Reply{After: partTakes} },
-			Heard: func(part fake.Part, _ fake.Kind) { n.heard(i, part.ID) }}
-		go fleet.Frames(l)
+		fleet := &fake.Replicas{Script: func(int, int) fake.Reply { return fake.Reply{After: partTakes} },
+			OnPart: func(part fake.Part, _ fake.Kind) { n.heard(i, part.ID) }}
+		go fleet.ServeFrames(l)
 		n.listeners = append(n.listeners, l)
 		addresses = append(addresses, l.Addr().String())
 	}
--- a/internal/test/scaletest/publisher.go
+++ b/internal/test/scaletest/publisher.go
@@ -4,6 +4,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"harepass/internal/test/fake"
 )
 
 // Resource is what is distributed.
@@ -31,14 +33,14 @@
 	registry *Registry
 
 	mu      sync.Mutex
-	entries []Entry // as they are now
+	entries []fake.Endpoint // as they are now
 	mark    int64
 	all     []*Publication
 	byMark  map[int64]*Publication // of the list
 	numbers map[int64]*Publication // of the settings
 }
 
-func newPublisher(entries []Entry) *publisher {
+func newPublisher(entries []fake.Endpoint) *publisher {
 	return &publisher{registry: NewRegistry(entries), entries: entries, byMark: map[int64]*Publication{}, numbers: map[int64]*Publication{}}
 }
 
@@ -49,7 +51,7 @@
 	now := time.Now()
 	p.mark = max(now.UnixMilli(), p.mark+1)
 	pub := &Publication{Resource: List, Mark: p.mark, At: now, Status: status}
-	var changed []Entry
+	var changed []fake.Endpoint
 	for _, i := range which {
 		e := &p.entries[i]
 		e.Status, e.SinceMS = status, p.mark
@@ -95,7 +97,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.all) - 1; i >= 0; i-- {
-		if pub := p.all[i]; pub.Status == terminated && slices.Contains(pub.Names, name) {
+		if pub := p.all[i]; pub.Status == fake.StatusTerminated && slices.Contains(pub.Names, name) {
 			pub.Index = max(pub.Index, index)
 			return
 		}
--- a/internal/test/scaletest/real.go
+++ b/internal/test/scaletest/real.go
@@ -12,6 +12,7 @@
 	"go.yaml.in/yaml/v3"
 
 	"harepass/internal/logmsg"
+	"harepass/internal/test/fake"
 	"harepass/internal/test/faultinjection"
 )
 
@@ -80,7 +81,7 @@
 	own["me"] = m.no
 	data, err := json.Marshal(map[string]any{"name": m.name, "listen": m.listen, "discovery": f.discovery, "seed": fmt.Sprintf("%016x", uint64(m.no+1)*0x9e3779b97f4a7c15),
 		"limits": map[string]any{"cores": realCores, "memory_mb": realMemoryMB, "sockets": realSockets},
-		"known":  listing{Snapshot: true, Endpoints: []Entry{}}, "settings": own})
+		"known":  fake.EndpointList{Snapshot: true, Endpoints: []fake.Endpoint{}}, "settings": own})
 	if err != nil {
 		return "", err
 	}
--- a/internal/test/scaletest/registry.go
+++ b/internal/test/scaletest/registry.go
@@ -6,37 +6,12 @@
 	"net"
 	"net/http"
 	"slices"
-	"strconv"
 	"sync"
 	"time"
-)
-
-// Entry is a node as discovery lists it.
-type Entry struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`
-	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"`
-}
 
-// The statuses of an entry.
-const (
-	inService   = "in_service"
-	terminating = "terminating"
-	terminated  = "terminated"
+	"harepass/internal/test/fake"
 )
 
-// listing is an answer in discovery's form.
-type listing struct {
-	Index     int64   `json:"index"`
-	Snapshot  bool    `json:"snapshot"`
-	Endpoints []Entry `json:"endpoints"`
-}
-
 // Registry stands in for discovery: the one source of the list. It serves calls that have something to tell one after
 // another; a renewed watch that has nothing to tell costs it nothing.
 type Registry struct {
@@ -44,7 +19,7 @@
 	Patience time.Duration // a call that would wait longer for its turn fails with 503; 0 for none
 
 	mu      sync.Mutex
-	entries map[string]Entry
+	entries map[string]fake.Endpoint
 	log     []string // the name that was changed with each index, from 1 on
 	changed chan struct{}
 	whole   []byte // the whole list at the latest index; nil where that has to be made
@@ -54,14 +29,14 @@
 }
 
 // NewRegistry returns one that lists some entries.
-func NewRegistry(entries []Entry) *Registry {
-	r := &Registry{entries: map[string]Entry{}, changed: make(chan struct{})}
+func NewRegistry(entries []fake.Endpoint) *Registry {
+	r := &Registry{entries: map[string]fake.Endpoint{}, changed: make(chan struct{})}
 	r.Put(entries...)
 	return r
 }
 
 // Put adds entries or changes them, all in one instant.
-func (r *Registry) Put(entries ...Entry) {
+func (r *Registry) Put(entries ...fake.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range entries {
@@ -91,20 +66,16 @@
 func (r *Registry) Serve(l net.Listener) error { return http.Serve(l, http.HandlerFunc(r.call)) }
 
 func (r *Registry) call(w http.ResponseWriter, req *http.Request) {
-	from, err := strconv.ParseInt(req.URL.Query().Get("from"), 10, 64)
-	if err != nil {
-		from = -1
-	}
-	hold, _ := strconv.Atoi(req.URL.Query().Get("hold_ms"))
-	if !r.await(req.Context(), from, time.Duration(hold)*time.Millisecond) {
+	poll := fake.ParsePoll(req)
+	if !r.await(req.Context(), poll.From, poll.Wait) {
 		return
 	}
-	if r.news(from) && !r.turn(req.Context()) {
+	if r.news(poll.From) && !r.turn(req.Context()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(r.answer(from))
+	w.Write(r.answer(poll.From))
 }
 
 // await waits until something is newer than a version or the hold is over; false where the caller has left.
@@ -167,7 +138,7 @@
 	defer r.mu.Unlock()
 	head := int64(len(r.log))
 	if from >= 0 && from <= head {
-		l := listing{Index: head, Endpoints: []Entry{}}
+		l := fake.EndpointList{Index: head, Endpoints: []fake.Endpoint{}}
 		names := slices.Clone(r.log[from:])
 		slices.Sort(names)
 		for _, name := range slices.Compact(names) {
@@ -177,9 +148,9 @@
 		return data
 	}
 	if r.whole == nil {
-		l := listing{Index: head, Snapshot: true, Endpoints: []Entry{}}
+		l := fake.EndpointList{Index: head, Snapshot: true, Endpoints: []fake.Endpoint{}}
 		for _, e := range r.entries {
-			if e.Status != terminated {
+			if e.Status != fake.StatusTerminated {
 				l.Endpoints = append(l.Endpoints, e)
 			}
 		}
--- a/internal/test/scaletest/trouble.go
+++ b/internal/test/scaletest/trouble.go
@@ -6,6 +6,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"harepass/internal/test/fake"
 )
 
 // occurrence is a trouble as it was played.
@@ -89,7 +91,7 @@
 	case o.RestartAll:
 		return f.restartAll(ctx)
 	case o.ZoneGone != nil:
-		f.changeZone(*o.ZoneGone, terminated)
+		f.changeZone(*o.ZoneGone, fake.StatusTerminated)
 	case o.Spoil != "":
 		f.spoiler.become(o.Spoil) // counts anew
 	case o.Settings != "":
@@ -131,7 +133,7 @@
 		f.network.heal(o.region)
 		f.cutOff(o.region, false)
 	case o.ZoneGone != nil:
-		f.changeZone(*o.ZoneGone, inService)
+		f.changeZone(*o.ZoneGone, fake.StatusInService)
 	case o.Spoil != "":
 		f.spoiler.become("")
 		o.spoilt = f.spoiler.count()
@@ -163,7 +165,7 @@
 			answering = append(answering, i)
 		}
 	}
-	f.nodes.takes(status == inService, answering...)
+	f.nodes.takes(status == fake.StatusInService, answering...)
 	f.publisher.change(status, which...)
 	f.timeline.note("%d entries of zone %d: %s", len(which), zone, status)
 }
--- a/internal/test/scaletest/verdict.go
+++ b/internal/test/scaletest/verdict.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"harepass/internal/test/fake"
 	"harepass/internal/test/faultinjection"
 )
 
@@ -122,7 +123,7 @@
 			}
 		}
 	}
-	if latest == nil || latest.Status == inService {
+	if latest == nil || latest.Status == fake.StatusInService {
 		return nil
 	}
 	return latest
--- a/internal/test/scaletest/verdict_test.go
+++ b/internal/test/scaletest/verdict_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"harepass/internal/test/fake"
 )
 
 // smallFleet has two members, one entry with a node, and no processes.
@@ -52,8 +54,8 @@
 	f, began := smallFleet(t)
 	name := f.publisher.entries[0].Name
 	published := []Publication{
-		{Resource: List, Index: 2, At: began.Add(time.Second), Names: []string{name}, Status: terminating},
-		{Resource: List, Index: 3, At: began.Add(9 * time.Second), Names: []string{name}, Status: inService},
+		{Resource: List, Index: 2, At: began.Add(time.Second), Names: []string{name}, Status: fake.StatusTerminating},
+		{Resource: List, Index: 3, At: began.Add(9 * time.Second), Names: []string{name}, Status: fake.StatusInService},
 	}
 	f.records.add(at(began, "c0", 2*time.Second, 1, 2))
 	f.records.add(at(began, "c0", 9*time.Second, 1, 3))
@@ -124,7 +126,7 @@
 // The registry serves calls that have something to tell one after another, fails those that would wait too long, and costs a
 // caller without news nothing.
 func TestRegistryTurns(t *testing.T) {
-	r := NewRegistry([]Entry{{Name: "a"}, {Name: "b"}})
+	r := NewRegistry([]fake.Endpoint{{Name: "a"}, {Name: "b"}})
 	r.Turn, r.Patience = time.Hour, time.Millisecond
 	if !r.news(-1) || r.news(2) {
 		t.Error("news of two entries")
@@ -136,7 +138,7 @@
 	if answered, failed := r.Answers(); answered != 0 || failed != 1 {
 		t.Errorf("%d answered, %d failed", answered, failed)
 	}
-	r.Put(Entry{Name: "a", Status: terminated})
+	r.Put(fake.Endpoint{Name: "a", Status: fake.StatusTerminated})
 	if text := string(r.answer(2)); !strings.Contains(text, `"index":3,"snapshot":false`) || strings.Contains(text, `"b"`) {
 		t.Errorf("changes: %s", text)
 	}
--- a/internal/test/scaletest/watch.go
+++ b/internal/test/scaletest/watch.go
@@ -8,6 +8,7 @@
 	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
+	"harepass/internal/test/fake"
 )
 
 // watchAuthority follows the authority itself until ctx ends, to learn which index it gave to what was published.
@@ -32,7 +33,7 @@
 		f.publisher.seenGone(e.Name, e.Index)
 		return
 	}
-	var entry Entry
+	var entry fake.Endpoint
 	if json.Unmarshal(e.Body, &entry) == nil {
 		f.publisher.seen(List, entry.SinceMS, e.Index)
 	}
