--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -27,7 +27,7 @@
 func main() {
 	if err := root().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lab:", err)
-		if errors.Is(err, experiment.ErrMissed) || errors.Is(err, scaletest.ErrMissed) || errors.Is(err, faultcli.ErrBroken) {
+		if errors.Is(err, experiment.ErrMissed) || errors.Is(err, scaletest.ErrMissed) || errors.Is(err, faultcli.ErrSoakFailed) {
 			os.Exit(1)
 		}
 		os.Exit(2)
@@ -131,10 +131,10 @@
 	c := &cobra.Command{Use: "logs DIR", Short: "Sums up by second what a fleet's coordinators wrote under 'serve -trace', one *.log each", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if id != "" {
-				return logsummary.Path(cmd.OutOrStdout(), args[0], id)
+				return logsummary.PrintQuery(cmd.OutOrStdout(), args[0], id)
 			}
 			s := logsummary.NewSummary()
-			for _, each := range []func(logsummary.Line){s.Learn, s.Add} {
+			for _, each := range []func(logsummary.Line){s.ReadContext, s.Add} {
 				if err := logsummary.ReadDir(args[0], each); err != nil {
 					return err
 				}
@@ -154,7 +154,7 @@
 	c.Flags().StringVar(&u.Settings, "settings", "deploy/settings.example.json", "file of the site's settings")
 	c.Flags().IntVar(&u.Count, "count", 5, "how many upgrades")
 	c.Flags().IntVar(&u.Clients, "clients", 12, "how many clients ask all the time")
-	c.Flags().DurationVar(&u.Every, "every", time.Second, "time between them")
+	c.Flags().DurationVar(&u.Interval, "every", time.Second, "time between them")
 	return c
 }
 
@@ -164,7 +164,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error { return p.Play(args[0], cmd.OutOrStdout()) }}
 	c.Flags().StringVar(&p.Program, "program", "bin/harepass", "the built program")
 	c.Flags().StringVar(&p.Settings, "settings", "deploy/settings.example.json", "file of the site's settings")
-	c.Flags().StringVar(&p.Timeline, "timeline", "", "file for all that happened, in one order")
+	c.Flags().StringVar(&p.TimelineFile, "timeline", "", "file for all that happened, in one order")
 	return c
 }
 
@@ -174,11 +174,11 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return s.Play(cmd.OutOrStdout()) }}
 	c.Flags().StringVar(&s.Program, "program", "bin/harepass", "the built program")
 	c.Flags().StringVar(&s.Settings, "settings", "deploy/settings.example.json", "file of the site's settings")
-	c.Flags().Uint64Var(&s.First, "first", 1, "the first seed")
+	c.Flags().Uint64Var(&s.FirstSeed, "first", 1, "the first seed")
 	c.Flags().IntVar(&s.Seeds, "seeds", 50, "how many seeds")
-	c.Flags().IntVar(&s.AtOnce, "at-once", 1, "how many fleets side by side")
-	c.Flags().StringSliceVar(&s.Only, "only", nil, "kinds of steps to keep: discovery, hold, kill, link, node, reload, term")
-	c.Flags().StringVar(&s.Timeline, "timelines", "", "folder for the timelines of seeds that broke something")
+	c.Flags().IntVar(&s.Parallel, "at-once", 1, "how many fleets side by side")
+	c.Flags().StringSliceVar(&s.Kinds, "only", nil, "kinds of steps to keep: discovery, hold, kill, link, node, reload, term")
+	c.Flags().StringVar(&s.TimelineDir, "timelines", "", "folder for the timelines of seeds that broke something")
 	return c
 }
 
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -38,7 +38,7 @@
 // Names of statuses and outcomes, in the order of their constants. Log lines use them too.
 var (
 	statusNames  = [...]string{logmsg.StatusServed, logmsg.StatusRejected, "failed", "invalid"}
-	outcomeNames = [...]string{"served", "error", "full", "timeout", "noconn", "reset", "cancelled", "moot"}
+	outcomeNames = [...]string{logmsg.OutcomeServed, "error", "full", "timeout", "noconn", "reset", "cancelled", "moot"}
 )
 
 var (
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -70,10 +70,11 @@
 	KeyRemedy          = "remedy"
 )
 
-// Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names are
-// wire: these values stay.
+// Values of KeyState, KeyStatus and KeyOutcome that readers compare with. Counters are named after statuses and
+// outcomes, and their names are wire: these values stay.
 const (
 	StateReady     = "ready"
 	StatusServed   = "served"
 	StatusRejected = "refused"
+	OutcomeServed  = "served"
 )
--- a/internal/test/endtoend/race_test.go
+++ b/internal/test/endtoend/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package testbed
+package endtoend
 
 import "runtime"
 
--- a/internal/test/faultcli/scenario.go
+++ b/internal/test/faultcli/scenario.go
@@ -1,4 +1,3 @@
-// Package faultcli plays the rig's scenarios and upgrades, of real processes of the program, by hand and says what came of them.
 package faultcli
 
 import (
@@ -6,7 +5,6 @@
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"time"
@@ -14,14 +12,14 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// Scenario is how a scenario of internal/test/faultinjection is played.
+// Scenario says how a scenario of internal/test/faultinjection is played.
 type Scenario struct {
-	Program  string // the built program
-	Settings string // file of the site's settings, as the platform words them
-	Timeline string // file for all that happened; empty for none
+	Program      string // the built program
+	Settings     string // file of the site's settings, as JSON
+	TimelineFile string // gets the timeline; empty for none
 }
 
-// Play plays a file and says what became of the requests. The error tells what did not hold.
+// Play plays a scenario's file and reports what became of the requests. The error joins what did not hold.
 func (p Scenario) Play(file string, out io.Writer) (err error) {
 	s, err := faultinjection.Load(file)
 	if err != nil {
@@ -31,35 +29,41 @@
 	if err != nil {
 		return err
 	}
-	program, err := filepath.Abs(p.Program)
-	if err != nil {
-		return err
-	}
 	dir, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	start := time.Now()
-	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: dir, Command: []string{program, "serve"}, Settings: settings}, s)
+	began := time.Now()
+	f, err := newFleet(dir, p.Program, settings, s)
 	if err != nil {
 		return err
 	}
 	err = f.Play()
-	started, memory := f.ProcessStats()
 	f.PrintSummary(out)
-	fmt.Fprintf(out, "%s: %d processes; serving after %v in the median, %.0f MB each in the median, %.0f MB at most; %v in all\n", s.Name, len(started),
-		median(started).Round(time.Millisecond), float64(median(memory))/1024, float64(slices.Max(append(memory, 0)))/1024, time.Since(start).Round(100*time.Millisecond))
+	printProcessStats(out, f, time.Since(began))
 	if err == nil {
-		fmt.Fprintf(out, "%s: all that has to hold held\n", s.Name)
+		fmt.Fprintf(out, "%s: all rules held\n", s.Name)
 	}
-	if p.Timeline != "" {
+	if p.TimelineFile != "" {
 		var text strings.Builder
-		err = errors.Join(err, f.Print(&text), os.WriteFile(p.Timeline, []byte(text.String()), 0o644))
+		err = errors.Join(err, f.Print(&text), os.WriteFile(p.TimelineFile, []byte(text.String()), 0o644))
 	}
 	return errors.Join(err, f.Close())
 }
 
+// printProcessStats writes a line about a fleet's processes.
+func printProcessStats(out io.Writer, f *faultinjection.Fleet, elapsed time.Duration) {
+	startupTimes, peakMemoryKB := f.ProcessStats()
+	const kbPerMB = 1024.0
+	fmt.Fprintf(out, "%s: %d processes; serving after %v in the median, %.0f MB each in the median, "+
+		"%.0f MB at most; %v in all\n",
+		f.Name, len(startupTimes), median(startupTimes).Round(time.Millisecond),
+		float64(median(peakMemoryKB))/kbPerMB, float64(slices.Max(append(peakMemoryKB, 0)))/kbPerMB,
+		elapsed.Round(100*time.Millisecond))
+}
+
+// median sorts values and returns the one in the middle; 0 for none.
 func median[T int | time.Duration](values []T) T {
 	if len(values) == 0 {
 		return 0
--- a/internal/test/faultcli/soak.go
+++ b/internal/test/faultcli/soak.go
@@ -11,88 +11,93 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// Soak is a row of soaks of internal/test/faultinjection, each drawn from a seed of its own.
+// Soak says which soaks of internal/test/faultinjection are played, each drawn from a seed of its own.
 type Soak struct {
-	Program  string // the built program
-	Settings string // file of the site's settings, as the platform words them
-	First    uint64
-	Seeds    int
-	AtOnce   int      // so many fleets side by side
-	Only     []string // kinds of steps; all where it is empty
-	Timeline string   // folder for what happened with seeds that break something; empty for none
+	Program     string   // the built program
+	Settings    string   // file of the site's settings, as JSON
+	FirstSeed   uint64   // the others count up from it
+	Seeds       int      // how many
+	Parallel    int      // fleets side by side; fewer than 1 counts as 1
+	Kinds       []string // kinds of steps that are kept, as faultinjection.Step.Kind names them; all where it is empty
+	TimelineDir string   // existing folder that gets the timelines of seeds that fail; empty for none
 }
 
-// ErrBroken is returned where a seed broke something.
-var ErrBroken = errors.New("rigplay: the soak broke something")
+// ErrSoakFailed says that something did not hold with a seed.
+var ErrSoakFailed = errors.New("faultcli: something did not hold in the soak")
 
-// Play plays all seeds, says what became of each, and how often each kind of trouble was met.
+// Play plays all seeds, and reports what became of each and how often each kind of step was played. It returns
+// ErrSoakFailed where something did not hold with a seed.
 func (s Soak) Play(out io.Writer) error {
 	settings, err := os.ReadFile(s.Settings)
 	if err != nil {
 		return err
 	}
-	if s.Program, err = filepath.Abs(s.Program); err != nil {
-		return err
-	}
-	var wg sync.WaitGroup
-	var mu sync.Mutex // guards out and what follows
-	met, broken := map[string]int{}, 0
-	slots := make(chan struct{}, max(1, s.AtOnce))
-	for seed := s.First; seed < s.First+uint64(s.Seeds); seed++ {
+	var running sync.WaitGroup
+	var mu sync.Mutex // guards out, steps and failed
+	steps, failed := map[string]int{}, 0
+	slots := make(chan struct{}, max(1, s.Parallel))
+	for seed := s.FirstSeed; seed < s.FirstSeed+uint64(s.Seeds); seed++ {
 		slots <- struct{}{}
-		wg.Go(func() {
+		running.Go(func() {
 			defer func() { <-slots }()
-			scenario := faultinjection.Soak(seed, s.Only...)
-			err := s.playOne(scenario, settings, &lockedWriter{&mu, out})
+			scenario := faultinjection.Soak(seed, s.Kinds...)
+			err := s.playOne(scenario, settings, &synchronizedWriter{&mu, out})
 			mu.Lock()
 			defer mu.Unlock()
 			for _, st := range scenario.Steps {
-				met[st.Kind()]++
+				steps[st.Kind()]++
 			}
 			if err != nil {
-				broken++
-				fmt.Fprintf(out, "seed %d broke: %v\n", seed, err)
+				failed++
+				fmt.Fprintf(out, "seed %d failed: %v\n", seed, err)
 			}
 		})
 	}
-	wg.Wait()
-	fmt.Fprintf(out, "%d seeds, %d broke something; steps %v\n", s.Seeds, broken, met)
-	if broken > 0 {
-		return ErrBroken
+	running.Wait()
+	fmt.Fprintf(out, "%d seeds, %d failed; steps %v\n", s.Seeds, failed, steps)
+	if failed > 0 {
+		return ErrSoakFailed
 	}
 	return nil
 }
 
-// lockedWriter writes whole lines of several soaks.
-type lockedWriter struct {
-	mu  *sync.Mutex
-	out io.Writer
-}
-
-func (w *lockedWriter) Write(p []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.out.Write(p)
-}
-
+// playOne plays one soak in a folder of its own.
 func (s Soak) playOne(scenario *faultinjection.Scenario, settings []byte, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: dir, Command: []string{s.Program, "serve"}, Settings: settings}, scenario)
+	f, err := newFleet(dir, s.Program, settings, scenario)
 	if err != nil {
 		return err
 	}
 	err = f.Play()
 	f.PrintSummary(out)
-	if err != nil && s.Timeline != "" {
-		file, e := os.Create(filepath.Join(s.Timeline, scenario.Name+".txt"))
-		if e == nil {
-			e = errors.Join(f.Print(file), file.Close())
-		}
-		err = errors.Join(err, e)
+	if err != nil && s.TimelineDir != "" {
+		err = errors.Join(err, s.writeTimeline(f))
 	}
 	return errors.Join(err, f.Close())
 }
+
+// writeTimeline writes the timeline of a soak that failed.
+func (s Soak) writeTimeline(f *faultinjection.Fleet) error {
+	file, err := os.Create(filepath.Join(s.TimelineDir, f.Name+".txt"))
+	if err != nil {
+		return err
+	}
+	return errors.Join(f.Print(file), file.Close())
+}
+
+// synchronizedWriter lets several soaks write to one writer, a line at a time.
+type synchronizedWriter struct {
+	mu  *sync.Mutex
+	out io.Writer
+}
+
+// Write implements io.Writer.
+func (w *synchronizedWriter) Write(p []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.out.Write(p)
+}
--- a/internal/test/logsummary/logsummary_test.go
+++ b/internal/test/logsummary/logsummary_test.go
@@ -22,38 +22,51 @@
 3.500 2026/12/01 20:50:33 DEBUG query ended query_id=a1 class=route-lookup tenant="" status=served complete=true latency=400ms time_left=600ms attempts=2
 `
 
-// The sums of a fleet are those of its lines: calls, connections, attempts, queries, and parts to a node that the list
-// gives a recent start, whichever coordinator's log says so.
-func TestLogsAreSummed(t *testing.T) {
+// tracedElsewhere is another coordinator's log; it sends to a replica whose start only the first log has.
+const tracedElsewhere = `3.900 2026/12/01 20:50:33 DEBUG attempt ended query_id=b7 shard=3 attempt=0 replica=new outcome=full latency=2ms
+3.950 2026/12/01 20:50:33 INFO query ended query_id=b7 class=route-lookup status=refused complete=false attempts=0
+`
+
+// A fleet's summary counts the lines of all coordinators: polls, connections, attempts, queries, and parts to a replica
+// in slow start, whichever coordinator's log has its start.
+func TestSummaryCountsLines(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"n0.log": traced,
-		"n1.log": "3.900 2026/12/01 20:50:33 DEBUG attempt ended query_id=b7 shard=3 attempt=0 replica=new outcome=full latency=2ms\n" +
-			"3.950 2026/12/01 20:50:33 INFO query ended query_id=b7 class=route-lookup status=refused complete=false attempts=0\n"} {
+	for name, text := range map[string]string{"n0.log": traced, "n1.log": tracedElsewhere} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f := NewSummary()
-	for _, each := range []func(Line){f.Learn, f.Add} {
+	s := NewSummary()
+	for _, each := range []func(Line){s.ReadContext, s.Add} {
 		if err := ReadDir(dir, each); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got := f.Seconds[3]
+	got := s.Seconds[3]
 	for _, want := range []struct {
-		kind, column string
-		n            int
-	}{{"list calls", "failed", 1}, {"list calls", "ok", 0}, {"connections", "opened", 1}, {"attempts", "timeout", 1}, {"attempts", "served", 1},
-		{"attempts", "full", 1}, {"attempts", "further", 1}, {"queries route-lookup", "served", 1}, {"queries route-lookup", "refused unsent", 1}} {
-		if n := got[want.kind][want.column]; n != want.n {
-			t.Errorf("%s, %s: %d, want %d", want.kind, want.column, n, want.n)
+		table, column string
+		n             int
+	}{
+		{"discovery polls", "failed", 1},
+		{"discovery polls", "ok", 0},
+		{"connections", "opened", 1},
+		{"attempts", "timeout", 1},
+		{"attempts", "served", 1},
+		{"attempts", "full", 1},
+		{"attempts", "beyond the first", 1},
+		{"queries route-lookup", "served", 1},
+		{"queries route-lookup", "refused unsent", 1},
+	} {
+		if n := got[want.table][want.column]; n != want.n {
+			t.Errorf("%s, %s: %d, want %d", want.table, want.column, n, want.n)
 		}
 	}
-	if row := f.coldNodes()[fmt.Sprintf("%6d", 3)]; row["nodes"] != 1 || row["parts"] != 2 || row["mean of a warm one"] != 1 {
-		t.Errorf("cold nodes: %v", row)
+	row := s.slowStartTable()[fmt.Sprintf("%6d", 3)]
+	if row["replicas"] != 1 || row["parts"] != 2 || row["mean of a warmed-up one"] != 1 {
+		t.Errorf("parts in slow start: %v", row)
 	}
 	var out strings.Builder
-	if err := f.Print(&out, 1); err != nil {
+	if err := s.Print(&out, 1); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"2 coordinators", "the 1 of 2", "old"} {
@@ -63,29 +76,31 @@
 	}
 }
 
-// One request's path is its lines alone, in order, with the coordinator of each.
-func TestPathOfOneRequest(t *testing.T) {
+// What is printed of a query is its lines alone, in order, with the coordinator of each.
+func TestPrintQuery(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(traced), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	if err := Path(&out, dir, "a1"); err != nil {
+	if err := PrintQuery(&out, dir, "a1"); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(lines) != 3 || !strings.Contains(lines[0], "3.400 n0 attempt ended") || !strings.Contains(lines[0], "outcome=timeout") || !strings.Contains(lines[2], "status=served") {
+	if len(lines) != 3 || !strings.Contains(lines[0], "3.400 n0 attempt ended") ||
+		!strings.Contains(lines[0], "outcome=timeout") || !strings.Contains(lines[2], "status=served") {
 		t.Errorf("path %q", lines)
 	}
-	if err := Path(&out, dir, "nobody"); err == nil {
-		t.Error("a request that is in no log has a path")
+	if err := PrintQuery(&out, dir, "nobody"); !errors.Is(err, ErrQueryNotFound) {
+		t.Errorf("a query that is in no log: %v", err)
 	}
 }
 
 // Lines without the seconds in front count by their clock; quoted values keep their blanks.
 func TestParseLine(t *testing.T) {
 	l, ok := ParseLine("n0", `2026/12/01 20:50:33 DEBUG discovery polled target="/a b" latency=2s err=<nil>`)
-	if want := 20*time.Hour + 50*time.Minute + 33*time.Second; !ok || l.At != want || l.Name != "discovery polled" || l.Attrs["target"] != "/a b" || l.Attrs["err"] != "<nil>" {
+	at := 20*time.Hour + 50*time.Minute + 33*time.Second
+	if !ok || l.At != at || l.Message != "discovery polled" || l.Attrs["target"] != "/a b" || l.Attrs["err"] != "<nil>" {
 		t.Errorf("%+v, %t", l, ok)
 	}
 	for _, line := range []string{"", "panic: no line", "1.5", `1.5 2026/12/01 20:50:33 DEBUG discovery polled target="/a`} {
@@ -95,11 +110,11 @@
 	}
 }
 
-// Logs without a trace are told so rather than summed to nothing, and so is an empty folder.
-func TestLogsWithoutATrace(t *testing.T) {
+// Logs without a trace give an error rather than empty tables, and so does a folder without logs.
+func TestLogsWithoutTraceAreRefused(t *testing.T) {
 	dir := t.TempDir()
-	if err := ReadDir(dir, func(Line) {}); err == nil {
-		t.Error("an empty folder is read")
+	if err := ReadDir(dir, func(Line) {}); !errors.Is(err, ErrNoLogs) {
+		t.Errorf("an empty folder: %v", err)
 	}
 	if err := NewSummary().Print(&strings.Builder{}, 5); !errors.Is(err, ErrNoTrace) {
 		t.Errorf("no attempts: %v", err)
--- a/internal/test/logsummary/summary.go
+++ b/internal/test/logsummary/summary.go
@@ -1,132 +1,152 @@
 package logsummary
 
 import (
-	"fmt"
-	"maps"
-	"slices"
 	"time"
 
 	"harepass/internal/logmsg"
 )
 
-// counts is a table of them by row and column.
-type counts map[string]map[string]int
-
-func (c counts) add(row, column string) {
-	if c[row] == nil {
-		c[row] = map[string]int{}
-	}
-	c[row][column]++
-}
+// Tables that a Summary counts by second, besides one for the queries of each class.
+const (
+	discoveryPolls = "discovery polls"
+	connections    = "connections"
+	attempts       = "attempts"
+)
 
-// columns lists all of them, in order.
-func (c counts) columns() []string {
-	all := map[string]bool{}
-	for _, row := range c {
-		for column := range row {
-			all[column] = true
-		}
-	}
-	return sorted(all)
-}
+// Columns that are not values of a log line.
+const (
+	pollSucceeded  = "ok"
+	pollFailed     = "failed"
+	opened         = "opened"
+	beyondFirst    = "beyond the first" // retries and hedged requests
+	partial        = "partial"          // served, and not complete
+	rejectedUnsent = "refused unsent"   // rejected before the first attempt
+)
 
-// sorted lists the keys of a map in order.
-func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+// queriesOf is the table of a class's queries.
+func queriesOf(class string) string { return "queries " + class }
 
-// Summary is what the logs of a fleet tell. The settings and the list have to be read before what they are to count for.
+// Summary is what the logs of a fleet show.
 type Summary struct {
-	Roots   map[string]bool
-	Seconds map[int]counts // by second, then by kind and what happened
-	Nodes   counts         // attempts by node and outcome, and connections
+	Coordinators map[string]bool // those that have a line
+	Seconds      map[int]counts  // by second; rows are tables, columns what happened
+	Replicas     counts          // attempts by replica and outcome, and connections
 
-	warmWithin time.Duration
-	started    map[string]time.Duration // when a node started last, on the clock of the lines
-	cold, warm map[int]map[string]int   // parts by second and node
+	slowStart        time.Duration            // how long a replica's slow start lasts
+	startedAt        map[string]time.Duration // when a replica started last, on the clock of the lines
+	partsInSlowStart map[int]map[string]int   // parts by second and replica, while it was in slow start
+	partsWarmedUp    map[int]map[string]int   // parts by second and replica, of all others
 }
 
-// NewSummary returns an empty one.
+// NewSummary returns a summary of no lines.
 func NewSummary() *Summary {
-	return &Summary{Roots: map[string]bool{}, Seconds: map[int]counts{}, Nodes: counts{}, started: map[string]time.Duration{},
-		cold: map[int]map[string]int{}, warm: map[int]map[string]int{}}
+	return &Summary{
+		Coordinators:     map[string]bool{},
+		Seconds:          map[int]counts{},
+		Replicas:         counts{},
+		startedAt:        map[string]time.Duration{},
+		partsInSlowStart: map[int]map[string]int{},
+		partsWarmedUp:    map[int]map[string]int{},
+	}
 }
 
-// Learn takes from a line what others are judged by: how long nodes are cold, and when each started; an age of 0 is long.
-func (s *Summary) Learn(l Line) {
-	switch l.Name {
+// ReadContext takes from a line what parts are judged by: how long slow start lasts, and when replicas started. It is
+// to be called for all lines before the first Add: the coordinator that has a replica's start in its log need not be
+// the one that sent a part. An age of 0 means that a replica has long been warmed up.
+func (s *Summary) ReadContext(l Line) {
+	switch l.Message {
 	case logmsg.SettingsRead:
-		s.warmWithin, _ = time.ParseDuration(l.Attrs[logmsg.KeySlowStart])
+		s.slowStart, _ = time.ParseDuration(l.Attrs[logmsg.KeySlowStart])
 	case logmsg.EndpointUpdated:
 		age, err := time.ParseDuration(l.Attrs[logmsg.KeyAge])
 		if err == nil && age > 0 && l.Attrs[logmsg.KeyState] == logmsg.StateReady {
 			replica := l.Attrs[logmsg.KeyReplica]
-			s.started[replica] = max(s.started[replica], l.At-age)
-		}
-	}
-}
-
-// addPart books a part by whether its node was cold.
-func (s *Summary) addPart(l Line, second int) {
-	which := s.warm
-	if since, known := s.started[l.Attrs[logmsg.KeyReplica]]; known && l.At >= since && l.At-since < s.warmWithin {
-		which = s.cold
-	}
-	if which[second] == nil {
-		which[second] = map[string]int{}
-	}
-	which[second][l.Attrs[logmsg.KeyReplica]]++
-}
-
-// coldNodes is what nodes that had just started got, second by second, beside what a warm one did.
-func (s *Summary) coldNodes() counts {
-	c := counts{}
-	for second, nodes := range s.cold {
-		row := map[string]int{"nodes": len(nodes)}
-		for _, n := range nodes {
-			row["parts"] += n
-			row["most at one"] = max(row["most at one"], n)
-		}
-		for _, n := range s.warm[second] {
-			row["mean of a warm one"] += n
+			s.startedAt[replica] = max(s.startedAt[replica], l.At-age)
 		}
-		row["mean of a warm one"] /= max(1, len(s.warm[second]))
-		c[fmt.Sprintf("%6d", second)] = row
 	}
-	return c
 }
 
-// Add books a line.
+// Add counts a line.
 func (s *Summary) Add(l Line) {
-	s.Roots[l.Root] = true
+	s.Coordinators[l.Coordinator] = true
 	second := int(l.At / time.Second)
 	if s.Seconds[second] == nil {
 		s.Seconds[second] = counts{}
 	}
-	kinds := s.Seconds[second]
-	switch l.Name {
+	tables := s.Seconds[second]
+	switch l.Message {
 	case logmsg.DiscoveryPolled:
-		end := "ok"
-		if e := l.Attrs[logmsg.KeyError]; e != "<nil>" {
-			end = "failed"
-		}
-		kinds.add("list calls", end)
+		tables.add(discoveryPolls, pollResult(l))
 	case logmsg.ConnectionOpened:
-		kinds.add("connections", "opened")
-		s.Nodes.add(l.Attrs[logmsg.KeyReplica], "connections")
+		tables.add(connections, opened)
+		s.Replicas.add(l.Attrs[logmsg.KeyReplica], connections)
 	case logmsg.AttemptEnded:
-		kinds.add("attempts", l.Attrs[logmsg.KeyOutcome])
+		tables.add(attempts, l.Attrs[logmsg.KeyOutcome])
 		if l.Attrs[logmsg.KeyAttempt] != "0" {
-			kinds.add("attempts", "further")
+			tables.add(attempts, beyondFirst)
 		}
-		s.Nodes.add(l.Attrs[logmsg.KeyReplica], l.Attrs[logmsg.KeyOutcome])
-		s.addPart(l, second)
+		s.Replicas.add(l.Attrs[logmsg.KeyReplica], l.Attrs[logmsg.KeyOutcome])
+		s.countPart(l, second)
 	case logmsg.QueryEnded:
-		end := l.Attrs[logmsg.KeyStatus]
-		switch {
-		case end == logmsg.StatusServed && l.Attrs[logmsg.KeyComplete] == "false":
-			end = "in part"
-		case end == logmsg.StatusRejected && l.Attrs[logmsg.KeyAttempts] == "0":
-			end = "refused unsent"
+		tables.add(queriesOf(l.Attrs[logmsg.KeyClass]), queryResult(l))
+	}
+}
+
+// pollResult says how a poll of discovery ended.
+func pollResult(l Line) string {
+	if l.Attrs[logmsg.KeyError] != "<nil>" {
+		return pollFailed
+	}
+	return pollSucceeded
+}
+
+// queryResult says how a query ended: by its status, or in more detail.
+func queryResult(l Line) string {
+	status := l.Attrs[logmsg.KeyStatus]
+	switch {
+	case status == logmsg.StatusServed && l.Attrs[logmsg.KeyComplete] == "false":
+		return partial
+	case status == logmsg.StatusRejected && l.Attrs[logmsg.KeyAttempts] == "0":
+		return rejectedUnsent
+	}
+	return status
+}
+
+// countPart counts a part by whether its replica was in slow start.
+func (s *Summary) countPart(l Line, second int) {
+	replica := l.Attrs[logmsg.KeyReplica]
+	parts := s.partsWarmedUp
+	if startedAt, known := s.startedAt[replica]; known && l.At >= startedAt && l.At-startedAt < s.slowStart {
+		parts = s.partsInSlowStart
+	}
+	if parts[second] == nil {
+		parts[second] = map[string]int{}
+	}
+	parts[second][replica]++
+}
+
+// Columns of the table of parts in slow start.
+const (
+	slowStartReplicas = "replicas"
+	slowStartParts    = "parts"
+	slowStartMost     = "most at one"
+	warmedUpMean      = "mean of a warmed-up one"
+)
+
+// slowStartTable is what replicas in slow start were sent, second by second, beside what one that is warmed up was.
+func (s *Summary) slowStartTable() counts {
+	table := counts{}
+	for second, replicas := range s.partsInSlowStart {
+		row := map[string]int{slowStartReplicas: len(replicas)}
+		for _, parts := range replicas {
+			row[slowStartParts] += parts
+			row[slowStartMost] = max(row[slowStartMost], parts)
+		}
+		for _, parts := range s.partsWarmedUp[second] {
+			row[warmedUpMean] += parts
 		}
-		kinds.add("queries "+l.Attrs[logmsg.KeyClass], end)
+		row[warmedUpMean] /= max(1, len(s.partsWarmedUp[second]))
+		table[secondRow(second)] = row
 	}
+	return table
 }
