--- a/internal/test/fake/search_api.go
+++ b/internal/test/fake/search_api.go
@@ -18,9 +18,9 @@
 		`"_source":{"section":%d,"body":"v%d"}}]}}`
 	indexResult = `{"_index":%q,"_id":%q,"_version":1,"result":"created",` +
 		`"_shards":{"total":1,"successful":1,"failed":0},"_seq_no":3,"_primary_term":1}`
-	truncatedResult  = `{"took":1,"timed_out":false,"_shards":{"to`
-	noGeoFieldError  = `{"error":{"type":"query_shard_exception","reason":"failed to find geo field"},"status":400}`
-	noPinError       = `{"error":{"type":"mapper_parsing_exception","reason":"failed to parse field [pin]"},` +
+	truncatedResult = `{"took":1,"timed_out":false,"_shards":{"to`
+	noGeoFieldError = `{"error":{"type":"query_shard_exception","reason":"failed to find geo field"},"status":400}`
+	noPinError      = `{"error":{"type":"mapper_parsing_exception","reason":"failed to parse field [pin]"},` +
 		`"status":400}`
 	malformedError   = `{"error":{"type":"parsing_exception","reason":"malformed"},"status":400}`
 	executionFailure = `{"error":{"type":"exception","reason":"failed"},"status":500}`
--- a/internal/test/faultinjection/host_check.go
+++ b/internal/test/faultinjection/host_check.go
@@ -34,7 +34,7 @@
 			class := h.site.classOf(queryID)
 			classesSeen[class.name] = true
 			if runs[partID]++; runs[partID] == 2 && class.idempotency == nonIdempotent {
-				violation("the report %s ran twice", partID)
+				violation("non-idempotent part %s ran twice", partID)
 			}
 			if key := h.site.keyViolation(queryID, list); key != "" {
 				violation("%s", key)
--- a/internal/test/faultinjection/link_copy.go
+++ b/internal/test/faultinjection/link_copy.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxPieceBytes is how much a link reads and passes on at once where it does not tell messages apart.
+// maxPieceBytes is how much a link reads and passes on at once where it does not distinguish messages.
 const maxPieceBytes = 16 << 10
 
 // serve accepts connections until the link is closed.
@@ -118,7 +118,7 @@
 	}
 }
 
-// pieces returns a function that reads the next piece: a complete message where messages are told apart, and whatever
+// pieces returns a function that reads the next piece: a complete message where messages are distinguished, and whatever
 // has arrived elsewhere. A piece is valid until the next call.
 func (l *Link) pieces(d Direction, from net.Conn) func() ([]byte, error) {
 	if d == ToServer || !l.framed {
--- a/internal/test/faultinjection/rule_checker.go
+++ b/internal/test/faultinjection/rule_checker.go
@@ -85,7 +85,7 @@
 		c.addViolation("%s", violation)
 	}
 	if !c.fleet.holds(r, part.Shard) {
-		c.addViolation("%s went to %s, which does not hold its section", part.ID, r.name)
+		c.addViolation("%s went to %s, which is no holder of its shard", part.ID, r.name)
 	}
 	if violation := c.clientViolation(queryID, part.List, linkHealthy); violation != "" {
 		c.addViolation("%s sent %s to %s, %s", m.name, part.ID, r.name, violation)
@@ -96,7 +96,7 @@
 // checkRunsOnce records where a part runs that may run once only. It is to be called under the lock.
 func (c *ruleChecker) checkRunsOnce(r *fleetReplica, partID string) {
 	if before, ran := c.ranAt[partID]; ran {
-		c.addViolation("the report %s ran at %s and at %s", partID, before, r.name)
+		c.addViolation("non-idempotent part %s ran at %s and at %s", partID, before, r.name)
 	}
 	c.ranAt[partID] = r.name
 }
--- a/internal/test/faultinjection/verdict.go
+++ b/internal/test/faultinjection/verdict.go
@@ -17,7 +17,7 @@
 	f.judgeOutcomes(report)
 	for _, r := range f.replicas {
 		if pressure := r.pressure(); pressure > 1 {
-			report("%s was sent %.2f times what makes it fall", r.name, pressure)
+			report("%s was sent %.2f times what it tolerates in slow start", r.name, pressure)
 		}
 	}
 	f.checker.report(report)
@@ -33,7 +33,7 @@
 		}
 	}
 	if total[OutcomeLost] > f.MaxLost {
-		report("%d requests were heard and never answered, at most %d may be", total[OutcomeLost], f.MaxLost)
+		report("%d requests were read and never answered, at most %d may be", total[OutcomeLost], f.MaxLost)
 	}
 	if total["200"] == 0 {
 		report("nothing was served: no load")
