--- a/cmd/harepass/completeness_test.go
+++ b/cmd/harepass/completeness_test.go
@@ -22,7 +22,7 @@
 		family["need_by_class"], family["floor_by_class"] = []any{1.0, 1.0, 0.67, 1.0}, []any{1.0, 1.0, 0.67, 1.0}
 	}
 	l := listen(t)
-	go fake.Discovery(l, func() string { return string(p.listing(1, inService)) })
+	go fake.ServeDiscovery(l, func() string { return string(p.listing(1, inService)) })
 	p.listMode = "push"
 	p.start(p.listing(1, inService), l.Addr().String())
 	eventually(t, "it serves", func() bool { return p.logged(logmsg.ListenerOpened) })
--- a/cmd/harepass/crowded_discovery_test.go
+++ b/cmd/harepass/crowded_discovery_test.go
@@ -28,9 +28,9 @@
 }
 
 // watch counts the parts of replicas.
-func (l *lateParts) watch(replicas []*fake.Fleet) {
+func (l *lateParts) watch(replicas []*fake.Replicas) {
 	for _, r := range replicas {
-		r.Heard = func(fake.Part, fake.Kind) {
+		r.OnPart = func(fake.Part, fake.Kind) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if l.sent++; !l.lateFrom.IsZero() && time.Now().After(l.lateFrom) {
@@ -131,7 +131,7 @@
 	}), discovery)
 	again := exec.Command(p.Path, p.Args[1:]...)
 	again.Env, again.Stderr = p.Env, p.log
-	before := len(p.replicas[2].Seen())
+	before := len(p.replicas[2].Received())
 	if err := again.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 			t.Errorf("a query ended with %d", status)
 		}
 	}
-	if n := len(p.replicas[2].Seen()) - before; n > 0 {
+	if n := len(p.replicas[2].Received()) - before; n > 0 {
 		t.Errorf("%d parts went to a replica that the configuration's list has as draining\n%s", n, p.log)
 	}
 }
--- a/cmd/harepass/harness_test.go
+++ b/cmd/harepass/harness_test.go
@@ -128,7 +128,7 @@
 // eventually waits for a condition that only takes time.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	if err := faultinjection.Wait(what, ok); err != nil {
+	if err := faultinjection.WaitFor(what, ok); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/cmd/harepass/idempotency_test.go
+++ b/cmd/harepass/idempotency_test.go
@@ -27,7 +27,7 @@
 func breakFirstAttempt(at int) func(shard, attempt int) fake.Reply {
 	return func(shard, attempt int) fake.Reply {
 		if shard == at && attempt == 0 {
-			return fake.Reply{Kind: fake.Break, After: 300 * time.Millisecond}
+			return fake.Reply{Kind: fake.Disconnect, After: 300 * time.Millisecond}
 		}
 		return fake.Reply{}
 	}
@@ -38,7 +38,7 @@
 // of replicas, and an update without one is told what it lacks.
 func TestIdempotencyKeysReachReplicas(t *testing.T) {
 	const breaking = 5
-	replicas := &fake.Fleet{Script: breakFirstAttempt(breaking)}
+	replicas := &fake.Replicas{Script: breakFirstAttempt(breaking)}
 	b := newBothFronts(t, replicas, replicas)
 	b.start("  claims: {class: claim-update, reports: true}\n", func(discovery net.Listener) string {
 		return b.platformFile(discovery, json.RawMessage(exampleSettings(t)))
@@ -63,7 +63,7 @@
 	if status != 400 || !strings.Contains(body, "Idempotency-Key") {
 		t.Errorf("an update without a key: %d %s", status, body)
 	}
-	for _, line := range replicas.Seen() {
+	for _, line := range replicas.Received() {
 		if !strings.Contains(line, ",k=k") && !strings.Contains(line, " key=k") {
 			t.Errorf("a replica was asked %q", line)
 		}
@@ -72,8 +72,8 @@
 }
 
 // protocolsSeen reports whether replicas have been sent frames, and requests of the OpenSearch API.
-func protocolsSeen(replicas *fake.Fleet) (framed, api bool) {
-	for _, line := range replicas.Seen() {
+func protocolsSeen(replicas *fake.Replicas) (framed, api bool) {
+	for _, line := range replicas.Received() {
 		isAPI := strings.HasPrefix(line, "PUT ")
 		framed, api = framed || !isAPI, api || isAPI
 	}
@@ -83,18 +83,18 @@
 // breakUnderDrain ends the process while an update is under way whose first attempt loses its connection, and checks
 // that the update is served by two attempts with its key.
 func breakUnderDrain(t *testing.T, b *bothFronts, breaking int) {
-	before := len(b.frames.Seen())
+	before := len(b.frames.Received())
 	done := make(chan int)
 	go func() {
 		status, _ := updateClaim(t, b.platform, "last", "the-last-key", breaking)
 		done <- status
 	}()
-	eventually(t, "an update under way", func() bool { return len(b.frames.Seen()) > before })
+	eventually(t, "an update under way", func() bool { return len(b.frames.Received()) > before })
 	b.Process.Signal(syscall.SIGTERM)
 	if status := <-done; status != 200 {
 		t.Errorf("under way at SIGTERM: %d", status)
 	}
-	last := b.frames.Seen()[before:]
+	last := b.frames.Received()[before:]
 	if len(last) != 2 {
 		t.Errorf("the last update came as %q, want two attempts", last)
 	}
--- a/cmd/harepass/limited_process_test.go
+++ b/cmd/harepass/limited_process_test.go
@@ -25,7 +25,7 @@
 	sockets         int // descriptors
 	address         string
 	unusedDiscovery string // an address that nobody listens on yet
-	replicas        []*fake.Fleet
+	replicas        []*fake.Replicas
 	addresses       []string // of the replicas
 	listMode        string   // of discovery: "ask" or "push"
 	adaptSettings   func(settings map[string]any)
@@ -37,8 +37,8 @@
 	p := &limitedProcess{t: t, sockets: sockets, address: ownAddress(t), unusedDiscovery: ownAddress(t),
 		listMode: "ask", adaptSettings: func(map[string]any) {}, configPath: filepath.Join(t.TempDir(), "config.json")}
 	for range replicas {
-		f, l := &fake.Fleet{}, listen(t)
-		go f.Frames(l)
+		f, l := &fake.Replicas{}, listen(t)
+		go f.ServeFrames(l)
 		p.replicas = append(p.replicas, f)
 		p.addresses = append(p.addresses, l.Addr().String())
 	}
@@ -58,9 +58,9 @@
 
 // listing is a version of discovery's list of the replicas, with their states.
 func (p *limitedProcess) listing(version int, state func(replica int) string) []byte {
-	l := fake.Listing{Index: int64(version), Snapshot: true}
+	l := fake.EndpointList{Index: int64(version), Snapshot: true}
 	for i, a := range p.addresses {
-		l.Endpoints = append(l.Endpoints, fake.Entry{Name: fmt.Sprint("f", i), Address: a, Zone: "z", Group: i % 3,
+		l.Endpoints = append(l.Endpoints, fake.Endpoint{Name: fmt.Sprint("f", i), Address: a, Zone: "z", Group: i % 3,
 			Status: state(i), Weight: 1})
 	}
 	data, err := json.Marshal(l)
@@ -124,7 +124,7 @@
 
 // partsToFirst is how many parts the first two replicas have been sent.
 func (p *limitedProcess) partsToFirst() int {
-	return len(p.replicas[0].Seen()) + len(p.replicas[1].Seen())
+	return len(p.replicas[0].Received()) + len(p.replicas[1].Received())
 }
 
 // checkNoPartToDraining lets load run for a while, and checks that the first two replicas, which have had parts and
--- a/cmd/harepass/reload_test.go
+++ b/cmd/harepass/reload_test.go
@@ -13,13 +13,13 @@
 // The program takes new settings over on SIGHUP, keeps the old ones where the file is broken, and says so in one line.
 func TestReloadReplacesSettingsOrKeepsThem(t *testing.T) {
 	h := newHost(t)
-	path := h.Path()
+	path := h.ConfigPath()
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := h.waitReady(h.start())
-	status := func(class string) int { return queryClass(t, h.Clients.Addr().String(), class, 0) }
+	status := func(class string) int { return queryClass(t, h.ClientListener.Addr().String(), class, 0) }
 	reload := func(data []byte, line string) {
 		t.Helper()
 		n := strings.Count(r.Log(), line)
--- a/cmd/harepass/takeover_test.go
+++ b/cmd/harepass/takeover_test.go
@@ -16,11 +16,11 @@
 func TestUpgradesUnderLoadLoseNoRequest(t *testing.T) {
 	h := newHost(t)
 	now := h.waitReady(h.start())
-	if answer := now.Call("maint-on nobody"); !strings.HasPrefix(answer, "400") {
+	if answer := now.CallAdmin("maint-on nobody"); !strings.HasPrefix(answer, "400") {
 		t.Errorf("an id that nobody has: %q", answer)
 	}
 	const upgrades = 3
-	c := h.Crowd(12)
+	c := h.StartClients(12)
 	for i := range upgrades {
 		time.Sleep(300 * time.Millisecond)
 		h.setMaintenance(now, i, true)
@@ -33,10 +33,10 @@
 		h.setMaintenance(next, i, false)
 		now = next
 	}
-	c.End()
+	c.Stop()
 	h.terminate(now)
 	h.checkOutcomes(c)
-	if unsure, unheard := c.TurnedBack(); unheard > 2*upgrades || unsure > unheard {
+	if unsure, unheard := c.Unanswered(); unheard > 2*upgrades || unsure > unheard {
 		t.Errorf("%d connections ended under a request, %d of them unheard, in %d upgrades", unsure, unheard, upgrades)
 	}
 }
@@ -47,7 +47,7 @@
 func TestKilledProcessLeavesTheOtherServing(t *testing.T) {
 	h := newHost(t)
 	now := h.waitReady(h.start())
-	c := h.Crowd(8)
+	c := h.StartClients(8)
 	h.setMaintenance(now, 0, true)
 	for _, after := range []time.Duration{0, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond} {
 		next := h.start()
@@ -78,7 +78,7 @@
 	for i := range 3 {
 		h.setMaintenance(last, i, false)
 	}
-	c.End()
+	c.Stop()
 	h.terminate(last)
 	if lost := h.checkOutcomes(c, "lost")["lost"]; lost > 16 {
 		t.Errorf("%d requests lost with two processes that had 8 clients at most", lost)
@@ -92,35 +92,35 @@
 	h := newHost(t)
 	now := h.waitReady(h.start())
 	h.waitListStored()
-	c := h.Crowd(8)
+	c := h.StartClients(8)
 	time.Sleep(500 * time.Millisecond)
-	h.Discovery.Cut(faultinjection.There, true)
-	h.Discovery.Cut(faultinjection.Back, true)
-	h.Nodes[0].Link.Cut(faultinjection.Back, true)
-	h.Nodes[1].Link.Delay(30 * time.Millisecond)
+	h.Discovery.Cut(faultinjection.ToServer, true)
+	h.Discovery.Cut(faultinjection.ToClient, true)
+	h.Replicas[0].Link.Cut(faultinjection.ToClient, true)
+	h.Replicas[1].Link.Delay(30 * time.Millisecond)
 	h.setMaintenance(now, 3, true)
 	next := h.waitReady(h.start())
 	for range 10 {
-		h.Nodes[2].Link.Reset()
+		h.Replicas[2].Link.Reset()
 		time.Sleep(50 * time.Millisecond)
 	}
 	h.terminate(now)
 	time.Sleep(maintenanceSlack)
-	h.Discovery.Cut(faultinjection.There, false)
-	h.Discovery.Cut(faultinjection.Back, false)
-	h.Nodes[0].Link.Cut(faultinjection.Back, false)
-	h.Nodes[1].Link.Delay(0)
+	h.Discovery.Cut(faultinjection.ToServer, false)
+	h.Discovery.Cut(faultinjection.ToClient, false)
+	h.Replicas[0].Link.Cut(faultinjection.ToClient, false)
+	h.Replicas[1].Link.Delay(0)
 	h.setMaintenance(next, 3, false)
 	time.Sleep(300 * time.Millisecond)
-	c.End()
+	c.Stop()
 	h.checkOutcomes(c, "500", "429") // reports lost with a reset, and queries that a silent replica outlasted
-	healed := h.Crowd(4)
+	healed := h.StartClients(4)
 	time.Sleep(3 * time.Second)
-	before := healed.Tally()
+	before := healed.Outcomes()
 	time.Sleep(time.Second)
-	healed.End()
+	healed.Stop()
 	h.terminate(next)
-	after := healed.Tally()
+	after := healed.Outcomes()
 	failed := func(tally map[string]int) int { return tally["500"] + tally["429"] + tally["lost"] }
 	if after["200"]-before["200"] < 20 || failed(after) > failed(before) {
 		t.Errorf("after the links are restored: %v, then %v", before, after)
@@ -133,12 +133,12 @@
 	for range 4 {
 		h := newHost(t)
 		first := h.waitReady(h.start()) // without a list it waits for one
-		if n := h.Told.Load(); n < 1 {
+		if n := h.ListsServed.Load(); n < 1 {
 			t.Fatalf("ready after %d answers", n)
 		}
 		h.waitListStored()
-		h.Discovery.Cut(faultinjection.There, true)
-		h.Discovery.Cut(faultinjection.Back, true)
+		h.Discovery.Cut(faultinjection.ToServer, true)
+		h.Discovery.Cut(faultinjection.ToClient, true)
 		next := h.waitReady(h.start())
 		h.kill(first)
 		h.kill(next)
@@ -152,16 +152,16 @@
 		{"PROXY_FD=x", `PROXY_FD "x" is no descriptor`},
 		{"PROXY_FD=3", "no listening socket"},
 		{"PROXY_FD=77", "bad file descriptor"},
-		{"PROXY_OPERATOR=" + h.Clients.Addr().String(), "operators' door"},
+		{"PROXY_OPERATOR=" + h.ClientListener.Addr().String(), "operators' door"},
 		{"PROXY_OPERATOR=nowhere", "operator address"},
 	} {
 		p := h.start(tc.set)
-		if err := <-p.Over; err == nil || !strings.Contains(p.Log(), tc.want) || strings.Contains(p.Log(), "panic") {
+		if err := <-p.Exited; err == nil || !strings.Contains(p.Log(), tc.want) || strings.Contains(p.Log(), "panic") {
 			t.Errorf("%s: %v %s", tc.set, err, p.Log())
 		}
 	}
 	var exit *exec.ExitError
-	if p := h.start("PROXY_FD=x"); !errors.As(<-p.Over, &exit) || exit.ExitCode() != statusInvalid {
+	if p := h.start("PROXY_FD=x"); !errors.As(<-p.Exited, &exit) || exit.ExitCode() != statusInvalid {
 		t.Errorf("status %v, want 2", exit)
 	}
 }
--- a/internal/platform/discovery_fixture_test.go
+++ b/internal/platform/discovery_fixture_test.go
@@ -28,7 +28,7 @@
 // discoveryFixture is a Discovery on a network in memory, with what it was told.
 type discoveryFixture struct {
 	*Discovery
-	memory  fake.Net
+	memory  fake.Network
 	servers []*http.Server
 	cancel  context.CancelFunc
 	done    chan struct{} // closed when Run has returned
--- a/internal/test/faultinjection/http_client.go
+++ b/internal/test/faultinjection/http_client.go
@@ -7,43 +7,25 @@
 	"io"
 	"net"
 	"net/http"
-	"slices"
-	"strings"
 	"time"
 )
 
-// shareSlack allows for rounding in a query's weights.
-const shareSlack = 1e-3
+// connectionTimeout is how long a client waits for a connection to come up or for bytes on it.
+const connectionTimeout = 10 * time.Second
 
-// request words the question, as clients do: equal weights, rounded, and the key where its class has one.
-func (q question) request(id, tenant string) string { return q.requestWithin(budget, id, tenant) }
-
-// requestWithin words it for a client that waits so long.
-func (q question) requestWithin(budget time.Duration, id, tenant string) string {
-	var parts []string
-	for _, s := range q.sections {
-		parts = append(parts, fmt.Sprintf(`{"slice":%d,"mass":%.6f}`, s, 1/float64(len(q.sections))))
-	}
-	body, header := fmt.Sprintf(`{"slices":[%s],"filter":"f"}`, strings.Join(parts, ",")), ""
-	if key := q.class.key(id); key != "" {
-		header = "Idempotency-Key: " + key + "\r\n"
-	}
-	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Caller: %s\r\nX-Budget: %dm\r\n%sContent-Length: %d\r\n\r\n%s",
-		id, q.class.name, tenant, budget.Milliseconds(), header, len(body), body)
-}
-
-// httpClient is a client of the platform's protocol with the connection that it keeps.
+// httpClient is a client of the platform's protocol with the connection that it keeps. It is for one goroutine.
 type httpClient struct {
-	address string
-	conn    net.Conn
-	in      *bufio.Reader
+	address string   // of the coordinator
+	conn    net.Conn // nil for none
+	reader  *bufio.Reader
 }
 
-// take makes a connection the one that is kept.
-func (client *httpClient) take(conn net.Conn) {
-	client.conn, client.in = conn, bufio.NewReader(conn)
+// setConnection makes a connection the one that is kept.
+func (client *httpClient) setConnection(conn net.Conn) {
+	client.conn, client.reader = conn, bufio.NewReader(conn)
 }
 
+// disconnect closes the connection, if there is one.
 func (client *httpClient) disconnect() {
 	if client.conn != nil {
 		client.conn.Close()
@@ -51,27 +33,27 @@
 	}
 }
 
-// roundTrip sends a request and reads its answer, on a new connection if there is none. The status is OutcomeRefused where that
-// does not come up, and empty where nothing that is an answer came.
-func (client *httpClient) roundTrip(text string) (a answer, status string, err error) {
+// roundTrip sends a request and reads its answer, on a new connection if there is none. The status is
+// OutcomeConnectFailed where that does not come up, and empty where no answer came that can be read.
+func (client *httpClient) roundTrip(request string) (a answer, status string, err error) {
 	if client.conn == nil {
-		conn, err := net.DialTimeout("tcp", client.address, giveUp)
+		conn, err := net.DialTimeout("tcp", client.address, connectionTimeout)
 		if err != nil {
-			return a, OutcomeRefused, err
+			return a, OutcomeConnectFailed, err
 		}
-		client.take(conn)
+		client.setConnection(conn)
 	}
-	client.conn.SetDeadline(time.Now().Add(giveUp))
-	if _, err := io.WriteString(client.conn, text); err != nil {
+	client.conn.SetDeadline(time.Now().Add(connectionTimeout))
+	if _, err := io.WriteString(client.conn, request); err != nil {
 		return a, "", err
 	}
-	return client.answer()
+	return client.readAnswer()
 }
 
-// answer reads the answer to what was sent.
-func (client *httpClient) answer() (a answer, status string, err error) {
-	client.conn.SetDeadline(time.Now().Add(giveUp))
-	res, err := http.ReadResponse(client.in, nil)
+// readAnswer reads the answer to the request that was sent last. The status is that of HTTP, in digits.
+func (client *httpClient) readAnswer() (a answer, status string, err error) {
+	client.conn.SetDeadline(time.Now().Add(connectionTimeout))
+	res, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
 		return a, "", err
 	}
@@ -80,33 +62,9 @@
 	if err == nil && res.StatusCode == http.StatusOK {
 		err = json.Unmarshal(data, &a)
 	}
-	a.twice = client.in.Buffered() > 0
+	a.duplicated = client.reader.Buffered() > 0
 	if res.Close {
 		client.disconnect()
 	}
 	return a, fmt.Sprint(res.StatusCode), err
 }
-
-// answer is what a request was served with.
-type answer struct {
-	Entire bool
-	Items  []struct {
-		Slice int
-		Body  string
-	}
-	twice bool
-}
-
-// holds tells whether the values are those that nodes serve for these sections, each at most once, as many of them as make
-// an answer, and as many as make it whole where it says so.
-func (a answer) holds(q question) bool {
-	seen := map[int]bool{}
-	for _, v := range a.Items {
-		if seen[v.Slice] || !slices.Contains(q.sections, v.Slice) || v.Body != fmt.Sprint("v", v.Slice) {
-			return false
-		}
-		seen[v.Slice] = true
-	}
-	share := float64(len(seen))/float64(len(q.sections)) + shareSlack
-	return share >= min(q.class.floor, q.class.need) && (!a.Entire || share >= q.class.need)
-}
--- a/internal/test/faultinjection/link.go
+++ b/internal/test/faultinjection/link.go
@@ -1,12 +1,6 @@
-// Package faultinjection starts real processes of the program on loopback among stand-ins for all that surrounds them, breaks the ways
-// between them, and holds what the stand-ins have recorded against the rules. It is for tests and the laboratory only.
 package faultinjection
 
 import (
-	"bufio"
-	"bytes"
-	"encoding/binary"
-	"io"
 	"math/rand/v2"
 	"net"
 	"sync"
@@ -16,294 +10,141 @@
 // Direction is one of a link's two.
 type Direction int
 
-// The directions, as whoever connects sees them.
+// The directions, as seen by whoever connects.
 const (
-	There Direction = iota
-	Back
+	ToServer Direction = iota
+	ToClient
 )
 
-// pieceSize is how much a link passes on at once, at most.
-const pieceSize = 16 << 10
-
-// Link stands in the way to an address and can be broken.
+// Link forwards connections to a server and can be given faults. Its methods may be called by any goroutine. The zero
+// value is of use to tests only: it forwards nothing.
 type Link struct {
-	l      net.Listener
-	to     string
-	framed bool
-
-	mu    sync.Mutex
-	heal  *sync.Cond
-	cut   [2]bool
-	delay time.Duration
-	rate  int // bytes a second; 0 for as many as come
-	spoil Spoil
-	rng   *rand.Rand
-	since time.Time // when the last fault ended; of one that lasts, zero
-	conns map[net.Conn]struct{}
-	ended bool
-}
-
-// Spoil is what becomes of whole messages on the way back, as shares of them, drawn from a seed.
-type Spoil struct {
-	Lose, Twice, Swap float64
-	Seed              uint64
-}
-
-// NewLink opens a way to an address; Address is where it begins.
-func NewLink(to string) (*Link, error) { return newLink(to, false) }
-
-// NewFramedLink does so where each message that comes back has its length in four bytes before it, least significant first.
-func NewFramedLink(to string) (*Link, error) { return newLink(to, true) }
-
-func newLink(to string, framed bool) (*Link, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener net.Listener
+	target   string // address of the server
+	framed   bool   // the server's messages have their length in front, so that single ones can meet a fault
+
+	mu             sync.Mutex
+	changed        *sync.Cond // signalled when a cut ends, connections are reset, or the link is closed
+	cut            [2]bool    // by Direction: nothing passes
+	delay          time.Duration
+	bytesPerSecond int // that pass in each direction; 0 for no bound
+	messageFaults  MessageFaults
+	rng            *rand.Rand            // draws messageFaults
+	healthySince   time.Time             // when the last fault ended; zero while there is one
+	connections    map[net.Conn]struct{} // both ends of all that stand
+	closed         bool
+}
+
+// NewLink opens a link to the server at an address. The error is that of listening.
+func NewLink(target string) (*Link, error) { return newLink(target, false) }
+
+// NewFramedLink opens a link to a server each of whose messages has its length in four bytes before it, least
+// significant first. The error is that of listening.
+func NewFramedLink(target string) (*Link, error) { return newLink(target, true) }
+
+func newLink(target string, framed bool) (*Link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{l: l, to: to, framed: framed, conns: map[net.Conn]struct{}{}, since: time.Now()}
-	k.heal = sync.NewCond(&k.mu)
-	go k.serve()
-	return k, nil
-}
-
-// Address is where the way begins.
-func (k *Link) Address() string { return k.l.Addr().String() }
-
-// Cut stops what goes in a direction, without a word: it arrives when the cut is over, if the connection still stands.
-func (k *Link) Cut(d Direction, yes bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cut[d] = yes
-	k.note()
-	k.heal.Broadcast()
-}
-
-// note keeps when the link became whole; under the lock.
-func (k *Link) note() {
-	if k.cut[There] || k.cut[Back] || k.delay > 0 || k.rate > 0 || k.spoil != (Spoil{}) {
-		k.since = time.Time{}
-	} else {
-		k.since = time.Now()
+	l := &Link{
+		listener:     listener,
+		target:       target,
+		framed:       framed,
+		connections:  map[net.Conn]struct{}{},
+		healthySince: time.Now(),
 	}
+	l.changed = sync.NewCond(&l.mu)
+	go l.serve() // until Close
+	return l, nil
 }
 
-// WholeFor is how long the link has had no fault; 0 while it has one.
-func (k *Link) WholeFor() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.since.IsZero() {
-		return 0
-	}
-	return time.Since(k.since)
-}
+// Address is where clients connect to the link.
+func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Throttle is how many bytes a second pass in each direction from now on; 0 for as many as come.
-func (k *Link) Throttle(rate int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.rate = rate
-	k.note()
+// Cut stops all bytes in a direction, or lets them pass again. Nobody is notified: what was sent arrives when the cut
+// is over, if its connection still stands.
+func (l *Link) Cut(d Direction, cut bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cut[d] = cut
+	l.updateHealthySince()
+	l.changed.Broadcast()
 }
 
-// Spoil is what becomes of messages that come back on a framed link from now on.
-func (k *Link) Spoil(s Spoil) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.spoil, k.rng = s, rand.New(rand.NewPCG(s.Seed, 0x6c696e6b))
-	k.note()
+// Delay holds back each piece of at most 16 KB for a time from now on.
+func (l *Link) Delay(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.delay = d
+	l.updateHealthySince()
 }
 
-// Mend ends all faults. What was held up arrives now.
-func (k *Link) Mend() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.since.IsZero() {
-		k.cut, k.delay, k.rate, k.spoil = [2]bool{}, 0, 0, Spoil{}
-		k.note()
-	}
-	k.heal.Broadcast()
+// Throttle bounds the bytes a second that pass in each direction from now on; 0 lifts the bound.
+func (l *Link) Throttle(bytesPerSecond int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.bytesPerSecond = bytesPerSecond
+	l.updateHealthySince()
 }
 
-// Delay is how long each piece is held back from now on.
-func (k *Link) Delay(d time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.delay = d
-	k.note()
+// Reset resets all connections that stand.
+func (l *Link) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.resetLocked()
 }
 
-// Reset breaks all connections that stand.
-func (k *Link) Reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.reset()
-}
-
-// reset is called under the lock.
-func (k *Link) reset() {
-	for c := range k.conns {
-		if tcp, ok := c.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
-		}
-		c.Close()
-		delete(k.conns, c)
+// Heal ends all faults. What was held up arrives now.
+func (l *Link) Heal() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.healthySince.IsZero() {
+		l.cut, l.delay, l.bytesPerSecond, l.messageFaults = [2]bool{}, 0, 0, MessageFaults{}
+		l.updateHealthySince()
 	}
-	k.heal.Broadcast()
-}
-
-// Close ends the way; new connections are refused.
-func (k *Link) Close() {
-	k.l.Close()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ended = true
-	k.reset()
+	l.changed.Broadcast()
 }
 
-func (k *Link) serve() {
-	for {
-		here, err := k.l.Accept()
-		if err != nil {
-			return
-		}
-		go k.join(here)
-	}
-}
-
-// join connects one caller on. A way that is cut there does not come up either.
-func (k *Link) join(here net.Conn) {
-	if !k.keep(here) || !k.pass(There, here, 0) {
-		here.Close()
-		return
-	}
-	there, err := net.Dial("tcp", k.to)
-	if err != nil || !k.keep(there) {
-		here.Close()
-		return
-	}
-	go k.copy(There, here, there)
-	k.copy(Back, there, here)
-}
-
-func (k *Link) keep(c net.Conn) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.ended {
-		c.Close()
-		return false
-	}
-	k.conns[c] = struct{}{}
-	return true
-}
-
-// pass waits until so many bytes may go in a direction; false where the connection has been reset meanwhile.
-func (k *Link) pass(d Direction, c net.Conn, size int) bool {
-	k.mu.Lock()
-	wait := k.delay
-	if k.rate > 0 {
-		wait += time.Duration(size) * time.Second / time.Duration(k.rate)
-	}
-	k.mu.Unlock()
-	time.Sleep(wait)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for {
-		if _, stands := k.conns[c]; !stands || k.ended {
-			return false
-		}
-		if !k.cut[d] {
-			return true
-		}
-		k.heal.Wait()
+// HealthyFor is for how long the link has had no fault; 0 while it has one.
+func (l *Link) HealthyFor() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.healthySince.IsZero() {
+		return 0
 	}
+	return time.Since(l.healthySince)
 }
 
-// copy passes bytes on in order. When one side ends, both do.
-func (k *Link) copy(d Direction, from, to net.Conn) {
-	defer func() {
-		k.mu.Lock()
-		delete(k.conns, from)
-		delete(k.conns, to)
-		k.heal.Broadcast()
-		k.mu.Unlock()
-		from.Close()
-		to.Close()
-	}()
-	var swapped []byte // waits for the next one
-	for next := k.reader(d, from); ; {
-		piece, err := next()
-		if len(piece) > 0 {
-			if !k.pass(d, from, len(piece)) {
-				return
-			}
-			var fate fate
-			if d == Back && k.framed {
-				fate = k.fate()
-			}
-			switch {
-			case fate == lost:
-				continue
-			case fate == swap && swapped == nil:
-				swapped = bytes.Clone(piece)
-				continue
-			case fate == twice:
-				piece = append(bytes.Clone(piece), piece...)
-			}
-			if _, err := to.Write(append(bytes.Clone(piece), swapped...)); err != nil {
-				return
-			}
-			swapped = nil
-		}
-		if err != nil {
-			return
-		}
+// updateHealthySince is to be called under the lock after every change of a fault. A change that leaves the link
+// without faults counts as the end of one.
+func (l *Link) updateHealthySince() {
+	faulty := l.cut[ToServer] || l.cut[ToClient] || l.delay > 0 || l.bytesPerSecond > 0 ||
+		l.messageFaults != (MessageFaults{})
+	if faulty {
+		l.healthySince = time.Time{}
+	} else {
+		l.healthySince = time.Now()
 	}
 }
 
-// reader reads whole messages where they are told apart, pieces as they come elsewhere.
-func (k *Link) reader(d Direction, from net.Conn) func() ([]byte, error) {
-	if d == There || !k.framed {
-		buf := make([]byte, pieceSize)
-		return func() ([]byte, error) {
-			n, err := from.Read(buf)
-			return buf[:n], err
-		}
-	}
-	r := bufio.NewReader(from)
-	return func() ([]byte, error) {
-		head, err := r.Peek(4)
-		if err != nil {
-			return nil, err
-		}
-		frame := make([]byte, 4+binary.LittleEndian.Uint32(head)) // the stand-ins' own length
-		_, err = io.ReadFull(r, frame)
-		return frame, err
-	}
+// Close resets all connections; new ones are refused. It does not wait for what is held back at that moment.
+func (l *Link) Close() {
+	l.listener.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
+	l.resetLocked()
 }
 
-// fate is what becomes of a message.
-type fate int
-
-const (
-	passes fate = iota
-	lost
-	twice
-	swap
-)
-
-func (k *Link) fate() fate {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.spoil == (Spoil{}) {
-		return passes
-	}
-	for _, c := range []struct {
-		share float64
-		fate  fate
-	}{{k.spoil.Lose, lost}, {k.spoil.Twice, twice}, {k.spoil.Swap, swap}} {
-		if k.rng.Float64() < c.share {
-			return c.fate
+// resetLocked resets all connections. It is to be called under the lock.
+func (l *Link) resetLocked() {
+	for c := range l.connections {
+		if tcp, ok := c.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
 		}
+		c.Close()
+		delete(l.connections, c)
 	}
-	return passes
+	l.changed.Broadcast()
 }
--- a/internal/test/faultinjection/verdict.go
+++ b/internal/test/faultinjection/verdict.go
@@ -5,47 +5,55 @@
 	"fmt"
 )
 
-// breachesShown is how many breaches of the rules a verdict spells out.
-const breachesShown = 5
+// violationsShown is how many violations of rules a verdict spells out.
+const violationsShown = 5
 
-// verdict joins an error for each expectation that was not met.
+// verdict joins an error that wraps ErrRuleViolated for each expectation that was not met.
 func (f *Fleet) verdict() (err error) {
-	say := func(format string, args ...any) {
-		f.Note("verdict", format, args...)
-		err = errors.Join(err, fmt.Errorf("rig: "+format, args...))
+	report := func(format string, args ...any) {
+		f.Note(sourceVerdict, format, args...)
+		err = errors.Join(err, fmt.Errorf("%w: %s", ErrRuleViolated, fmt.Sprintf(format, args...)))
 	}
-	total := f.tally()
-	for _, bad := range []string{OutcomeTwice, OutcomeUntrue} {
-		if total[bad] > 0 {
-			say("%d requests were answered %s", total[bad], bad)
+	f.judgeOutcomes(report)
+	for _, r := range f.replicas {
+		if pressure := r.pressure(); pressure > 1 {
+			report("%s was sent %.2f times what it tolerates in slow start", r.name, pressure)
 		}
 	}
-	if total[OutcomeLost] > f.Lost {
-		say("%d requests were heard and never answered, at most %d may be", total[OutcomeLost], f.Lost)
+	f.checker.report(report)
+	return err
+}
+
+// judgeOutcomes reports wrong and lost answers, and a fleet that served nothing: its checks would show nothing.
+func (f *Fleet) judgeOutcomes(report func(format string, args ...any)) {
+	total := f.outcomes()
+	for _, outcome := range []string{OutcomeDuplicateAnswer, OutcomeWrongAnswer} {
+		if total[outcome] > 0 {
+			report("%d requests were answered %s", total[outcome], outcome)
+		}
 	}
-	if total["200"] == 0 {
-		say("nothing was served: no load")
+	if total[OutcomeLost] > f.MaxLost {
+		report("%d requests were read and never answered, at most %d may be", total[OutcomeLost], f.MaxLost)
 	}
-	for _, n := range f.nodes {
-		n.mu.Lock()
-		if p := n.machine.Pressure(); p > 1 {
-			say("%s was sent %.2f times what makes it fall", n.name, p)
-		}
-		n.mu.Unlock()
+	if total["200"] == 0 {
+		report("nothing was served: no load")
 	}
-	f.records.mu.Lock()
-	defer f.records.mu.Unlock()
-	for _, c := range f.site.classes {
-		if !f.records.classes[c.name] {
-			say("no %s was seen", c.name)
+}
+
+// report reports classes that were never seen, and the first of the violations.
+func (c *ruleChecker) report(report func(format string, args ...any)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, class := range c.fleet.site.classes {
+		if !c.classesSeen[class.name] {
+			report("no %s was seen", class.name)
 		}
 	}
-	for i, b := range f.records.breaches {
-		if i == breachesShown {
-			say("and %d more", len(f.records.breaches)-i)
+	for i, violation := range c.violations {
+		if i == violationsShown {
+			report("and %d more", len(c.violations)-i)
 			break
 		}
-		say("%s", b)
+		report("%s", violation)
 	}
-	return err
 }
--- a/internal/test/scaletest/verdict.go
+++ b/internal/test/scaletest/verdict.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"harepass/internal/test/fake"
 	"harepass/internal/test/faultinjection"
 )
 
@@ -39,7 +40,7 @@
 	}
 	f.checkSends(&b, published)
 	for _, c := range f.crowds {
-		if lost := c.Tally()[faultinjection.OutcomeLost]; lost > 0 {
+		if lost := c.Outcomes()[faultinjection.OutcomeLost]; lost > 0 {
 			b.Lost += lost
 			b.examples = append(b.examples, fmt.Sprintf("%d requests were heard and never answered", lost))
 		}
@@ -122,7 +123,7 @@
 			}
 		}
 	}
-	if latest == nil || latest.Status == inService {
+	if latest == nil || latest.Status == fake.StatusInService {
 		return nil
 	}
 	return latest
