--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -1,21 +1,25 @@
 package core
 
-import "harepass/internal/decide/scatter"
+import (
+	"time"
+
+	"harepass/internal/decide/scatter"
+)
 
 // callBatch collects the attempts of one step by replica, so that those to one replica leave together.
 type callBatch struct {
-	replicas []string // in order of their first attempt
-	attempts map[string][]*Attempt
+	replicas []string              // in order of their first attempt
+	attempts map[string][]*Attempt // by replica, in the module's order
 }
 
 func (b *callBatch) add(at *Attempt) {
 	if b.attempts == nil {
 		b.attempts = map[string][]*Attempt{}
 	}
-	if len(b.attempts[at.Endpoint]) == 0 {
-		b.replicas = append(b.replicas, at.Endpoint)
+	if len(b.attempts[at.ReplicaID]) == 0 {
+		b.replicas = append(b.replicas, at.ReplicaID)
 	}
-	b.attempts[at.Endpoint] = append(b.attempts[at.Endpoint], at)
+	b.attempts[at.ReplicaID] = append(b.attempts[at.ReplicaID], at)
 }
 
 // perform carries out what the module asks for, in order. Attempts leave last, as calls.
@@ -38,17 +42,27 @@
 		case scatter.CloseIdleConnections:
 			c.closeIdleConnections(c.endpoints.byID[a.Replica].Scheme, a.Replica)
 		case scatter.Subscribe:
-			c.cfg.Subscribe()
-			c.initialList.requested = true
-			c.presumeInitialList()
+			c.subscribe()
 		case scatter.SetTimer:
-			c.deadlines.remove(c.wake)
-			c.wake = c.deadlines.add(c.now+a.After, func() { c.notify(scatter.TimerFired{}) })
+			c.setWake(a.After)
 		}
 	}
 	c.sendCalls(batch)
 }
 
+// subscribe asks the polled source for its list. The cached list may come to do from then on.
+func (c *Coordinator) subscribe() {
+	c.cfg.Subscribe()
+	c.initialList.mayPresume = true
+	c.presumeInitialList()
+}
+
+// setWake has the module stepped after a time, in the place of any earlier timer of the module.
+func (c *Coordinator) setWake(after time.Duration) {
+	c.timers.remove(c.wake)
+	c.wake = c.timers.add(c.now+after, func() { c.notify(scatter.TimerFired{}) })
+}
+
 // cancelAttempt stops waiting for an attempt that is out.
 func (c *Coordinator) cancelAttempt(a scatter.CancelAttempt) {
 	if p := c.open.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
@@ -56,8 +70,8 @@
 	}
 }
 
-// answerQuery answers a query with the values that are in. The module's id may be that of a first phase, which is over
-// then; so it is for rejectQuery and failQuery.
+// answerQuery answers a query with the values that are in. Where the module's id is that of a first phase, the module
+// has ended the first phase instead, and the parts that are still deferred are released.
 func (c *Coordinator) answerQuery(a scatter.Answer) {
 	if q := c.open.byID[a.Query]; q != nil {
 		answer := Answer{Complete: a.Complete, Values: make([][]byte, len(q.parts)), Pruned: make([]bool, len(q.parts))}
@@ -69,6 +83,8 @@
 	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
+// rejectQuery gives a query's client a rejection with the module's Retry-After, or ends a first phase as answerQuery
+// does.
 func (c *Coordinator) rejectQuery(a scatter.Reject) {
 	if q := c.open.byID[a.Query]; q != nil {
 		rejectedByModule.Inc()
@@ -77,6 +93,7 @@
 	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
+// failQuery fails a query, or ends a first phase as answerQuery does.
 func (c *Coordinator) failQuery(a scatter.Fail) {
 	if q := c.open.byID[a.Query]; q != nil {
 		c.finish(q, Answer{Status: Failed})
--- a/internal/core/admitter_test.go
+++ b/internal/core/admitter_test.go
@@ -60,7 +60,7 @@
 	h.tick()
 	tick := f.lastTick()
 	if tick.Count != 1 || tick.TotalWait != 30*ms || tick.MaxWait != 30*ms || tick.OpenFraction != 0.03 ||
-		tick.QueryBytes != queryBytes+2*partBytes {
+		tick.QueryBytes != queryOverheadBytes+2*partOverheadBytes {
 		t.Errorf("%+v", tick)
 	}
 	h.succeed(make([]byte, 100))
@@ -70,8 +70,8 @@
 	}
 }
 
-// TickElapsed grows within a tick, as a Planner, a Caller or an Admitter sees it that is called by one, and is 0
-// between ticks.
+// A tick hangs, here in a call to the system that asks for the query's client: the Admitter's side has to see for how
+// long. Within the tick TickElapsed grows with the clock; between ticks it is 0.
 func TestTickElapsed(t *testing.T) {
 	h := newHarness(t, nil)
 	var within time.Duration
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -6,15 +6,16 @@
 	"harepass/internal/decide/scatter"
 )
 
-// answerGrace is how long past a query's deadline the module's answer is waited for.
+// answerGrace is how long past a query's deadline, the instant at which its client gives up, the module's answer is
+// waited for.
 const answerGrace = 10 * time.Millisecond
 
-// expire gives up a query that the module has not answered in its client's time.
-func (c *Coordinator) expire(q *query) {
+// giveUp fails a query that the module has not answered in its client's time.
+func (c *Coordinator) giveUp(q *query) {
 	if !c.open.isOpen(q) {
 		return
 	}
-	queriesOverdue.Inc()
+	queriesUnanswered.Inc()
 	c.notify(scatter.QueryCancelled{ID: q.id})
 	c.finish(q, Answer{Status: Failed})
 }
@@ -29,7 +30,7 @@
 
 // close forgets a query, answered or not. Outcomes of its attempts still reach the module.
 func (c *Coordinator) close(q *query) {
-	c.deadlines.remove(q.expiry)
+	c.timers.remove(q.giveUpTimer)
 	c.open.remove(q)
 	if c.cfg.Admitter != nil {
 		c.cfg.Admitter.QueryDone(len(q.parts))
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -19,7 +19,7 @@
 	IdempotencyKey string        // one for all attempts of a query; empty in a class that is not keyed
 	Origin         any           // Query.Origin
 	Timeout        time.Duration // from when the module decided the attempt; Remaining is what is left of it
-	Endpoint       string        // id of the replica
+	ReplicaID      string        // replica that the attempt is sent to
 	FirstPhase     bool          // asks what the shard could add, rather than for its value
 	WithVersion    bool          // the value is wanted with its version
 
@@ -27,14 +27,15 @@
 	Evidence twophase.Evidence
 
 	part         *part
-	number       int // among the part's attempts, from 0
-	sentAt       time.Duration
+	number       int             // place among the part's attempts, from 0; it equals the module's index of the attempt
+	sentAt       time.Duration   // instant of the tick in which the module decided the attempt
 	caller       Caller          // nil where no Caller speaks the endpoint's scheme
-	cancelReason scatter.Outcome // outcome in the place of Cancelled; Succeeded while the attempt is not cancelled
-	timeout      *deadline       // when the attempt is cancelled; once it is, when it ends without its Caller
-	ended        bool
-	neverRan     bool // proven not to have run
-	permit       permit
+	cancelled    bool            // by the coordinator; a Caller may end an attempt as Cancelled by itself
+	cancelReason scatter.Outcome // with cancelled: the outcome that the module hears in the place of Cancelled
+	timer        *timer          // cancels the attempt when Timeout is over; with cancelled, ends it after cancelGrace
+	ended        bool            // the module has heard the attempt's outcome
+	neverRan     bool            // with ended: no replica has run it, so a retry needs no deduplication
+	permit       permit          // whether the attempt may still begin
 }
 
 // Caller speaks to replicas. The coordinator's goroutine calls its methods; none may block, or call the Coordinator
@@ -65,13 +66,14 @@
 	attempt *Attempt
 	outcome scatter.Outcome
 	value   []byte
-	at      time.Duration
+	endedAt time.Duration // instant at which the Caller reported it
 }
 
-func (m attemptEnded) apply(c *Coordinator) { c.endAttempt(m.attempt, m.outcome, m.value, m.at) }
+func (m attemptEnded) apply(c *Coordinator) { c.endAttempt(m.attempt, m.outcome, m.value, m.endedAt) }
 
 // newAttempt begins an attempt that the module has decided. It returns nil where the attempt is not to be sent: it has
-// ended as NotSent then, or its part is over and the module hears nothing.
+// ended as NotSent then, or its part is over and the module hears nothing. An attempt is appended to its part's list in
+// every other case, also when it is not sent, so that its place there stays the module's index.
 func (c *Coordinator) newAttempt(send scatter.Send) *Attempt {
 	p := c.open.parts[send.Part]
 	if p == nil {
@@ -79,7 +81,7 @@
 	}
 	q, scheme := p.query, c.endpoints.byID[send.Replica].Scheme
 	at := &Attempt{QueryID: q.ID, Class: q.Class, Shard: p.shard, Body: q.Body, IdempotencyKey: q.idempotencyKey,
-		Origin: q.Origin, Timeout: send.Timeout, Endpoint: send.Replica, FirstPhase: p.full != nil,
+		Origin: q.Origin, Timeout: send.Timeout, ReplicaID: send.Replica, FirstPhase: p.full != nil,
 		WithVersion: p.wantsVersion && c.cfg.TwoPhaseSchemes[scheme], part: p, number: len(p.attempts), sentAt: c.now,
 		caller: c.cfg.Callers[scheme]}
 	p.attempts = append(p.attempts, at)
@@ -91,7 +93,7 @@
 	if q.Index != "" && c.cfg.Planner != nil && !at.FirstPhase {
 		c.cfg.Planner.FullSent(q.topic())
 	}
-	at.timeout = c.deadlines.add(c.now+send.Timeout, func() { c.cancel(at, scatter.TimedOut) })
+	at.timer = c.timers.add(c.now+send.Timeout, func() { c.cancel(at, scatter.TimedOut) })
 	return at
 }
 
@@ -100,28 +102,25 @@
 	if !c.open.isOpen(at.part.query) || at.caller == nil {
 		return false
 	}
-	return !at.FirstPhase || at.part.full.firstPhase == at.part && c.cfg.TwoPhaseSchemes[scheme]
+	return !at.FirstPhase || at.part.full.firstPhasePart == at.part && c.cfg.TwoPhaseSchemes[scheme]
 }
 
 // cancel stops waiting for an attempt; reason is the outcome that the module is to hear. It hears that only when the
 // Caller has sent the cancellation or cancelGrace is over, so no other attempt of the part reaches a replica before.
 func (c *Coordinator) cancel(at *Attempt, reason scatter.Outcome) {
-	if at.ended || at.cancelled() {
+	if at.ended || at.cancelled {
 		return
 	}
-	at.cancelReason = reason
+	at.cancelled, at.cancelReason = true, reason
 	at.withhold()
-	c.deadlines.remove(at.timeout)
-	at.timeout = c.deadlines.add(c.now+cancelGrace, func() {
+	c.timers.remove(at.timer)
+	at.timer = c.timers.add(c.now+cancelGrace, func() {
 		at.caller.Cancel(at)
 		c.endAttempt(at, scatter.Cancelled, nil, c.now)
 	})
 	at.caller.Cancel(at)
 }
 
-// cancelled reports whether the coordinator has cancelled the attempt; a Caller may end one as Cancelled by itself.
-func (at *Attempt) cancelled() bool { return at.cancelReason != scatter.Succeeded }
-
 // endAttempt tells the module the first outcome of an attempt; any later one is dropped.
 func (c *Coordinator) endAttempt(at *Attempt, outcome scatter.Outcome, value []byte, when time.Duration) {
 	if at.ended {
@@ -129,25 +128,25 @@
 	}
 	at.ended = true
 	at.neverRan = outcome == scatter.Rejected || outcome == scatter.ConnectFailed || outcome == scatter.NotSent
-	c.deadlines.remove(at.timeout)
-	if outcome == scatter.Cancelled && at.cancelled() {
+	c.timers.remove(at.timer)
+	if outcome == scatter.Cancelled && at.cancelled {
 		outcome = at.cancelReason
 	}
 	succeeded := outcome == scatter.Succeeded
 	if succeeded && !at.FirstPhase {
-		c.keepValue(at.part, value)
+		c.recordValue(at.part, value)
 	}
 	latency := max(0, when-at.sentAt)
 	countOutcome(outcome)
 	c.logAttemptEnded(at, outcome, latency)
-	c.notify(scatter.AttemptEnded{Part: at.part.id, Attempt: at.number, Replica: at.Endpoint, Outcome: outcome,
+	c.notify(scatter.AttemptEnded{Part: at.part.id, Attempt: at.number, Replica: at.ReplicaID, Outcome: outcome,
 		Latency: latency})
 	c.learn(at, succeeded, value, latency)
 	c.open.removePart(at.part)
 }
 
-// keepValue enters the first value of a part.
-func (c *Coordinator) keepValue(p *part, value []byte) {
+// recordValue records the first value of a part; later ones are dropped.
+func (c *Coordinator) recordValue(p *part, value []byte) {
 	if p.value != nil {
 		return
 	}
--- a/internal/core/attempt_test.go
+++ b/internal/core/attempt_test.go
@@ -86,9 +86,9 @@
 			len(h.caller.calls)-calls, first.ended, len(h.caller.cancelled))
 	}
 	hedged := h.caller.last()
-	if first.IdempotencyKey != "key" || hedged.IdempotencyKey != "key" || hedged.Endpoint == first.Endpoint ||
+	if first.IdempotencyKey != "key" || hedged.IdempotencyKey != "key" || hedged.ReplicaID == first.ReplicaID ||
 		!hedged.Begin() {
 		t.Errorf("the hedged request has the key %q at %s, the first attempt %q at %s",
-			hedged.IdempotencyKey, hedged.Endpoint, first.IdempotencyKey, first.Endpoint)
+			hedged.IdempotencyKey, hedged.ReplicaID, first.IdempotencyKey, first.ReplicaID)
 	}
 }
--- a/internal/core/checkpoint.go
+++ b/internal/core/checkpoint.go
@@ -26,6 +26,6 @@
 func (c *Coordinator) checkpoint() {
 	if c.Phase() <= Ready {
 		c.cfg.OnCheckpoint(c.machine.Checkpoint())
-		c.deadlines.add(c.now+checkpointInterval, c.checkpoint)
+		c.timers.add(c.now+checkpointInterval, c.checkpoint)
 	}
 }
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -27,7 +27,7 @@
 	if q.ClientLeft == nil {
 		return false
 	}
-	if at := time.Duration(q.client.polledAt.Load()); at > 0 && now-at < clientPollInterval {
+	if polledAt := time.Duration(q.client.polledAt.Load()); polledAt > 0 && now-polledAt < clientPollInterval {
 		return false
 	}
 	q.client.polledAt.Store(int64(now))
--- a/internal/core/coordinator.go
+++ b/internal/core/coordinator.go
@@ -18,15 +18,16 @@
 	queue   chan posted   // messages that wait for the next tick
 	stopped chan struct{} // closed once Run has returned
 
-	machine   *scatter.Machine
-	now       time.Duration   // instant of the present tick, or of the last one
-	events    []scatter.Event // for the module's next step, in order
-	deadlines deadlines
-	wake      *deadline // when the module wants to be stepped; nil before it has asked
+	machine *scatter.Machine
+	now     time.Duration   // instant of the present tick, or of the last one
+	events  []scatter.Event // for the module's next step, in order
+	timers  timers
+	wake    *timer // when the module wants to be stepped; nil before it has asked
 
-	lifecycle lifecycle
-	load      tickLoad
-	open      openQueries
+	phaseState  phaseState
+	load        tickLoad
+	open        openQueries
+	reservedIDs reservedIDs
 
 	endpoints   endpointTable
 	updates     pendingUpdates
@@ -53,15 +54,16 @@
 		queue:       make(chan posted, queueCapacity),
 		stopped:     make(chan struct{}),
 		machine:     machine,
-		deadlines:   newDeadlines(),
-		lifecycle:   newLifecycle(),
+		timers:      newTimers(),
+		phaseState:  newPhaseState(),
 		open:        newOpenQueries(),
+		reservedIDs: reservedIDs{},
 		endpoints:   newEndpointTable(cfg.Settings.RingSize, cfg.Settings.ReplicationFactor),
 		maintenance: newMaintenanceInForce(),
 	}
 	c.settings.Store(&settingsSnapshot{cfg.Settings, cfg.Limits})
 	if cfg.OnCheckpoint != nil {
-		c.deadlines.add(cfg.Clock()+checkpointInterval, c.checkpoint)
+		c.timers.add(cfg.Clock()+checkpointInterval, c.checkpoint)
 	}
 	return c, nil
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -6,11 +6,11 @@
 	"harepass/internal/logmsg"
 )
 
-// Counters of queries: those accepted, those whose client left, and those that the module did not answer in time.
+// Counters of queries. Names of all counters are wire: they keep older words.
 var (
-	queriesAccepted   = counters.New("queries", "taken")
-	queriesClientLeft = counters.New("queries", "client_left")
-	queriesOverdue    = counters.New("queries", "overdue")
+	queriesAccepted   = counters.New("queries", "taken")       // opened, and told to the module
+	queriesClientLeft = counters.New("queries", "client_left") // opened, and cancelled as their client left
+	queriesUnanswered = counters.New("queries", "overdue")     // opened, and given up as the module did not answer in time
 )
 
 // Counters of rejected queries, by what rejected them.
@@ -25,25 +25,38 @@
 // listsExpired counts how often the lease on the polled source's list ran out.
 var listsExpired = counters.New("lists", "expired")
 
-// Counters of attempts that Begin permitted, and of those that never began, by the reason.
-var (
-	attemptsBegun      = counters.New("attempts", "begun")
-	withheldClientLeft = counters.New("attempts_withheld", "client_left")
-	withheldTimeOver   = counters.New("attempts_withheld", "time_over")
-	withheldNoRepeat   = counters.New("attempts_withheld", "repeat_window_closed")
-	withheldDraining   = counters.New("attempts_withheld", "node_leaving")
-	withheldTakenBack  = counters.New("attempts_withheld", "taken_back") // cancelled, or their query is over
-)
+// attemptsBegun counts the attempts that Begin has permitted.
+var attemptsBegun = counters.New("attempts", "begun")
+
+// attemptsWithheld counts the attempts that never began. withheldCancelled counts only those whose Caller called Begin
+// after the coordinator had cancelled them: where a Caller drops a cancelled attempt without calling Begin, nothing is
+// counted.
+var attemptsWithheld = [...]*counters.Counter{
+	withheldClientLeft:   counters.New("attempts_withheld", "client_left"),
+	withheldDeadline:     counters.New("attempts_withheld", "time_over"),
+	withheldWindowClosed: counters.New("attempts_withheld", "repeat_window_closed"),
+	withheldUnsendable:   counters.New("attempts_withheld", "node_leaving"),
+	withheldCancelled:    counters.New("attempts_withheld", "taken_back"),
+}
 
-// Names of statuses and outcomes, in the order of their constants. Log lines use them too.
+// Names of statuses and outcomes in counters and log lines.
 var (
-	statusNames  = [...]string{logmsg.StatusServed, logmsg.StatusRejected, "failed", "invalid"}
-	outcomeNames = [...]string{"served", "error", "full", "timeout", "noconn", "reset", "cancelled", "moot"}
+	statusNames = [...]string{
+		Served: logmsg.StatusServed, Rejected: logmsg.StatusRejected, Failed: "failed", Invalid: "invalid",
+	}
+	outcomeNames = [...]string{
+		scatter.Succeeded: "served", scatter.Errored: "error", scatter.Rejected: "full", scatter.TimedOut: "timeout",
+		scatter.ConnectFailed: "noconn", scatter.ConnectionReset: "reset", scatter.Cancelled: "cancelled",
+		scatter.NotSent: "moot",
+	}
 )
 
 var (
-	queriesEnded  = countersByName("queries_ended", statusNames[:])   // by Status of the final answer
-	attemptsEnded = countersByName("attempts_ended", outcomeNames[:]) // by scatter.Outcome
+	// queriesEnded counts the final answers to opened queries, by Status. What is answered before a query is opened
+	// (invalid, not admitted, over the open limit) is not among them, so its counter of Invalid stays 0.
+	queriesEnded = countersByName("queries_ended", statusNames[:])
+	// attemptsEnded counts the attempts that have ended, by scatter.Outcome.
+	attemptsEnded = countersByName("attempts_ended", outcomeNames[:])
 )
 
 func countersByName(group string, names []string) (list []*counters.Counter) {
--- a/internal/core/effective_list.go
+++ b/internal/core/effective_list.go
@@ -27,6 +27,6 @@
 
 // notifyEffectiveList tells the module the endpoint list anew, after lease or maintenance have changed it.
 func (c *Coordinator) notifyEffectiveList() {
-	c.endpoints.forgetFirstPhases()
+	c.endpoints.forgetFirstPhaseSupport()
 	c.notify(scatter.EndpointUpdate{Kind: scatter.CachedUpdate, Replicas: c.effectiveList()})
 }
--- a/internal/core/endpoint_updates.go
+++ b/internal/core/endpoint_updates.go
@@ -35,14 +35,21 @@
 	c.post(endpointUpdate{source: source, kind: scatter.IncrementalUpdate, endpoints: endpoints, partial: true})
 }
 
-// merge takes an update into the endpoint table and tells the module.
+// merge takes an update into the endpoint table and tells the module, and carries out what follows from the new table.
 func (c *Coordinator) merge(u endpointUpdate) {
+	event, mayWithhold := c.mergeTable(u)
+	c.notify(event)
+	c.afterMerge(u, mayWithhold)
+}
+
+// mergeTable takes an update into the endpoint table, and closes the idle connections to endpoints that it removes. It
+// returns what the module is to hear. mayWithhold is true where the update may have made an endpoint unsendable.
+func (c *Coordinator) mergeTable(u endpointUpdate) (event scatter.EndpointUpdate, mayWithhold bool) {
 	before := map[string]listedEndpoint{} // those that the update may remove
 	if u.isFull() {
 		c.removeListed(u.source, before)
 	}
-	event := scatter.EndpointUpdate{Kind: c.eventKind(u)}
-	unsendable := u.isFull()
+	event.Kind, mayWithhold = c.eventKind(u), u.isFull()
 	for _, e := range slices.Concat(u.endpoints, c.unlisted(u)) {
 		before[e.ID] = c.endpoints.byID[e.ID]
 		entry := listedEndpoint{e, u.source}
@@ -52,15 +59,20 @@
 			c.endpoints.put(entry)
 		}
 		c.logEndpointUpdated(e)
-		unsendable = unsendable || !c.sendable(e.ID)
+		mayWithhold = mayWithhold || !c.sendable(e.ID)
 		event.Replicas = append(event.Replicas, c.effective(entry))
 	}
 	c.disconnectRemoved(before)
 	if event.Kind == scatter.FullUpdate || event.Kind == scatter.CachedUpdate {
 		event.Replicas = c.effectiveList()
 	}
-	c.notify(event)
-	if unsendable {
+	return event, mayWithhold
+}
+
+// afterMerge carries out what follows from an update in the table, in this order: attempts are withheld, uncovered
+// shards are warned of, and the list may come to count as known.
+func (c *Coordinator) afterMerge(u endpointUpdate, mayWithhold bool) {
+	if mayWithhold {
 		c.withholdUnsendable()
 	}
 	if len(c.maintenance.register) > 0 {
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -24,15 +24,15 @@
 // endpointTable holds the endpoints that the sources list. The coordinator's goroutine alone writes to it, and reads it
 // without the lock; other goroutines may call contains.
 type endpointTable struct {
-	mu         sync.RWMutex
-	byID       map[string]listedEndpoint
-	ring       ringIndex    // of byID
-	firstPhase map[int]bool // supportsFirstPhase's answers by ring position of the shard; see forgetFirstPhases
+	mu                sync.RWMutex
+	byID              map[string]listedEndpoint
+	ring              ringIndex    // of byID
+	firstPhaseSupport map[int]bool // supportsFirstPhase's answers by ring position of the shard; see forgetFirstPhases
 }
 
 func newEndpointTable(ringSize, replicationFactor int) endpointTable {
 	return endpointTable{byID: map[string]listedEndpoint{}, ring: newRingIndex(ringSize, replicationFactor, nil),
-		firstPhase: map[int]bool{}}
+		firstPhaseSupport: map[int]bool{}}
 }
 
 // put enters an endpoint, in the place of what was listed under its id.
@@ -60,11 +60,11 @@
 
 // forgetShardsOf drops what is remembered of the shards that an endpoint holds.
 func (t *endpointTable) forgetShardsOf(e listedEndpoint) {
-	t.ring.forShards(e.RingPosition, func(shard int) { delete(t.firstPhase, shard) })
+	t.ring.forShards(e.RingPosition, func(shard int) { delete(t.firstPhaseSupport, shard) })
 }
 
 // forgetFirstPhases drops what is remembered of all shards: endpoints may count otherwise than before.
-func (t *endpointTable) forgetFirstPhases() { clear(t.firstPhase) }
+func (t *endpointTable) forgetFirstPhaseSupport() { clear(t.firstPhaseSupport) }
 
 // resizeRing indexes the endpoints anew, if the ring has changed.
 func (t *endpointTable) resizeRing(ringSize, replicationFactor int) {
--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -11,16 +11,17 @@
 
 // The module sees a query of two phases as one query with all its parts, which is admitted, counted and answered like
 // any other. The parts that the Planner wants asked cheaply first are deferred. Their first phase is a second query of
-// the module, of no tenant, and of a class of its own so that its quick parts do not pass for quick replicas. What the
-// first phase proves resolves a deferred part; where it proves nothing, the part is released.
+// the module, of no tenant, and of a class of its own so that its quick parts do not pass for quick replicas. A
+// part is pruned where its first phase proves its value: the module hears it as resolved, and it is not sent in full.
+// Where the first phase proves nothing, the part is released.
 
 // firstPhase is the first phase of a query.
 type firstPhase struct {
-	query   *query    // query whose parts are asked first
-	id      string    // the module's id of the first phase
-	parts   []*part   // one for each deferred part of the query
-	timeout *deadline // when the parts that are still deferred are released
-	ended   bool      // the query is over
+	query        *query  // query whose parts are asked first
+	id           string  // the module's id of the first phase
+	parts        []*part // one for each deferred part of the query
+	releaseTimer *timer  // when the parts that are still deferred are released
+	ended        bool    // the query is over
 }
 
 // firstPhaseSuffix makes a class's name that of its first phases. Clients cannot name such a class: validate goes by
@@ -58,7 +59,7 @@
 	}
 	if len(deferred) > 0 {
 		f := &firstPhase{query: q, id: q.id + firstPhaseSuffix}
-		f.timeout = c.deadlines.add(c.now+plan.MaxDeferral, func() { c.releaseDeferred(f) })
+		f.releaseTimer = c.timers.add(c.now+plan.MaxDeferral, func() { c.releaseDeferred(f) })
 		q.firstPhase = f
 	}
 	return deferred
@@ -79,11 +80,12 @@
 	return request
 }
 
-// supportsFirstPhase reports whether a shard has holders that may be sent to, and a first phase can be sent to each.
-// The endpoint table remembers the answer until one of the holders changes.
+// supportsFirstPhase reports whether a shard has holders that are ready by the list and by maintenance, and a first
+// phase can be sent to each. The lease on the list is not asked: with an expired one nothing is sent anyway. The
+// endpoint table remembers the answer until one of the holders changes.
 func (c *Coordinator) supportsFirstPhase(shard int) bool {
 	shard = c.endpoints.ring.position(shard)
-	supported, known := c.endpoints.firstPhase[shard]
+	supported, known := c.endpoints.firstPhaseSupport[shard]
 	if known {
 		return supported
 	}
@@ -96,7 +98,7 @@
 			break
 		}
 	}
-	c.endpoints.firstPhase[shard] = supported
+	c.endpoints.firstPhaseSupport[shard] = supported
 	return supported
 }
 
@@ -111,7 +113,7 @@
 	for _, full := range deferred {
 		id := f.id + "." + strconv.Itoa(full.index)
 		p := &part{id: id, index: full.index, shard: full.shard, query: q, full: full}
-		full.firstPhase = p
+		full.firstPhasePart = p
 		f.parts = append(f.parts, p)
 		c.notify(scatter.PartArrived{ID: p.id, Number: number, Shard: p.shard, Weight: 1 / float64(len(deferred))})
 	}
@@ -139,9 +141,9 @@
 
 // endPartFirstPhase ends the first phase of a part in full. The module cancels an attempt of it that is still out.
 func (c *Coordinator) endPartFirstPhase(full *part) {
-	if full.firstPhase != nil {
-		c.notify(scatter.PartReleased{ID: full.firstPhase.id, Resolved: true})
-		full.firstPhase = nil
+	if full.firstPhasePart != nil {
+		c.notify(scatter.PartReleased{ID: full.firstPhasePart.id, Resolved: true})
+		full.firstPhasePart = nil
 	}
 }
 
@@ -151,7 +153,7 @@
 		return
 	}
 	f.ended = true
-	c.deadlines.remove(f.timeout)
+	c.timers.remove(f.releaseTimer)
 	c.open.removeFirstPhase(f)
 	c.notify(scatter.QueryCancelled{ID: f.id})
 	c.closeParts(f.parts)
@@ -186,7 +188,7 @@
 // learnFirstPhase takes in the outcome of a part's first phase: the part in full gets its value by it, or is released.
 func (c *Coordinator) learnFirstPhase(at *Attempt, succeeded bool) {
 	p, q, full := at.part, at.part.query, at.part.full
-	if full.firstPhase != p || !c.open.isOpen(q) { // the part in full has ended without it
+	if full.firstPhasePart != p || !c.open.isOpen(q) { // the part in full has ended without it
 		return
 	}
 	evidence := at.Evidence
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -86,7 +86,7 @@
 	end := h.clock + d
 	h.tick()
 	for h.clock < end {
-		h.clock = min(end, h.clock+max(ms, h.untilNextDeadline()))
+		h.clock = min(end, h.clock+max(ms, h.untilNextTimer()))
 		h.tick()
 	}
 }
@@ -158,5 +158,5 @@
 	at := h.caller.last()
 	h.AttemptEnded(at, scatter.Succeeded, []byte("v"))
 	h.pass(0)
-	return at.Endpoint
+	return at.ReplicaID
 }
--- a/internal/core/initial_list.go
+++ b/internal/core/initial_list.go
@@ -12,8 +12,8 @@
 
 // initialList tells whether the endpoint list counts as known, which makes the coordinator Ready.
 type initialList struct {
-	known     bool // the polled source has answered, if only by a failure, or the cached list has to do
-	requested bool // the polled source was asked, and cachedListDelay does not run yet
+	known      bool // the polled source has answered, if only by a failure, or the cached list has to do
+	mayPresume bool // the polled source was asked, and the wait of cachedListDelay has not begun
 }
 
 // noteInitialList takes in that an update was merged.
@@ -32,8 +32,8 @@
 // would not be ready for as long as the watch is silent.
 func (c *Coordinator) presumeInitialList() {
 	l := &c.initialList
-	if l.requested && !l.known && len(c.endpoints.byID) > 0 {
-		l.requested = false
-		c.deadlines.add(c.now+cachedListDelay, func() { l.known = true })
+	if l.mayPresume && !l.known && len(c.endpoints.byID) > 0 {
+		l.mayPresume = false
+		c.timers.add(c.now+cachedListDelay, func() { l.known = true })
 	}
 }
--- a/internal/core/memory_relief.go
+++ b/internal/core/memory_relief.go
@@ -10,7 +10,8 @@
 )
 
 // RelieveMemory tells how short memory runs, or that it does no more. Values that the Planner retains go first; then
-// queries are ended that take excess bytes together. It waits while the queue is full.
+// queries are ended that take excess bytes together. It waits while the queue is full, for as long as a tick that
+// hangs.
 func (c *Coordinator) RelieveMemory(level overload.MemoryLevel, excess int64) {
 	c.post(memoryRelief{level, excess})
 }
--- a/internal/core/open_queries.go
+++ b/internal/core/open_queries.go
@@ -2,10 +2,11 @@
 
 import "sync/atomic"
 
-// What an open query and a part take in the maps of coordinator and module, besides texts and values, in bytes.
+// Bytes that an open query and a part are counted with for the maps of coordinator and module. Bodies and values are
+// counted besides, by their length.
 const (
-	queryBytes = 2 << 10
-	partBytes  = 1 << 10
+	queryOverheadBytes = 2 << 10
+	partOverheadBytes  = 1 << 10
 )
 
 // openQueries holds the queries that have not been answered, and the parts that are under way. A part stays until its
@@ -15,7 +16,6 @@
 	byQuery     map[*Query]*query      // open queries by what the front handed over
 	firstPhases map[string]*firstPhase // first phases of open queries by the module's id
 	parts       map[string]*part       // parts by the module's id, and first phases of parts
-	clientIDs   map[string]struct{}    // ids that clients gave to queries whose time is not over, answered or not
 	lastNumber  int64                  // number of the query or first phase that was opened last
 	count       int                    // open queries and parts; a first phase counts as a query with parts of its own
 	bytes       int64                  // bytes that open queries take, as far as they are counted
@@ -26,7 +26,7 @@
 
 func newOpenQueries() openQueries {
 	return openQueries{byID: map[string]*query{}, byQuery: map[*Query]*query{}, firstPhases: map[string]*firstPhase{},
-		parts: map[string]*part{}, clientIDs: map[string]struct{}{}}
+		parts: map[string]*part{}}
 }
 
 // openSize is what a query of so many parts counts toward the limit.
@@ -42,7 +42,7 @@
 func (o *openQueries) add(q *query) {
 	o.count += openSize(len(q.Parts))
 	o.byID[q.id], o.byQuery[q.Query] = q, q
-	o.addBytes(q, int64(queryBytes+len(q.Body)+partBytes*len(q.Parts)))
+	o.addBytes(q, int64(queryOverheadBytes+len(q.Body)+partOverheadBytes*len(q.Parts)))
 }
 
 // addPart adds a part to its query.
@@ -96,19 +96,6 @@
 // isOpen reports whether a query has no final answer yet and its client has not left.
 func (o *openQueries) isOpen(q *query) bool { return o.byID[q.id] != nil }
 
-// reserved reports whether replicas may still work for a query with a client's id.
-func (o *openQueries) reserved(clientID string) bool {
-	_, reserved := o.clientIDs[clientID]
-	return reserved
-}
-
-// reserveID refuses other queries with the id of q until q's client's time is over and no replica can still be at it:
-// replicas know a part by its query's id, and would take one query's part for another's.
-func (c *Coordinator) reserveID(q *query) {
-	c.open.clientIDs[q.ID] = struct{}{}
-	c.deadlines.add(q.Deadline+answerGrace+cancelGrace, func() { delete(c.open.clientIDs, q.ID) })
-}
-
 // SetLimitsShared tells whether another process of the same coordinator serves beside this one: what may be open is
 // for both. Any goroutine may call it.
 func (c *Coordinator) SetLimitsShared(shared bool) { c.open.limitsShared.Store(shared) }
--- a/internal/core/pending_updates.go
+++ b/internal/core/pending_updates.go
@@ -48,7 +48,7 @@
 		left -= max(1, len(u.endpoints))
 	}
 	if len(pending.queue) > 0 {
-		c.deadlines.add(c.now+1, c.mergePending) // a deadline for now would run in this tick
+		c.timers.add(c.now+1, c.mergePending) // a timer for now would run in this tick
 	}
 }
 
--- a/internal/core/permit_test.go
+++ b/internal/core/permit_test.go
@@ -19,17 +19,17 @@
 		moves  bool
 	}{
 		"listed as draining": {func(h *harness, _ *Query, at *Attempt) {
-			h.update(scatter.IncrementalUpdate, fakeEndpoint(at.Endpoint, scatter.Draining))
+			h.update(scatter.IncrementalUpdate, fakeEndpoint(at.ReplicaID, scatter.Draining))
 		}, true},
 		"listed as removed": {func(h *harness, _ *Query, at *Attempt) {
-			h.update(scatter.IncrementalUpdate, fakeEndpoint(at.Endpoint, scatter.Removed))
+			h.update(scatter.IncrementalUpdate, fakeEndpoint(at.ReplicaID, scatter.Removed))
 		}, true},
 		"no longer listed": {func(h *harness, _ *Query, at *Attempt) {
-			h.update(scatter.FullUpdate, fakeEndpoint(other[at.Endpoint], scatter.Ready))
+			h.update(scatter.FullUpdate, fakeEndpoint(other[at.ReplicaID], scatter.Ready))
 		}, true},
 		"in maintenance": {func(h *harness, _ *Query, at *Attempt) {
 			register := maintenance.Register{}
-			register.Apply(at.Endpoint, maintenance.Entry{Out: true, At: h.clock})
+			register.Apply(at.ReplicaID, maintenance.Entry{Out: true, At: h.clock})
 			h.SetMaintenance(register)
 		}, true},
 		"its client has left":      {func(h *harness, q *Query, _ *Attempt) { h.CancelQuery(q) }, false},
@@ -49,7 +49,7 @@
 				t.Errorf("%s, begun before: %t: the attempt may begin", name, began)
 			}
 			next := h.caller.last()
-			moved := len(h.caller.calls) == 2 && next.Endpoint == other[at.Endpoint]
+			moved := len(h.caller.calls) == 2 && next.ReplicaID == other[at.ReplicaID]
 			if want := tc.moves && !began; moved != want || moved && (!at.ended || !next.Begin()) {
 				t.Errorf("%s, begun before: %t: sent to the other replica: %t, want %t", name, began, moved, want)
 			}
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -23,18 +23,18 @@
 // String is the phase's name, for readiness replies and logs.
 func (p Phase) String() string { return [...]string{"starting", "ready", "draining", "stopped"}[p] }
 
-// lifecycle is a coordinator's way from start to exit.
-type lifecycle struct {
+// phaseState is a coordinator's way from start to exit.
+type phaseState struct {
 	phase    atomic.Int32  // a Phase; any goroutine may read it
 	started  chan struct{} // closed once the phase has left Starting
 	stopping bool          // to become Stopped when nothing is open
 	drainEnd time.Duration // instant by which all queries have to be answered; 0 while there is none
 }
 
-func newLifecycle() lifecycle { return lifecycle{started: make(chan struct{})} }
+func newPhaseState() phaseState { return phaseState{started: make(chan struct{})} }
 
 // moveTo sets a later phase; it does nothing for an earlier one.
-func (l *lifecycle) moveTo(p Phase) {
+func (l *phaseState) moveTo(p Phase) {
 	present := Phase(l.phase.Load())
 	if p <= present {
 		return
@@ -46,10 +46,10 @@
 }
 
 // Phase returns the present phase. Any goroutine may call it.
-func (c *Coordinator) Phase() Phase { return Phase(c.lifecycle.phase.Load()) }
+func (c *Coordinator) Phase() Phase { return Phase(c.phaseState.phase.Load()) }
 
 // Started returns a channel that is closed once the phase has left Starting.
-func (c *Coordinator) Started() <-chan struct{} { return c.lifecycle.started }
+func (c *Coordinator) Started() <-chan struct{} { return c.phaseState.started }
 
 // NotReadyError tells in which phase a coordinator is not ready for clients. Its text is the phase's name.
 type NotReadyError struct{ Phase Phase }
@@ -65,10 +65,17 @@
 	return nil
 }
 
-// Drain makes the phase Draining. It waits while the queue is full.
+// Drain makes the phase Draining. It ends the calls of Config.OnCheckpoint, and bounds all queries, open ones and those
+// that are accepted from now on: each has its answer Limits.DrainTimeout later, plus answerGrace. A second Drain does
+// not move that bound. Drain waits while the queue is full; any goroutine but the coordinator's own may call it.
 func (c *Coordinator) Drain() { c.post(drainRequest{}) }
 
-// Stop drains the coordinator and has it stop once nothing is open. It returns when Run has.
+// Stop makes the phase Draining, and Stopped once no query is open; it returns when Run has. It bounds no query's time:
+// Drain has to be called before where that is wanted. All fronts have to have shut down before Stop is called. A query
+// that Submit accepts after the last tick is never answered, and Execute waits for such a one until its client leaves.
+//
+// The order of a program's end is Drain, the fronts' shutdown, Stop. Any goroutine but the coordinator's own may call
+// it.
 func (c *Coordinator) Stop() {
 	c.post(stopRequest{})
 	<-c.stopped
@@ -82,24 +89,24 @@
 // apply also bounds the time of open queries, and of those that are accepted from now on: the platform kills the
 // process some time after it has asked for its end.
 func (drainRequest) apply(c *Coordinator) {
-	c.lifecycle.moveTo(Draining)
+	c.phaseState.moveTo(Draining)
 	timeout := c.inForce().limits.DrainTimeout
-	if timeout == 0 || c.lifecycle.drainEnd > 0 {
+	if timeout == 0 || c.phaseState.drainEnd > 0 {
 		return
 	}
 	end := c.now + timeout
-	c.lifecycle.drainEnd = end
-	c.deadlines.add(end, c.expireOpen)
+	c.phaseState.drainEnd = end
+	c.timers.add(end, c.endOpenQueries)
 	for _, id := range slices.Sorted(maps.Keys(c.open.byID)) {
 		if q := c.open.byID[id]; q.Deadline > end {
-			c.deadlines.remove(q.expiry)
-			q.expiry = c.deadlines.add(end+answerGrace, func() { c.expire(q) })
+			c.timers.remove(q.giveUpTimer)
+			q.giveUpTimer = c.timers.add(end+answerGrace, func() { c.giveUp(q) })
 		}
 	}
 }
 
-// expireOpen has the module end the open queries with what has come in: the platform is about to kill this process.
-func (c *Coordinator) expireOpen() {
+// endOpenQueries has the module end the open queries with what has come in: the platform is about to kill this process.
+func (c *Coordinator) endOpenQueries() {
 	for _, id := range slices.Sorted(maps.Keys(c.open.byID)) {
 		c.notify(scatter.QueryExpired{ID: id})
 	}
@@ -107,16 +114,16 @@
 
 // apply has updatePhase stop the coordinator once the last query has its answer.
 func (stopRequest) apply(c *Coordinator) {
-	c.lifecycle.moveTo(Draining)
-	c.lifecycle.stopping = true
+	c.phaseState.moveTo(Draining)
+	c.phaseState.stopping = true
 }
 
 // updatePhase moves on at the end of a tick, where the time for it has come.
 func (c *Coordinator) updatePhase() {
 	if c.initialList.known {
-		c.lifecycle.moveTo(Ready)
+		c.phaseState.moveTo(Ready)
 	}
-	if c.lifecycle.stopping && len(c.open.byID) == 0 {
-		c.lifecycle.moveTo(Stopped)
+	if c.phaseState.stopping && len(c.open.byID) == 0 {
+		c.phaseState.moveTo(Stopped)
 	}
 }
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -7,7 +7,8 @@
 	"harepass/internal/decide/twophase"
 )
 
-// Query is what a front hands over. The front must not change it after that.
+// Query is what a front hands over. The front must not change it after that; the coordinator does, and only it: it cuts
+// Deadline to what the class allows and to the end of its drain, and Execute sets Done.
 type Query struct {
 	ID              string        // as replicas see it; validate checks its characters and length
 	Class           string        // name of a class in the settings
@@ -54,7 +55,7 @@
 	Status     Status
 	Complete   bool          // Served: the module counts the answer as complete
 	Values     [][]byte      // Served: an entry for each part; nil where no value came in
-	Pruned     []bool        // Served: an entry for each part; true where the value came of its first phase
+	Pruned     []bool        // Served: an entry for each part; true where the first phase gave the value, and the part was not needed in full
 	RetryAfter time.Duration // Rejected: the client should wait as long before a retry; 0 for no advice
 	Reason     string        // Invalid: what is wrong, for the client
 }
@@ -69,7 +70,7 @@
 	acceptedAt     time.Duration // instant of the tick that accepted the query
 	bytes          int64         // bytes that the query takes, as far as they are counted
 	parts          []*part       // in the order of Query.Parts
-	expiry         *deadline     // when the query is given up, should the module not have answered it
+	giveUpTimer    *timer        // when the query is given up, should the module not have answered it
 	firstPhase     *firstPhase   // nil in one phase
 }
 
@@ -82,11 +83,11 @@
 	value    []byte     // what the shard answered; nil before the answer is in
 	attempts []*Attempt // all attempts of the part, in the order of their numbers
 
-	full         *part // set in a first phase: the part in full that it goes ahead of
-	firstPhase   *part // set in a part in full while its first phase is under way
-	deferred     bool  // the part is not to be sent before its first phase has ended or has had its time
-	wantsVersion bool  // the value is wanted with its version
-	pruned       bool  // the value came of the first phase
+	full           *part // set in a first phase: the part in full that it goes ahead of
+	firstPhasePart *part // set in a part in full while its first phase is under way
+	deferred       bool  // the part is not to be sent before its first phase has ended or has had its time
+	wantsVersion   bool  // the value is wanted with its version
+	pruned         bool  // the first phase gave the value; the module hears the part as resolved
 }
 
 // topic is what the Planner learns the query's costs by.
--- a/internal/core/query_log.go
+++ b/internal/core/query_log.go
@@ -61,7 +61,7 @@
 func (c *Coordinator) logAttemptEnded(at *Attempt, outcome scatter.Outcome, latency time.Duration) {
 	if c.tracing() {
 		c.cfg.Log.Debug(logmsg.AttemptEnded, logmsg.KeyQuery, at.QueryID, logmsg.KeyShard, at.Shard,
-			logmsg.KeyAttempt, at.number, logmsg.KeyReplica, at.Endpoint, logmsg.KeyOutcome, outcomeNames[outcome],
+			logmsg.KeyAttempt, at.number, logmsg.KeyReplica, at.ReplicaID, logmsg.KeyOutcome, outcomeNames[outcome],
 			logmsg.KeyLatency, latency)
 	}
 }
--- a/internal/core/ring_index.go
+++ b/internal/core/ring_index.go
@@ -23,15 +23,15 @@
 func (x *ringIndex) position(number int) int { return (number%x.size + x.size) % x.size }
 
 func (x *ringIndex) add(e listedEndpoint) {
-	at := x.position(e.RingPosition)
-	x.ids[at] = append(x.ids[at], e.ID)
+	position := x.position(e.RingPosition)
+	x.ids[position] = append(x.ids[position], e.ID)
 }
 
 func (x *ringIndex) remove(e listedEndpoint) {
-	at := x.position(e.RingPosition)
-	rest := slices.DeleteFunc(x.ids[at], func(id string) bool { return id == e.ID })
-	if x.ids[at] = rest; len(rest) == 0 {
-		delete(x.ids, at)
+	position := x.position(e.RingPosition)
+	rest := slices.DeleteFunc(x.ids[position], func(id string) bool { return id == e.ID })
+	if x.ids[position] = rest; len(rest) == 0 {
+		delete(x.ids, position)
 	}
 }
 
@@ -53,11 +53,11 @@
 // near lists the endpoints that hold a shard in common with those at some ring positions, which are among them.
 func (x *ringIndex) near(ringPositions []int) (ids []string) {
 	seen := map[int]bool{}
-	for _, position := range ringPositions {
-		for d := 1 - x.replicationFactor; d < x.replicationFactor; d++ {
-			if at := x.position(position + d); !seen[at] {
-				seen[at] = true
-				ids = append(ids, x.ids[at]...)
+	for _, endpointPosition := range ringPositions {
+		for distance := 1 - x.replicationFactor; distance < x.replicationFactor; distance++ {
+			if position := x.position(endpointPosition + distance); !seen[position] {
+				seen[position] = true
+				ids = append(ids, x.ids[position]...)
 			}
 		}
 	}
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -54,8 +54,8 @@
 }
 
 // Configure puts settings and limits in force, all of them or, with an error, none: ErrSecondRound, a
-// *scatter.SettingError, or ErrStopped. Queries that were submitted before keep their class. It waits for the tick that
-// does it, so the coordinator's own goroutine must not call it.
+// *scatter.SettingError, or ErrStopped. Queries that were submitted before keep their class. It waits while the queue
+// is full and for the tick that does it, without a limit, so the coordinator's own goroutine must not call it.
 func (c *Coordinator) Configure(s scatter.Settings, l Limits) error {
 	if err := checkSupported(s); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	err := c.machine.Configure(withFirstPhases(m.settings.Settings, c.cfg.TwoPhaseClasses))
 	if err == nil {
 		c.settings.Store(m.settings)
-		c.endpoints.forgetFirstPhases()
+		c.endpoints.forgetFirstPhaseSupport()
 		c.endpoints.resizeRing(m.settings.RingSize, m.settings.ReplicationFactor)
 	}
 	m.result <- err
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -17,8 +17,8 @@
 	}
 	if !q.Admitted {
 		arrival := overload.Arrival{Class: q.Class, Tenant: q.Tenant, IsRetry: q.IsRetry, Parts: len(q.Parts)}
-		if ok, retryIn := c.Admit(arrival); !ok {
-			return Answer{Status: Rejected, RetryAfter: retryIn}
+		if ok, retryAfter := c.Admit(arrival); !ok {
+			return Answer{Status: Rejected, RetryAfter: retryAfter}
 		}
 	}
 	answers := make(chan Answer, 1)
@@ -38,14 +38,16 @@
 	}
 }
 
-// Submit hands over a query, which has to be valid and to have its Done. It does not wait. False means that the queue
-// is full or that the coordinator has stopped: nothing was accepted, and Done is not called.
+// Submit hands over a query, which has to be valid and to have its Done. It does not wait, and any goroutine may call
+// it. False means that the queue is full or that the coordinator has stopped: nothing was accepted, and Done is not
+// called. True means that the query is queued. Done is then called once, unless the client leaves, or the coordinator
+// runs its last tick before the query is applied: see Stop.
 func (c *Coordinator) Submit(q *Query) bool {
 	if c.Phase() == Stopped {
 		return false
 	}
 	select {
-	case c.queue <- posted{submitted{q}, c.cfg.Clock()}:
+	case c.queue <- posted{submission{q}, c.cfg.Clock()}:
 		return true
 	default:
 		rejectedQueueFull.Inc()
@@ -53,46 +55,48 @@
 	}
 }
 
-type submitted struct{ query *Query }
+// submission brings a query that Submit has queued.
+type submission struct{ query *Query }
 
 // apply accepts a query, or answers it at once.
-func (m submitted) apply(c *Coordinator) {
+func (m submission) apply(c *Coordinator) {
 	q := m.query
-	if answer, over := c.immediateAnswer(q); over {
-		q.Done(answer)
-		return
-	}
 	policy := c.inForce().retryPolicy(q.Class) // the front's check may have gone by older settings
-	key, err := policy.Key(q.IdempotencyKeys)
-	if err != nil {
-		q.Done(Answer{Status: Invalid, Reason: err.Error()})
+	key, keyErr := policy.Key(q.IdempotencyKeys)
+	if answer, over := c.immediateAnswer(q, keyErr); over {
+		q.Done(answer)
 		return
 	}
 	c.accept(q, policy, key)
 }
 
 // immediateAnswer returns the final answer to a query that is not to be opened at all; over is false for any other.
-func (c *Coordinator) immediateAnswer(q *Query) (answer Answer, over bool) {
+// keyErr is what is wrong with its idempotency key. The first obstacle in this order decides: the client has left, the
+// list has expired, the id is taken, the open limit is reached, the key is invalid.
+func (c *Coordinator) immediateAnswer(q *Query, keyErr error) (answer Answer, over bool) {
 	if q.clientHasLeft(c.cfg.Clock()) { // while the query was in the queue
 		return Answer{Status: Failed}, true
 	}
-	if c.nothingSendable() {
+	if c.onlyListExpired() {
 		rejectedListExpired.Inc()
 		return Answer{Status: Rejected, RetryAfter: c.inForce().RetryAfter}, true
 	}
-	if c.open.reserved(q.ID) {
+	if c.reservedIDs.contains(q.ID) {
 		return Answer{Status: Invalid, Reason: ErrDuplicateID.Error()}, true
 	}
 	if c.exceedsOpenLimit(len(q.Parts)) {
 		rejectedOpenLimit.Inc()
 		return Answer{Status: Rejected, RetryAfter: c.inForce().RetryAfter}, true
 	}
+	if keyErr != nil {
+		return Answer{Status: Invalid, Reason: keyErr.Error()}, true
+	}
 	return Answer{}, false
 }
 
 // accept opens a query and tells the module of it and its parts, then of its first phase.
 func (c *Coordinator) accept(submitted *Query, policy retry.Policy, key string) {
-	if end := c.lifecycle.drainEnd; end > 0 {
+	if end := c.phaseState.drainEnd; end > 0 {
 		submitted.Deadline = min(submitted.Deadline, end)
 	}
 	queriesAccepted.Inc()
@@ -100,7 +104,7 @@
 	q := &query{Query: submitted, id: strconv.FormatInt(number, 10), number: number, retryPolicy: policy,
 		idempotencyKey: key, acceptedAt: c.now}
 	c.open.add(q)
-	q.expiry = c.deadlines.add(q.Deadline+answerGrace, func() { c.expire(q) })
+	q.giveUpTimer = c.timers.add(q.Deadline+answerGrace, func() { c.giveUp(q) })
 	c.reserveID(q)
 	c.notify(scatter.QueryArrived{ID: q.id, Number: number, Class: q.Class, Tenant: q.Tenant, Expires: q.Deadline,
 		Parts: len(q.Parts), IsRetry: q.IsRetry, RequireComplete: q.RequireComplete})
--- a/internal/core/submit_test.go
+++ b/internal/core/submit_test.go
@@ -92,15 +92,17 @@
 }
 
 // The module leaves a query unanswered past its deadline, as it would if it were faulty: the client gets its answer all
-// the same.
+// the same. The test plays that by running the timers without the module: a tick would step it, and it would answer.
+// The first run is at the instant of the tick, when the query's time is not over; the second is when its give-up timer
+// is due.
 func TestUnansweredQueryFailsAtItsDeadline(t *testing.T) {
 	h := newHarness(t, nil)
 	q := h.query("free", 0)
 	h.Submit(q)
 	h.tick()
 	h.clock = q.Deadline + answerGrace
-	h.runDeadlines()
+	h.runDueTimers()
 	h.now = h.clock
-	h.runDeadlines()
+	h.runDueTimers()
 	h.want(t, "failed complete=false []")
 }
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -15,7 +15,7 @@
 // posted is a message with the instant at which it was sent.
 type posted struct {
 	message
-	at time.Duration
+	sentAt time.Duration
 }
 
 // post sends a message and waits while the queue is full; once Run has returned it drops the message. The coordinator's
@@ -31,22 +31,22 @@
 // once.
 func (c *Coordinator) Run() {
 	defer close(c.stopped)
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+	sleep := time.NewTimer(0)
+	defer sleep.Stop()
 	for c.Phase() != Stopped {
-		timer.Reset(c.untilNextDeadline())
+		sleep.Reset(c.untilNextTimer())
 		select {
 		case m := <-c.queue:
 			c.tick(m)
 		case <-c.maintenance.changed:
 			c.tick()
-		case <-timer.C:
+		case <-sleep.C:
 			c.tick()
 		}
 	}
 }
 
-// tick applies what has arrived, runs the deadlines that are due, and lets the module decide. Messages that arrive
+// tick applies what has arrived, runs the timers that are due, and lets the module decide. Messages that arrive
 // while it applies others wait for the next tick, so a tick ends.
 func (c *Coordinator) tick(received ...posted) {
 	c.now = max(c.now, c.cfg.Clock())
@@ -58,7 +58,7 @@
 	for n := len(c.queue); n > 0; n-- {
 		c.applyMessage(<-c.queue)
 	}
-	c.runDeadlines()
+	c.runDueTimers()
 	c.step()
 	c.updatePhase()
 	c.load.end()
@@ -66,11 +66,14 @@
 }
 
 func (c *Coordinator) applyMessage(m posted) {
-	c.load.addWait(c.now - m.at)
+	c.load.addWait(c.now - m.sentAt)
 	m.apply(c)
 }
 
-// step runs the module until carrying out what it asks for brings no further event at once.
+// step runs the module until carrying out what it asks for brings no further event at once. The first round runs
+// without events too, for the module's own timer may be due or time has passed since. A further round needs an event
+// that carrying out has brought at once: an attempt that was not sent, or a first phase that has begun or ended. The
+// loop ends because the module asks for finitely many of these.
 func (c *Coordinator) step() {
 	for first := true; first || len(c.events) > 0; first = false {
 		events := c.events
--- a/internal/core/tick_load.go
+++ b/internal/core/tick_load.go
@@ -7,9 +7,9 @@
 
 // Tick tells an Admitter how far the coordinator is behind: of one tick, or of several together.
 type Tick struct {
-	TotalWait    time.Duration // of all messages and deadlines, each from when it was due to the tick's begin
-	MaxWait      time.Duration // longest wait of one message or deadline
-	Count        int           // messages and deadlines
+	TotalWait    time.Duration // of all messages and timers, each from when it was due to the tick's begin
+	MaxWait      time.Duration // longest wait of one message or timer
+	Count        int           // messages and timers
 	Duration     time.Duration // from the tick's begin to its end
 	OpenFraction float64       // open queries and parts, as a share of the limit; 0 where there is no limit
 	QueryBytes   int64         // bytes that open queries take, as far as they are counted
@@ -24,7 +24,7 @@
 func (l *tickLoad) begin(now time.Duration) { l.startedAt.Store(int64(now)) }
 func (l *tickLoad) end()                    { l.startedAt.Store(0) }
 
-// addWait counts a message or deadline, and how long it has waited since it was due.
+// addWait counts a message or timer, and how long it has waited since it was due.
 func (l *tickLoad) addWait(wait time.Duration) {
 	wait = max(0, wait)
 	l.waits.TotalWait += wait
@@ -42,8 +42,8 @@
 // TickElapsed is how long the present tick has taken so far, 0 between ticks. Any goroutine may call it: a tick that
 // does not end reports nothing by itself.
 func (c *Coordinator) TickElapsed() time.Duration {
-	if at := c.load.startedAt.Load(); at > 0 {
-		return max(0, c.cfg.Clock()-time.Duration(at))
+	if startedAt := c.load.startedAt.Load(); startedAt > 0 {
+		return max(0, c.cfg.Clock()-time.Duration(startedAt))
 	}
 	return 0
 }
--- a/internal/core/deadlines_test.go
+++ b/internal/core/timers_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-func TestDeadlinesRunInOrderOnce(t *testing.T) {
+func TestTimersRunInOrderOnce(t *testing.T) {
 	h := newHarness(t, nil)
 	var ran []int
 	for _, at := range []int{3, 1, 2, 1} {
-		h.deadlines.add(h.clock+time.Duration(at)*ms, func() { ran = append(ran, at) })
+		h.timers.add(h.clock+time.Duration(at)*ms, func() { ran = append(ran, at) })
 	}
-	removed := h.deadlines.add(h.clock+ms, func() { ran = append(ran, 9) })
-	h.deadlines.remove(removed)
+	removed := h.timers.add(h.clock+ms, func() { ran = append(ran, 9) })
+	h.timers.remove(removed)
 	h.pass(2 * ms)
 	h.pass(2 * ms)
 	if want := []int{1, 1, 2, 3}; !reflect.DeepEqual(ran, want) {
--- a/internal/opensearch/replica_answer_test.go
+++ b/internal/opensearch/replica_answer_test.go
@@ -76,7 +76,7 @@
 			caller := &Caller{Reporter: ended, Config: &Config{SectionField: "section"}, MaxConns: 4,
 				ConnectTimeout: time.Second, KeepAlive: time.Minute, Dial: dialAnswering(tc.answer, &dials)}
 			call := func() endedAttempt {
-				at := &core.Attempt{Endpoint: "n", Timeout: time.Second, Origin: &search{index: &Index{name: "i"}}}
+				at := &core.Attempt{ReplicaID: "n", Timeout: time.Second, Origin: &search{index: &Index{name: "i"}}}
 				caller.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}, []*core.Attempt{at})
 				return <-ended
 			}
--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -173,7 +173,7 @@
 	}
 	askedBefore := s.cancelled
 	s.cancelled = true
-	for _, c := range slices.Clone(caller.conns[at.Endpoint]) {
+	for _, c := range slices.Clone(caller.conns[at.ReplicaID]) {
 		switch {
 		case !slices.Contains(c.outstanding, s):
 		case askedBefore, s.state == written && c.lastAnswer.Before(s.writtenAt) && time.Since(s.writtenAt) > caller.ResponseTimeout:
--- a/internal/platform/caller_test.go
+++ b/internal/platform/caller_test.go
@@ -182,7 +182,7 @@
 				continue // a second connection is TestCallsPerConnection's
 			}
 			w = &want{at: &core.Attempt{QueryID: fmt.Sprintf("q%d", len(all)), Shard: arg, Body: []byte("t"),
-				Timeout: time.Second, Endpoint: "n"}, written: !shut, begun: !blocked}
+				Timeout: time.Second, ReplicaID: "n"}, written: !shut, begun: !blocked}
 			all = append(all, w)
 			if p.refuse && fresh {
 				w.outcome = []scatter.Outcome{scatter.ConnectFailed}
@@ -336,7 +336,7 @@
 		p.nodes = &Caller{Reporter: p, CallsPerConn: 2, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
 		for i := range 5 {
 			p.nodes.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"},
-				[]*core.Attempt{{QueryID: fmt.Sprint(i), Endpoint: "n"}, {QueryID: fmt.Sprint(i), Shard: 1, Endpoint: "n"}})
+				[]*core.Attempt{{QueryID: fmt.Sprint(i), ReplicaID: "n"}, {QueryID: fmt.Sprint(i), Shard: 1, ReplicaID: "n"}})
 			synctest.Wait()
 		}
 		if p.conns != 3 || len(p.frames) != 5 {
@@ -414,7 +414,7 @@
 			p.nodes = &Caller{Reporter: p, CallsPerConn: 32, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
 			var all []*core.Attempt
 			tc.play(p, func() {
-				all = append(all, &core.Attempt{QueryID: fmt.Sprint("q", len(all)), Endpoint: "n"})
+				all = append(all, &core.Attempt{QueryID: fmt.Sprint("q", len(all)), ReplicaID: "n"})
 				p.nodes.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}, all[len(all)-1:])
 				synctest.Wait()
 			}, func(i int) {
@@ -444,7 +444,7 @@
 		p.nodes = &Caller{Reporter: p, CallsPerConn: 1, MaxConns: 2, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
 		call := func(node string) {
 			p.nodes.Call(core.Endpoint{Replica: scatter.Replica{ID: node}, Address: node},
-				[]*core.Attempt{{QueryID: fmt.Sprint(p.conns, len(p.frames)), Endpoint: node}})
+				[]*core.Attempt{{QueryID: fmt.Sprint(p.conns, len(p.frames)), ReplicaID: node}})
 			synctest.Wait()
 		}
 		held := func() (n int) {
@@ -485,7 +485,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := &player{t: t, ended: map[*core.Attempt][]scatter.Outcome{}}
 		p.nodes = &Caller{Reporter: p, CallsPerConn: 4, ConnectTimeout: time.Second, KeepAlive: 30 * time.Second, ResponseTimeout: time.Second / 10, Dial: p.dial}
-		first, second := &core.Attempt{QueryID: "q", Endpoint: "n"}, &core.Attempt{QueryID: "q", Endpoint: "n"}
+		first, second := &core.Attempt{QueryID: "q", ReplicaID: "n"}, &core.Attempt{QueryID: "q", ReplicaID: "n"}
 		node := core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}
 		p.nodes.Call(node, []*core.Attempt{first})
 		p.nodes.Call(node, []*core.Attempt{second})
@@ -549,7 +549,7 @@
 		return p.ended[at]
 	}
 	const soon = 20 * time.Millisecond // for a goroutine to come to wait
-	first, second := &core.Attempt{QueryID: "first", Endpoint: "n"}, &core.Attempt{QueryID: "second", Endpoint: "n"}
+	first, second := &core.Attempt{QueryID: "first", ReplicaID: "n"}, &core.Attempt{QueryID: "second", ReplicaID: "n"}
 	p.nodes.Call(node, []*core.Attempt{first})
 	c, err := l.Accept()
 	if err != nil {
--- a/internal/platform/ended_idle_test.go
+++ b/internal/platform/ended_idle_test.go
@@ -53,7 +53,7 @@
 		t.Fatal("no outcome")
 		return 0
 	}
-	first, second := &core.Attempt{QueryID: "first", Endpoint: "n"}, &core.Attempt{QueryID: "second", Endpoint: "n"}
+	first, second := &core.Attempt{QueryID: "first", ReplicaID: "n"}, &core.Attempt{QueryID: "second", ReplicaID: "n"}
 	p.nodes.Call(node, []*core.Attempt{first})
 	c, err := l.Accept()
 	if err != nil {
--- a/internal/test/capacity/sockets.go
+++ b/internal/test/capacity/sockets.go
@@ -168,7 +168,7 @@
 		nodes: &platform.Caller{CallsPerConn: 32, ConnectTimeout: answerWait, ResponseTimeout: answerWait, KeepAlive: time.Hour}}
 	c.nodes.Reporter = c
 	for i, node := range coreNodes(count, address) {
-		c.nodes.Call(node, []*core.Attempt{{QueryID: "q" + strconv.Itoa(i), Shard: i, Endpoint: node.ID, Body: []byte("c41e77d0"), Timeout: answerWait}})
+		c.nodes.Call(node, []*core.Attempt{{QueryID: "q" + strconv.Itoa(i), Shard: i, ReplicaID: node.ID, Body: []byte("c41e77d0"), Timeout: answerWait}})
 	}
 	if wait(c.done) != nil || c.nodes.OpenConns() != count {
 		c.close()
