--- a/cmd/harepass/distribution.go
+++ b/cmd/harepass/distribution.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	f := &distributionFile{Resources: []string{resourceNodes, resourceSettings},
-		Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultAllowance}
+		Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultSilenceTolerance}
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	if err := dec.Decode(f); err != nil && err != io.EOF {
@@ -89,7 +89,7 @@
 // follower returns a follower of a resource for a coordinator with a seed.
 func (f *distributionFile) follower(c distribution.Config, seed uint64) *distribution.Follower {
 	c = withSources(c, f.Sources, failover.Locality{Zone: f.Zone, Region: f.Region})
-	c.Heartbeat, c.Allowance = f.Heartbeat, f.Allowance
+	c.Heartbeat, c.SilenceTolerance = f.Heartbeat, f.Allowance
 	c.Rand = rand.New(rand.NewPCG(seed, rand.Uint64()))
 	return distribution.New(c)
 }
@@ -98,14 +98,14 @@
 func (p *program) followNodes(ctx context.Context) {
 	apply := func(u distribution.Update) {
 		p.distributed.Apply(u)
-		if u.Completed {
+		if u.SnapshotCompleted {
 			slog.Info("list in force", "version", versionText(u.Slice.Version), "source", u.Source)
 		}
 		if u.Complete {
 			logInForce(distribution.Endpoints, u.Slice.Version)
 		}
 	}
-	f := p.distribution.follower(distribution.Config{Resource: distribution.Endpoints, KnownNames: p.distributed.Known(),
+	f := p.distribution.follower(distribution.Config{Path: distribution.Endpoints, KnownNames: p.distributed.Known(),
 		Check: p.distributed.Check, Apply: apply}, p.seed)
 	go f.Run(ctx)
 }
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	f := p.distribution.follower(distribution.Config{Resource: distribution.Settings, Check: checkSettings, Apply: apply}, p.seed)
+	f := p.distribution.follower(distribution.Config{Path: distribution.Settings, Check: checkSettings, Apply: apply}, p.seed)
 	go f.Run(ctx)
 }
 
@@ -228,8 +228,8 @@
 }
 
 // logInForce tells from when on a version is in force here.
-func logInForce(r distribution.Resource, v versionlog.Version) {
-	slog.Info(logmsg.VersionInForce, "resource", r.Name(), "epoch", v.Epoch, "index", v.Index, "at_unix_ms", time.Now().UnixMilli())
+func logInForce(r distribution.Path, v versionlog.Version) {
+	slog.Info(logmsg.VersionInForce, "resource", r.ResourceName(), "epoch", v.Epoch, "index", v.Index, "at_unix_ms", time.Now().UnixMilli())
 }
 
 // versionText is a version for logs: epoch and index.
--- a/cmd/harepass/relay.go
+++ b/cmd/harepass/relay.go
@@ -108,9 +108,9 @@
 		go r.authority.Run(ctx)
 		return
 	}
-	for resource, kept := range map[distribution.Resource]*relay.Resource{
+	for resource, kept := range map[distribution.Path]*relay.Resource{
 		distribution.Endpoints: r.server.Endpoints, distribution.Settings: r.server.Settings} {
-		config := distribution.Config{Resource: resource, Heartbeat: r.file.Heartbeat, Allowance: r.file.Allowance}
+		config := distribution.Config{Path: resource, Heartbeat: r.file.Heartbeat, SilenceTolerance: r.file.Allowance}
 		config = withSources(config, r.file.Sources, failover.Locality{Zone: r.file.Zone, Region: r.file.Region})
 		go kept.Follow(ctx, config)
 	}
--- a/cmd/harepass/relay_config.go
+++ b/cmd/harepass/relay_config.go
@@ -41,7 +41,7 @@
 }
 
 // usualRelay is what holds where the file says nothing. The budget lets 150 readers have 0.94 MB each in 8 s.
-var usualRelay = relayFile{Listen: "127.0.0.1:9700", Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultAllowance,
+var usualRelay = relayFile{Listen: "127.0.0.1:9700", Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultSilenceTolerance,
 	SnapshotBytes: 18_000_000, Removals: 10_000, Readers: 400, MemoryMB: 128, LogEvery: 10 * time.Second}
 
 const (
--- a/cmd/harepass/upgrade.go
+++ b/cmd/harepass/upgrade.go
@@ -27,10 +27,10 @@
 	if p.config.Operator == "" {
 		return known, p.config.Discovery
 	}
-	var files *operator.SnapshotDir
+	var files *operator.StateDir
 	err := errors.New("TMPDIR is not set")
 	if dir := os.Getenv("TMPDIR"); dir != "" {
-		files, err = operator.OpenSnapshotDir(filepath.Join(dir, stateFolder), time.Now())
+		files, err = operator.OpenStateDir(filepath.Join(dir, stateFolder), time.Now())
 	}
 	if err != nil {
 		slog.Error("calls of operators will not outlive this process", "err", err)
@@ -69,7 +69,7 @@
 		data, err := json.Marshal(whole)
 		return address, data, err
 	}
-	p.staff.Publish()
+	p.staff.NotifyCoordinator()
 	go p.staff.Run(ctx)
 	door := &operator.AdminServer{Handler: p.staff}
 	go door.Serve(l)
--- a/internal/distribution/config.go
+++ b/internal/distribution/config.go
@@ -13,7 +13,7 @@
 	// DefaultHeartbeat is how long a source may wait for a new version before it answers without one.
 	DefaultHeartbeat = 500 * time.Millisecond
 	// DefaultAllowance is how much later than the heartbeat an answer may come before its source counts as silent.
-	DefaultAllowance = 300 * time.Millisecond
+	DefaultSilenceTolerance = 300 * time.Millisecond
 	// DefaultMaxBody is the size limit of a relay's answer, in bytes.
 	DefaultMaxBody = 64 << 10
 
@@ -24,7 +24,7 @@
 // Config says what a Follower follows, from which sources, and who takes the updates. New reads it once.
 type Config struct {
 	// Resource is the path that is polled.
-	Resource Resource
+	Path Path
 	// Place is where this process runs: nearer sources are preferred.
 	Locality failover.Locality
 	// Sources are the relays that may be followed, one at least.
@@ -39,7 +39,7 @@
 	Heartbeat time.Duration
 	// Allowance is how much later an answer may come before its source counts as silent; DefaultAllowance where it
 	// is 0.
-	Allowance time.Duration
+	SilenceTolerance time.Duration
 	// StaleAfter is the staleness of a source from which on a fresher one is looked for. Where it is 0, it is
 	// failover.DefaultStaleAfter, or three heartbeats if that is more.
 	StaleAfter time.Duration
@@ -68,8 +68,8 @@
 	if cfg.Heartbeat == 0 {
 		cfg.Heartbeat = DefaultHeartbeat
 	}
-	if cfg.Allowance == 0 {
-		cfg.Allowance = DefaultAllowance
+	if cfg.SilenceTolerance == 0 {
+		cfg.SilenceTolerance = DefaultSilenceTolerance
 	}
 	if cfg.StaleAfter == 0 {
 		cfg.StaleAfter = max(failover.DefaultStaleAfter, staleHeartbeats*cfg.Heartbeat)
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -42,7 +42,7 @@
 
 // follow runs a consumer in inZone.
 func follow(t *testing.T, list ...failover.Source) *consumer {
-	return followWith(t, Config{Sources: list, Allowance: allowance})
+	return followWith(t, Config{Sources: list, SilenceTolerance: allowance})
 }
 
 // followWith runs a consumer in inZone by a configuration of sources until the test ends.
@@ -51,7 +51,7 @@
 	for _, name := range cfg.KnownNames {
 		c.statuses[name] = "known"
 	}
-	cfg.Resource, cfg.Locality, cfg.Heartbeat = Endpoints, inZone, 200*time.Millisecond
+	cfg.Path, cfg.Locality, cfg.Heartbeat = Endpoints, inZone, 200*time.Millisecond
 	cfg.Rand = rand.New(rand.NewPCG(1, 2))
 	cfg.Apply, cfg.Check = c.apply, checkStatuses
 	c.Follower = New(cfg)
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -23,7 +23,7 @@
 	// Removed are the names that a snapshot did not hold. They come with its last slice.
 	Removed []string
 	// Completed reports that the answer was the last slice of a snapshot.
-	Completed bool
+	SnapshotCompleted bool
 	// Complete reports that the local copy is the log's state at the slice's version.
 	Complete bool
 	// Source is the address of the source that answered.
@@ -100,7 +100,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !f.recordOutcome(ctx, source, err) {
+		if !f.handleOutcome(ctx, source, err) {
 			return
 		}
 		if better, betterClient := f.betterSource(ctx); betterClient != nil {
@@ -122,7 +122,7 @@
 	f.current.served = true
 	f.totals.switches.Add(1)
 	f.status.setSource(source.Address)
-	slog.Info(logmsg.SourceFollowed, logmsg.KeyResource, f.cfg.Resource.Name(), logmsg.KeySource, source.Address,
+	slog.Info(logmsg.SourceFollowed, logmsg.KeyResource, f.cfg.Path.ResourceName(), logmsg.KeySource, source.Address,
 		"zone", source.Zone, "region", source.Region)
 }
 
--- a/internal/distribution/outcome.go
+++ b/internal/distribution/outcome.go
@@ -23,18 +23,18 @@
 
 // recordOutcome tells the selector what came of a poll, and reports whether the source is to be followed on. err is nil
 // where its answer was applied.
-func (f *Follower) recordOutcome(ctx context.Context, source failover.Source, err error) (stay bool) {
+func (f *Follower) handleOutcome(ctx context.Context, source failover.Source, err error) (stay bool) {
 	if err == nil {
 		f.recordServed(source)
 		return true
 	}
-	if reasonOf(err) == failover.Behind && f.lag.tolerates(time.Now()) {
+	if reasonOf(err) == failover.Behind && f.lag.noteBehind(time.Now()) {
 		sleep(ctx, behindInterval)
 		return true
 	}
 	var busy busyError
 	if errors.As(err, &busy) && f.needsSnapshot() {
-		slog.Debug("source busy", logmsg.KeyResource, f.cfg.Resource.Name(), logmsg.KeySource, source.Address,
+		slog.Debug("source busy", logmsg.KeyResource, f.cfg.Path.ResourceName(), logmsg.KeySource, source.Address,
 			"retry_after", busy.retryAfter)
 		f.selector.Rejected(f.now(), busy.retryAfter)
 		return false
@@ -61,7 +61,7 @@
 		level = slog.LevelInfo
 	}
 	reason := reasonOf(err)
-	slog.Log(ctx, level, logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Resource.Name(), logmsg.KeySource, source.Address,
+	slog.Log(ctx, level, logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Path.ResourceName(), logmsg.KeySource, source.Address,
 		logmsg.KeyReason, reason.String(), logmsg.KeyError, err)
 	f.selector.Leave(f.now(), reason)
 }
@@ -70,7 +70,7 @@
 // stale that no other source is likely to remember all that has changed since. With a fresh copy the next source can
 // go on.
 func (f *Follower) needsSnapshot() bool {
-	return !f.state.Complete() || f.Status().Staleness > outdatedAfter
+	return !f.state.Complete() || f.Status().Staleness > staleCopyAfter
 }
 
 // reasonOf returns why a source whose poll or probe ended with an error is left.
@@ -97,7 +97,7 @@
 func (l *lag) isBehind() bool { return !l.since.IsZero() }
 
 // tolerates notes an answer that was older than the local copy, and reports whether its source may be polled again.
-func (l *lag) tolerates(now time.Time) bool {
+func (l *lag) noteBehind(now time.Time) bool {
 	if l.since.IsZero() {
 		l.since = now
 	}
--- a/internal/distribution/resource.go
+++ b/internal/distribution/path.go
@@ -1,16 +1,16 @@
 package distribution
 
 // Resource is the path under which relays and discovery give out what a Follower follows.
-type Resource string
+type Path string
 
 // The resources.
 const (
-	Endpoints Resource = "/registry/instances" // the endpoint list
-	Settings  Resource = "/registry/settings"  // the settings of the fleet
+	Endpoints Path = "/registry/instances" // the endpoint list
+	Settings  Path = "/registry/settings"  // the settings of the fleet
 )
 
 // Name returns the resource's name in logs and configuration files: the last element of its path.
-func (r Resource) Name() string {
+func (r Path) ResourceName() string {
 	switch r {
 	case Endpoints:
 		return "instances"
--- a/internal/distribution/poll.go
+++ b/internal/distribution/poll.go
@@ -30,11 +30,11 @@
 // context.DeadlineExceeded where the source was silent for heartbeat and allowance together.
 func (f *Follower) call(ctx context.Context, client *http1.Client, cursor versionlog.Cursor, known bool,
 	maxWait time.Duration) (*http1.Message, error) {
-	limited, cancel := context.WithTimeout(ctx, f.cfg.Heartbeat+f.cfg.Allowance)
+	limited, cancel := context.WithTimeout(ctx, f.cfg.Heartbeat+f.cfg.SilenceTolerance)
 	defer cancel()
 	f.totals.calls.Add(1)
 	answer, _, err := client.Do(limited, &http1.Message{Method: "GET",
-		Target: target(f.cfg.Resource, cursor, known, maxWait), Header: textproto.MIMEHeader{"Host": {client.Address}}})
+		Target: target(f.cfg.Path, cursor, known, maxWait), Header: textproto.MIMEHeader{"Host": {client.Address}}})
 	if err == nil {
 		return answer, nil
 	}
@@ -47,7 +47,7 @@
 
 // target returns the request target of a call for what is newer than a cursor; known is false where the reader has
 // nothing yet and asks for a snapshot.
-func target(r Resource, c versionlog.Cursor, known bool, maxWait time.Duration) string {
+func target(r Path, c versionlog.Cursor, known bool, maxWait time.Duration) string {
 	if !known {
 		return string(r)
 	}
@@ -72,7 +72,7 @@
 		err = f.checkEntries(slice)
 	}
 	if errors.Is(err, ErrInvalid) {
-		f.totals.rejected.Add(1)
+		f.totals.unusable.Add(1)
 	}
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 	before, _ := f.state.Cursor()
 	change, err := f.state.Apply(slice)
 	if err != nil {
-		f.totals.rejected.Add(1)
+		f.totals.unusable.Add(1)
 		return err
 	}
 	updated := slice.Version != before.Version || slice.Snapshot || change.SnapshotCompleted
@@ -90,7 +90,7 @@
 	f.status.setVersion(slice, change, f.state.Len(), f.current.staleness)
 	if updated {
 		f.cfg.Apply(Update{Slice: slice, Entries: change.Entries, Removed: change.Removed,
-			Completed: change.SnapshotCompleted, Complete: change.Complete, Source: source})
+			SnapshotCompleted: change.SnapshotCompleted, Complete: change.Complete, Source: source})
 	}
 	return nil
 }
--- a/internal/distribution/probe.go
+++ b/internal/distribution/probe.go
@@ -41,7 +41,7 @@
 		f.probe.underWay = false
 		if p.err != nil {
 			f.selector.ProbeFailed(f.now(), p.source, reasonOf(p.err))
-		} else if f.isBetter(p) {
+		} else if f.switchIfBetter(p) {
 			return p.source, p.client
 		}
 		p.client.Close()
@@ -52,14 +52,14 @@
 
 // isBetter reports whether the source of a probe that was answered is to be followed in place of the current one; the
 // selector then takes it for the current one.
-func (f *Follower) isBetter(p probe) bool {
+func (f *Follower) switchIfBetter(p probe) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
 	if !f.selector.SwitchTo(f.now(), p.source, p.staleness+time.Since(p.answeredAt)) {
 		return false
 	}
 	if stale {
-		slog.Info(logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Resource.Name(), logmsg.KeySource, left.Address,
+		slog.Info(logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Path.ResourceName(), logmsg.KeySource, left.Address,
 			logmsg.KeyReason, failover.Stale.String(), "staleness", f.current.staleness.Round(time.Millisecond))
 	}
 	return true
--- a/internal/distribution/probe_test.go
+++ b/internal/distribution/probe_test.go
@@ -14,7 +14,7 @@
 	l := newSharedLog(1, "a")
 	zone, far := newFakeSource(t, l), newFakeSource(t, l)
 	c := followWith(t, Config{Sources: []failover.Source{at(far, elsewhere), at(zone, inZone)},
-		Allowance: 5 * time.Minute}) // longer than the test waits for anything
+		SilenceTolerance: 5 * time.Minute}) // longer than the test waits for anything
 	c.waitForVersion(l.head())
 	zone.stop()
 	c.waitFor("the far source", func() bool { return c.Status().Source == far.address })
--- a/internal/distribution/staleness_log.go
+++ b/internal/distribution/staleness_log.go
@@ -10,7 +10,7 @@
 
 const (
 	// outdatedAfter is the staleness of a local copy that an operator should know of.
-	outdatedAfter = 5 * time.Second
+	staleCopyAfter = 5 * time.Second
 	// stalenessInterval is the time between two looks at the staleness.
 	stalenessInterval = time.Second
 )
@@ -19,24 +19,24 @@
 func (f *Follower) logStaleness(ctx context.Context) {
 	ticker := time.NewTicker(stalenessInterval)
 	defer ticker.Stop()
-	outdated := false
+	stale := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if s := f.Status(); outdated != (s.Staleness > outdatedAfter) {
-			outdated = !outdated
-			f.logFreshness(s, outdated)
+		if s := f.Status(); stale != (s.Staleness > staleCopyAfter) {
+			stale = !stale
+			f.logStaleOrFresh(s, stale)
 		}
 	}
 }
 
-func (f *Follower) logFreshness(s Status, outdated bool) {
-	attributes := []any{logmsg.KeyResource, f.cfg.Resource.Name(), "staleness", s.Staleness.Round(time.Millisecond),
+func (f *Follower) logStaleOrFresh(s Status, stale bool) {
+	attributes := []any{logmsg.KeyResource, f.cfg.Path.ResourceName(), "staleness", s.Staleness.Round(time.Millisecond),
 		"epoch", s.Version.Epoch, "index", s.Version.Index, "complete", s.Complete}
-	if outdated {
+	if stale {
 		slog.Warn("local copy stale", attributes...)
 		return
 	}
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -73,14 +73,14 @@
 	Entries      int64 // entries that were changed or removed
 	Snapshots    int64 // snapshots that were completed
 	Switches     int64 // times that a source was followed, the first one included
-	Rejected     int64 // answers that were not applied because they were behind or invalid
+	Unusable     int64 // answers that were not applied because they were behind or invalid
 }
 
 // totals are the Counters as they are counted.
 type totals struct {
 	calls, failures, bytesRead, bytesWritten atomic.Int64
 	versions, entries, snapshots             atomic.Int64
-	switches, rejected                       atomic.Int64
+	switches, unusable                       atomic.Int64
 }
 
 // recordChange counts an answer that was applied; updated is false for one that brought nothing new.
@@ -100,5 +100,5 @@
 	return Counters{Calls: t.calls.Load(), Failures: t.failures.Load(),
 		BytesRead: t.bytesRead.Load(), BytesWritten: t.bytesWritten.Load(),
 		Versions: t.versions.Load(), Entries: t.entries.Load(), Snapshots: t.snapshots.Load(),
-		Switches: t.switches.Load(), Rejected: t.rejected.Load()}
+		Switches: t.switches.Load(), Unusable: t.unusable.Load()}
 }
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -80,7 +80,7 @@
 		}
 		s.evict(candidate, closedEvicted)
 	}
-	s.closeEvicted(s.capacity())
+	s.cutLingering(s.capacity())
 }
 
 // evictSurplusIdle evicts the connection that has been idle for longest, where more than MaxIdle are. Clients that ask
@@ -150,7 +150,7 @@
 
 // closeEvicted closes evicted connections that are being closed, the longest first, while there are more than limit
 // connections. It is called under the lock.
-func (s *Server) closeEvicted(limit int) {
+func (s *Server) cutLingering(limit int) {
 	for _, c := range slices.Clone(s.evicted) {
 		if s.connCount() <= limit {
 			return
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -28,13 +28,13 @@
 	// Buffer holds the bytes that have come and are not parsed yet.
 	Buffer buffer.Buffer
 
-	limits       Limits
-	readsAnswers bool // it reads answers rather than requests
-	state        readerState
-	msg          *Message // the message under way; nil until its head is complete
-	scanned      int      // bytes of Buffer that hold no line end
-	remaining    int      // bytes of the body or chunk that have not come
-	trailerBytes int      // size of the trailer's lines so far
+	limits        Limits
+	readsAnswers  bool // it reads answers rather than requests
+	state         readerState
+	msg           *Message // the message under way; nil until its head is complete
+	bytesSearched int      // bytes of Buffer that hold no line end
+	remaining     int      // bytes of the body or chunk that have not come
+	trailerBytes  int      // size of the trailer's lines so far
 }
 
 // NewRequestReader returns a Reader of requests.
@@ -76,23 +76,23 @@
 // Parse returns the next message if all of it is in the buffer, and else nil. The error is an *Error.
 func (r *Reader) Parse() (*Message, error) {
 	for {
-		var more bool
+		var incomplete bool
 		var err error
 		switch r.state {
 		case inHead:
-			more, err = r.parseHead()
+			incomplete, err = r.parseHead()
 		case inBody:
-			more, err = r.takeBody(inHead)
+			incomplete, err = r.takeBody(inHead)
 		case inSize:
-			more, err = r.parseChunkSize()
+			incomplete, err = r.parseChunkSize()
 		case inChunk:
-			more, err = r.parseChunk()
+			incomplete, err = r.parseChunk()
 		case inTrailer:
-			more, err = r.parseTrailer()
+			incomplete, err = r.parseTrailer()
 		case untilEnd:
-			more, err = r.takeUntilEnd()
+			incomplete, err = r.takeUntilEnd()
 		}
-		if err != nil || more {
+		if err != nil || incomplete {
 			return nil, err
 		}
 		if r.state == inHead {
@@ -112,7 +112,7 @@
 	}
 	text = string(b[:i-1])
 	r.Buffer.Consume(i + 1)
-	r.scanned = 0
+	r.bytesSearched = 0
 	return text, true, nil
 }
 
@@ -120,12 +120,12 @@
 // however the bytes come in.
 func (r *Reader) findLineEnd(b []byte, limit int) (int, error) {
 	window := b[:min(len(b), limit)]
-	i := bytes.IndexByte(window[r.scanned:], '\n')
-	switch i += r.scanned; {
-	case i < r.scanned && len(b) > limit:
+	i := bytes.IndexByte(window[r.bytesSearched:], '\n')
+	switch i += r.bytesSearched; {
+	case i < r.bytesSearched && len(b) > limit:
 		return -1, &Error{StatusHeaderFieldsTooLarge, "header too large"}
-	case i < r.scanned:
-		r.scanned = len(window)
+	case i < r.bytesSearched:
+		r.bytesSearched = len(window)
 		return -1, nil
 	case i == 0 || b[i-1] != '\r':
 		return -1, malformed("line ends without CR")
--- a/internal/http1/reader_head.go
+++ b/internal/http1/reader_head.go
@@ -19,9 +19,9 @@
 // parseHead parses start line and header fields once all of them are there; more is true before.
 func (r *Reader) parseHead() (more bool, err error) {
 	b := r.Buffer.Bytes()
-	for r.scanned <= 1 && bytes.HasPrefix(b, []byte(crlf)) { // empty lines before a request are skipped
+	for r.bytesSearched <= 1 && bytes.HasPrefix(b, []byte(crlf)) { // empty lines before a request are skipped
 		r.Buffer.Consume(len(crlf))
-		b, r.scanned = r.Buffer.Bytes(), 0
+		b, r.bytesSearched = r.Buffer.Bytes(), 0
 	}
 	end, err := r.findHeadEnd(b)
 	if end == 0 || err != nil {
@@ -37,7 +37,7 @@
 		return false, err
 	}
 	r.Buffer.Consume(end)
-	r.scanned, r.msg = 0, m
+	r.bytesSearched, r.msg = 0, m
 	return false, r.parseFraming(bytes.Contains(start, []byte(version10)))
 }
 
@@ -48,7 +48,7 @@
 		if at < 0 || err != nil {
 			return 0, err
 		}
-		r.scanned = at + 1
+		r.bytesSearched = at + 1
 		if at >= 3 && b[at-2] == '\n' {
 			return at + 1, nil
 		}
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -116,7 +116,7 @@
 	if s.conns == nil {
 		s.conns, s.idle = map[*conn]struct{}{}, list.New()
 	}
-	s.closeEvicted(s.capacity())
+	s.cutLingering(s.capacity())
 	s.conns[c] = struct{}{}
 	if s.shuttingDown { // it waited in the backlog: its request has come, or is on the way
 		c.SetReadDeadline(c.acceptedAt.Add(lateReadGrace))
--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -17,7 +17,7 @@
 	// earlyWaitWindows is the wait, in windows, from which the next observation comes before its window is over.
 	earlyWaitWindows = 1
 	// minWindowDivisor is the shortest window between observations, as a divisor of the usual one.
-	minWindowDivisor = 4
+	maxObservationsPerWindow = 4
 )
 
 // Shedder is a core.Admitter. Use New, set the exported fields, then start Run. Its methods other than Run may be
@@ -87,9 +87,9 @@
 	s.ticks.Count += t.Count
 	s.ticks.Duration = max(s.ticks.Duration, t.Duration)
 	s.ticks.OpenFraction, s.ticks.QueryBytes = t.OpenFraction, t.QueryBytes
-	overdue := t.MaxWait > earlyWaitWindows*s.controller.Interval()
+	waitedTooLong := t.MaxWait > earlyWaitWindows*s.controller.Interval()
 	s.mu.Unlock()
-	if overdue {
+	if waitedTooLong {
 		select {
 		case s.early <- struct{}{}:
 		default:
@@ -115,7 +115,7 @@
 			return
 		case <-ticker.C:
 		case <-s.early:
-			if s.Clock()-s.observedAt < s.controller.Interval()/minWindowDivisor {
+			if s.Clock()-s.observedAt < s.controller.Interval()/maxObservationsPerWindow {
 				continue
 			}
 		}
--- a/internal/operator/endpoint_list.go
+++ b/internal/operator/endpoint_list.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"log/slog"
 	"time"
+
+	"harepass/internal/logmsg"
 )
 
 // encodingIntervalPerByte is how long the endpoint list is not encoded again, for each byte that it had. Encoding takes
@@ -13,10 +15,14 @@
 
 // SetList keeps the endpoint list, in discovery's form, for a new process, with the discovery address that it came
 // from.
+//
+// The list, the register of maintenance calls and the checkpoint share the state file's limit of maxStateFileBytes.
+// While they exceed it together, no state file is written, so maintenance calls do not reach other processes either;
+// the log says so every writeErrorInterval. The last file that could be written stays in place.
 func (s *Store) SetList(discovery string, list json.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own.At, s.own.List, s.own.Discovery, s.unsaved = s.Clock(), list, discovery, true
+	s.own.ListAt, s.own.List, s.own.Discovery, s.unsaved = s.Clock(), list, discovery, true
 }
 
 // ListChanged has Run encode and keep the endpoint list, at the next poll or, for a long list, some polls later.
@@ -39,7 +45,7 @@
 	discovery, list, err := s.EncodeList()
 	s.nextEncoding = now + time.Duration(len(list))*encodingIntervalPerByte
 	if err != nil {
-		slog.Error("endpoint list not kept", "err", err)
+		slog.Error("endpoint list not encoded", logmsg.KeyError, err)
 		return
 	}
 	s.SetList(discovery, list)
--- a/internal/operator/endpoint_list_test.go
+++ b/internal/operator/endpoint_list_test.go
@@ -11,8 +11,10 @@
 	"time"
 )
 
-// The endpoint list changes all the time. A short one is encoded at each poll, a long one as often as its length
-// allows; the last change is written in the end, and nothing is encoded where nothing has changed.
+// The endpoint list changes all the time, for 205 steps of a tenth of a poll, so 20.5 polls. A short one of 7,000
+// bytes may be encoded every 7 ms, so it is at each poll of 100 ms: 20 or 21 times. A long one of 700,000 bytes may be
+// every 0.7 s, so it is about three or four times in 2.05 s. The last change is written in the end, and nothing is
+// encoded where nothing has changed.
 func TestListIsEncodedAsOftenAsItsLengthAllows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir, err := os.MkdirTemp("", "")
--- a/internal/operator/maintenance.go
+++ b/internal/operator/maintenance.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"harepass/internal/decide/maintenance"
+	"harepass/internal/logmsg"
 )
 
 // callBackLifetime is how long a call back is remembered. By then the replica is warmed up, and as any other.
@@ -31,15 +32,15 @@
 // later poll.
 func (s *Store) setMaintenance(id string, out bool, by string) error {
 	if err := s.sync(); err != nil {
-		slog.Warn("maintenance call without other processes' snapshots", "replica", id, "err", err)
+		slog.Warn("maintenance call without other processes' state files", logmsg.KeyReplica, id, logmsg.KeyError, err)
 	}
 	changed, err := s.applyCall(id, out, by)
 	if err != nil {
 		return err
 	}
-	slog.Info("maintenance call applied", "replica", id, "out", out, "by", by, "changed", changed)
+	slog.Info("maintenance call applied", logmsg.KeyReplica, id, "out", out, "by", by, "changed", changed)
 	if err := s.sync(); err != nil {
-		slog.Error("maintenance call not written yet", "replica", id, "err", err)
+		slog.Error("maintenance call not written yet", logmsg.KeyReplica, id, logmsg.KeyError, err)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/operator/state_dir.go
@@ -0,0 +1,144 @@
+package operator
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"harepass/internal/logmsg"
+)
+
+const (
+	// stateFileSuffix ends the name of a state file.
+	stateFileSuffix = ".state"
+	// writingSuffix is appended to the name of a state file while it is written.
+	writingSuffix = ".new"
+	// maxOldStateFiles is how many state files of other processes are kept, the latest ones.
+	maxOldStateFiles = 4
+	// partialLifetime is the age from which the writer of a partial state file was killed.
+	partialLifetime = time.Minute
+)
+
+// msgNotUsed is the log message for a state file that was found and left out.
+const msgNotUsed = "state file not used"
+
+// StateDir is the directory that the processes of a coordinator share. Each writes a state file of its own. It is
+// for one goroutine at a time.
+type StateDir struct {
+	dir      string
+	own      string                 // name of this process's state file
+	lastRead map[string]fs.FileInfo // the other state files when they were last read, by name
+}
+
+// OpenStateDir makes the directory where it is missing. started is this process's start: state files' names are in
+// the order of starts.
+func OpenStateDir(dir string, started time.Time) (*StateDir, error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, err
+	}
+	own := fmt.Sprintf("%016x-%d%s", started.UnixNano(), os.Getpid(), stateFileSuffix)
+	return &StateDir{dir: dir, own: own, lastRead: map[string]fs.FileInfo{}}, nil
+}
+
+// ownPartial is the name of this process's state file while it is written.
+func (d *StateDir) ownPartial() string { return d.own + writingSuffix }
+
+// Write replaces this process's state file completely or not at all. It returns ErrTooLarge or an error of the file
+// system.
+//
+// A process that is killed while it writes would leave a torn state file in place of its last one, and the operators'
+// calls would be lost. So the new one is written beside it and renamed over it. The directory does not outlive the
+// machine, so nothing is synced: only other processes read it, and they see a rename completely or not at all.
+func (d *StateDir) Write(s StateFile) error {
+	data, err := Encode(s)
+	if err != nil {
+		return err
+	}
+	partial := filepath.Join(d.dir, d.ownPartial())
+	if err := os.WriteFile(partial, data, 0o600); err != nil {
+		os.Remove(partial) // a full disk leaves half of it
+		return err
+	}
+	return os.Rename(partial, filepath.Join(d.dir, d.own))
+}
+
+// ReadChanged returns the other processes' state files that have changed since the last call, in order of the
+// processes' starts. One that cannot be used is logged and left out.
+//
+// A file counts as read before it is: one whose reading fails, if only for a moment, is left out until it changes.
+func (d *StateDir) ReadChanged() (list []StateFile) {
+	paths, err := filepath.Glob(filepath.Join(d.dir, "*"+stateFileSuffix))
+	if err != nil {
+		return nil
+	}
+	for _, path := range paths {
+		name := filepath.Base(path)
+		if name == d.own {
+			continue
+		}
+		info, err := os.Stat(path)
+		if err != nil || sameFile(d.lastRead[name], info) {
+			continue
+		}
+		d.lastRead[name] = info
+		s, err := readStateFile(path, info.Size())
+		if err != nil {
+			slog.Warn(msgNotUsed, "file", path, logmsg.KeyError, err)
+			continue
+		}
+		list = append(list, s)
+	}
+	return list
+}
+
+// sameFile reports whether a file is as it was when it was last read; nil where it was not read yet.
+func sameFile(last, now fs.FileInfo) bool {
+	return last != nil && os.SameFile(last, now) && last.ModTime().Equal(now.ModTime()) && last.Size() == now.Size()
+}
+
+// readStateFile reads a file of a size in bytes. It returns ErrTooLarge or an error of the file system or of Decode.
+func readStateFile(path string, size int64) (StateFile, error) {
+	if size > maxStateFileBytes {
+		return StateFile{}, fmt.Errorf("%w: %d bytes, at most %d are read", ErrTooLarge, size, maxStateFileBytes)
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return StateFile{}, err
+	}
+	return Decode(data)
+}
+
+// Prune removes the state files of ended processes but for the latest few, and partial ones whose writers were killed.
+func (d *StateDir) Prune() {
+	entries, err := os.ReadDir(d.dir)
+	if err != nil {
+		return
+	}
+	var others []string // names in order of the processes' starts
+	for _, e := range entries {
+		switch name := e.Name(); {
+		case strings.HasSuffix(name, stateFileSuffix) && name != d.own:
+			others = append(others, name)
+		case strings.HasSuffix(name, stateFileSuffix+writingSuffix) && name != d.ownPartial():
+			if info, err := e.Info(); err == nil && time.Since(info.ModTime()) > partialLifetime {
+				d.remove(name)
+			}
+		}
+	}
+	for len(others) > maxOldStateFiles {
+		d.remove(others[0])
+		delete(d.lastRead, others[0])
+		others = others[1:]
+	}
+}
+
+func (d *StateDir) remove(name string) {
+	if err := os.Remove(filepath.Join(d.dir, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		slog.Warn("state file not removed", "file", name, logmsg.KeyError, err)
+	}
+}
--- a/internal/operator/snapshot_compat_test.go
+++ b/internal/operator/state_file_compat_test.go
@@ -12,14 +12,14 @@
 	"harepass/internal/decide/scatter"
 )
 
-// storedState is a snapshot that the program wrote at 51e85a9, the last version before Go names were changed.
-const storedState = "testdata/51e85a9.state"
+// storedPath is a state file that the program wrote at 51e85a9, the last version before Go names were changed.
+const storedPath = "testdata/51e85a9.state"
 
-// storedSnapshot is what was stored there; every field has a value of its own.
-func storedSnapshot() Snapshot {
-	return Snapshot{
-		Name: "n3",
-		At:   1_764_700_000_123_456_789,
+// storedStateFile is what was stored there; every field has a value of its own.
+func storedStateFile() StateFile {
+	return StateFile{
+		Name:   "n3",
+		ListAt: 1_764_700_000_123_456_789,
 		Maintenance: maintenance.Register{
 			"a1": {Out: true, At: 1_764_700_000_000_000_001, By: "127.0.0.1:5001", Reason: "disk"},
 			"a2": {Out: false, At: 1_764_700_000_000_000_002, OutSince: 1_764_690_000_000_000_003, By: "127.0.0.1:5002"},
@@ -47,10 +47,10 @@
 	}
 }
 
-// A new version of the program takes over from an old one. The snapshot that the old one left is read completely,
+// A new version of the program takes over from an old one. The state file that the old one left is read completely,
 // each value in its place, and is written again as the same bytes, which the old one could read.
-func TestSnapshotOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
-	stored, err := os.ReadFile(storedState)
+func TestStateFileOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
+	stored, err := os.ReadFile(storedPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := storedSnapshot(); !reflect.DeepEqual(got, want) {
+	if want := storedStateFile(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read\n%+v, want\n%+v", got, want)
 	}
 	if again, err := Encode(got); err != nil || !bytes.Equal(again, stored) {
--- a/internal/operator/snapshot_test.go
+++ b/internal/operator/state_file_test.go
@@ -14,11 +14,11 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A snapshot is cut at any byte, has any one byte altered, or is in the form of another version. It must not be read
-// as another snapshot: replicas that are out would be back.
-func TestTornSnapshotsAreRefused(t *testing.T) {
-	s := Snapshot{
-		Name: "n1", At: time.Second, Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour, By: "x"}},
+// A state file is cut at any byte, has any one byte altered, or is in the form of another version. It must not be read
+// as another state file: replicas that are out would be back.
+func TestTornStateFilesAreRefused(t *testing.T) {
+	s := StateFile{
+		Name: "n1", ListAt: time.Second, Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour, By: "x"}},
 		Discovery: "d", List: json.RawMessage(`{"index":1}`),
 		Checkpoint: &scatter.Checkpoint{At: 1, Replicas: []scatter.ReplicaCheckpoint{{ID: "a", LatencyRatio: 2}}},
 	}
@@ -30,8 +30,8 @@
 		t.Fatalf("%v %v", got, err)
 	}
 	for n := range good {
-		if _, err := Decode(good[:n]); !errors.Is(err, ErrNotSnapshot) && !errors.Is(err, ErrTorn) {
-			t.Errorf("the first %d bytes: %v, want not a snapshot, or a torn one", n, err)
+		if _, err := Decode(good[:n]); !errors.Is(err, ErrNotStateFile) && !errors.Is(err, ErrTorn) {
+			t.Errorf("the first %d bytes: %v, want not a state file, or a torn one", n, err)
 		}
 		bad := bytes.Clone(good)
 		bad[n] ^= 1
@@ -47,9 +47,9 @@
 	}
 }
 
-// Whatever a file holds, it is refused or is a snapshot that can be written again.
+// Whatever a file holds, it is refused or is a state file that can be written again.
 func FuzzDecode(f *testing.F) {
-	good, _ := Encode(Snapshot{
+	good, _ := Encode(StateFile{
 		Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: 1}}, List: json.RawMessage(`{}`),
 	})
 	f.Add(good)
@@ -69,7 +69,7 @@
 			t.Fatalf("%+v: %v", s, err)
 		}
 		got, err := Decode(again)
-		if err != nil || got.Name != s.Name || got.At != s.At || len(got.Maintenance) != len(s.Maintenance) {
+		if err != nil || got.Name != s.Name || got.ListAt != s.ListAt || len(got.Maintenance) != len(s.Maintenance) {
 			t.Errorf("%+v became %+v: %v", s, got, err)
 		}
 	})
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -11,24 +11,25 @@
 
 	"harepass/internal/decide/maintenance"
 	"harepass/internal/decide/scatter"
+	"harepass/internal/logmsg"
 )
 
 const (
-	// pollInterval is the time between two polls of other processes' snapshots. A call at one binds all within a
-	// second.
+	// pollInterval is the time between two polls of other processes' state files. A call at one process binds all
+	// within a second.
 	pollInterval = 100 * time.Millisecond
 	// syncTimeout is how long a caller waits for files to be read or written; a maintenance call does so twice.
 	syncTimeout = 300 * time.Millisecond
-	// writeErrorInterval is the time between two log lines while the snapshot cannot be written.
+	// writeErrorInterval is the time between two log lines while the state file cannot be written.
 	writeErrorInterval = 10 * time.Second
 	// checkpointLifetime is how old a checkpoint may be: its rates hold for a few rebalances of a second each.
 	checkpointLifetime = 5 * time.Second
 )
 
-// msgWriteFailed is the log message for a snapshot that could not be written.
-const msgWriteFailed = "snapshot write failed"
+// msgNotWritten is the log message for a state file that could not be written.
+const msgNotWritten = "state file not written"
 
-var errSyncTimeout = errors.New("operator: snapshots not read and written in time")
+var errSyncTimeout = errors.New("operator: state files not read and written in time")
 
 // Coordinator is what a Store notifies. None of its methods may block.
 type Coordinator interface {
@@ -42,14 +43,14 @@
 	SetLimitsShared(bool)
 }
 
-// Store keeps what the processes of a coordinator have to know of each other. It is the Handler of an AdminServer.
-// Use NewStore, set Coordinator and EncodeList, call Publish, then start Run. The methods that have no other rule may
-// be called from any goroutine.
+// Store holds what the processes of a coordinator have to know of each other. It is the Handler of an AdminServer. Use
+// NewStore, set Coordinator and EncodeList, call NotifyCoordinator, then start Run. The methods that have no other rule
+// may be called from any goroutine.
 type Store struct {
-	Name        string               // of the coordinator; snapshots of another one are not used
+	Name        string               // of the coordinator; state files of another one are not used
 	Coordinator Coordinator          // is notified of other processes' calls
 	Clock       func() time.Duration // wall clock, since the Unix epoch
-	Snapshots   *SnapshotDir         // nil keeps nothing beyond this process
+	StateDir    *StateDir            // nil keeps nothing beyond this process
 
 	// EncodeList returns the endpoint list, in discovery's form, and the discovery address that it came from. Run
 	// calls it some time after ListChanged. Nil where SetList alone brings lists.
@@ -58,9 +59,9 @@
 	syncs chan chan struct{} // requests to Run to read and write files now; each is closed when that is done
 
 	mu        sync.Mutex
-	own       Snapshot // what this process leaves, with what it has merged
-	unsaved   bool     // own has changed since it was written
-	listDirty bool     // the endpoint list has changed since it was encoded
+	own       StateFile // what this process leaves, with what it has merged
+	unsaved   bool      // own has changed since it was written
+	listDirty bool      // the endpoint list has changed since it was encoded
 
 	// Only Run uses these.
 	nextEncoding time.Duration // until then the endpoint list is not encoded again
@@ -69,10 +70,10 @@
 }
 
 // NewStore returns a Store that begins with what other processes have left. dir is nil where nothing is shared.
-func NewStore(name string, dir *SnapshotDir, clock func() time.Duration) *Store {
+func NewStore(name string, dir *StateDir, clock func() time.Duration) *Store {
 	s := &Store{
-		Name: name, Snapshots: dir, Clock: clock, syncs: make(chan chan struct{}),
-		own: Snapshot{Name: name, Maintenance: maintenance.Register{}},
+		Name: name, StateDir: dir, Clock: clock, syncs: make(chan chan struct{}),
+		own: StateFile{Name: name, Maintenance: maintenance.Register{}},
 	}
 	if dir != nil {
 		dir.Prune()
@@ -103,8 +104,9 @@
 	s.own.Checkpoint, s.unsaved = &c, true
 }
 
-// Publish notifies the coordinator of what other processes have left. It is called once, before the coordinator runs.
-func (s *Store) Publish() {
+// NotifyCoordinator notifies the coordinator of what other processes have left. It is called once, before the
+// coordinator runs.
+func (s *Store) NotifyCoordinator() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notify()
@@ -114,20 +116,20 @@
 // order.
 func (s *Store) notify() { s.Coordinator.SetMaintenance(maps.Clone(s.own.Maintenance)) }
 
-// merge takes over what is later in other processes' snapshots, and reports whether the register has changed. It is
+// merge takes over what is later in other processes' state files, and reports whether the register has changed. It is
 // called with the lock held, or before Run.
-func (s *Store) merge(others []Snapshot) (registerChanged bool) {
+func (s *Store) merge(others []StateFile) (registerChanged bool) {
 	for _, o := range others {
 		if o.Name != s.Name {
-			slog.Warn(msgNotUsed, "coordinator", o.Name, "err", "it is another coordinator's")
+			slog.Warn(msgNotUsed, "coordinator", o.Name, logmsg.KeyError, "it is another coordinator's")
 			continue
 		}
 		registerChanged = s.own.Maintenance.Merge(o.Maintenance) || registerChanged
 		if c := o.Checkpoint; c != nil && (s.own.Checkpoint == nil || c.At > s.own.Checkpoint.At) {
 			s.own.Checkpoint = c
 		}
-		if len(o.List) > 0 && o.At > s.own.At {
-			s.own.At, s.own.List, s.own.Discovery = o.At, o.List, o.Discovery
+		if len(o.List) > 0 && o.ListAt > s.own.ListAt {
+			s.own.ListAt, s.own.List, s.own.Discovery = o.ListAt, o.List, o.Discovery
 		}
 	}
 	return registerChanged
@@ -154,10 +156,10 @@
 
 // syncFiles reads what other processes have written and writes what has changed here.
 func (s *Store) syncFiles() {
-	if s.Snapshots == nil {
+	if s.StateDir == nil {
 		return
 	}
-	others := s.Snapshots.ReadChanged()
+	others := s.StateDir.ReadChanged()
 	if changed, shared := s.peers.observe(s.Name, others, s.Clock()); changed {
 		s.Coordinator.SetLimitsShared(shared)
 	}
@@ -166,13 +168,13 @@
 	if !unsaved {
 		return
 	}
-	if err := s.Snapshots.Write(own); err != nil {
+	if err := s.StateDir.Write(own); err != nil {
 		s.writeFailed(err)
 	}
 }
 
-// mergeAndTake merges other processes' snapshots, and returns the own one and whether it has to be written.
-func (s *Store) mergeAndTake(others []Snapshot) (own Snapshot, unsaved bool) {
+// mergeAndTake merges other processes' state files, and returns the own one and whether it has to be written.
+func (s *Store) mergeAndTake(others []StateFile) (own StateFile, unsaved bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.merge(others) {
@@ -184,12 +186,12 @@
 	return own, unsaved
 }
 
-// writeFailed has the snapshot written again at the next poll. A disk that stays full would fill the log with a line
+// writeFailed has the state file written again at the next poll. A disk that stays full would fill the log with a line
 // for each poll, so only some failures are logged.
 func (s *Store) writeFailed(err error) {
 	if now := s.Clock(); s.writeErrorAt == 0 || now-s.writeErrorAt >= writeErrorInterval {
 		s.writeErrorAt = now
-		slog.Error(msgWriteFailed, "err", err)
+		slog.Error(msgNotWritten, logmsg.KeyError, err)
 	}
 	s.mu.Lock()
 	s.unsaved = true
--- a/internal/operator/store_test.go
+++ b/internal/operator/store_test.go
@@ -62,9 +62,9 @@
 // wallClock is the wall clock; in a synctest bubble that of the bubble.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// openDir opens a snapshot directory for a process that starts now.
-func openDir(t *testing.T, dir string) *SnapshotDir {
-	d, err := OpenSnapshotDir(dir, time.Now())
+// openDir opens a state directory for a process that starts now.
+func openDir(t *testing.T, dir string) *StateDir {
+	d, err := OpenStateDir(dir, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	s := NewStore(name, openDir(t, dir), wallClock)
 	p := process{Store: s, coordinator: &fakeCoordinator{}}
 	s.Coordinator = p.coordinator
-	s.Publish()
+	s.NotifyCoordinator()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
@@ -183,9 +183,9 @@
 
 // The directory holds files that are torn, empty, too large or no files at all. They are left out, and the rest is
 // used.
-func TestUnreadableSnapshotsAreLeftOut(t *testing.T) {
+func TestUnreadableStateFilesAreLeftOut(t *testing.T) {
 	dir := t.TempDir()
-	good, err := Encode(Snapshot{Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour}}})
+	good, err := Encode(StateFile{Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	if err := errors.Join(
 		write("00-1.state", good[:len(good)-1]),
 		write("01-1.state", nil),
-		write("02-1.state", bytes.Repeat([]byte("x"), maxSnapshotBytes+1)),
+		write("02-1.state", bytes.Repeat([]byte("x"), maxStateFileBytes+1)),
 		os.Mkdir(filepath.Join(dir, "03-1.state"), 0o700),
 		write("04-1.state", good),
 	); err != nil {
@@ -208,7 +208,7 @@
 
 // The directory is removed while a process runs. A call binds all the same, and the log gets one line, not one for
 // each poll.
-func TestCallBindsThoughSnapshotCannotBeWritten(t *testing.T) {
+func TestCallBindsThoughStateFileCannotBeWritten(t *testing.T) {
 	var log bytes.Buffer
 	before := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
@@ -225,7 +225,7 @@
 		time.Sleep(5 * time.Second)
 		p.end()
 	})
-	if n := strings.Count(log.String(), msgWriteFailed); n != 1 {
+	if n := strings.Count(log.String(), msgNotWritten); n != 1 {
 		t.Errorf("%d lines", n)
 	}
 }
--- a/internal/platform/one_change_test.go
+++ b/internal/platform/one_change_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, Removed: c.Removed, Completed: c.SnapshotCompleted, Complete: c.Complete})
+	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, Removed: c.Removed, SnapshotCompleted: c.SnapshotCompleted, Complete: c.Complete})
 }
 
 // change takes the next change of one entry.
--- a/internal/platform/relayed_list.go
+++ b/internal/platform/relayed_list.go
@@ -80,7 +80,7 @@
 		d.copy.Merge(DistributedSource, list)
 		d.changed()
 	}
-	d.complete = d.complete || u.Completed
+	d.complete = d.complete || u.SnapshotCompleted
 	if d.complete {
 		d.Listed(scatter.IncrementalUpdate, endpoints)
 	} else {
--- a/internal/platform/relayed_list_test.go
+++ b/internal/platform/relayed_list_test.go
@@ -46,7 +46,7 @@
 		d.Apply(u)
 	}
 	update(distribution.Update{}, distributedEntry("known", "terminating"), distributedEntry("a", "in_service"))
-	update(distribution.Update{Completed: true, Removed: []string{"old"}}, distributedEntry("b", "in_service"))
+	update(distribution.Update{SnapshotCompleted: true, Removed: []string{"old"}}, distributedEntry("b", "in_service"))
 	update(distribution.Update{Complete: true}, distributedEntry("a", "terminated"))
 	update(distribution.Update{}, distributedEntry("c", "in_service")) // a later snapshot's first slice
 	want := fmt.Sprintf("part known:%d a:%d, list %d b:%d old:%d, list %d a:%d, list %d c:%d", scatter.Draining, scatter.Ready,
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -67,7 +67,7 @@
 }
 
 func (a *Authority) publishEndpoints(list []versionlog.Change) error {
-	a.Endpoints.SetStaleness(alwaysFresh)
+	a.Endpoints.SetStaleness(neverStale)
 	published, err := a.Endpoints.Replace(list)
 	if err != nil {
 		return fmt.Errorf("%s: %w", a.EndpointsFile, err)
@@ -78,7 +78,7 @@
 
 // publishSettings publishes settings, and logs what they change.
 func (a *Authority) publishSettings(settings json.RawMessage, changes []string) error {
-	a.Settings.SetStaleness(alwaysFresh)
+	a.Settings.SetStaleness(neverStale)
 	published, err := a.Settings.Publish([]versionlog.Change{settingsChange(settings)})
 	if err != nil {
 		return fmt.Errorf("%s: %w", a.SettingsFile, err)
@@ -92,7 +92,7 @@
 }
 
 // alwaysFresh is the staleness of what comes from a file: nothing newer exists.
-func alwaysFresh() time.Duration { return 0 }
+func neverStale() time.Duration { return 0 }
 
 // Run follows the discovery service and publishes what it changes, until ctx ends. It returns at once where the list
 // does not come from there.
@@ -101,7 +101,7 @@
 		return
 	}
 	changes := make(chan []versionlog.Change)
-	follower := distribution.New(distribution.Config{Resource: distribution.Endpoints, AcceptAnySnapshot: true,
+	follower := distribution.New(distribution.Config{Path: distribution.Endpoints, AcceptAnySnapshot: true,
 		MaxBody: maxDiscoveryBody, Sources: []failover.Source{{Address: a.Discovery}}, Check: checkEndpoints,
 		Apply: func(update distribution.Update) {
 			select {
@@ -168,8 +168,8 @@
 }
 
 // logPublished logs that so many changes of a resource were published.
-func logPublished(name distribution.Resource, resource *Resource, changes int) {
+func logPublished(name distribution.Path, resource *Resource, changes int) {
 	head := resource.Head()
-	slog.Info("version published", logmsg.KeyResource, name.Name(), "changes", changes, "epoch", head.Epoch,
+	slog.Info("version published", logmsg.KeyResource, name.ResourceName(), "changes", changes, "epoch", head.Epoch,
 		"index", head.Index, "at_unix_ms", time.Now().UnixMilli())
 }
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -17,10 +17,10 @@
 
 // The rejections.
 const (
-	Accepted Rejection = iota // none: the reader gets a slice
-	Empty                     // the resource has nothing yet
-	Busy                      // the budget for snapshots is spent
-	Behind                    // the reader knows of newer versions than the resource
+	NotRejected Rejection = iota // none: the reader gets a slice
+	Empty                        // the resource has nothing yet
+	Busy                         // the budget for snapshots is spent
+	Behind                       // the reader knows of newer versions than the resource
 )
 
 // Reply is what a reader gets.
--- a/internal/relay/staleness_test.go
+++ b/internal/relay/staleness_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	near, far := newAuthorityServer(5, wideBudget), newAuthorityServer(5, wideBudget)
 	far.Endpoints = near.Endpoints
-	near.Endpoints.SetStaleness(alwaysFresh)
+	near.Endpoints.SetStaleness(neverStale)
 	r := &twoRelays{top: near.Endpoints}
 	r.nearTop, r.cutNear = start(t, near)
 	farTop, _ := start(t, far)
@@ -48,9 +48,9 @@
 func twoSources(near, far string) distribution.Config {
 	own := failover.Locality{Zone: "a", Region: "north"}
 	elsewhere := failover.Locality{Zone: "a", Region: "south"}
-	return distribution.Config{Resource: distribution.Endpoints, Locality: own, Heartbeat: quickHeartbeat,
-		Allowance:  2 * time.Second,
-		StaleAfter: quickStaleAfter, Rand: rand.New(rand.NewPCG(1, 2)),
+	return distribution.Config{Path: distribution.Endpoints, Locality: own, Heartbeat: quickHeartbeat,
+		SilenceTolerance: 2 * time.Second,
+		StaleAfter:       quickStaleAfter, Rand: rand.New(rand.NewPCG(1, 2)),
 		Sources: []failover.Source{{Address: near, Locality: own}, {Address: far, Locality: elsewhere}}}
 }
 
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -35,13 +35,13 @@
 		}
 		version := update.Slice.Version
 		if err := r.Apply(update.Slice); err != nil {
-			slog.Warn("answer rejected", logmsg.KeyResource, config.Resource.Name(), logmsg.KeySource, update.Source,
+			slog.Warn("answer rejected", logmsg.KeyResource, config.Path.ResourceName(), logmsg.KeySource, update.Source,
 				logmsg.KeyError, err)
 			cancel()
 			return
 		}
 		if update.Complete {
-			slog.Info("version applied", logmsg.KeyResource, config.Resource.Name(), "epoch", version.Epoch,
+			slog.Info("version applied", logmsg.KeyResource, config.Path.ResourceName(), "epoch", version.Epoch,
 				"index", version.Index, "entries", len(update.Slice.Entries), logmsg.KeySource, update.Source)
 		}
 	}
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -23,8 +23,8 @@
 	address, stopServer := start(t, server)
 	ctx, cancel := context.WithCancel(context.Background())
 	var following sync.WaitGroup
-	config := distribution.Config{Resource: distribution.Endpoints, Heartbeat: quickHeartbeat,
-		Allowance: 2 * time.Second}
+	config := distribution.Config{Path: distribution.Endpoints, Heartbeat: quickHeartbeat,
+		SilenceTolerance: 2 * time.Second}
 	for _, a := range addresses {
 		config.Sources = append(config.Sources, failover.Source{Address: a})
 	}
--- a/internal/test/capacity/member.go
+++ b/internal/test/capacity/member.go
@@ -37,10 +37,10 @@
 		m.owner.UpdateEndpoints(platform.Source, scope, nodes)
 	}
 	d.Part = func(nodes []core.Endpoint) { m.owner.UpdateEndpointsPartially(platform.Source, nodes) }
-	m.follower = distribution.New(distribution.Config{Resource: distribution.Endpoints, Sources: []failover.Source{{Address: address}}, Check: d.Check, Heartbeat: hold,
+	m.follower = distribution.New(distribution.Config{Path: distribution.Endpoints, Sources: []failover.Source{{Address: address}}, Check: d.Check, Heartbeat: hold,
 		Apply: func(u distribution.Update) {
 			d.Apply(u)
-			if u.Completed {
+			if u.SnapshotCompleted {
 				close(m.whole)
 			}
 		}})
--- a/internal/test/scaletest/follow.go
+++ b/internal/test/scaletest/follow.go
@@ -16,8 +16,8 @@
 )
 
 // follower is what a member follows a resource with; apply takes what changes.
-func (m *hollow) follower(resource distribution.Resource, check func([]versionlog.Entry) error, apply func(distribution.Update)) *distribution.Follower {
-	cfg := distribution.Config{Resource: resource, Locality: failover.Locality{Zone: m.Zone, Region: m.Region}, Check: check, Apply: apply,
+func (m *hollow) follower(resource distribution.Path, check func([]versionlog.Entry) error, apply func(distribution.Update)) *distribution.Follower {
+	cfg := distribution.Config{Path: resource, Locality: failover.Locality{Zone: m.Zone, Region: m.Region}, Check: check, Apply: apply,
 		Heartbeat: m.Hold, Dial: m.host.dial, Rand: rand.New(rand.NewPCG(uint64(m.No), uint64(len(resource))))}
 	for _, s := range m.Sources {
 		cfg.Sources = append(cfg.Sources, failover.Source{Address: s.Address, Locality: failover.Locality{Zone: s.Zone, Region: s.Region}})
--- a/internal/test/scaletest/watch.go
+++ b/internal/test/scaletest/watch.go
@@ -12,8 +12,8 @@
 
 // watchAuthority follows the authority itself until ctx ends, to learn which index it gave to what was published.
 func (f *fleet) watchAuthority(ctx context.Context) {
-	follow := func(resource distribution.Resource, seen func(versionlog.Entry)) {
-		distribution.New(distribution.Config{Resource: resource, Sources: []failover.Source{{Address: f.authority.address}},
+	follow := func(resource distribution.Path, seen func(versionlog.Entry)) {
+		distribution.New(distribution.Config{Path: resource, Sources: []failover.Source{{Address: f.authority.address}},
 			Apply: func(u distribution.Update) {
 				for _, e := range u.Entries {
 					seen(e)
