--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -12,8 +12,9 @@
 // module decide; what the module asks for is carried out in its order. All of a tick happens at one instant.
 //
 // A query that Submit accepts gets exactly one Answer, by its deadline plus answerGrace at the latest, unless its
-// client leaves. An attempt that a Caller was given ends in exactly one outcome that the module hears; any later one
-// is dropped. No second attempt of a part is sent before the first has ended, unless the module hedges.
+// client leaves, or the coordinator's last tick is over before it was applied (see Stop). An attempt that a Caller was
+// given ends in exactly one outcome that the module hears; any later one is dropped. No second attempt of a part is
+// sent before the first has ended, unless the module hedges.
 //
 // # Where each rule stands
 //
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -55,7 +55,7 @@
 	Status     Status
 	Complete   bool          // Served: the module counts the answer as complete
 	Values     [][]byte      // Served: an entry for each part; nil where no value came in
-	Pruned     []bool        // Served: an entry for each part; true where the first phase gave the value, and the part was not needed in full
+	Pruned     []bool        // Served: an entry for each part; true where the first phase gave the value
 	RetryAfter time.Duration // Rejected: the client should wait as long before a retry; 0 for no advice
 	Reason     string        // Invalid: what is wrong, for the client
 }
--- a/internal/distribution/config.go
+++ b/internal/distribution/config.go
@@ -12,20 +12,21 @@
 const (
 	// DefaultHeartbeat is how long a source may wait for a new version before it answers without one.
 	DefaultHeartbeat = 500 * time.Millisecond
-	// DefaultAllowance is how much later than the heartbeat an answer may come before its source counts as silent.
+	// DefaultSilenceTolerance is how much later than the heartbeat an answer may come before its source counts as
+	// silent.
 	DefaultSilenceTolerance = 300 * time.Millisecond
 	// DefaultMaxBody is the size limit of a relay's answer, in bytes.
 	DefaultMaxBody = 64 << 10
 
-	// staleHeartbeats is the least StaleAfter, in heartbeats: a relay hears of its own source once in each.
+	// staleHeartbeats is the least default of StaleAfter, in heartbeats: a relay hears of its own source once in each.
 	staleHeartbeats = 3
 )
 
 // Config says what a Follower follows, from which sources, and who takes the updates. New reads it once.
 type Config struct {
-	// Resource is the path that is polled.
+	// Path is the resource that is polled.
 	Path Path
-	// Place is where this process runs: nearer sources are preferred.
+	// Locality is where this process runs: nearer sources are preferred.
 	Locality failover.Locality
 	// Sources are the relays that may be followed, one at least.
 	Sources []failover.Source
@@ -37,8 +38,8 @@
 
 	// Heartbeat is how long a source may wait for a new version before it answers; DefaultHeartbeat where it is 0.
 	Heartbeat time.Duration
-	// Allowance is how much later an answer may come before its source counts as silent; DefaultAllowance where it
-	// is 0.
+	// SilenceTolerance is how much later than the heartbeat an answer may come before its source counts as silent;
+	// DefaultSilenceTolerance where it is 0.
 	SilenceTolerance time.Duration
 	// StaleAfter is the staleness of a source from which on a fresher one is looked for. Where it is 0, it is
 	// failover.DefaultStaleAfter, or three heartbeats if that is more.
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -37,12 +37,12 @@
 	return failover.Source{Address: s.address, Locality: p}
 }
 
-// allowance is longer than a source takes to answer on a busy machine.
-const allowance = 2 * time.Second
+// silenceTolerance is longer than a source takes to answer on a busy machine.
+const silenceTolerance = 2 * time.Second
 
 // follow runs a consumer in inZone.
 func follow(t *testing.T, list ...failover.Source) *consumer {
-	return followWith(t, Config{Sources: list, SilenceTolerance: allowance})
+	return followWith(t, Config{Sources: list, SilenceTolerance: silenceTolerance})
 }
 
 // followWith runs a consumer in inZone by a configuration of sources until the test ends.
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -19,6 +19,7 @@
 //
 //	config.go         what is followed, and the defaults
 //	follower.go       the loop: choose a source, poll it, change to a better one
+//	path.go           what is polled: the paths of the resources
 //	watch.go          how long a source may wait for a new version before it answers
 //	poll.go           one call, and how its answer is applied
 //	answer.go         how an answer is read, and the errors of unusable ones
--- a/internal/distribution/failover_test.go
+++ b/internal/distribution/failover_test.go
@@ -47,7 +47,7 @@
 }
 
 // The relay in the reader's zone stops: it still accepts calls, and answers none. The reader goes to another one once
-// heartbeat and allowance are over, and hears of the next drain there.
+// heartbeat and silence tolerance are over, and hears of the next drain there.
 func TestFailsOverFromSilentSource(t *testing.T) {
 	t.Parallel()
 	l := newSharedLog(1, "a")
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -22,7 +22,7 @@
 	Entries []versionlog.Entry
 	// Removed are the names that a snapshot did not hold. They come with its last slice.
 	Removed []string
-	// Completed reports that the answer was the last slice of a snapshot.
+	// SnapshotCompleted reports that the answer was the last slice of a snapshot.
 	SnapshotCompleted bool
 	// Complete reports that the local copy is the log's state at the slice's version.
 	Complete bool
@@ -51,8 +51,8 @@
 // currentSource is what the answers of the source in use have shown.
 type currentSource struct {
 	served        bool          // it has given a good answer since it became the current one
-	moreAvailable bool          // its last answer brought a new version, and announced another slice
-	staleness     time.Duration // of what it had at its last good answer
+	moreAvailable bool          // its last answer brought something new, and announced another slice
+	staleness     time.Duration // that its last applied answer gave; the zero value before the first
 }
 
 // New returns a Follower that does nothing before Run.
--- a/internal/distribution/outcome.go
+++ b/internal/distribution/outcome.go
@@ -21,8 +21,8 @@
 	behindInterval = 50 * time.Millisecond
 )
 
-// recordOutcome tells the selector what came of a poll, and reports whether the source is to be followed on. err is nil
-// where its answer was applied.
+// handleOutcome tells the selector what came of a poll, and reports whether the source is to be followed on. err is nil
+// where its answer was applied. For a source that is behind it waits for behindInterval.
 func (f *Follower) handleOutcome(ctx context.Context, source failover.Source, err error) (stay bool) {
 	if err == nil {
 		f.recordServed(source)
@@ -61,14 +61,14 @@
 		level = slog.LevelInfo
 	}
 	reason := reasonOf(err)
-	slog.Log(ctx, level, logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Path.ResourceName(), logmsg.KeySource, source.Address,
-		logmsg.KeyReason, reason.String(), logmsg.KeyError, err)
+	slog.Log(ctx, level, logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Path.ResourceName(),
+		logmsg.KeySource, source.Address, logmsg.KeyReason, reason.String(), logmsg.KeyError, err)
 	f.selector.Leave(f.now(), reason)
 }
 
-// needsSnapshot reports whether a busy source is worth waiting for: there is no complete local copy yet, or one so
-// stale that no other source is likely to remember all that has changed since. With a fresh copy the next source can
-// go on.
+// needsSnapshot reports whether a busy source is to be waited for: there is no complete local copy yet, or its
+// staleness is over staleCopyAfter, and no other source is likely to remember all that has changed since. With a copy
+// that is not stale the next source can go on.
 func (f *Follower) needsSnapshot() bool {
 	return !f.state.Complete() || f.Status().Staleness > staleCopyAfter
 }
@@ -96,7 +96,8 @@
 // isBehind reports whether the last answer was older than the local copy.
 func (l *lag) isBehind() bool { return !l.since.IsZero() }
 
-// tolerates notes an answer that was older than the local copy, and reports whether its source may be polled again.
+// noteBehind notes an answer that was older than the local copy, and reports whether it is tolerated: its source may
+// be polled again until behindTolerance is over.
 func (l *lag) noteBehind(now time.Time) bool {
 	if l.since.IsZero() {
 		l.since = now
--- a/internal/distribution/path.go
+++ b/internal/distribution/path.go
@@ -1,21 +1,21 @@
 package distribution
 
-// Resource is the path under which relays and discovery give out what a Follower follows.
+// Path is where relays and discovery give out a resource: what a Follower follows.
 type Path string
 
-// The resources.
+// The paths.
 const (
 	Endpoints Path = "/registry/instances" // the endpoint list
 	Settings  Path = "/registry/settings"  // the settings of the fleet
 )
 
-// Name returns the resource's name in logs and configuration files: the last element of its path.
-func (r Path) ResourceName() string {
-	switch r {
+// ResourceName returns the resource's name in logs and configuration files: the last element of its path.
+func (p Path) ResourceName() string {
+	switch p {
 	case Endpoints:
 		return "instances"
 	case Settings:
 		return "settings"
 	}
-	return string(r)
+	return string(p)
 }
--- a/internal/distribution/poll.go
+++ b/internal/distribution/poll.go
@@ -27,7 +27,7 @@
 }
 
 // call sends a source one call for what is newer than a cursor, and returns its answer unread. The error wraps
-// context.DeadlineExceeded where the source was silent for heartbeat and allowance together.
+// context.DeadlineExceeded where the source was silent for heartbeat and silence tolerance together.
 func (f *Follower) call(ctx context.Context, client *http1.Client, cursor versionlog.Cursor, known bool,
 	maxWait time.Duration) (*http1.Message, error) {
 	limited, cancel := context.WithTimeout(ctx, f.cfg.Heartbeat+f.cfg.SilenceTolerance)
@@ -47,11 +47,11 @@
 
 // target returns the request target of a call for what is newer than a cursor; known is false where the reader has
 // nothing yet and asks for a snapshot.
-func target(r Path, c versionlog.Cursor, known bool, maxWait time.Duration) string {
+func target(path Path, c versionlog.Cursor, known bool, maxWait time.Duration) string {
 	if !known {
-		return string(r)
+		return string(path)
 	}
-	b := append([]byte(r), '?')
+	b := append([]byte(path), '?')
 	if c.Epoch > 0 {
 		b = fmt.Appendf(b, "epoch=%d&", c.Epoch)
 	}
--- a/internal/distribution/probe.go
+++ b/internal/distribution/probe.go
@@ -23,7 +23,7 @@
 // probeSlot holds at most one probe. The probe has a goroutine and a connection of its own: a source that takes the
 // call and is silent must not keep changes waiting that the current source has.
 type probeSlot struct {
-	done     chan probe // the probe, once it has ended; it always has room for one
+	done     chan probe // the probe, once it has ended; its capacity of one is never exceeded, so sending does not block
 	underWay bool       // a probe has been started, and has not been taken from done
 }
 
@@ -50,8 +50,8 @@
 	return failover.Source{}, nil
 }
 
-// isBetter reports whether the source of a probe that was answered is to be followed in place of the current one; the
-// selector then takes it for the current one.
+// switchIfBetter has the selector take the source of an answered probe for the current one, if it is better, and
+// reports whether it has.
 func (f *Follower) switchIfBetter(p probe) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
--- a/internal/distribution/rejected_answers_test.go
+++ b/internal/distribution/rejected_answers_test.go
@@ -112,7 +112,7 @@
 	})
 	far.set(func(s *fakeSource) { s.sliceBytes, s.silent = 1200, true })
 	c := followWith(t, Config{Sources: []failover.Source{at(zone, inZone), at(far, elsewhere)},
-		KnownNames: []string{"n39", "n01", "removed"}, SilenceTolerance: allowance})
+		KnownNames: []string{"n39", "n01", "removed"}, SilenceTolerance: silenceTolerance})
 	c.waitFor("calls to both", func() bool { return zone.callCount() > 1 && far.callCount() > 0 })
 	if c.statusOf("n01") != "in_service" || c.statusOf("removed") != "known" || c.Status().Complete {
 		t.Errorf("interrupted: it has %s", c.names())
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -73,7 +73,7 @@
 	Entries      int64 // entries that were changed or removed
 	Snapshots    int64 // snapshots that were completed
 	Switches     int64 // times that a source was followed, the first one included
-	Unusable     int64 // answers that were not applied because they were behind or invalid
+	Unusable     int64 // answers that were not applied because they were invalid, or behind the local copy
 }
 
 // totals are the Counters as they are counted.
--- a/internal/distribution/watch.go
+++ b/internal/distribution/watch.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// noWait is the wait of a poll that is to be answered at once: the least that the protocol can express.
+	// noWait is the wait of a poll that is to be answered at once: the least above 0 that hold_ms can express.
 	noWait = time.Millisecond
 	// probingWait bounds the waits of a stale source while another one is probed: the probe's result is looked at
 	// between two polls, and should not wait for a heartbeat.
--- a/internal/inventory/ansible.go
+++ b/internal/inventory/ansible.go
@@ -46,7 +46,7 @@
 	group      string // the group that is read
 	groupFound bool
 	hosts      map[string]*ansibleHost
-	order      []string // the hosts' names, in the order in which they are named first
+	order      []string // the hosts' names, in the order in which they are named first; readAnsible adds them so
 }
 
 // readAnsible reads the hosts of one group of an Ansible inventory; all of them where group is empty.
@@ -123,39 +123,39 @@
 	if name == a.group {
 		a.groupFound, selected = true, true
 	}
-	parts, err := a.partsOf(name, body)
+	sections, err := a.sectionsOf(name, body)
 	if err != nil {
 		return err
 	}
 	values := map[string]string{}
 	maps.Copy(values, outer)
-	if vars := parts[keyVars]; vars != nil {
+	if vars := sections[keyVars]; vars != nil {
 		if err := a.readVariables(vars, "vars of "+name, values); err != nil {
 			return err
 		}
 	}
-	if hosts := parts[keyHosts]; hosts != nil {
+	if hosts := sections[keyHosts]; hosts != nil {
 		if err := a.readHosts(hosts, name, values, selected); err != nil {
 			return err
 		}
 	}
-	if children := parts[keyChildren]; children != nil {
+	if children := sections[keyChildren]; children != nil {
 		return a.readGroups(children, values, selected)
 	}
 	return nil
 }
 
-// partsOf returns the values of a group's keys.
-func (a *ansibleFile) partsOf(group string, body *yaml.Node) (map[string]*yaml.Node, error) {
-	parts := map[string]*yaml.Node{}
+// sectionsOf returns the values of a group's keys vars, hosts and children; any other key is an error.
+func (a *ansibleFile) sectionsOf(group string, body *yaml.Node) (map[string]*yaml.Node, error) {
+	sections := map[string]*yaml.Node{}
 	err := a.eachPair(body, "group "+group, func(key, value *yaml.Node) error {
 		if !slices.Contains([]string{keyVars, keyHosts, keyChildren}, key.Value) {
 			return a.errorAt(key.Line, "group %s: unknown key %q, want hosts, vars or children", group, key.Value)
 		}
-		parts[key.Value] = value
+		sections[key.Value] = value
 		return nil
 	})
-	return parts, err
+	return sections, err
 }
 
 // readHosts reads the hosts of a group. inherited are the group's values; they count where no group before gave the
--- a/internal/inventory/host.go
+++ b/internal/inventory/host.go
@@ -17,11 +17,12 @@
 	Address      string // host:port
 	RingPosition int    // from 0 to the ring size less 1
 	Zone         string // empty where the inventory names none
-	API          string // one of APIs
+	API          string // scheme that the endpoint speaks: one of APIs
 	line         int    // where the file names it first
 }
 
-// APIs are the schemes that an endpoint may speak. A host that names none speaks the first.
+// APIs are the schemes that an endpoint may speak, by core.Endpoint.Scheme. A host that names none speaks the first. It
+// must not be changed.
 var APIs = []string{"frame", "opensearch"}
 
 // maxPort is the highest TCP port.
--- a/internal/inventory/reader.go
+++ b/internal/inventory/reader.go
@@ -13,8 +13,9 @@
 // Source names the inventory where endpoint lists are told apart by where they come from.
 const Source = "inventory"
 
-// Reader reads an inventory file again and again, and makes an endpoint list of each reading and the one before. Its
-// exported fields are set before the first Read. It is for one goroutine at a time.
+// Reader reads an inventory file again and again. Each endpoint list that it returns depends on the reading before too:
+// a host that is gone is listed once more, as draining. Its exported fields are set before the first Read. It is for
+// one goroutine at a time.
 type Reader struct {
 	// Path is the file; Load says which endings it may have.
 	Path string
--- a/internal/loadshed/process_usage.go
+++ b/internal/loadshed/process_usage.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Usage is what a process has used since its start.
+// Usage is a reading of what a process uses. LiveBytes is a present amount; all else are totals since its start.
 type Usage struct {
 	CPU             time.Duration // CPU time, of the program and of the system for it
 	LiveBytes       int64         // live heap when the collector last looked
--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -16,7 +16,7 @@
 const (
 	// earlyWaitWindows is the wait, in windows, from which the next observation comes before its window is over.
 	earlyWaitWindows = 1
-	// minWindowDivisor is the shortest window between observations, as a divisor of the usual one.
+	// maxObservationsPerWindow bounds how often the process is observed in one window, early observations included.
 	maxObservationsPerWindow = 4
 )
 
@@ -30,8 +30,9 @@
 	DescriptorFraction func() float64
 	// TickElapsed returns how long the coordinator's present tick has taken; nil where that is not known.
 	TickElapsed func() time.Duration
-	// RelieveMemory is called by Run when the memory level changes, and while bytes are in excess, with both. It must
-	// not block for long. Nil where nobody relieves memory.
+	// RelieveMemory is called by Run when the memory level changes, and while bytes are in excess, with both. Run
+	// observes nothing while it blocks. core.Coordinator.RelieveMemory does so while the coordinator's queue is full:
+	// under a tick that hangs, no further window is observed until it ends. Nil where nobody relieves memory.
 	RelieveMemory func(level overload.MemoryLevel, excessBytes int64)
 	Log           *slog.Logger
 
@@ -39,7 +40,7 @@
 
 	mu         sync.Mutex
 	controller *overload.Controller
-	ticks      core.Tick // the coordinator's ticks since the last observation, summed up
+	ticks      core.Tick // since the last observation; see addTick
 
 	// Only Run uses these.
 	usage       Usage         // at the last observation
@@ -82,11 +83,7 @@
 // ObserveTick implements core.Admitter. A tick in which something waited far too long has Run observe early.
 func (s *Shedder) ObserveTick(t core.Tick) {
 	s.mu.Lock()
-	s.ticks.TotalWait += t.TotalWait
-	s.ticks.MaxWait = max(s.ticks.MaxWait, t.MaxWait)
-	s.ticks.Count += t.Count
-	s.ticks.Duration = max(s.ticks.Duration, t.Duration)
-	s.ticks.OpenFraction, s.ticks.QueryBytes = t.OpenFraction, t.QueryBytes
+	s.addTick(t)
 	waitedTooLong := t.MaxWait > earlyWaitWindows*s.controller.Interval()
 	s.mu.Unlock()
 	if waitedTooLong {
@@ -97,6 +94,16 @@
 	}
 }
 
+// addTick takes in a tick: TotalWait and Count are summed up, of MaxWait and Duration the longest counts, and
+// OpenFraction and QueryBytes are those of the latest tick. It is called under the lock.
+func (s *Shedder) addTick(t core.Tick) {
+	s.ticks.TotalWait += t.TotalWait
+	s.ticks.MaxWait = max(s.ticks.MaxWait, t.MaxWait)
+	s.ticks.Count += t.Count
+	s.ticks.Duration = max(s.ticks.Duration, t.Duration)
+	s.ticks.OpenFraction, s.ticks.QueryBytes = t.OpenFraction, t.QueryBytes
+}
+
 // Level returns the present level.
 func (s *Shedder) Level() overload.Level {
 	s.mu.Lock()
@@ -104,7 +111,8 @@
 	return s.controller.Level()
 }
 
-// Run observes the process once a window until ctx is done. It is called once; its caller owns the goroutine.
+// Run observes the process once a window until ctx is done. It is called once; its caller owns the goroutine. It
+// notices the end of ctx only between observations, so it returns late while RelieveMemory blocks.
 func (s *Shedder) Run(ctx context.Context) {
 	s.usage, s.observedAt = s.Measure(), s.Clock()
 	ticker := time.NewTicker(s.controller.Interval())
--- a/internal/loadshed/signals.go
+++ b/internal/loadshed/signals.go
@@ -13,7 +13,7 @@
 
 // sample is what was seen in a window.
 type sample struct {
-	ticks              core.Tick     // the coordinator's ticks, with the longest duration of one
+	ticks              core.Tick     // the coordinator's ticks; Duration and MaxWait are the longest
 	cpuUsed            float64       // CPU seconds a second
 	schedulingWait     time.Duration // mean wait of a ready goroutine for a core
 	liveBytes          int64         // live heap when the collector last looked
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -1,6 +1,6 @@
-// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes and
-// the tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit where the
-// value has none of its own.
+// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes
+// and the tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit
+// where the value has none of its own.
 package logmsg
 
 // Messages of a coordinator about single queries, under "serve -trace" unless a query ended badly.
@@ -70,8 +70,8 @@
 	KeyRemedy          = "remedy"
 )
 
-// Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names are
-// wire: these values stay.
+// Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names
+// are wire: these values stay.
 const (
 	StateReady     = "ready"
 	StatusServed   = "served"
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -45,7 +45,8 @@
 
 // Load reads the files and publishes what they change. It is called at the start and whenever they are to be read
 // again, by one goroutine at a time. Both files are read and checked before either is published. The errors are those
-// of reading and checking, with the file's path; then nothing has changed.
+// of reading and checking, with the file's path; then nothing has changed. Where the log rejects a publication its
+// error comes back with the file's path, and an endpoint list that was published before stays.
 func (a *Authority) Load() error {
 	endpoints, err := a.readEndpoints()
 	if err != nil {
@@ -66,6 +67,7 @@
 	return nil
 }
 
+// publishEndpoints publishes the complete list of EndpointsFile.
 func (a *Authority) publishEndpoints(list []versionlog.Change) error {
 	a.Endpoints.SetStaleness(neverStale)
 	published, err := a.Endpoints.Replace(list)
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// alwaysFresh is the staleness of what comes from a file: nothing newer exists.
+// neverStale is the staleness of what comes from a file: nothing newer exists.
 func neverStale() time.Duration { return 0 }
 
 // Run follows the discovery service and publishes what it changes, until ctx ends. It returns at once where the list
@@ -116,7 +118,10 @@
 	a.publishBatches(ctx, changes)
 }
 
-// publishBatches publishes the changes that come in, batchInterval after the first of each batch, until ctx ends.
+// publishBatches publishes the changes that come in, batchInterval after the first of each batch, until ctx ends; a
+// batch that is not due then is dropped. A batch that the log rejects is dropped too: its changes are not published
+// until discovery sends them again. The line "version published" follows each batch, also one that was rejected or
+// changed nothing: its changes are 0 then, and its version is the one before.
 func (a *Authority) publishBatches(ctx context.Context, incoming <-chan []versionlog.Change) {
 	var batch []versionlog.Change
 	var due <-chan time.Time
@@ -167,9 +172,9 @@
 	return buffer.Bytes()
 }
 
-// logPublished logs that so many changes of a resource were published.
-func logPublished(name distribution.Path, resource *Resource, changes int) {
+// logPublished logs how many changes of a resource were published, and the version that it has now.
+func logPublished(path distribution.Path, resource *Resource, changes int) {
 	head := resource.Head()
-	slog.Info("version published", logmsg.KeyResource, name.ResourceName(), "changes", changes, "epoch", head.Epoch,
+	slog.Info("version published", logmsg.KeyResource, path.ResourceName(), "changes", changes, "epoch", head.Epoch,
 		"index", head.Index, "at_unix_ms", time.Now().UnixMilli())
 }
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -8,10 +8,13 @@
 // Resources over HTTP: at once where they lack something, else when there is a new version or their wait is over. Many
 // readers watch at a time; a slice is encoded once for all that ask for it.
 //
-// What an Authority reads is checked as a whole before any of it is published. After an error everything is as it was.
+// What an Authority reads is checked as a whole before any of it is published. After an error of reading or checking
+// everything is as it was; where the log itself rejects the settings, the endpoint list of the same Load is published
+// already.
 // A relay's versions are its source's: an older epoch or index is never applied.
 //
-// Resource, Server and SnapshotBudget are for any goroutine. An Authority's Load and Run may be called by two.
+// Resource, Server and SnapshotBudget are for any goroutine. An Authority's Load and Run may run in two
+// goroutines at once.
 //
 // # Where each decision stands
 //
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -17,7 +17,7 @@
 
 // The rejections.
 const (
-	NotRejected Rejection = iota // none: the reader gets a slice
+	NotRejected Rejection = iota // the reader gets a slice
 	Empty                        // the resource has nothing yet
 	Busy                         // the budget for snapshots is spent
 	Behind                       // the reader knows of newer versions than the resource
@@ -25,7 +25,7 @@
 
 // Reply is what a reader gets.
 type Reply struct {
-	// Rejection says why there is no slice; Accepted where there is one.
+	// Rejection says why there is no slice; NotRejected where there is one.
 	Rejection Rejection
 	// RetryAfter is when the reader is to come back after Empty or Busy.
 	RetryAfter time.Duration
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -57,12 +57,13 @@
 	return s
 }
 
-// Serve accepts readers until the listener is closed, and returns the error that ended it.
+// Serve accepts readers until the listener is closed, and returns nil or the error of closing it. It is called once.
 func (s *Server) Serve(listener net.Listener) error {
 	return s.server.Serve(countingListener{listener, s})
 }
 
-// Shutdown answers the open calls and closes all connections. The listener has to be closed before.
+// Shutdown answers the open calls and closes all connections. The listener has to be closed before, and
+// Serve to have returned: see http1.Server.Shutdown.
 func (s *Server) Shutdown() {
 	s.server.Drain()
 	s.endWatches()
--- a/internal/relay/slice_cache.go
+++ b/internal/relay/slice_cache.go
@@ -7,7 +7,7 @@
 	maxBody = 64 << 10
 	// maxSliceBytes is the size limit of an answer's entries, in bytes.
 	maxSliceBytes = maxBody - versionlog.MaxEnvelopeBytes
-	// maxCachedSlices is how many slices of one version are kept encoded.
+	// maxCachedSlices is how many encoded slices of one version are cached; further ones are encoded for each reader.
 	maxCachedSlices = 64
 )
 
@@ -16,8 +16,8 @@
 
 // sliceKey tells apart the slices that readers of one version of a log are given.
 type sliceKey struct {
-	from versionlog.Version
-	base int64
+	from versionlog.Version // version that the reader has
+	base int64              // index that a snapshot under way began at; 0 outside a snapshot
 }
 
 // encodedSlice is a slice as JSON.
@@ -26,7 +26,8 @@
 	entries int // how many entries the slice has
 }
 
-// slice returns the next slice of a reader; cached is false where it had to be encoded.
+// slice returns the next slice of a reader with a cursor, of the log that the cache is of; cached is false where it had
+// to be encoded. The cursor's Head is not in the key: it does not change what log.Read gives.
 func (c sliceCache) slice(log *versionlog.Log, from versionlog.Cursor) (slice encodedSlice, cached bool) {
 	key := sliceKey{from.Version, from.Base}
 	if slice, cached := c[key]; cached {
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -90,8 +90,8 @@
 	status.Settings.log(distribution.Settings)
 }
 
-func (r ResourceStatus) log(resource distribution.Path) {
-	slog.Info("resource status", logmsg.KeyResource, resource.ResourceName(), "epoch", r.Epoch, "index", r.Index,
+func (r ResourceStatus) log(path distribution.Path) {
+	slog.Info("resource status", logmsg.KeyResource, path.ResourceName(), "epoch", r.Epoch, "index", r.Index,
 		"entries", r.Entries, "staleness_seconds", r.Staleness, "waiting_readers", r.Waiting, "calls", r.Calls,
 		"bytes", r.Bytes, "heartbeats", r.Heartbeats, "snapshots", r.Snapshots,
 		"snapshots_rejected", r.SnapshotsRejected, "encoded_slices", r.Encoded)
