--- a/internal/http1/close_test.go
+++ b/internal/http1/close_test.go
@@ -13,10 +13,10 @@
 
 // closeDecisions have a server decide to close its one idle connection, and return once it has.
 var closeDecisions = map[string]func(t *testing.T, s *Server, dial dialer, l net.Listener){
-	"shutdown": func(_ *testing.T, s *Server, _ dialer, l net.Listener) {
+	"shutdown": func(t *testing.T, s *Server, _ dialer, l net.Listener) {
 		l.Close()
 		go s.Shutdown()
-		waitForShutdown(s)
+		waitForShutdown(t, s)
 	},
 	"too many idle": func(t *testing.T, s *Server, dial dialer, _ net.Listener) {
 		s.mu.Lock()
@@ -24,14 +24,14 @@
 		s.mu.Unlock()
 		c, h := dial()
 		sendFirstRequest(t, c, h)
-		waitForEviction(s)
+		waitForEviction(t, s)
 	},
 	"evicted": func(t *testing.T, s *Server, dial dialer, _ net.Listener) {
 		s.mu.Lock()
 		s.MaxConns = 1
 		s.mu.Unlock()
 		dial()
-		waitForEviction(s)
+		waitForEviction(t, s)
 	},
 }
 
@@ -49,7 +49,7 @@
 			dial, l := serveWithPauses(t, s)
 			c, h := dial()
 			sendFirstRequest(t, c, h)
-			waitForIdle(s, 1)
+			waitForIdle(t, s, 1)
 			before := handled.Load()
 			c.Write([]byte(request))
 			<-h.paused // it was read, and the server does not know of it
@@ -65,7 +65,7 @@
 			}
 			l.Close()
 			go s.Shutdown()
-			waitForShutdown(s)
+			waitForShutdown(t, s)
 			if more, err := io.ReadAll(c); len(more) > 0 || err != nil {
 				t.Errorf("after the answer came %q, %v; want a clean end", more, err)
 			}
@@ -149,7 +149,7 @@
 	<-slow.written
 	var wg sync.WaitGroup
 	wg.Go(s.Shutdown)
-	waitForShutdown(s)
+	waitForShutdown(t, s)
 	late, accepted := acceptedPair(t, l)
 	defer late.Close()
 	second := &conn{Conn: accepted, server: s}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -17,6 +17,9 @@
 	// keepAliveTimeout is how long a connection may be idle between two requests. It is long, so that a close seldom
 	// crosses a request; MaxIdle bounds how many are idle.
 	keepAliveTimeout = time.Minute
+	// lateReadGrace is the time in which bytes are read that came before a deadline. A process that was held up finds
+	// its deadline over although they came in time.
+	lateReadGrace = 50 * time.Millisecond
 )
 
 // connState is how far a connection is. It moves forward only, under the server's lock: so a request is either read
--- a/internal/http1/conn_close.go
+++ b/internal/http1/conn_close.go
@@ -82,7 +82,8 @@
 }
 
 // discard reads what the client still sends, up to maxLingerBytes and until the present deadline. It reports whether
-// the client has left.
+// the client has left: the reading ended before the limit, and not by the deadline. A close of our own
+// socket counts as leaving too.
 func (c *conn) discard() (left bool) {
 	n, err := io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 	if n > 0 {
--- a/internal/http1/conn_read.go
+++ b/internal/http1/conn_read.go
@@ -26,23 +26,33 @@
 	return len(r.req.Target) + len(r.req.Body)
 }
 
-// readRequests reads requests until the connection ends, or until there are more than may wait; then it discards the
-// rest. It goes on while a request is answered, for only so a client that leaves is noticed: clientLeft is closed then.
-// It returns once answered is closed.
+// readRequests reads requests until the connection ends, and closes clientLeft if its client has ended it. It goes on
+// while a request is answered, for only so a client that leaves is noticed. It returns once answered is closed and what
+// the client still sends after that is discarded.
 func (c *conn) readRequests(results chan<- readResult, clientLeft chan<- struct{}, answered <-chan struct{}) {
+	if c.queueRequests(results) {
+		close(clientLeft)
+	}
+	<-answered
+	c.discard()
+}
+
+// queueRequests hands requests on until the reading ends, or until there are more than may wait; then it discards the
+// rest. It reports whether the client has left.
+func (c *conn) queueRequests(results chan<- readResult) (clientHasLeft bool) {
 	r := NewRequestReader(c.server.Limits)
 	for {
 		req, err := c.readRequest(r)
 		queued := c.enqueue(results, readResult{req, err})
-		if endsByClient(err) || !queued && c.discard() {
-			close(clientLeft)
-		}
-		if err != nil || !queued {
-			break
+		switch {
+		case endsByClient(err):
+			return true
+		case !queued:
+			return c.discard()
+		case err != nil:
+			return false
 		}
 	}
-	<-answered
-	c.discard()
 }
 
 // endsByClient reports whether a reading error says that the client has left: it is no fault in a request, no deadline,
@@ -98,7 +108,8 @@
 }
 
 // enqueue hands a request on to be answered, and reports whether there was capacity for it to wait. Once there was
-// none, there is none for the rest of the connection.
+// none, there is none for the rest of the connection. The send under the lock never blocks: the reader, its caller, is
+// the only sender, and there is space in the channel, which receiving can only add to.
 func (c *conn) enqueue(results chan<- readResult, r readResult) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
--- a/internal/http1/counters.go
+++ b/internal/http1/counters.go
@@ -16,7 +16,7 @@
 	closedSurplus       = counters.New("client_connections_closed", "surplus")     // used, and over MaxIdle
 	closedEvicted       = counters.New("client_connections_closed", "room")        // it made way for another one
 	closedAtShutdown    = counters.New("client_connections_closed", "shutdown")    // idle when the server shut down
-	closedLastAnswer    = counters.New("client_connections_closed", "last_answer") // its last answer said so
+	closedLastAnswer    = counters.New("client_connections_closed", "last_answer") // its last answer was given
 	closedBadRequest    = counters.New("client_connections_closed", "bad_request") // the request could not be read
 	closedByClient      = counters.New("client_connections_closed", "client_left")
 	closedAnswerNotRead = counters.New("client_connections_closed", "answer_not_taken") // writing the answer failed
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -48,24 +48,43 @@
 	return s.connCount() >= s.capacity() && len(s.evicted) == 0 && s.evictionCandidate() == nil
 }
 
-// makeCapacity reports whether there is capacity for one more connection, and else evicts one. Its reader closes it, or
-// has read a request of it and keeps it; then another one has to go. Connections that are being closed do not count.
+// makeCapacity reports whether there is capacity for one more connection, and else has one evicted. Its caller asks
+// again until there is.
 func (s *Server) makeCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	active, evicting := len(s.conns), false
-	for _, c := range s.evicted {
-		if c.state == connOpen {
-			active, evicting = active+1, true
-		}
-	}
-	if active < s.capacity() || s.shuttingDown {
+	if s.hasCapacity() {
 		return true
 	}
-	if candidate := s.evictionCandidate(); candidate != nil && !evicting {
+	s.evictOne()
+	return false
+}
+
+// hasCapacity reports whether there is capacity for one more connection, as there always is in a shutdown. Connections
+// whose close has begun do not count. It is called under the lock.
+func (s *Server) hasCapacity() bool {
+	return len(s.conns)+s.undecidedEvictions() < s.capacity() || s.shuttingDown
+}
+
+// evictOne evicts a connection, unless the eviction of another one is undecided. It is called under the lock.
+func (s *Server) evictOne() {
+	if s.undecidedEvictions() > 0 {
+		return
+	}
+	if candidate := s.evictionCandidate(); candidate != nil {
 		s.evict(candidate, closedEvicted)
 	}
-	return false
+}
+
+// undecidedEvictions returns how many evicted connections are open yet: their readers will close them, or have read a
+// request and keep them, and then another one has to go. It is called under the lock.
+func (s *Server) undecidedEvictions() (n int) {
+	for _, c := range s.evicted {
+		if c.state == connOpen {
+			n++
+		}
+	}
+	return n
 }
 
 // EvictExcess evicts connections at once as far as there are more than the present capacity. It is for a caller whose
@@ -148,8 +167,8 @@
 	}
 }
 
-// closeEvicted closes evicted connections that are being closed, the longest first, while there are more than limit
-// connections. It is called under the lock.
+// cutLingering closes the sockets of evicted connections that linger in the state closing, the oldest eviction first,
+// while there are more than limit connections. It is called under the lock.
 func (s *Server) cutLingering(limit int) {
 	for _, c := range slices.Clone(s.evicted) {
 		if s.connCount() <= limit {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -53,7 +53,8 @@
 // goroutine that reads the connection, which may not have been scheduled yet.
 func (m *Message) ClientLeft() bool { return m.client != nil && socket.PeerClosed(m.client) }
 
-// Append appends a request or an answer, with its length, to b.
+// Append appends a request or an answer to b, and returns it. All but a GET request state their length, also where it
+// is 0; the Body of a GET has to be empty. Header fields come in no fixed order.
 func (m *Message) Append(b []byte) []byte {
 	if m.Method != "" {
 		b = fmt.Appendf(b, "%s %s HTTP/1.1\r\n", m.Method, m.Target)
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -32,7 +32,7 @@
 	readsAnswers  bool // it reads answers rather than requests
 	state         readerState
 	msg           *Message // the message under way; nil until its head is complete
-	bytesSearched int      // bytes of Buffer that hold no line end
+	bytesSearched int      // first bytes of Buffer that were searched, and hold no line end
 	remaining     int      // bytes of the body or chunk that have not come
 	trailerBytes  int      // size of the trailer's lines so far
 }
@@ -76,7 +76,7 @@
 // Parse returns the next message if all of it is in the buffer, and else nil. The error is an *Error.
 func (r *Reader) Parse() (*Message, error) {
 	for {
-		var incomplete bool
+		var incomplete bool // the state needs bytes that have not come
 		var err error
 		switch r.state {
 		case inHead:
--- a/internal/http1/reader_body.go
+++ b/internal/http1/reader_body.go
@@ -7,8 +7,8 @@
 )
 
 // takeBody moves what has come of a body or chunk into the message, and goes to the next state once it is complete;
-// more is true before.
-func (r *Reader) takeBody(next readerState) (more bool, err error) {
+// incomplete is true before.
+func (r *Reader) takeBody(next readerState) (incomplete bool, err error) {
 	n := min(r.remaining, r.Buffer.Len())
 	r.msg.Body = append(r.msg.Body, r.Buffer.Bytes()[:n]...)
 	r.Buffer.Consume(n)
@@ -20,7 +20,7 @@
 }
 
 // parseChunkSize parses the line before a chunk. A size of 0 ends the chunks.
-func (r *Reader) parseChunkSize() (more bool, err error) {
+func (r *Reader) parseChunkSize() (incomplete bool, err error) {
 	line, ok, err := r.takeLine()
 	if !ok {
 		return true, err
@@ -40,7 +40,7 @@
 }
 
 // parseChunk takes a chunk and the line end behind it.
-func (r *Reader) parseChunk() (more bool, err error) {
+func (r *Reader) parseChunk() (incomplete bool, err error) {
 	if r.remaining > 0 {
 		return r.takeBody(inChunk)
 	}
@@ -57,7 +57,7 @@
 }
 
 // parseTrailer skips the lines behind the last chunk, up to an empty one.
-func (r *Reader) parseTrailer() (more bool, err error) {
+func (r *Reader) parseTrailer() (incomplete bool, err error) {
 	line, ok, err := r.takeLine()
 	if !ok {
 		return true, err
@@ -72,7 +72,7 @@
 }
 
 // takeUntilEnd moves what has come of a body that ends with the connection into the message.
-func (r *Reader) takeUntilEnd() (more bool, err error) {
+func (r *Reader) takeUntilEnd() (incomplete bool, err error) {
 	if len(r.msg.Body)+r.Buffer.Len() > r.limits.Body {
 		return false, &Error{StatusContentTooLarge, "body too large"}
 	}
--- a/internal/http1/reader_head.go
+++ b/internal/http1/reader_head.go
@@ -16,8 +16,8 @@
 	startLineWords = 3
 )
 
-// parseHead parses start line and header fields once all of them are there; more is true before.
-func (r *Reader) parseHead() (more bool, err error) {
+// parseHead parses start line and header fields once all of them are there; incomplete is true before.
+func (r *Reader) parseHead() (incomplete bool, err error) {
 	b := r.Buffer.Bytes()
 	for r.bytesSearched <= 1 && bytes.HasPrefix(b, []byte(crlf)) { // empty lines before a request are skipped
 		r.Buffer.Consume(len(crlf))
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -21,9 +21,11 @@
 	acceptLogInterval = 10 * time.Second
 	// evictionCheckInterval is the wait for the reader of a connection that is being evicted.
 	evictionCheckInterval = time.Millisecond
-	// lateReadGrace is the time in which bytes are read that came before a deadline. A process that was held up finds
-	// its deadline over although they came in time.
-	lateReadGrace = 50 * time.Millisecond
+	// backlogGrace is the time to accept a further connection of the backlog once the listener is to be closed.
+	backlogGrace = 50 * time.Millisecond
+	// shutdownRequestGrace is the time in which the first request has to begin on a connection that is accepted during
+	// the shutdown.
+	shutdownRequestGrace = 50 * time.Millisecond
 )
 
 // Handler answers a request. It is called by a goroutine of the request's connection. clientLeft is closed when the
@@ -52,14 +54,15 @@
 
 	mu           sync.Mutex
 	conns        map[*conn]struct{} // all but the evicted ones
-	evicted      []*conn            // those that are to close for others, the longest first, until they are closed
-	idle         *list.List         // those of conns that are used and have no open request, the longest idle first
+	evicted      []*conn            // connections that close for others, until they are closed; oldest first
+	idle         *list.List         // used connections of conns without an open request, the longest idle first
 	busyConns    int                // connections with an open request
 	draining     bool               // every answer is the last one of its connection
 	shuttingDown bool               // no connection stays open without a request
 }
 
-// Serve accepts connections until the listener is closed, and returns the error of closing it. It is called once.
+// Serve accepts connections until the listener is closed, by CloseListener or by its owner, and returns nil or the
+// error of closing it. It is called once. The connections go on after it has returned.
 func (s *Server) Serve(l net.Listener) error {
 	var loggedAt time.Time
 	for {
@@ -71,7 +74,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded) && socket.HasPendingConn(l):
-			setAcceptDeadline(l, lateReadGrace)
+			setAcceptDeadline(l, backlogGrace)
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return l.Close()
@@ -91,8 +94,9 @@
 	}
 }
 
-// CloseListener has Serve accept the connections that wait in the backlog, and then close the listener. To close it at
-// once would reset those connections, and lose the requests that they have brought.
+// CloseListener has Serve accept the connections that wait in the backlog, and then close the listener and return. To
+// close it at once would reset those connections, and lose the requests that they have brought. CloseListener does not
+// wait for that: Serve's return shows it.
 func (s *Server) CloseListener(l net.Listener) {
 	if !setAcceptDeadline(l, 0) {
 		l.Close()
@@ -119,7 +123,7 @@
 	s.cutLingering(s.capacity())
 	s.conns[c] = struct{}{}
 	if s.shuttingDown { // it waited in the backlog: its request has come, or is on the way
-		c.SetReadDeadline(c.acceptedAt.Add(lateReadGrace))
+		c.SetReadDeadline(c.acceptedAt.Add(shutdownRequestGrace))
 	}
 	s.serving.Go(c.serve)
 }
@@ -139,7 +143,8 @@
 }
 
 // Shutdown drains the server, closes the idle connections, and returns once all others have ended. The listener has
-// to be closed before. A connection on which a request has come that was not read yet is not idle: it ends with the
+// to be closed before, and Serve to have returned: Shutdown need not wait for a connection that Serve accepts
+// meanwhile. A connection on which a request has come that was not read yet is not idle: it ends with the
 // answer.
 func (s *Server) Shutdown() {
 	s.Drain()
--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -99,35 +99,40 @@
 	<-h.paused
 }
 
-// waitForIdle waits until the server has n idle connections.
-func waitForIdle(s *Server, n int) {
-	for {
+// waitTimeout bounds a wait for a server's state. It is long, so that a busy machine fails no test.
+const waitTimeout = 20 * time.Second
+
+// waitUntil waits until a condition on the server's state holds, which is read under the lock. The test ends as failed
+// where it does not within waitTimeout.
+func waitUntil(t *testing.T, s *Server, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		idle := s.idle != nil && s.idle.Len() == n
+		done := holds()
 		s.mu.Unlock()
-		if idle {
+		if done {
 			return
 		}
-		time.Sleep(time.Millisecond)
 	}
+	t.Fatalf("%s: not within %v", what, waitTimeout)
+}
+
+// waitForIdle waits until the server has n idle connections.
+func waitForIdle(t *testing.T, s *Server, n int) {
+	t.Helper()
+	waitUntil(t, s, "idle connections", func() bool { return s.idle != nil && s.idle.Len() == n })
 }
 
 // waitForEviction waits until the server has evicted a connection.
-func waitForEviction(s *Server) {
-	for n := 0; n == 0; time.Sleep(time.Millisecond) {
-		s.mu.Lock()
-		n = len(s.evicted)
-		s.mu.Unlock()
-	}
+func waitForEviction(t *testing.T, s *Server) {
+	t.Helper()
+	waitUntil(t, s, "an eviction", func() bool { return len(s.evicted) > 0 })
 }
 
 // waitForShutdown waits until the server's shutdown has begun.
-func waitForShutdown(s *Server) {
-	for down := false; !down; time.Sleep(time.Millisecond) {
-		s.mu.Lock()
-		down = s.shuttingDown
-		s.mu.Unlock()
-	}
+func waitForShutdown(t *testing.T, s *Server) {
+	t.Helper()
+	waitUntil(t, s, "the begin of the shutdown", func() bool { return s.shuttingDown })
 }
 
 // acceptedPair connects a client to a listener, and returns both ends of the connection.
