--- a/internal/inventory/ansible.go
+++ b/internal/inventory/ansible.go
@@ -158,8 +158,9 @@
 	return sections, err
 }
 
-// readHosts reads the hosts of a group. inherited are the group's values; they count where no group before gave the
-// host one.
+// readHosts reads the hosts of a group. inherited are the group's values, those of the groups around it included. Where
+// several groups name a host, the first value that it inherits for a column counts, in the file's order; a value of the
+// host's own goes before inherited ones, and of several the last one counts.
 func (a *ansibleFile) readHosts(n *yaml.Node, group string, inherited map[string]string, selected bool) error {
 	return a.eachPair(n, "hosts of "+group, func(name, body *yaml.Node) error {
 		if strings.Contains(name.Value, "[") {
--- a/internal/inventory/reader.go
+++ b/internal/inventory/reader.go
@@ -24,7 +24,7 @@
 	// RingSize is how many ring positions there are.
 	RingSize int
 
-	endpoints map[string]core.Endpoint // of the last reading, by ID; nil before the first
+	endpoints map[string]core.Endpoint // what Read returned last, draining ones included, by ID; nil before the first
 }
 
 // Read reads the file and returns its endpoints in the order of their IDs. Those that the reading before had and this
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -3,13 +3,18 @@
 // where the value has none of its own.
 package logmsg
 
-// Messages of a coordinator about single queries, under "serve -trace" unless a query ended badly.
+// Messages about single queries and attempts. They are written at debug level, QueryEnded at info level where the query
+// failed or was late.
+const (
+	AttemptEnded    = "attempt ended"
+	AttemptWithheld = "attempt withheld"
+	ClientLeft      = "client left"
+	QueryEnded      = "query ended"
+)
+
+// Messages about what a coordinator learns and opens, at debug level.
 const (
 	EndpointUpdated  = "endpoint updated"
-	AttemptEnded     = "attempt ended"
-	AttemptWithheld  = "attempt withheld"
-	ClientLeft       = "client left"
-	QueryEnded       = "query ended"
 	ConnectionOpened = "connection opened"
 	DiscoveryPolled  = "discovery polled"
 	SettingsRead     = "settings read"
@@ -22,7 +27,10 @@
 	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired: queries are served again
 	EndpointListExpired   = "endpoint list expired"           // nothing new is sent until discovery confirms it
 	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas were taken out: queries are refused
+)
 
+// Messages about the source of a resource that a reader follows.
+const (
 	SourceFollowed = "source followed"
 	SourceLeft     = "source left"
 )
@@ -39,35 +47,42 @@
 	KeyMeanWait        = "mean_wait"
 )
 
-// Keys.
+// Keys about queries and attempts. Times are written with their unit.
 const (
-	KeyQuery     = "query_id"
-	KeyShard     = "shard"
-	KeyAttempt   = "attempt"
-	KeyReplica   = "replica"
-	KeyState     = "state"
-	KeyAge       = "age"
-	KeyOutcome   = "outcome"
-	KeyLatency   = "latency"
-	KeyClass     = "class"
-	KeyStatus    = "status"
-	KeyComplete  = "complete"
-	KeyAttempts  = "attempts"
-	KeyError     = "err"
-	KeySlowStart = "slow_start"
-
-	KeyReason          = "reason"
-	KeyResource        = "resource"
-	KeySource          = "source"
+	KeyQuery           = "query_id"
+	KeyClass           = "class"
 	KeyTenant          = "tenant"
-	KeyQueryAge        = "query_age"
-	KeyTimeLeft        = "time_left"
+	KeyStatus          = "status"
+	KeyComplete        = "complete"
+	KeyLatency         = "latency"
+	KeyQueryAge        = "query_age" // time since the query was accepted
+	KeyTimeLeft        = "time_left" // until the client's deadline
 	KeyParts           = "parts"
 	KeyPartsServed     = "parts_served"
+	KeyAttempts        = "attempts" // how many attempts the query had
 	KeyLinesSuppressed = "lines_suppressed"
-	KeyOpenQueries     = "open_queries"
-	KeyShards          = "shards"
-	KeyRemedy          = "remedy"
+	KeyShard           = "shard"
+	KeyAttempt         = "attempt" // number of the attempt among its part's, from 0
+	KeyOutcome         = "outcome"
+)
+
+// Keys about replicas, the endpoint list and resources.
+const (
+	KeyReplica     = "replica"
+	KeyState       = "state"
+	KeyAge         = "age" // time since the replica started
+	KeySlowStart   = "slow_start"
+	KeyShards      = "shards"
+	KeyOpenQueries = "open_queries"
+	KeyResource    = "resource"
+	KeySource      = "source"
+)
+
+// Keys of any message.
+const (
+	KeyReason = "reason"
+	KeyError  = "err"
+	KeyRemedy = "remedy" // what an operator can do about it
 )
 
 // Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names
