--- a/internal/core/coordinator.go
+++ b/internal/core/coordinator.go
@@ -13,7 +13,7 @@
 // belong to that goroutine, unless the type of one says otherwise.
 type Coordinator struct {
 	cfg      Config
-	settings atomic.Pointer[settingsSnapshot] // those in force; see inForce
+	settings atomic.Pointer[settingsInForce] // those in force; see inForce
 
 	queue   chan posted   // messages that wait for the next tick
 	stopped chan struct{} // closed once Run has returned
@@ -61,7 +61,7 @@
 		endpoints:   newEndpointTable(cfg.Settings.RingSize, cfg.Settings.ReplicationFactor),
 		maintenance: newMaintenanceInForce(),
 	}
-	c.settings.Store(&settingsSnapshot{cfg.Settings, cfg.Limits})
+	c.settings.Store(&settingsInForce{cfg.Settings, cfg.Limits})
 	if cfg.OnCheckpoint != nil {
 		c.timers.add(cfg.Clock()+checkpointInterval, c.checkpoint)
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -142,7 +142,7 @@
 // configure puts settings in force in the next tick, with the present limits.
 func (h *harness) configure(s scatter.Settings) error {
 	result := make(chan error, 1)
-	h.post(configureRequest{&settingsSnapshot{s, h.inForce().limits}, result})
+	h.post(configureRequest{&settingsInForce{s, h.inForce().limits}, result})
 	h.pass(0)
 	return <-result
 }
--- a/internal/core/permit_test.go
+++ b/internal/core/permit_test.go
@@ -127,7 +127,7 @@
 		s.Classes = append([]scatter.Class(nil), s.Classes...)
 		s.Classes[0].Idempotency, s.Classes[0].DedupWindow = i, window
 		result := make(chan error, 1)
-		configureRequest{&settingsSnapshot{s, Limits{}}, result}.apply(h.Coordinator)
+		configureRequest{&settingsInForce{s, Limits{}}, result}.apply(h.Coordinator)
 		if err := <-result; err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/ring_index_test.go
+++ b/internal/core/ring_index_test.go
@@ -44,7 +44,7 @@
 	}
 	s := h.inForce().Settings
 	s.RingSize, s.ReplicationFactor = 2, 1
-	configureRequest{&settingsSnapshot{s, Limits{}}, make(chan error, 1)}.apply(h.Coordinator)
+	configureRequest{&settingsInForce{s, Limits{}}, make(chan error, 1)}.apply(h.Coordinator)
 	want(1, "b")
 	want(4, "f")
 }
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -15,18 +15,18 @@
 	ErrStopped = errors.New("core: stopped")
 )
 
-// settingsSnapshot holds settings and limits that are in force together. It is never changed, so any goroutine may read
+// settingsInForce holds settings and limits that are in force together. It is never changed, so any goroutine may read
 // it.
-type settingsSnapshot struct {
+type settingsInForce struct {
 	scatter.Settings
 	limits Limits
 }
 
 // inForce returns the settings in force. Any goroutine may call it.
-func (c *Coordinator) inForce() *settingsSnapshot { return c.settings.Load() }
+func (c *Coordinator) inForce() *settingsInForce { return c.settings.Load() }
 
 // class returns the class of a name, nil if there is none.
-func (s *settingsSnapshot) class(name string) *scatter.Class {
+func (s *settingsInForce) class(name string) *scatter.Class {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
 			return &s.Classes[i]
@@ -36,7 +36,7 @@
 }
 
 // retryPolicy returns the policy of the class of a name, the zero policy if there is none.
-func (s *settingsSnapshot) retryPolicy(class string) retry.Policy {
+func (s *settingsInForce) retryPolicy(class string) retry.Policy {
 	if c := s.class(class); c != nil {
 		return c.RetryPolicy()
 	}
@@ -61,7 +61,7 @@
 		return err
 	}
 	result := make(chan error, 1)
-	c.post(configureRequest{&settingsSnapshot{s, l}, result})
+	c.post(configureRequest{&settingsInForce{s, l}, result})
 	select {
 	case err := <-result:
 		return err
@@ -71,7 +71,7 @@
 }
 
 type configureRequest struct {
-	settings *settingsSnapshot
+	settings *settingsInForce
 	result   chan error // takes one without waiting
 }
 
--- a/internal/core/validate.go
+++ b/internal/core/validate.go
@@ -111,7 +111,7 @@
 }
 
 // servesTenant reports whether queries of a tenant are served; where the settings name none, any is.
-func (s *settingsSnapshot) servesTenant(name string) bool {
+func (s *settingsInForce) servesTenant(name string) bool {
 	return name == "" || len(s.Tenants) == 0 ||
 		slices.ContainsFunc(s.Tenants, func(t scatter.Tenant) bool { return t.Name == name })
 }
