--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -8,9 +8,9 @@
 
 // Counters of queries. Names of all counters are wire: they keep older words.
 var (
-	queriesAccepted   = counters.New("queries", "taken")       // opened, and told to the module
-	queriesClientLeft = counters.New("queries", "client_left") // opened, and cancelled as their client left
-	queriesUnanswered = counters.New("queries", "overdue")     // opened, and given up as the module did not answer in time
+	queriesAccepted   = counters.New("queries", "taken")       // opened
+	queriesClientLeft = counters.New("queries", "client_left") // opened, and their client left
+	queriesUnanswered = counters.New("queries", "overdue")     // opened, and not answered by the module in time
 )
 
 // Counters of rejected queries, by what rejected them.
--- a/internal/core/list_lease.go
+++ b/internal/core/list_lease.go
@@ -16,7 +16,7 @@
 
 // SetListExpiry sets until when a source's list may be used, as an instant on the coordinator's clock. A list for which
 // it is never called may be used for good; sources other than the polled one have no lease. It waits while the queue is
-// full, for as long as a tick that hangs.
+// full; a tick that hangs can make that long.
 func (c *Coordinator) SetListExpiry(source string, expires time.Duration) {
 	c.post(leaseRenewed{source, expires})
 }
--- a/internal/distribution/probe.go
+++ b/internal/distribution/probe.go
@@ -23,7 +23,7 @@
 // probeSlot holds at most one probe. The probe has a goroutine and a connection of its own: a source that takes the
 // call and is silent must not keep changes waiting that the current source has.
 type probeSlot struct {
-	done     chan probe // the probe, once it has ended; its capacity of one is never exceeded, so sending does not block
+	done     chan probe // the probe, once it has ended; there is one at most, so its capacity of one suffices
 	underWay bool       // a probe has been started, and has not been taken from done
 }
 
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -35,8 +35,8 @@
 		}
 		version := update.Slice.Version
 		if err := r.Apply(update.Slice); err != nil {
-			slog.Warn("answer rejected", logmsg.KeyResource, config.Path.ResourceName(), logmsg.KeySource, update.Source,
-				logmsg.KeyError, err)
+			slog.Warn("answer rejected", logmsg.KeyResource, config.Path.ResourceName(),
+				logmsg.KeySource, update.Source, logmsg.KeyError, err)
 			cancel()
 			return
 		}
