--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -40,6 +40,32 @@
 	OverloadLevelChanged = "overload level changed"
 )
 
+// Messages about a coordinator's life, from the first listener to the end.
+const (
+	ListenerOpened        = "listener opened"
+	PhaseChanged          = "phase changed"
+	ConfigurationReloaded = "configuration reloaded"
+	ConfigurationRejected = "configuration rejected"
+	FileSettingsIgnored   = "file settings ignored"
+	SettingsChanged       = "settings changed"
+	InventoryReloaded     = "inventory reloaded"
+	InventoryRejected     = "inventory rejected"
+	CoordinatorStopped    = "coordinator stopped"
+)
+
+// Messages about endpoint lists and settings that relays or another process give out.
+const (
+	EndpointListInForce   = "endpoint list in force"
+	EndpointListTakenOver = "endpoint list taken over"
+	SettingsInForce       = "settings in force"
+	SettingsRejected      = "settings rejected"
+)
+
+// Messages of a relay or an authority.
+const (
+	AuthorityFilesRejected = "authority files rejected"
+)
+
 // Keys of OverloadLevelChanged.
 const (
 	KeyOverloadLevel   = "level"
@@ -83,6 +109,7 @@
 	KeyReason = "reason"
 	KeyError  = "err"
 	KeyRemedy = "remedy" // what an operator can do about it
+	KeyChange = "change" // one difference that new settings make
 )
 
 // Values of KeyState and KeyStatus that readers compare with. Counters are named after the statuses, and their names
