--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -142,10 +142,10 @@
 	s.mu.Unlock()
 }
 
-// Shutdown drains the server, closes the idle connections, and returns once all others have ended. The listener has
-// to be closed before, and Serve to have returned: Shutdown need not wait for a connection that Serve accepts
-// meanwhile. A connection on which a request has come that was not read yet is not idle: it ends with the
-// answer.
+// Shutdown drains the server, closes the idle connections, and returns once all others have ended. The listener has to
+// be closed before, and Serve to have returned. A connection that Serve accepts meanwhile has shutdownRequestGrace for
+// its request, but Shutdown may have returned before it ends. A connection on which a request has come that was not
+// read yet is not idle: it ends with the answer.
 func (s *Server) Shutdown() {
 	s.Drain()
 	s.mu.Lock()
