--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -121,7 +121,7 @@
 	at.caller.Cancel(at)
 }
 
-// endAttempt tells the module the first outcome of an attempt; any later one is dropped.
+// endAttempt notifies the module of the first outcome of an attempt; any later one is dropped.
 func (c *Coordinator) endAttempt(at *Attempt, outcome scatter.Outcome, value []byte, when time.Duration) {
 	if at.ended {
 		return
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// CancelQuery tells that a query's client has left: nothing further is sent for it, and it gets no answer. It waits
+// CancelQuery reports that a query's client has left: nothing further is sent for it, and it gets no answer. It waits
 // while the queue is full. A query that is over is left alone.
 func (c *Coordinator) CancelQuery(q *Query) { c.post(clientLeft{q}) }
 
--- a/internal/core/effective_list.go
+++ b/internal/core/effective_list.go
@@ -25,7 +25,7 @@
 	return listed && c.effective(e).State == scatter.Ready
 }
 
-// notifyEffectiveList tells the module the endpoint list anew, after lease or maintenance have changed it.
+// notifyEffectiveList notifies the module of the endpoint list anew, after lease or maintenance have changed it.
 func (c *Coordinator) notifyEffectiveList() {
 	c.endpoints.forgetFirstPhaseSupport()
 	c.notify(scatter.EndpointUpdate{Kind: scatter.CachedUpdate, Replicas: c.effectiveList()})
--- a/internal/core/endpoint_updates.go
+++ b/internal/core/endpoint_updates.go
@@ -6,7 +6,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// endpointUpdate is what a source tells of its list, or a piece of that.
+// endpointUpdate is an update of a source's list, or a piece of one.
 type endpointUpdate struct {
 	source    string
 	kind      scatter.UpdateKind
@@ -35,7 +35,7 @@
 	c.post(endpointUpdate{source: source, kind: scatter.IncrementalUpdate, endpoints: endpoints, partial: true})
 }
 
-// merge takes an update into the endpoint table and tells the module, and carries out what follows from the new table.
+// merge takes an update into the endpoint table, notifies the module, and carries out what follows from the new table.
 func (c *Coordinator) merge(u endpointUpdate) {
 	event, mayWithhold := c.mergeTable(u)
 	c.notify(event)
--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -159,7 +159,7 @@
 	c.closeParts(f.parts)
 }
 
-// learn tells the Planner what an attempt shows: its latency, what a first phase proves, and a value to retain.
+// learn reports to the Planner what an attempt shows: its latency, what a first phase proves, and a value to retain.
 func (c *Coordinator) learn(at *Attempt, succeeded bool, value []byte, latency time.Duration) {
 	p := at.part
 	if p.query.Index == "" || c.cfg.Planner == nil {
--- a/internal/core/initial_list.go
+++ b/internal/core/initial_list.go
@@ -10,7 +10,7 @@
 // is silent, and discovery may be overloaded; clients are served by the cached list then.
 const cachedListDelay = 200 * time.Millisecond
 
-// initialList tells whether the endpoint list counts as known, which makes the coordinator Ready.
+// initialList is whether the endpoint list counts as known, which makes the coordinator Ready.
 type initialList struct {
 	known      bool // the polled source has answered, if only by a failure, or the cached list has to do
 	mayPresume bool // the polled source was asked, and the wait of cachedListDelay has not begun
--- a/internal/core/memory_relief.go
+++ b/internal/core/memory_relief.go
@@ -9,7 +9,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// RelieveMemory tells how short memory runs, or that it does no more. Values that the Planner retains go first; then
+// RelieveMemory reports how short memory runs, or that it does no more. Values that the Planner retains go first; then
 // queries are ended that take excess bytes together. It waits while the queue is full; a tick that hangs can make
 // that long.
 func (c *Coordinator) RelieveMemory(level overload.MemoryLevel, excess int64) {
--- a/internal/core/open_queries.go
+++ b/internal/core/open_queries.go
@@ -20,7 +20,8 @@
 	count       int                    // open queries and parts; a first phase counts as a query with parts of its own
 	bytes       int64                  // bytes that open queries take, as far as they are counted
 
-	// limitsShared tells that another process of the same coordinator serves beside this one. Any goroutine may use it.
+	// limitsShared is set while another process of the same coordinator serves beside this one. Any goroutine may use
+	// it.
 	limitsShared atomic.Bool
 }
 
@@ -96,7 +97,7 @@
 // isOpen reports whether a query has no final answer yet and its client has not left.
 func (o *openQueries) isOpen(q *query) bool { return o.byID[q.id] != nil }
 
-// SetLimitsShared tells whether another process of the same coordinator serves beside this one: what may be open is
+// SetLimitsShared sets whether another process of the same coordinator serves beside this one: what may be open is
 // for both. Any goroutine may call it.
 func (c *Coordinator) SetLimitsShared(shared bool) { c.open.limitsShared.Store(shared) }
 
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -20,7 +20,7 @@
 	IdempotencyKeys []string      // values of retry.IdempotencyKeyHeader, one for each line
 	Origin          any           // the front's own form of the query, for callers that know it
 	Admitted        bool          // Admit has admitted the query by its head, so Execute does not call it again
-	Index           string        // what the Planner keeps the parts' values under; empty allows no first phase
+	Index           string        // what the Planner caches the parts' values under; empty allows no first phase
 	EmptyValue      []byte        // with an Index: the value of a shard without any hit
 	Parts           []Part        // one for each shard that the query needs
 
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -94,7 +94,7 @@
 	return Answer{}, false
 }
 
-// accept opens a query and tells the module of it and its parts, then of its first phase.
+// accept opens a query and notifies the module of it and its parts, then of its first phase.
 func (c *Coordinator) accept(submitted *Query, policy retry.Policy, key string) {
 	if end := c.phaseState.drainEnd; end > 0 {
 		submitted.Deadline = min(submitted.Deadline, end)
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -9,7 +9,7 @@
 // queueCapacity is how many messages may wait for a tick. Queries beyond it are refused; all other messages wait.
 const queueCapacity = 1024
 
-// message is something that another goroutine tells the coordinator. Its apply runs in the coordinator's goroutine.
+// message is what another goroutine posts to the coordinator. Its apply runs in the coordinator's goroutine.
 type message interface{ apply(*Coordinator) }
 
 // posted is a message with the instant at which it was sent.
--- a/internal/loadshed/doc.go
+++ b/internal/loadshed/doc.go
@@ -5,7 +5,7 @@
 // the fronts, memory levels to the coordinator, changes of level to the log.
 //
 //	shedder.go            the gate, and the loop that watches
-//	signals.go            what the controller is told of a window
+//	signals.go            the signals of a window that the controller gets
 //	process_usage.go      what the process has used
 //	controller_config.go  the controller's configuration by the coordinator's settings
 package loadshed
--- a/internal/loadshed/signals.go
+++ b/internal/loadshed/signals.go
@@ -20,7 +20,7 @@
 	descriptorFraction float64       // descriptors in use, as a fraction of the limit
 }
 
-// signals returns what the controller is told of a sample. The wait is the longest of three:
+// signals returns the signals of a sample that the controller gets. The wait is the longest of three:
 //   - the mean wait of what the coordinator's ticks took up;
 //   - the waits for a core of a query that is handed over several times: a process whose cores are taken by others
 //     falls behind before its coordinator does;
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -16,7 +16,7 @@
 //
 //	admin_server.go  the listener that operators connect to
 //	admin_call.go    the calls and their answers
-//	store.go         what a process keeps for the others, and the loop that reads and writes it
+//	store.go         what a process has for the others, and the loop that reads and writes it
 //	maintenance.go   maintenance calls
 //	endpoint_list.go when the endpoint list is encoded for the state file
 //	peers.go         whether another process serves beside this one
--- a/internal/operator/endpoint_list.go
+++ b/internal/operator/endpoint_list.go
@@ -13,7 +13,7 @@
 // 7,000 once a second. A new process asks discovery for what came later, for the list has its version with it.
 const encodingIntervalPerByte = time.Microsecond
 
-// SetList keeps the endpoint list, in discovery's form, for a new process, with the discovery address that it came
+// SetList stores the endpoint list, in discovery's form, for a new process, with the discovery address that it came
 // from.
 //
 // The list, the register of maintenance calls and the checkpoint share the state file's limit of maxStateFileBytes.
@@ -25,14 +25,14 @@
 	s.own.ListAt, s.own.List, s.own.Discovery, s.unsaved = s.Clock(), list, discovery, true
 }
 
-// ListChanged has Run encode and keep the endpoint list, at the next poll or, for a long list, some polls later.
+// ListChanged has Run encode and store the endpoint list, at the next poll or, for a long list, some polls later.
 func (s *Store) ListChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listDirty = true
 }
 
-// encodeList keeps the endpoint list where it has changed and may be encoded again. Only Run calls it.
+// encodeList stores the endpoint list where it has changed and may be encoded again. Only Run calls it.
 func (s *Store) encodeList() {
 	now := s.Clock()
 	s.mu.Lock()
--- a/internal/operator/state_dir.go
+++ b/internal/operator/state_dir.go
@@ -18,7 +18,7 @@
 	stateFileSuffix = ".state"
 	// writingSuffix is appended to the name of a state file while it is written.
 	writingSuffix = ".new"
-	// maxOldStateFiles is how many state files of other processes are kept, the latest ones.
+	// maxOldStateFiles is how many state files of other processes stay, the latest ones.
 	maxOldStateFiles = 4
 	// partialLifetime is the age from which the writer of a partial state file was killed.
 	partialLifetime = time.Minute
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -50,7 +50,7 @@
 	Name        string               // of the coordinator; state files of another one are not used
 	Coordinator Coordinator          // is notified of other processes' calls
 	Clock       func() time.Duration // wall clock, since the Unix epoch
-	StateDir    *StateDir            // nil keeps nothing beyond this process
+	StateDir    *StateDir            // nil where nothing is shared with other processes
 
 	// EncodeList returns the endpoint list, in discovery's form, and the discovery address that it came from. Run
 	// calls it some time after ListChanged. Nil where SetList alone brings lists.
@@ -97,7 +97,7 @@
 	return c, false
 }
 
-// SetCheckpoint keeps what this process has learned for a new one.
+// SetCheckpoint stores what this process has learned for a new one.
 func (s *Store) SetCheckpoint(c scatter.Checkpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
