--- a/internal/decide/failover/freshness_test.go
+++ b/internal/decide/failover/freshness_test.go
@@ -10,14 +10,14 @@
 const staleAfter = 1500 * ms
 
 // probe has a reader probe a fresher or nearer source where it is time, and reports whether it follows that now.
-// Sources answer with their ages.
-func probe(s *Selector, now time.Duration, ages map[string]time.Duration) (probed, switched bool) {
+// Sources answer with their stalenesses.
+func probe(s *Selector, now time.Duration, stalenesses map[string]time.Duration) (probed, switched bool) {
 	better := s.Nearer
 	if s.Stale() {
 		better = s.Fresher
 	}
 	source, ok := better(now)
-	return ok, ok && s.SwitchTo(now, source, ages[source.Address])
+	return ok, ok && s.ProbeSucceeded(now, source, stalenesses[source.Address])
 }
 
 // Each source is cut off from the authority at a random instant and learns nothing new after that. A reader switches to
@@ -26,22 +26,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, now, all := New(own, sixSources(), random(rapid.Uint64().Draw(t, "seed"))), time.Duration(0), sixSources()
 		s.SetStaleAfter(staleAfter)
-		cutAt, ages := map[string]time.Duration{}, map[string]time.Duration{}
+		cutAt, stalenesses := map[string]time.Duration{}, map[string]time.Duration{}
 		for _, source := range all {
 			cutAt[source.Address] = time.Duration(rapid.IntRange(0, 10_000).Draw(t, "cut")) * ms
 		}
-		s.Next(now)
+		s.FollowNext(now)
 		probes, switches, left := 0, 0, map[string]bool{}
 		const end, step = 60 * sec, 50 * ms
 		for ; now < end; now += step {
 			for _, source := range all {
-				ages[source.Address] = max(0, now-cutAt[source.Address])
+				stalenesses[source.Address] = max(0, now-cutAt[source.Address])
 			}
 			before, _ := s.Current()
 			s.Succeeded(now)
-			s.RecordAge(now, ages[before.Address])
+			s.RecordStaleness(now, stalenesses[before.Address])
 			stale := s.Stale()
-			probed, switched := probe(s, now, ages)
+			probed, switched := probe(s, now, stalenesses)
 			if probed {
 				probes++
 			}
@@ -50,11 +50,11 @@
 			}
 			switches++
 			after, _ := s.Current()
-			switch gain := ages[before.Address] - ages[after.Address]; {
+			switch gain := stalenesses[before.Address] - stalenesses[after.Address]; {
 			case left[after.Address]:
 				t.Fatalf("at %v it is back at %s", now, after.Address)
 			case stale && gain < time.Duration(clearlyFresher*float64(staleAfter)):
-				t.Fatalf("at %v it leaves age %v for %v", now, ages[before.Address], ages[after.Address])
+				t.Fatalf("at %v it leaves staleness %v for %v", now, stalenesses[before.Address], stalenesses[after.Address])
 			case !stale:
 				t.Fatalf("at %v it leaves %s, which is fresh", now, before.Address)
 			}
@@ -71,18 +71,18 @@
 func TestProbesOfEquallyStaleSources(t *testing.T) {
 	s, probes := New(own, sixSources(), random(1)), map[string]int{}
 	s.SetStaleAfter(staleAfter)
-	s.Next(0)
+	s.FollowNext(0)
 	const start = 2 * sec
 	others := len(sixSources()) - 1
 	last, latest := time.Duration(0), time.Duration(0)
 	for now := start; now < start+60*sec; now += 10 * ms {
-		s.RecordAge(now, now)
+		s.RecordStaleness(now, now)
 		source, ok := s.Fresher(now)
 		if !ok {
 			continue
 		}
 		last, latest = latest, now
-		if s.SwitchTo(now, source, now) {
+		if s.ProbeSucceeded(now, source, now) {
 			t.Fatalf("at %v it follows %s, which is as stale", now, source.Address)
 		}
 		probes[source.Address]++
@@ -95,38 +95,70 @@
 	}
 }
 
-// A nearer source was left because it was stale. The reader returns to it once it is fresh, and not before. If the
-// reader's source fails while the nearer one is still stale, that one is followed all the same.
-func TestReturnsToNearerSourceOnceFresh(t *testing.T) {
-	s, now := New(own, oneInRegionOneInZone(), random(1)), time.Duration(0)
+// leftStaleNearer has a reader leave a stale source in its zone for a fresh one in its region. It returns the nearer
+// source too.
+func leftStaleNearer(t *testing.T) (s *Selector, now time.Duration, near Source) {
+	t.Helper()
+	s = New(own, oneInRegionOneInZone(), random(1))
 	s.SetStaleAfter(staleAfter)
 	near, far := next(t, s, &now), sixSources()[1]
-	s.RecordAge(now, 2*staleAfter)
+	s.RecordStaleness(now, 2*staleAfter)
 	now += firstProbeSpread
-	if source, ok := s.Fresher(now); !ok || source != far || !s.SwitchTo(now, far, 0) {
+	if source, ok := s.Fresher(now); !ok || source != far || !s.ProbeSucceeded(now, far, 0) {
 		t.Fatalf("it probes %s", source.Address)
 	}
-	for probes := 0; probes < 5; now += 100 * ms {
-		s.RecordAge(now, 0)
-		source, ok := s.Nearer(now)
+	return s, now, near
+}
+
+// probeNearerWhileStale has a reader probe the nearer source several times, which answers that it is still stale.
+func probeNearerWhileStale(t *testing.T, s *Selector, now *time.Duration) {
+	t.Helper()
+	for probes := 0; probes < 5; *now += 100 * ms {
+		s.RecordStaleness(*now, 0)
+		source, ok := s.Nearer(*now)
 		if !ok {
 			continue
 		}
-		if probes++; s.SwitchTo(now, source, staleAfter+ms) {
-			t.Fatalf("at %v it returns to a stale one", now)
+		if probes++; s.ProbeSucceeded(*now, source, staleAfter+ms) {
+			t.Fatalf("at %v it returns to a stale one", *now)
 		}
 	}
+}
+
+// A nearer source was left because it was stale, and is stale for long. The reader probes it again and again, and does
+// not return to it.
+func TestDoesNotReturnToNearerSourceWhileStale(t *testing.T) {
+	s, now, _ := leftStaleNearer(t)
+	probeNearerWhileStale(t, s, &now)
+}
+
+// A nearer source was left because it was stale, and is still stale when the reader's source fails. A stale source is
+// better than none: the reader follows it.
+func TestFollowsStaleSourceIfCurrentFails(t *testing.T) {
+	s, now, near := leftStaleNearer(t)
+	probeNearerWhileStale(t, s, &now)
+	now += backoffs[Stale].max
+	s.Leave(now, Failed)
+	if source := next(t, s, &now); source != near {
+		t.Fatalf("it follows %s", source.Address)
+	}
+}
+
+// A nearer source is stale, then it fails. Once it answers its probe and is just not stale, the reader returns to it.
+func TestReturnsToNearerSourceOnceFresh(t *testing.T) {
+	s, now, near := leftStaleNearer(t)
+	probeNearerWhileStale(t, s, &now)
 	now += backoffs[Stale].max
 	s.Leave(now, Failed)
 	if source := next(t, s, &now); source != near {
 		t.Fatalf("it follows %s", source.Address)
 	}
-	s.RecordAge(now, 0)
+	s.RecordStaleness(now, 0)
 	s.Leave(now, Failed)
 	next(t, s, &now)
 	for ; ; now += 100 * ms {
 		if source, ok := s.Nearer(now); ok {
-			if !s.SwitchTo(now, source, staleAfter) {
+			if !s.ProbeSucceeded(now, source, staleAfter) {
 				t.Error("it does not return to a fresh one")
 			}
 			return
