--- a/internal/core/memory_relief.go
+++ b/internal/core/memory_relief.go
@@ -9,8 +9,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// RelieveMemory tells how short memory runs, or that it does no more. Values that the Planner retains go first; then
-// queries are ended that take excess bytes together. It waits while the queue is full.
+// RelieveMemory reports how short memory runs, or that it does no more. Values that the Planner retains go first; then
+// queries are ended that take excess bytes together. It waits while the queue is full; a tick that hangs can make
+// that long.
 func (c *Coordinator) RelieveMemory(level overload.MemoryLevel, excess int64) {
 	c.post(memoryRelief{level, excess})
 }
@@ -41,8 +42,9 @@
 	}
 }
 
-// describeOpen is a query as it is chosen among. Where a part that must not run twice was sent, it may have run, and the
-// client would not know whether it did. A class that the settings have dropped counts as one that must not run twice.
+// describeOpen is a query as it is chosen among. Where a part that must not run twice was sent, it may have run, and
+// the client would not know whether it did. A class that the settings have dropped counts as one that must not run
+// twice.
 func (c *Coordinator) describeOpen(q *query) overload.OpenQuery {
 	o := overload.OpenQuery{Bytes: q.bytes, PriorityWeight: math.SmallestNonzeroFloat64}
 	mustNotRunTwice := true
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -15,18 +15,18 @@
 	ErrStopped = errors.New("core: stopped")
 )
 
-// settingsSnapshot holds settings and limits that are in force together. It is never changed, so any goroutine may read
+// settingsInForce holds settings and limits that are in force together. It is never changed, so any goroutine may read
 // it.
-type settingsSnapshot struct {
+type settingsInForce struct {
 	scatter.Settings
 	limits Limits
 }
 
 // inForce returns the settings in force. Any goroutine may call it.
-func (c *Coordinator) inForce() *settingsSnapshot { return c.settings.Load() }
+func (c *Coordinator) inForce() *settingsInForce { return c.settings.Load() }
 
 // class returns the class of a name, nil if there is none.
-func (s *settingsSnapshot) class(name string) *scatter.Class {
+func (s *settingsInForce) class(name string) *scatter.Class {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
 			return &s.Classes[i]
@@ -36,7 +36,7 @@
 }
 
 // retryPolicy returns the policy of the class of a name, the zero policy if there is none.
-func (s *settingsSnapshot) retryPolicy(class string) retry.Policy {
+func (s *settingsInForce) retryPolicy(class string) retry.Policy {
 	if c := s.class(class); c != nil {
 		return c.RetryPolicy()
 	}
@@ -54,14 +54,14 @@
 }
 
 // Configure puts settings and limits in force, all of them or, with an error, none: ErrSecondRound, a
-// *scatter.SettingError, or ErrStopped. Queries that were submitted before keep their class. It waits for the tick that
-// does it, so the coordinator's own goroutine must not call it.
+// *scatter.SettingError, or ErrStopped. Queries that were submitted before keep their class. It waits while the queue
+// is full and for the tick that does it, without a limit, so the coordinator's own goroutine must not call it.
 func (c *Coordinator) Configure(s scatter.Settings, l Limits) error {
 	if err := checkSupported(s); err != nil {
 		return err
 	}
 	result := make(chan error, 1)
-	c.post(configureRequest{&settingsSnapshot{s, l}, result})
+	c.post(configureRequest{&settingsInForce{s, l}, result})
 	select {
 	case err := <-result:
 		return err
@@ -71,7 +71,7 @@
 }
 
 type configureRequest struct {
-	settings *settingsSnapshot
+	settings *settingsInForce
 	result   chan error // takes one without waiting
 }
 
@@ -80,7 +80,7 @@
 	err := c.machine.Configure(withFirstPhases(m.settings.Settings, c.cfg.TwoPhaseClasses))
 	if err == nil {
 		c.settings.Store(m.settings)
-		c.endpoints.forgetFirstPhases()
+		c.endpoints.forgetFirstPhaseSupport()
 		c.endpoints.resizeRing(m.settings.RingSize, m.settings.ReplicationFactor)
 	}
 	m.result <- err
--- a/internal/distribution/probe.go
+++ b/internal/distribution/probe.go
@@ -23,7 +23,7 @@
 // probeSlot holds at most one probe. The probe has a goroutine and a connection of its own: a source that takes the
 // call and is silent must not keep changes waiting that the current source has.
 type probeSlot struct {
-	done     chan probe // the probe, once it has ended; it always has room for one
+	done     chan probe // the probe, once it has ended; there is one at most, so its capacity of one suffices
 	underWay bool       // a probe has been started, and has not been taken from done
 }
 
@@ -41,7 +41,7 @@
 		f.probe.underWay = false
 		if p.err != nil {
 			f.selector.ProbeFailed(f.now(), p.source, reasonOf(p.err))
-		} else if f.isBetter(p) {
+		} else if f.switchIfBetter(p) {
 			return p.source, p.client
 		}
 		p.client.Close()
@@ -50,16 +50,16 @@
 	return failover.Source{}, nil
 }
 
-// isBetter reports whether the source of a probe that was answered is to be followed in place of the current one; the
-// selector then takes it for the current one.
-func (f *Follower) isBetter(p probe) bool {
+// switchIfBetter has the selector take the source of an answered probe for the current one, if it is better, and
+// reports whether it has.
+func (f *Follower) switchIfBetter(p probe) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
 	if !f.selector.ProbeSucceeded(f.now(), p.source, p.staleness+time.Since(p.answeredAt)) {
 		return false
 	}
 	if stale {
-		slog.Info(logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Resource.Name(), logmsg.KeySource, left.Address,
+		slog.Info(logmsg.SourceLeft, logmsg.KeyResource, f.cfg.Path.ResourceName(), logmsg.KeySource, left.Address,
 			logmsg.KeyReason, failover.Stale.String(), "staleness", f.current.staleness.Round(time.Millisecond))
 	}
 	return true
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -76,21 +76,21 @@
 func (p *process) followEndpoints(ctx context.Context) {
 	apply := func(u distribution.Update) {
 		p.relayedList.Apply(u)
-		if u.Completed {
+		if u.SnapshotCompleted {
 			slog.Info(logmsg.EndpointListInForce, "version", versionText(u.Slice.Version), logmsg.KeySource, u.Source)
 		}
 		if u.Complete {
 			logInForce(distribution.Endpoints, u.Slice.Version)
 		}
 	}
-	f := p.newFollower(distribution.Config{Resource: distribution.Endpoints, KnownNames: p.relayedList.Known(),
+	f := p.newFollower(distribution.Config{Path: distribution.Endpoints, KnownNames: p.relayedList.Known(),
 		Check: p.relayedList.Check, Apply: apply})
 	go f.Run(ctx)
 }
 
 // logInForce writes from when on a version of a resource is in force in this process.
-func logInForce(r distribution.Resource, v versionlog.Version) {
-	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, r.Name(), "epoch", v.Epoch, "index", v.Index,
+func logInForce(path distribution.Path, v versionlog.Version) {
+	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, path.ResourceName(), "epoch", v.Epoch, "index", v.Index,
 		"at_unix_ms", time.Now().UnixMilli())
 }
 
--- a/internal/lifecycle/relayed_settings.go
+++ b/internal/lifecycle/relayed_settings.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	f := p.newFollower(distribution.Config{Resource: distribution.Settings, Check: config.CheckSettingsEntries,
+	f := p.newFollower(distribution.Config{Path: distribution.Settings, Check: config.CheckSettingsEntries,
 		Apply: apply})
 	go f.Run(ctx)
 }
--- a/internal/platform/caller_test.go
+++ b/internal/platform/caller_test.go
@@ -17,7 +17,7 @@
 		for i := range 5 {
 			id := fmt.Sprint(i)
 			r.caller.Call(replicaAt("n"),
-				[]*core.Attempt{{QueryID: id, Endpoint: "n"}, {QueryID: id, Shard: 1, Endpoint: "n"}})
+				[]*core.Attempt{{QueryID: id, ReplicaID: "n"}, {QueryID: id, Shard: 1, ReplicaID: "n"}})
 			synctest.Wait()
 		}
 		if r.connCount != 3 || len(r.frames) != 5 {
@@ -53,7 +53,7 @@
 		r.caller.MaxConns = 2
 		call := func(replica string) {
 			id := fmt.Sprint(r.connCount, len(r.frames))
-			r.caller.Call(replicaAt(replica), []*core.Attempt{{QueryID: id, Endpoint: replica}})
+			r.caller.Call(replicaAt(replica), []*core.Attempt{{QueryID: id, ReplicaID: replica}})
 			synctest.Wait()
 		}
 		call("a")
@@ -89,7 +89,7 @@
 func TestAnswerGoesToAttemptNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeReplica(4)
-		first, second := &core.Attempt{QueryID: "q", Endpoint: "n"}, &core.Attempt{QueryID: "q", Endpoint: "n"}
+		first, second := &core.Attempt{QueryID: "q", ReplicaID: "n"}, &core.Attempt{QueryID: "q", ReplicaID: "n"}
 		r.caller.Call(replicaAt("n"), []*core.Attempt{first})
 		r.caller.Call(replicaAt("n"), []*core.Attempt{second})
 		synctest.Wait()
--- a/internal/platform/ended_idle_test.go
+++ b/internal/platform/ended_idle_test.go
@@ -36,7 +36,7 @@
 // callFirst makes the call that opens the connection, and reads it at the replica's end, which it returns.
 func (fx *idleEndFixture) callFirst() (first *core.Attempt, replicaEnd net.Conn) {
 	fx.t.Helper()
-	first = &core.Attempt{QueryID: "first", Endpoint: "n"}
+	first = &core.Attempt{QueryID: "first", ReplicaID: "n"}
 	fx.caller.Call(fx.replica, []*core.Attempt{first})
 	c, err := fx.l.Accept()
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 	replicaEnd.Close()
 	time.Sleep(10 * time.Millisecond)
-	second := &core.Attempt{QueryID: "second", Endpoint: "n"}
+	second := &core.Attempt{QueryID: "second", ReplicaID: "n"}
 	fx.caller.Call(fx.replica, []*core.Attempt{second})
 	time.Sleep(20 * time.Millisecond)
 	for range 5 {
@@ -153,7 +153,7 @@
 	order.pass()
 	<-holds
 	time.Sleep(untilWaiting)
-	second := &core.Attempt{QueryID: "second", Endpoint: "n"}
+	second := &core.Attempt{QueryID: "second", ReplicaID: "n"}
 	go func() { fx.caller.Call(fx.replica, []*core.Attempt{second}); close(called) }()
 	time.Sleep(untilWaiting)
 	close(release)
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -45,7 +45,8 @@
 
 // Load reads the files and publishes what they change. It is called at the start and whenever they are to be read
 // again, by one goroutine at a time. Both files are read and checked before either is published. The errors are those
-// of reading and checking, with the file's path; then nothing has changed.
+// of reading and checking, with the file's path; then nothing has changed. Where the log rejects a publication its
+// error comes back with the file's path, and an endpoint list that was published before stays.
 func (a *Authority) Load() error {
 	endpoints, err := a.readEndpoints()
 	if err != nil {
@@ -66,8 +67,9 @@
 	return nil
 }
 
+// publishEndpoints publishes the complete list of EndpointsFile.
 func (a *Authority) publishEndpoints(list []versionlog.Change) error {
-	a.Endpoints.SetStaleness(alwaysFresh)
+	a.Endpoints.SetStaleness(neverStale)
 	published, err := a.Endpoints.Replace(list)
 	if err != nil {
 		return fmt.Errorf("%s: %w", a.EndpointsFile, err)
@@ -78,7 +80,7 @@
 
 // publishSettings publishes settings, and logs what they change.
 func (a *Authority) publishSettings(settings json.RawMessage, changes []string) error {
-	a.Settings.SetStaleness(alwaysFresh)
+	a.Settings.SetStaleness(neverStale)
 	published, err := a.Settings.Publish([]versionlog.Change{settingsChange(settings)})
 	if err != nil {
 		return fmt.Errorf("%s: %w", a.SettingsFile, err)
@@ -91,8 +93,8 @@
 	return nil
 }
 
-// alwaysFresh is the staleness of what comes from a file: nothing newer exists.
-func alwaysFresh() time.Duration { return 0 }
+// neverStale is the staleness of what comes from a file: nothing newer exists.
+func neverStale() time.Duration { return 0 }
 
 // Run follows the discovery service and publishes what it changes, until ctx ends. It returns at once where the list
 // does not come from there.
@@ -101,7 +103,7 @@
 		return
 	}
 	changes := make(chan []versionlog.Change)
-	follower := distribution.New(distribution.Config{Resource: distribution.Endpoints, AcceptAnySnapshot: true,
+	follower := distribution.New(distribution.Config{Path: distribution.Endpoints, AcceptAnySnapshot: true,
 		MaxBody: maxDiscoveryBody, Sources: []failover.Source{{Address: a.Discovery}}, Check: checkEndpoints,
 		Apply: func(update distribution.Update) {
 			select {
@@ -116,7 +118,10 @@
 	a.publishBatches(ctx, changes)
 }
 
-// publishBatches publishes the changes that come in, batchInterval after the first of each batch, until ctx ends.
+// publishBatches publishes the changes that come in, batchInterval after the first of each batch, until ctx ends; a
+// batch that is not due then is dropped. A batch that the log rejects is dropped too: its changes are not published
+// until discovery sends them again. The line "version published" follows each batch, also one that was rejected or
+// changed nothing: its changes are 0 then, and its version is the one before.
 func (a *Authority) publishBatches(ctx context.Context, incoming <-chan []versionlog.Change) {
 	var batch []versionlog.Change
 	var due <-chan time.Time
@@ -167,9 +172,9 @@
 	return buffer.Bytes()
 }
 
-// logPublished logs that so many changes of a resource were published.
-func logPublished(name distribution.Resource, resource *Resource, changes int) {
+// logPublished logs how many changes of a resource were published, and the version that it has now.
+func logPublished(path distribution.Path, resource *Resource, changes int) {
 	head := resource.Head()
-	slog.Info("version published", logmsg.KeyResource, name.Name(), "changes", changes, "epoch", head.Epoch,
+	slog.Info("version published", logmsg.KeyResource, path.ResourceName(), "changes", changes, "epoch", head.Epoch,
 		"index", head.Index, "at_unix_ms", time.Now().UnixMilli())
 }
