--- a/cmd/harepass/descriptors_test.go
+++ b/cmd/harepass/descriptors_test.go
@@ -63,12 +63,12 @@
 	defer l.Close()
 	var polled atomic.Bool
 	draining := p.listing(2, drainingBefore(1))
-	go fake.Discovery(l, func() string { polled.Store(true); return string(draining) })
+	go fake.ServeDiscovery(l, func() string { polled.Store(true); return string(draining) })
 	eventually(t, "discovery is polled", func() bool { openIdleClients(t, p.address); return polled.Load() })
 	time.Sleep(200 * time.Millisecond)
-	before := len(p.replicas[0].Seen())
+	before := len(p.replicas[0].Received())
 	queryOnNewConns(t, p.address, "with discovery back")
-	if n := len(p.replicas[0].Seen()) - before; n > 0 {
+	if n := len(p.replicas[0].Received()) - before; n > 0 {
 		t.Errorf("%d parts went to a replica that was announced as draining", n)
 	}
 	p.writeConfig(p.listing(1, inService), l.Addr().String())
--- a/cmd/harepass/discovery_test.go
+++ b/cmd/harepass/discovery_test.go
@@ -55,7 +55,7 @@
 	p.listMode = "push"
 	l := listen(t)
 	var changed atomic.Bool
-	go fake.Discovery(l, func() string {
+	go fake.ServeDiscovery(l, func() string {
 		if changed.Load() {
 			return string(p.listing(2, drainingBefore(1)))
 		}
@@ -66,18 +66,18 @@
 	for range 30 {
 		query(t, p.address, 0, 1)
 	}
-	if len(p.replicas[0].Seen()) == 0 {
+	if len(p.replicas[0].Received()) == 0 {
 		t.Error("nothing ever went to the replica that drains")
 	}
 	changed.Store(true)
 	time.Sleep(backoff.WatchHold + backoff.WatchSilence)
-	before := len(p.replicas[0].Seen())
+	before := len(p.replicas[0].Received())
 	for range 30 {
 		if status := query(t, p.address, 0, 1); status != 200 {
 			t.Errorf("a query ended with %d", status)
 		}
 	}
-	if n := len(p.replicas[0].Seen()) - before; n > 0 {
+	if n := len(p.replicas[0].Received()) - before; n > 0 {
 		t.Errorf("%d parts went to a replica that had been announced as draining", n)
 	}
 }
--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -109,17 +109,17 @@
 
 // callAdmin makes an operator's call and returns the answer.
 func (p *relayedProcess) callAdmin(line string) string {
-	return (&faultinjection.Process{Door: p.adminAddress}).Call(line)
+	return (&faultinjection.Process{AdminAddress: p.adminAddress}).CallAdmin(line)
 }
 
 // A coordinator takes its endpoints and settings from relays: it is ready once the list is complete, a drain and new
 // settings are in force by the next relay where the first is gone, bad settings are rejected as a whole in one line, a
 // file that is read again does not take settings back, and with no relay left it serves on by what it has.
 func TestRelaysGiveOutEndpointsAndSettings(t *testing.T) {
-	first, second := &fake.Fleet{}, &fake.Fleet{}
+	first, second := &fake.Replicas{}, &fake.Replicas{}
 	at := []net.Listener{listen(t), listen(t)}
-	go first.Frames(at[0])
-	go second.Frames(at[1])
+	go first.ServeFrames(at[0])
+	go second.ServeFrames(at[1])
 	settings := withQuota(exampleSettings(t), "5000")
 	r := newRelays(t)
 	p := startRelayedProcess(t, r, settings, t.TempDir())
@@ -142,13 +142,13 @@
 	p.waitForLine(logmsg.SourceFollowed + ` resource=settings source=` + r.addresses[1])
 	r.publishEndpoint("f0", "terminating", at[0])
 	p.waitForLine(logmsg.VersionInForce + ` resource=instances epoch=7 index=3`)
-	before := len(first.Seen())
+	before := len(first.Received())
 	for range 5 {
 		if status := queryClass(t, p.address, "lift-status", 0); status != 200 {
 			t.Errorf("after the drain: %d", status)
 		}
 	}
-	if n := len(first.Seen()) - before; n > 0 {
+	if n := len(first.Received()) - before; n > 0 {
 		t.Errorf("the draining replica got %d parts", n)
 	}
 	r.publishSettings(settings)
@@ -186,8 +186,8 @@
 // A process is killed, and a replica is removed before the next one starts. The next one begins with the list that was
 // stored, and drops the names that are listed no more with the last slice of its first snapshot.
 func TestRelayedListIsTakenOver(t *testing.T) {
-	fleet, at, dir := &fake.Fleet{}, listen(t), t.TempDir()
-	go fleet.Frames(at)
+	fleet, at, dir := &fake.Replicas{}, listen(t), t.TempDir()
+	go fleet.ServeFrames(at)
 	r := newRelays(t)
 	r.publishEndpoint("f0", "in_service", at)
 	r.publishEndpoint("f1", "in_service", at)
--- a/cmd/harepass/fleet_test.go
+++ b/cmd/harepass/fleet_test.go
@@ -40,7 +40,7 @@
 		t.Error(err)
 	}
 	var b strings.Builder
-	f.Summary(&b)
+	f.PrintSummary(&b)
 	t.Log(b.String())
 	if err := f.Close(); err != nil {
 		t.Error(err)
--- a/cmd/harepass/host_test.go
+++ b/cmd/harepass/host_test.go
@@ -28,8 +28,9 @@
 	settings := []byte(polled(exampleSettings(t)))
 	settings = bytes.Replace(settings, []byte(`"rules": {`), []byte(`"rules": {"ask_every_us": 20000000, `), 1)
 	settings = withQuota(settings, "5000") // the crowd is within its quota
-	h, err := faultinjection.NewHost(faultinjection.Config{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"},
-		Env: []string{asProgram}, Settings: settings, Nodes: 6, Work: 20 * time.Millisecond, Slack: maintenanceSlack})
+	h, err := faultinjection.NewHost(faultinjection.HostConfig{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"},
+		Env: []string{asProgram}, Settings: settings, Replicas: 6, ServiceTime: 20 * time.Millisecond,
+		MaintenanceGrace: maintenanceSlack})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,14 +68,14 @@
 // setMaintenance takes a replica out, or calls it back.
 func (h *host) setMaintenance(p *faultinjection.Process, replica int, out bool) {
 	h.t.Helper()
-	h.must(h.Take(p, replica, out))
+	h.must(h.SetMaintenance(p, replica, out))
 }
 
 // terminate ends a process as the platform does, and waits for it.
 func (h *host) terminate(p *faultinjection.Process) {
 	h.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
-	if err := <-p.Over; err != nil {
+	if err := <-p.Exited; err != nil {
 		h.t.Errorf("exit: %v", err)
 	}
 }
@@ -82,14 +83,14 @@
 // kill ends a process without a warning, and waits for it.
 func (h *host) kill(p *faultinjection.Process) {
 	p.Process.Kill()
-	<-p.Over
+	<-p.Exited
 }
 
 // checkOutcomes checks that a crowd's requests were served or ended in one of the other ways that are allowed, and the
 // replicas' records. It returns how many ended in which way.
-func (h *host) checkOutcomes(c *faultinjection.Crowd, allowed ...string) map[string]int {
+func (h *host) checkOutcomes(c *faultinjection.ClientPool, allowed ...string) map[string]int {
 	h.t.Helper()
-	tally := c.Tally()
+	tally := c.Outcomes()
 	if tally["200"] < 100 {
 		h.t.Errorf("%d served: no load", tally["200"])
 	}
--- a/cmd/harepass/stalled_process_test.go
+++ b/cmd/harepass/stalled_process_test.go
@@ -42,7 +42,7 @@
 			defer r.mu.Unlock()
 			return r.reply
 		}
-		replica.Heard = func(p fake.Part, _ fake.Kind) {
+		replica.OnPart = func(p fake.Part, _ fake.Kind) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			query, _, _ := strings.Cut(p.ID, ".")
@@ -188,7 +188,7 @@
 		name: "a long query is open at a shutdown",
 		prepare: func(r *stallRun) {
 			r.connect(true)
-			r.setReply(fake.Reply{Kind: fake.Silent})
+			r.setReply(fake.Reply{Kind: fake.NoReply})
 			r.sendLong()
 			time.Sleep(50 * time.Millisecond)
 			r.signal(syscall.SIGTERM)
--- a/internal/config/upstream.go
+++ b/internal/config/upstream.go
@@ -33,7 +33,7 @@
 
 // defaultUpstream holds where the file says nothing of the calls' times.
 func defaultUpstream() Upstream {
-	return Upstream{Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultAllowance}
+	return Upstream{Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultSilenceTolerance}
 }
 
 // checkSources refuses a list of sources that is empty, has one twice, or one that is no host and port.
@@ -73,6 +73,6 @@
 		locality := failover.Locality{Zone: s.Zone, Region: s.Region}
 		c.Sources = append(c.Sources, failover.Source{Address: s.Address, Locality: locality})
 	}
-	c.Heartbeat, c.Allowance = u.Heartbeat, u.Allowance
+	c.Heartbeat, c.SilenceTolerance = u.Heartbeat, u.Allowance
 	return c
 }
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -37,12 +37,12 @@
 	return failover.Source{Address: s.address, Locality: p}
 }
 
-// allowance is longer than a source takes to answer on a busy machine.
-const allowance = 2 * time.Second
+// silenceTolerance is longer than a source takes to answer on a busy machine.
+const silenceTolerance = 2 * time.Second
 
 // follow runs a consumer in inZone.
 func follow(t *testing.T, list ...failover.Source) *consumer {
-	return followWith(t, Config{Sources: list, Allowance: allowance})
+	return followWith(t, Config{Sources: list, SilenceTolerance: silenceTolerance})
 }
 
 // followWith runs a consumer in inZone by a configuration of sources until the test ends.
@@ -51,7 +51,7 @@
 	for _, name := range cfg.KnownNames {
 		c.statuses[name] = "known"
 	}
-	cfg.Resource, cfg.Locality, cfg.Heartbeat = Endpoints, inZone, 200*time.Millisecond
+	cfg.Path, cfg.Locality, cfg.Heartbeat = Endpoints, inZone, 200*time.Millisecond
 	cfg.Rand = rand.New(rand.NewPCG(1, 2))
 	cfg.Apply, cfg.Check = c.apply, checkStatuses
 	c.Follower = New(cfg)
@@ -122,7 +122,7 @@
 // waitFor waits for what other goroutines bring about.
 func (c *consumer) waitFor(what string, ok func() bool) {
 	c.t.Helper()
-	if err := faultinjection.Wait(what, ok); err != nil {
+	if err := faultinjection.WaitFor(what, ok); err != nil {
 		c.t.Fatalf("%v; it is at %+v, %+v", err, c.Status(), c.Counters())
 	}
 }
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -22,8 +22,8 @@
 	Entries []versionlog.Entry
 	// MissingFromSnapshot are the names that a snapshot did not hold. They come with its last slice.
 	MissingFromSnapshot []string
-	// Completed reports that the answer was the last slice of a snapshot.
-	Completed bool
+	// SnapshotCompleted reports that the answer was the last slice of a snapshot.
+	SnapshotCompleted bool
 	// Complete reports that the local copy is the log's state at the slice's version.
 	Complete bool
 	// Source is the address of the source that answered.
@@ -51,8 +51,8 @@
 // currentSource is what the answers of the source in use have shown.
 type currentSource struct {
 	served        bool          // it has given a good answer since it became the current one
-	moreAvailable bool          // its last answer brought a new version, and announced another slice
-	staleness     time.Duration // of what it had at its last good answer
+	moreAvailable bool          // its last answer brought something new, and announced another slice
+	staleness     time.Duration // that its last applied answer gave; the zero value before the first
 }
 
 // New returns a Follower that does nothing before Run.
@@ -100,7 +100,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if !f.recordOutcome(ctx, source, err) {
+		if !f.handleOutcome(ctx, source, err) {
 			return
 		}
 		if better, betterClient := f.betterSource(ctx); betterClient != nil {
@@ -122,7 +122,7 @@
 	f.current.served = true
 	f.totals.switches.Add(1)
 	f.status.setSource(source.Address)
-	slog.Info(logmsg.SourceFollowed, logmsg.KeyResource, f.cfg.Resource.Name(), logmsg.KeySource, source.Address,
+	slog.Info(logmsg.SourceFollowed, logmsg.KeyResource, f.cfg.Path.ResourceName(), logmsg.KeySource, source.Address,
 		"zone", source.Zone, "region", source.Region)
 }
 
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -18,7 +18,7 @@
 
 // drainingProcess is a process with one front in memory, at the address "c", and one class, whose shard no replica
 // holds.
-func drainingProcess(t *testing.T, memory *fake.Net) *process {
+func drainingProcess(t *testing.T, memory *fake.Network) *process {
 	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 1,
 		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second,
 			CompleteFraction: 1, MinFraction: 1}}}
@@ -43,7 +43,7 @@
 // when they have nothing open then.
 func TestDrainKeepsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var memory fake.Net
+		var memory fake.Network
 		p := drainingProcess(t, &memory)
 		dial := func() *http1.Client {
 			return &http1.Client{Address: "c", Dial: memory.Dial, Limits: http1.DefaultLimits}
--- a/internal/lifecycle/relay.go
+++ b/internal/lifecycle/relay.go
@@ -89,9 +89,9 @@
 		go r.authority.Run(ctx)
 		return
 	}
-	for name, resource := range map[distribution.Resource]*relay.Resource{
+	for path, resource := range map[distribution.Path]*relay.Resource{
 		distribution.Endpoints: r.server.Endpoints, distribution.Settings: r.server.Settings} {
-		go resource.Follow(ctx, r.file.Follower(distribution.Config{Resource: name}))
+		go resource.Follow(ctx, r.file.Follower(distribution.Config{Path: path}))
 	}
 }
 
--- a/internal/lifecycle/takeover.go
+++ b/internal/lifecycle/takeover.go
@@ -37,12 +37,12 @@
 }
 
 // openStateFolder opens the folder of the stored state.
-func (p *process) openStateFolder() (*operator.SnapshotDir, error) {
+func (p *process) openStateFolder() (*operator.StateDir, error) {
 	dir := p.env("TMPDIR")
 	if dir == "" {
 		return nil, ErrNoStateFolder
 	}
-	return operator.OpenSnapshotDir(filepath.Join(dir, StateFolder), time.Now())
+	return operator.OpenStateDir(filepath.Join(dir, StateFolder), time.Now())
 }
 
 // takeOverList returns the endpoint list to begin with, and the address of the discovery that it came from. It is the
@@ -92,7 +92,7 @@
 		data, err := json.Marshal(snapshot)
 		return address, data, err
 	}
-	p.store.Publish()
+	p.store.NotifyCoordinator()
 	go p.store.Run(ctx)
 	server := &operator.AdminServer{Handler: p.store}
 	go server.Serve(l)
--- a/internal/loadshed/signals.go
+++ b/internal/loadshed/signals.go
@@ -13,14 +13,14 @@
 
 // sample is what was seen in a window.
 type sample struct {
-	ticks              core.Tick     // the coordinator's ticks, with the longest duration of one
+	ticks              core.Tick     // the coordinator's ticks; Duration and MaxWait are the longest
 	cpuUsed            float64       // CPU seconds a second
 	schedulingWait     time.Duration // mean wait of a ready goroutine for a core
 	liveBytes          int64         // live heap when the collector last looked
 	descriptorFraction float64       // descriptors in use, as a fraction of the limit
 }
 
-// signals returns what the controller is told of a sample. The wait is the longest of three:
+// signals returns the signals of a sample that the controller gets. The wait is the longest of three:
 //   - the mean wait of what the coordinator's ticks took up;
 //   - the waits for a core of a query that is handed over several times: a process whose cores are taken by others
 //     falls behind before its coordinator does;
--- a/internal/platform/caller_fuzz_test.go
+++ b/internal/platform/caller_fuzz_test.go
@@ -149,7 +149,7 @@
 		return
 	}
 	at := &core.Attempt{QueryID: fmt.Sprintf("q%d", len(m.all)), Shard: shard, Body: []byte("t"), Timeout: time.Second,
-		Endpoint: "n"}
+		ReplicaID: "n"}
 	w := &modelAttempt{at: at, written: !m.stoppedReader, begun: !m.writeWaits}
 	m.all = append(m.all, w)
 	if m.refuses && m.needsConn {
--- a/internal/platform/silent_conns_test.go
+++ b/internal/platform/silent_conns_test.go
@@ -18,7 +18,7 @@
 }
 
 func (p *silentConnPlay) call() {
-	p.attempts = append(p.attempts, &core.Attempt{QueryID: fmt.Sprint("q", len(p.attempts)), Endpoint: "n"})
+	p.attempts = append(p.attempts, &core.Attempt{QueryID: fmt.Sprint("q", len(p.attempts)), ReplicaID: "n"})
 	p.caller.Call(replicaAt("n"), p.attempts[len(p.attempts)-1:])
 	synctest.Wait()
 }
--- a/internal/test/scaletest/watch.go
+++ b/internal/test/scaletest/watch.go
@@ -8,12 +8,13 @@
 	"harepass/internal/decide/failover"
 	"harepass/internal/decide/versionlog"
 	"harepass/internal/distribution"
+	"harepass/internal/test/fake"
 )
 
 // watchAuthority follows the authority itself until ctx ends, to learn which index it gave to what was published.
 func (f *fleet) watchAuthority(ctx context.Context) {
-	follow := func(resource distribution.Resource, seen func(versionlog.Entry)) {
-		distribution.New(distribution.Config{Resource: resource, Sources: []failover.Source{{Address: f.authority.address}},
+	follow := func(resource distribution.Path, seen func(versionlog.Entry)) {
+		distribution.New(distribution.Config{Path: resource, Sources: []failover.Source{{Address: f.authority.address}},
 			Apply: func(u distribution.Update) {
 				for _, e := range u.Entries {
 					seen(e)
@@ -32,7 +33,7 @@
 		f.publisher.seenGone(e.Name, e.Index)
 		return
 	}
-	var entry Entry
+	var entry fake.Endpoint
 	if json.Unmarshal(e.Body, &entry) == nil {
 		f.publisher.seen(List, entry.SinceMS, e.Index)
 	}
