--- a/cmd/harepass/serve_test.go
+++ b/cmd/harepass/serve_test.go
@@ -61,7 +61,9 @@
 	}
 	b.start("  trails: {class: route-lookup}\n  hazards: {class: hazard-report, reports: true}\n", file)
 	eventually(t, "ready", func() bool { return isReady(b.platform) })
-	eventually(t, "discovery's list", func() bool { return query(t, b.platform, 0, 1) == 200 && len(b.frames.Received()) > 0 })
+	eventually(t, "discovery's list", func() bool {
+		return query(t, b.platform, 0, 1) == 200 && len(b.frames.Received()) > 0
+	})
 	json := map[string]string{"Content-Type": "application/json"}
 	search := `{"query":{"range":{"section":{"lt":5}}}}`
 	status, body := post(t, "http://"+b.search+"/trails/_search", search, json)
@@ -113,7 +115,9 @@
 	b.write("nodes.csv", "name,address,port,cell,api\n")
 	b.write("config.json", file(moveTo))
 	b.Process.Signal(syscall.SIGHUP)
-	eventually(b.t, "discovery's move", func() bool { return query(b.t, b.platform, 0) == 200 && len(moved.Received()) > 0 })
+	eventually(b.t, "discovery's move", func() bool {
+		return query(b.t, b.platform, 0) == 200 && len(moved.Received()) > 0
+	})
 	before := len(b.frames.Received())
 	for range 5 {
 		if status := query(b.t, b.platform, 0, 1, 2); status != 200 || len(b.frames.Received()) > before {
--- a/internal/test/scaletest/baseline.go
+++ b/internal/test/scaletest/baseline.go
@@ -30,7 +30,7 @@
 		cancel()
 		err = errors.Join(err, f.close())
 	}()
-	f.publisher.registry.Turn, f.publisher.registry.Patience = turn, baselinePatience
+	f.publisher.registry.CallDuration, f.publisher.registry.MaxWait = turn, baselinePatience
 	sampler := newSampler(f)
 	go sampler.run(ctx)
 	f.timeline.note("without distribution, %v a call", turn)
@@ -52,7 +52,7 @@
 	over := time.Now()
 	h := &held{records: f.records, starts: f.started}
 	result.Turn, result.List = Seconds(turn), h.measure(f.publisher.published(), f.members)
-	result.Answered, result.Failed = f.publisher.registry.Answers()
+	result.Answered, result.Failed = f.publisher.registry.CallCounts()
 	perHost := (plan.Coordinators + plan.Hosts - 1) / plan.Hosts
 	result.Spent = sampler.spent(roleHost, began, over, func(string) int { return perHost })
 	result.KBPerS = result.Spent.KBPerS * float64(plan.Coordinators)
--- a/internal/test/scaletest/registry.go
+++ b/internal/test/scaletest/registry.go
@@ -12,86 +12,93 @@
 	"harepass/internal/test/fake"
 )
 
-// Registry stands in for discovery: the one source of the list. It serves calls that have something to tell one after
-// another; a renewed watch that has nothing to tell costs it nothing.
+// Registry is discovery at a cost: the one source of the endpoint list. It serves calls that have a change to give one
+// after another, and rejects those that would wait for too long; a watch that has none costs it nothing. Endpoints that
+// have ended leave the complete list. Its methods may be called by any goroutine.
+//
+// It differs from fake.Registry, which serves all calls at once, keeps ended endpoints, and can be made to fail.
 type Registry struct {
-	Turn     time.Duration // what a call costs
-	Patience time.Duration // a call that would wait longer for its turn fails with 503; 0 for none
-
-	mu      sync.Mutex
-	entries map[string]fake.Endpoint
-	log     []string // the name that was changed with each index, from 1 on
-	changed chan struct{}
-	whole   []byte // the whole list at the latest index; nil where that has to be made
-	free    time.Time
-	answers int
-	failed  int
+	CallDuration time.Duration // how long a call that has a change takes; set before Serve
+	MaxWait      time.Duration // a call that would wait longer before it is served fails with 503; 0 for no bound
+
+	mu           sync.Mutex
+	endpoints    map[string]fake.Endpoint
+	changedNames []string      // the endpoint that changed with each version, from 1 on
+	changed      chan struct{} // closed and replaced at each change
+	snapshot     []byte        // the complete list in its latest version; nil where it has to be made
+	idleAt       time.Time     // when the calls that were accepted are served
+	answers      int
+	failed       int
 }
 
-// NewRegistry returns one that lists some entries.
-func NewRegistry(entries []fake.Endpoint) *Registry {
-	r := &Registry{entries: map[string]fake.Endpoint{}, changed: make(chan struct{})}
-	r.Put(entries...)
+// NewRegistry returns a registry that lists some endpoints.
+func NewRegistry(endpoints []fake.Endpoint) *Registry {
+	r := &Registry{endpoints: map[string]fake.Endpoint{}, changed: make(chan struct{})}
+	r.Put(endpoints...)
 	return r
 }
 
-// Put adds entries or changes them, all in one instant.
-func (r *Registry) Put(entries ...fake.Endpoint) {
+// Put adds endpoints or changes them, all at one instant. Each is a version of its own.
+func (r *Registry) Put(endpoints ...fake.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range entries {
-		r.entries[e.Name] = e
-		r.log = append(r.log, e.Name)
+	for _, e := range endpoints {
+		r.endpoints[e.Name] = e
+		r.changedNames = append(r.changedNames, e.Name)
 	}
-	r.whole = nil
+	r.snapshot = nil
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Index is the latest version.
+// Index is the list's latest version.
 func (r *Registry) Index() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return int64(len(r.log))
+	return r.index()
 }
 
-// Answers is how many calls were answered with something to tell, and how many failed for want of a turn.
-func (r *Registry) Answers() (served, failed int) {
+// index is the list's latest version. It is to be called under the lock.
+func (r *Registry) index() int64 { return int64(len(r.changedNames)) }
+
+// CallCounts is how many calls were given changes, and how many failed since they would have waited for too long.
+func (r *Registry) CallCounts() (served, failed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answers, r.failed
 }
 
-// Serve answers calls until the listener is closed.
-func (r *Registry) Serve(l net.Listener) error { return http.Serve(l, http.HandlerFunc(r.call)) }
+// Serve answers calls until the listener is closed, which gives the error.
+func (r *Registry) Serve(l net.Listener) error { return http.Serve(l, http.HandlerFunc(r.handlePoll)) }
 
-func (r *Registry) call(w http.ResponseWriter, req *http.Request) {
+// handlePoll answers a call once there is a change or its wait is over.
+func (r *Registry) handlePoll(w http.ResponseWriter, req *http.Request) {
 	poll := fake.ParsePoll(req)
 	if !r.await(req.Context(), poll.From, poll.Wait) {
 		return
 	}
-	if r.news(poll.From) && !r.turn(req.Context()) {
+	if r.hasChanges(poll.From) && !r.serveInTurn(req.Context()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(r.answer(poll.From))
+	w.Write(r.encode(poll.From))
 }
 
-// await waits until something is newer than a version or the hold is over; false where the caller has left.
-func (r *Registry) await(ctx context.Context, from int64, hold time.Duration) bool {
-	end := time.NewTimer(hold)
-	defer end.Stop()
+// await waits until there is a change since a version or the wait is over. It reports false where the caller has left.
+func (r *Registry) await(ctx context.Context, from int64, wait time.Duration) bool {
+	waitOver := time.NewTimer(wait)
+	defer waitOver.Stop()
 	for {
 		r.mu.Lock()
 		changed := r.changed
 		r.mu.Unlock()
-		if r.news(from) {
+		if r.hasChanges(from) {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-waitOver.C:
 			return true
 		case <-ctx.Done():
 			return false
@@ -99,62 +106,67 @@
 	}
 }
 
-func (r *Registry) news(from int64) bool {
+// hasChanges reports whether there is a change since a version.
+func (r *Registry) hasChanges(from int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return from < int64(len(r.log))
+	return from < r.index()
 }
 
-// turn waits for the call's turn to be over; false where it would have waited too long.
-func (r *Registry) turn(ctx context.Context) bool {
-	r.mu.Lock()
-	now := time.Now()
-	begin := now
-	if r.free.After(now) {
-		begin = r.free
-	}
-	late := r.Patience > 0 && begin.Sub(now) > r.Patience
-	wait := begin.Add(r.Turn).Sub(now)
-	if late {
-		r.failed++
-		wait = r.Patience
-	} else {
-		r.answers++
-		r.free = begin.Add(r.Turn)
-	}
-	r.mu.Unlock()
+// serveInTurn waits until the call is served, after those before it. It reports false where the call would have had to
+// wait for more than MaxWait before that; it has then waited for MaxWait.
+func (r *Registry) serveInTurn(ctx context.Context) bool {
+	wait, accepted := r.schedule()
 	if wait > 0 {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 		}
 	}
-	return !late
+	return accepted
+}
+
+// schedule returns how long a call that has just arrived waits until it is served, or until it fails.
+func (r *Registry) schedule() (wait time.Duration, accepted bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	begin := now
+	if r.idleAt.After(now) {
+		begin = r.idleAt
+	}
+	if r.MaxWait > 0 && begin.Sub(now) > r.MaxWait {
+		r.failed++
+		return r.MaxWait, false
+	}
+	r.answers++
+	r.idleAt = begin.Add(r.CallDuration)
+	return r.idleAt.Sub(now), true
 }
 
-// answer words what is newer than a version: the changes, or the whole list where the version is unknown.
-func (r *Registry) answer(from int64) []byte {
+// encode returns the answer to a caller who has a version: what has changed since, or the complete list where the
+// version is not one of this registry's.
+func (r *Registry) encode(from int64) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	head := int64(len(r.log))
-	if from >= 0 && from <= head {
-		l := fake.EndpointList{Index: head, Endpoints: []fake.Endpoint{}}
-		names := slices.Clone(r.log[from:])
+	if from >= 0 && from <= r.index() {
+		list := fake.EndpointList{Index: r.index(), Endpoints: []fake.Endpoint{}}
+		names := slices.Clone(r.changedNames[from:])
 		slices.Sort(names)
 		for _, name := range slices.Compact(names) {
-			l.Endpoints = append(l.Endpoints, r.entries[name])
+			list.Endpoints = append(list.Endpoints, r.endpoints[name])
 		}
-		data, _ := json.Marshal(l)
+		data, _ := json.Marshal(list)
 		return data
 	}
-	if r.whole == nil {
-		l := fake.EndpointList{Index: head, Snapshot: true, Endpoints: []fake.Endpoint{}}
-		for _, e := range r.entries {
+	if r.snapshot == nil {
+		list := fake.EndpointList{Index: r.index(), Snapshot: true, Endpoints: []fake.Endpoint{}}
+		for _, e := range r.endpoints {
 			if e.Status != fake.StatusTerminated {
-				l.Endpoints = append(l.Endpoints, e)
+				list.Endpoints = append(list.Endpoints, e)
 			}
 		}
-		r.whole, _ = json.Marshal(l)
+		r.snapshot, _ = json.Marshal(list)
 	}
-	return r.whole
+	return r.snapshot
 }
