--- a/internal/decide/overload/doc.go
+++ b/internal/decide/overload/doc.go
@@ -13,8 +13,10 @@
 // # Order of rejection
 //
 // Queries with the least priority weight for their cost are rejected first, traffic beyond a tenant's quota before any
-// within it. A protected query, of a non-idempotent class and within its tenant's quota, is rejected last: where even
-// the tokens of the near future are spent, or where admitted queries have to be ended for want of memory.
+// within it. A protected query is one of a non-idempotent class and within its tenant's quota. It is rejected last:
+// where even the tokens of the near future are spent, or where admitted queries have to be ended for want of memory.
+// Which admitted queries are ended goes by another rule: a query is spared if a part that must not run twice may have
+// run (OpenQuery.MayHaveRun).
 //
 // # Where each decision stands
 //
--- a/internal/opensearch/errors.go
+++ b/internal/opensearch/errors.go
@@ -82,7 +82,7 @@
 	return &apiError{http.StatusBadRequest, errorType, fmt.Sprintf(format, args...)}
 }
 
-// rejectedError is the error of a request that was rejected before any of it ran: a retry is harmless.
+// rejectedError is the error of a request that was rejected, with the promise that a retry is harmless.
 type rejectedError struct {
 	retryAfter time.Duration
 }
