--- a/internal/test/faultinjection/host.go
+++ b/internal/test/faultinjection/host.go
@@ -75,7 +75,8 @@
 		}
 		h.Replicas = append(h.Replicas, r)
 	}
-	h.Discovery, err = h.listeners.serveBehindLink(NewLink, func(l net.Listener) { fake.ServeDiscovery(l, h.endpointList) })
+	serveDiscovery := func(l net.Listener) { fake.ServeDiscovery(l, h.endpointList) }
+	h.Discovery, err = h.listeners.serveBehindLink(NewLink, serveDiscovery)
 	if err == nil {
 		err = h.Configure(c.Settings)
 	}
--- a/internal/test/faultinjection/link_copy.go
+++ b/internal/test/faultinjection/link_copy.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// pieces returns a function that reads the next piece: a complete message where messages are distinguished, and whatever
-// has arrived elsewhere. A piece is valid until the next call.
+// pieces returns a function that reads the next piece: a complete message where messages are distinguished, and
+// whatever has arrived elsewhere. A piece is valid until the next call.
 func (l *Link) pieces(d Direction, from net.Conn) func() ([]byte, error) {
 	if d == ToServer || !l.framed {
 		buf := make([]byte, maxPieceBytes)
