--- a/internal/opensearch/replica_answer_test.go
+++ b/internal/opensearch/replica_answer_test.go
@@ -149,16 +149,16 @@
 func TestBadRequestOfReplicaByPhase(t *testing.T) {
 	const body = `{"error":{"type":"query_shard_exception"},"status":400}`
 	for _, tc := range []struct {
-		attempt core.Attempt
-		want    endedAttempt
+		at   *core.Attempt
+		want endedAttempt
 	}{
-		{core.Attempt{}, endedAttempt{scatter.Succeeded, body}},
-		{core.Attempt{FirstPhase: true}, endedAttempt{outcome: scatter.Succeeded}},
-		{core.Attempt{WithVersion: true}, endedAttempt{outcome: scatter.Errored}},
+		{&core.Attempt{}, endedAttempt{scatter.Succeeded, body}},
+		{&core.Attempt{FirstPhase: true}, endedAttempt{outcome: scatter.Succeeded}},
+		{&core.Attempt{WithVersion: true}, endedAttempt{outcome: scatter.Errored}},
 	} {
-		at := tc.attempt
+		at := tc.at
 		at.Origin = &search{index: &Index{name: "trails"}}
-		outcome, value := recordAnswer(&at, &http1.Message{Status: 400, Body: []byte(body)})
+		outcome, value := recordAnswer(at, &http1.Message{Status: 400, Body: []byte(body)})
 		got := endedAttempt{outcome, string(value)}
 		if got != tc.want || at.Evidence.Readable {
 			t.Errorf("first phase %v, with version %v: %v, want %v; evidence %+v",
