--- a/internal/test/experiments/choices/choices.go
+++ b/internal/test/experiments/choices/choices.go
@@ -132,6 +132,6 @@
 // newFleet sets up a fleet of a size.
 func (s fleetSize) newFleet(numbered bool) (*fleetsim.Fleet, error) {
 	c := fleetsim.BusyConfig(s.members, s.nodes, nodesPerCell)
-	c.Numbered = numbered
+	c.KnowOrdinals = numbered
 	return fleetsim.New(c)
 }
--- a/internal/test/experiments/choices/situations.go
+++ b/internal/test/experiments/choices/situations.go
@@ -18,25 +18,25 @@
 		return res, err
 	}
 	f.Run(3 * time.Second)
-	f.BeginPhase()
+	f.BeginMeasurement()
 	f.Run(size.work)
-	res.parts, res.jain = fleetsim.Imbalance(partsOf(f.Nodes))
+	res.parts, res.jain = fleetsim.Imbalance(partsOf(f.Replicas))
 	connections := f.Connections()
 	res.connections, _ = fleetsim.Imbalance(connections)
 	for _, n := range connections {
 		res.open += n
 	}
-	res.worth = f.Worth()
-	var hung []*fleetsim.Node
-	for i := 3; i < len(f.Nodes); i += 10 {
-		f.Nodes[i].Hung = true
-		hung = append(hung, f.Nodes[i])
+	res.worth = f.EarnedFraction()
+	var hung []*fleetsim.Replica
+	for i := 3; i < len(f.Replicas); i += 10 {
+		f.Replicas[i].Unresponsive = true
+		hung = append(hung, f.Replicas[i])
 	}
 	f.Run(8 * time.Second) // by then all have met them
-	f.BeginPhase()
+	f.BeginMeasurement()
 	f.Run(size.afterFault + 8*time.Second)
 	res.trials, _ = fleetsim.Imbalance(partsOf(hung))
-	res.load = f.Load()
+	res.load = f.PartsSent()
 	return res, nil
 }
 
@@ -46,15 +46,15 @@
 	if err != nil {
 		return res, err
 	}
-	for _, n := range f.Nodes {
+	for _, n := range f.Replicas {
 		n.Restart(f.Now())
 	}
-	f.Announce()
+	f.PublishEndpointList()
 	f.Run(size.afterFault)
-	for _, n := range f.Nodes {
+	for _, n := range f.Replicas {
 		res.coldPressure = max(res.coldPressure, n.Pressure())
 	}
-	res.fallen = fallen(f.Nodes)
+	res.fallen = fallen(f.Replicas)
 	return res, nil
 }
 
@@ -64,21 +64,21 @@
 	if err != nil {
 		return res, err
 	}
-	for _, n := range f.Nodes {
+	for _, n := range f.Replicas {
 		n.Down = n.Zone == lostZone
 	}
 	f.Run(5 * time.Second)
-	for _, n := range f.Nodes {
+	for _, n := range f.Replicas {
 		if n.Down {
 			n.Restart(f.Now())
 			n.Down = false
 			n.DropConnections()
 		}
 	}
-	f.Announce()
+	f.PublishEndpointList()
 	f.Run(size.afterFault)
-	res.zoneWorth = f.Worth()
-	res.fallen = fallen(f.Nodes)
+	res.zoneWorth = f.EarnedFraction()
+	res.fallen = fallen(f.Replicas)
 	return res, nil
 }
 
@@ -87,12 +87,12 @@
 	f, err := s.newFleet(numbered)
 	if err == nil {
 		f.Run(4 * time.Second)
-		f.BeginPhase()
+		f.BeginMeasurement()
 	}
 	return f, err
 }
 
-func partsOf(nodes []*fleetsim.Node) (parts []float64) {
+func partsOf(nodes []*fleetsim.Replica) (parts []float64) {
 	for _, n := range nodes {
 		parts = append(parts, float64(n.Parts))
 	}
@@ -100,7 +100,7 @@
 }
 
 // fallen counts the nodes that were sent more than makes them fall.
-func fallen(nodes []*fleetsim.Node) (count int) {
+func fallen(nodes []*fleetsim.Replica) (count int) {
 	for _, n := range nodes {
 		if n.Pressure() > 1 {
 			count++
--- a/internal/test/fleetsim/config.go
+++ b/internal/test/fleetsim/config.go
@@ -1,6 +1,3 @@
-// Package fleetsim plays a fleet of coordinators in virtual time: the real module of each of them, before emulated nodes
-// with queues, cold starts and connections. A play is the same for the same seed and faster than real time, so it shows fleets
-// that no machine can hold as processes.
 package fleetsim
 
 import (
@@ -9,61 +6,96 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Config is how a fleet is set up and what it meets.
+// Config is the size of a fleet and the traffic that it gets.
 type Config struct {
-	Members, Nodes  int
-	Reach           int // cells that hold a section
-	NodesPerCell    int
-	SectionsPerCell int // sections that begin at a cell
-	Rate            float64
-	LookupSections  int     // sections in a row that a lookup needs
-	SummarySections int     // sections in a row that a summary asks for
-	Skew            float64 // of the members' traffic: the standard deviation of its logarithm
-	Numbered        bool    // whether members know their number in the fleet
-	Seed            uint64
-	Cold            scatter.SlowStart // how nodes start; DefaultCold if it has no Multiple
+	Coordinators        int
+	Replicas            int
+	ReplicationFactor   int               // ring positions that hold a shard
+	ReplicasPerPosition int               // replicas at a position of the ring
+	ShardsPerPosition   int               // shards whose holders begin at a position of the ring
+	QueryRate           float64           // queries a second that arrive at the whole fleet
+	LookupShards        int               // consecutive shards that a lookup needs
+	SummaryShards       int               // consecutive shards that a summary asks for
+	TrafficSkew         float64           // standard deviation of the logarithm of a coordinator's traffic
+	KnowOrdinals        bool              // whether each coordinator knows its ordinal in the fleet
+	Seed                uint64            // source of all draws
+	SlowStart           scatter.SlowStart // how replicas start; DefaultSlowStart if its OverloadFactor is 0
 }
 
+// The two classes of query.
 const (
-	partWork       = 30 * time.Millisecond // of a part, on a core of a warm node
-	nodeCores      = 2
-	nodeQueue      = 30 // parts that wait at a node; more are turned away
-	aim            = 380 * time.Millisecond
-	deadline       = time.Second
-	keepAlive      = 24 * time.Second       // an idle connection is closed after this
-	connectTimeout = 250 * time.Millisecond // that an attempt at a node that says nothing takes
-	connectTime    = time.Millisecond       // that a connection takes to come up
-	summaryShare   = 0.22                   // of the queries
-	summaryFloor   = 0.7                    // of a summary's weight does for an answer in part
-	zones          = 3
-	startTime      = 100 * time.Second // of the virtual clock
+	classLookup  = "lookup"
+	classSummary = "summary"
+
+	summaryFraction = 0.22 // share of the queries that are summaries; the others are lookups
+
+	lookupPriorityWeight  = 1.0
+	summaryPriorityWeight = 3.0
+	lateWeight            = 0.3 // share of the priority weight that is left after the latency objective
+	summaryMinFraction    = 0.7 // share of a summary's weight that suffices for an incomplete answer
+
+	latencyObjective = 380 * time.Millisecond
+	queryDeadline    = time.Second
 )
 
-// DefaultCold is how nodes start where a Config says nothing else.
-var DefaultCold = scatter.SlowStart{InitialCapacity: 0.21, Duration: 18 * time.Second, OverloadFactor: 2.5, Window: 1500 * time.Millisecond}
+// replicaPartRate is the rate, in parts a second, at which BusyConfig loads each replica: two thirds of its capacity.
+const replicaPartRate = 47.0
 
-// partsPerNode is the rate, in parts a second, that comes to a node of a BusyConfig: two thirds of what it can do.
-const partsPerNode = 47.0
+// DefaultSlowStart is how replicas start where a Config does not say it.
+var DefaultSlowStart = scatter.SlowStart{
+	InitialCapacity: 0.21, Duration: 18 * time.Second, OverloadFactor: 2.5, Window: 1500 * time.Millisecond,
+}
 
-// BusyConfig is a fleet of a size whose nodes are two thirds busy; members do not know their numbers.
-func BusyConfig(members, nodes, nodesPerCell int) Config {
-	c := Config{Members: members, Nodes: nodes, NodesPerCell: nodesPerCell, Reach: 3, SectionsPerCell: 2,
-		LookupSections: 17, SummarySections: min(100, nodes/nodesPerCell), Skew: 0.7, Seed: 7}
-	c.Rate = partsPerNode * float64(nodes) / ((1-summaryShare)*float64(c.LookupSections) + summaryShare*float64(c.SummarySections))
+// BusyConfig returns the Config of a fleet whose replicas are two thirds busy. Its coordinators do not know their
+// ordinals.
+func BusyConfig(coordinators, replicas, replicasPerPosition int) Config {
+	c := Config{
+		Coordinators:        coordinators,
+		Replicas:            replicas,
+		ReplicationFactor:   3,
+		ReplicasPerPosition: replicasPerPosition,
+		ShardsPerPosition:   2,
+		LookupShards:        17,
+		SummaryShards:       min(100, replicas/replicasPerPosition),
+		TrafficSkew:         0.7,
+		Seed:                7,
+	}
+	partsPerQuery := (1-summaryFraction)*float64(c.LookupShards) + summaryFraction*float64(c.SummaryShards)
+	c.QueryRate = replicaPartRate * float64(replicas) / partsPerQuery
 	return c
 }
 
-func (c Config) cells() int { return c.Nodes / c.NodesPerCell }
+func (c Config) ringSize() int { return c.Replicas / c.ReplicasPerPosition }
 
-// settings are those of the member of a number, which believes the fleet to have so many.
-func (c Config) settings(number, members int) scatter.Settings {
-	s := scatter.Settings{Coordinators: members, RingSize: c.cells(), ReplicationFactor: c.Reach, PartsPerCall: 1, TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
+func (c Config) shards() int { return c.ShardsPerPosition * c.ringSize() }
+
+// settings returns the settings of the coordinator with a number from 0, which takes the fleet to have fleetSize
+// coordinators.
+func (c Config) settings(number, fleetSize int) scatter.Settings {
+	s := scatter.Settings{
+		Coordinators:      fleetSize,
+		RingSize:          c.ringSize(),
+		ReplicationFactor: c.ReplicationFactor,
+		PartsPerCall:      1,
+		TickInterval:      time.Millisecond,
+		MaxAttempts:       4,
+		Cancellation:      true,
+		RetryAfter:        time.Second,
 		Classes: []scatter.Class{
-			{Name: "lookup", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1},
-			{Name: "summary", LatencyObjective: aim, Deadline: deadline, PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: summaryFloor}},
-		SlowStart: c.Cold}
-	if c.Numbered {
+			queryClass(classLookup, lookupPriorityWeight, 1),
+			queryClass(classSummary, summaryPriorityWeight, summaryMinFraction),
+		},
+		SlowStart: c.SlowStart,
+	}
+	if c.KnowOrdinals {
 		s.Ordinal = number + 1
 	}
 	return s
 }
+
+func queryClass(name string, priorityWeight, minFraction float64) scatter.Class {
+	return scatter.Class{
+		Name: name, LatencyObjective: latencyObjective, Deadline: queryDeadline, PriorityWeight: priorityWeight,
+		LateWeight: lateWeight, CompleteFraction: 1, MinFraction: minFraction,
+	}
+}
--- a/internal/test/fleetsim/fleet_test.go
+++ b/internal/test/fleetsim/fleet_test.go
@@ -8,129 +8,146 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A virtual fleet is the same for the same seed. While members disagree about its size nodes stay as evenly loaded as they
-// were, no node is pushed over when all return cold, and what is asked is served again afterwards.
-func TestVirtualFleet(t *testing.T) {
-	play := func(seed uint64) string {
-		c := BusyConfig(120, 12, 1)
-		c.Numbered, c.Seed, c.Rate = true, seed, c.Rate/2
-		f, err := New(c)
-		if err != nil {
+// A fleet at half load grows from 120 to 130 coordinators, and a third of them get the new size two seconds before the
+// others. While they disagree, replicas stay evenly loaded. Later all replicas restart at full load: none is
+// overloaded while it warms up. Simulations with one seed act alike.
+func TestResizeAndRestartOverloadNoReplica(t *testing.T) {
+	first := playResizeAndRestart(t, 3)
+	if again := playResizeAndRestart(t, 3); again != first {
+		t.Errorf("seed 3 gives %s and %s", first, again)
+	}
+	if playResizeAndRestart(t, 4) == first {
+		t.Error("seeds 3 and 4 give one result")
+	}
+}
+
+// playResizeAndRestart returns the counts of the last measurement.
+func playResizeAndRestart(t *testing.T, seed uint64) string {
+	t.Helper()
+	c := BusyConfig(120, 12, 1)
+	c.KnowOrdinals, c.Seed, c.QueryRate = true, seed, c.QueryRate/2
+	f, err := New(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.Run(3 * time.Second)
+	f.BeginMeasurement()
+	f.Run(2 * time.Second)
+	if f.EarnedFraction() < 0.9 {
+		t.Errorf("seed %d: earned %.2f of the weight at half load", seed, f.EarnedFraction())
+	}
+	for _, notified := range []int{40, 130} {
+		if err := f.resize(130, notified); err != nil {
 			t.Fatal(err)
 		}
-		f.Run(3 * time.Second)
-		f.BeginPhase()
-		f.Run(2 * time.Second)
-		if f.Worth() < 0.9 {
-			t.Errorf("seed %d: worth %.2f at half load", seed, f.Worth())
-		}
-		for _, told := range []int{40, 130} { // grown to 130, which a third hears of first
-			if err := f.resize(130, told); err != nil {
-				t.Fatal(err)
-			}
-			f.BeginPhase()
-			f.Run(2 * time.Second)
-			var parts []float64
-			for _, n := range f.Nodes {
-				parts = append(parts, float64(n.Parts))
-			}
-			if over, _ := Imbalance(parts); over > 1.6 || f.Worth() < 0.9 {
-				t.Errorf("seed %d, %d told: busiest %.2f of the mean, worth %.2f", seed, told, over, f.Worth())
-			}
-		}
-		f.Rate *= 2 // what warm ones can do
-		f.Run(2 * time.Second)
-		for _, n := range f.Nodes {
-			n.Restart(f.now)
-		}
-		f.Announce()
+		f.BeginMeasurement()
 		f.Run(2 * time.Second)
-		worst := 0.0
-		for _, n := range f.Nodes {
-			worst = max(worst, n.Pressure())
+		var parts []float64
+		for _, r := range f.Replicas {
+			parts = append(parts, float64(r.Parts))
 		}
-		t.Logf("seed %d: a cold node was sent %.2f of what makes it fall", seed, worst)
-		if worst > 1 {
-			t.Errorf("seed %d: a cold node was sent %.2f of what makes it fall", seed, worst)
+		if largest, _ := Imbalance(parts); largest > 1.6 || f.EarnedFraction() < 0.9 {
+			t.Errorf("seed %d, %d notified: busiest replica %.2f of the mean, earned %.2f of the weight",
+				seed, notified, largest, f.EarnedFraction())
 		}
-		return fmt.Sprint(f.asked, f.phase.attempts, f.phase.earned)
 	}
-	one := play(3)
-	if again := play(3); again != one {
-		t.Errorf("the same seed plays %s and %s", one, again)
+	f.config.QueryRate *= 2 // full load, which warmed-up replicas bear
+	f.Run(2 * time.Second)
+	for _, r := range f.Replicas {
+		r.Restart(f.now)
 	}
-	if play(4) == one {
-		t.Error("another seed plays the same")
+	f.PublishEndpointList()
+	f.Run(2 * time.Second)
+	worst := 0.0
+	for _, r := range f.Replicas {
+		worst = max(worst, r.Pressure())
 	}
+	t.Logf("seed %d: a replica that warms up was sent %.2f of what overloads it", seed, worst)
+	if worst > 1 {
+		t.Errorf("seed %d: a replica that warms up was sent %.2f of what overloads it", seed, worst)
+	}
+	return fmt.Sprint(f.arrivals, f.measured.attempts, f.measured.earnedWeight)
 }
 
-// Cold nodes are borne by the sum of twenty or thirty members, at other multiples, windows and times of warming than one
-// deployment's, when nodes return one after the other or all at once, a third of the members is told 0.7 s late, and some have
-// only just started. No window has more than the budget and what is put down to chance, two thirds of it from those who
-// had been told.
-func TestColdNodesBearTheFleet(t *testing.T) {
-	for _, cold := range []scatter.SlowStart{DefaultCold,
+// Five replicas restart, one after the other or all at once. A third of the coordinators is notified 0.7 s after the
+// others, and three coordinators have only just started. Together they must not send a replica that warms up more
+// than it tolerates within its window, also with slow starts other than one deployment's. Windows count in which more
+// than two thirds of the parts came from coordinators that had been notified.
+func TestSlowStartBoundsTheWholeFleet(t *testing.T) {
+	for _, slowStart := range []scatter.SlowStart{DefaultSlowStart,
 		{InitialCapacity: 0.15, Duration: 16 * time.Second, OverloadFactor: 4, Window: time.Second},
 		{InitialCapacity: 0.12, Duration: 22 * time.Second, OverloadFactor: 2, Window: 2 * time.Second},
 		{InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadFactor: 3, Window: 600 * time.Millisecond},
 	} {
-		for members, together := range map[int]bool{20: false, 30: true} {
-			worst := coldPlay(t, cold, members, together)
-			t.Logf("%+v, %d members, all nodes at once: %t: %.2f of what makes one fall", cold, members, together, worst)
+		for coordinators, together := range map[int]bool{20: false, 30: true} {
+			worst := playSlowStarts(t, slowStart, coordinators, together)
+			t.Logf("%+v, %d coordinators, all replicas at once: %t: %.2f of what overloads a replica",
+				slowStart, coordinators, together, worst)
 			if worst > 1 {
-				t.Errorf("%+v, %d members, all nodes at once: %t: a cold node was sent %.2f of what makes it fall", cold, members, together, worst)
+				t.Errorf("%+v, %d coordinators, all replicas at once: %t: a replica was sent %.2f of what overloads it",
+					slowStart, coordinators, together, worst)
 			}
 		}
 	}
 }
 
-// coldPlay is the most of what makes a node fall that any was sent within a window.
-func coldPlay(t *testing.T, cold scatter.SlowStart, members int, together bool) (worst float64) {
-	c := BusyConfig(members, 12, 1)
-	c.Numbered, c.Cold, c.Seed = true, cold, uint64(members)
+// playSlowStarts returns the most that a replica was sent within a window, as a share of what it tolerates.
+func playSlowStarts(t *testing.T, slowStart scatter.SlowStart, coordinators int, together bool) (worst float64) {
+	t.Helper()
+	c := BusyConfig(coordinators, 12, 1)
+	c.KnowOrdinals, c.SlowStart, c.Seed = true, slowStart, uint64(coordinators)
 	f, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Run(4 * time.Second)
-	tell := func(late bool) {
-		for i, m := range f.members {
-			if (i%3 == 0) == late {
-				f.step(m, f.list())
-			}
-		}
-	}
-	returned := f.Nodes[:5] // their neighbours among them
-	for i, n := range returned {
-		if n.Restart(f.now); together && i < len(returned)-1 {
+	restarted := f.Replicas[:5] // neighbours on the ring, so that shards lose several holders
+	for i, r := range restarted {
+		if r.Restart(f.now); together && i < len(restarted)-1 {
 			continue
 		}
-		tell(false)
-		for _, young := range []int{1, members / 2, members - 1} { // they have the list from their start on
-			if err := f.restart(young); err != nil {
+		f.notifyThird(false)
+		for _, number := range []int{1, coordinators / 2, coordinators - 1} {
+			if err := f.restart(number); err != nil {
 				t.Fatal(err)
 			}
 		}
 		f.Run(700 * time.Millisecond)
-		tell(true)
+		f.notifyThird(true)
 		f.Run(time.Second)
 	}
-	f.Run(2 * cold.Window)
-	for _, n := range returned {
-		from, told := 0, 0
-		count := func(a coldArrival, by int) {
-			if a.informed {
-				told += by
-			}
+	f.Run(2 * slowStart.Window)
+	for _, r := range restarted {
+		worst = max(worst, r.worstWindow(slowStart.Window))
+	}
+	return worst
+}
+
+// notifyThird gives the endpoint list to every third coordinator, or else to all the others.
+func (f *Fleet) notifyThird(third bool) {
+	for i, c := range f.coordinators {
+		if (i%3 == 0) == third {
+			f.step(c, f.endpointList())
 		}
-		for i, a := range n.coldArrivals {
-			count(a, 1)
-			for ; a.at-n.coldArrivals[from].at > cold.Window; from++ {
-				count(n.coldArrivals[from], -1)
-			}
-			if all := i - from + 1; told*3 > all*2 {
-				worst = max(worst, float64(all)/n.Tolerates(n.coldArrivals[from].at))
-			}
+	}
+}
+
+// worstWindow returns the most parts within a window of the replica's slow start, as a share of what it tolerates.
+// Windows count in which more than two thirds of the parts came from coordinators that had been notified.
+func (r *Replica) worstWindow(window time.Duration) (worst float64) {
+	oldest, notified := 0, 0
+	count := func(a warmingArrival, by int) {
+		if a.notified {
+			notified += by
+		}
+	}
+	for i, a := range r.warmingArrivals {
+		count(a, 1)
+		for ; a.at-r.warmingArrivals[oldest].at > window; oldest++ {
+			count(r.warmingArrivals[oldest], -1)
+		}
+		if parts := i - oldest + 1; notified*3 > parts*2 {
+			worst = max(worst, float64(parts)/r.Tolerates(r.warmingArrivals[oldest].at))
 		}
 	}
 	return worst
