--- a/internal/decide/overload/controller_test.go
+++ b/internal/decide/overload/controller_test.go
@@ -32,15 +32,15 @@
 
 // rush is the normal traffic times a factor for each tenant. What is beyond a factor of 1.1 is beyond the tenant's
 // quota.
-func rush(length time.Duration, factor func(tenant string, t time.Duration) float64) loopsim.Rush {
-	r := loopsim.Rush{Time: length, Seed: 1, Retries: 2, Aim: 1500 * ms,
-		Query: 300 * time.Microsecond, Part: 200 * time.Microsecond, Refusal: 20 * time.Microsecond,
-		Queue: 4000, Shares: map[string]float64{}}
+func rush(length time.Duration, factor func(tenant string, t time.Duration) float64) loopsim.Simulation {
+	r := loopsim.Simulation{Duration: length, Seed: 1, Retries: 2, LatencyObjective: 1500 * ms,
+		QueryTime: 300 * time.Microsecond, PartTime: 200 * time.Microsecond, RejectionTime: 20 * time.Microsecond,
+		QueueLength: 4000, Quotas: map[string]float64{}}
 	for _, tenant := range []struct {
 		name  string
 		share float64
 	}{{"kitakaze", 0.42}, {"shirakaba", 0.41}, {"momiji", 0.17}} {
-		r.Shares[tenant.name] = 1.1 * normalRate * tenant.share
+		r.Quotas[tenant.name] = 1.1 * normalRate * tenant.share
 		for _, class := range []struct {
 			name   string
 			share  float64
@@ -48,7 +48,7 @@
 			weight float64
 		}{{"route", 0.55, 4, 1}, {"hazard", 0.225, 1, 2}, {"summary", 0.225, 12, 3}} {
 			r.Loads = append(r.Loads, loopsim.Load{
-				Class: class.name, Tenant: tenant.name, Parts: class.parts, Worth: class.weight,
+				Class: class.name, Tenant: tenant.name, Parts: class.parts, PriorityWeight: class.weight,
 				Rate: func(t time.Duration) float64 {
 					return normalRate * tenant.share * class.share * factor(tenant.name, t)
 				}})
@@ -97,21 +97,23 @@
 }
 
 // servedFraction is the fraction of a kind of traffic that was served.
-func servedFraction(t *loopsim.Tally) float64 { return t.Served / max(1, t.Asked) }
+func servedFraction(t *loopsim.Tally) float64 { return t.Served / max(1, t.Arrived) }
 
 // Clients send three times the usual traffic for five seconds, and come back when they are rejected. The loop keeps
 // up, the weight of what is served is higher than first come, first served would give, and the level is normal again
 // soon after.
 func TestThreefoldTrafficKeepsLoopOnTime(t *testing.T) {
 	r := rush(12*time.Second, threefold)
-	firstCome := r.Play(loopsim.FirstCome{})
+	firstCome := r.Run(loopsim.FirstCome{})
 	w := &levelRecorder{Controller: overload.New(config())}
-	got := r.Play(w)
-	if p99 := got.Wait(0.99, 0, 12*time.Second); p99 > 50*ms {
-		t.Errorf("p99 of the wait %v, want under 50ms; first come %v", p99, firstCome.Wait(0.99, 0, 12*time.Second))
+	got := r.Run(w)
+	if p99 := got.WaitQuantile(0.99, 0, 12*time.Second); p99 > 50*ms {
+		t.Errorf("p99 of the wait %v, want under 50ms; first come %v",
+			p99, firstCome.WaitQuantile(0.99, 0, 12*time.Second))
 	}
-	if got.Total.Worth < 1.2*firstCome.Total.Worth || got.Total.Late > 0 {
-		t.Errorf("weight served %.0f, %.0f late; first come %.0f", got.Total.Worth, got.Total.Late, firstCome.Total.Worth)
+	if got.Total.EarnedWeight < 1.2*firstCome.Total.EarnedWeight || got.Total.Late > 0 {
+		t.Errorf("weight served %.0f, %.0f late; first come %.0f",
+			got.Total.EarnedWeight, got.Total.Late, firstCome.Total.EarnedWeight)
 	}
 	if h := got.ByClass["hazard"]; servedFraction(h) < 0.99 {
 		t.Errorf("%.3f of the hazard reports served", servedFraction(h))
@@ -121,7 +123,7 @@
 	}
 	attempts, rejected := 0, 0
 	for i := 90; i < 120; i++ {
-		attempts, rejected = attempts+got.Tries[i], rejected+got.Denied[i]
+		attempts, rejected = attempts+got.Attempts[i], rejected+got.Rejections[i]
 	}
 	if float64(attempts) > 1.7*normalRate*3 || rejected > attempts/50 {
 		t.Errorf("%d attempts and %d rejections in the 3 s from 2 s after the rush on: no storm wanted", attempts, rejected)
@@ -140,11 +142,11 @@
 		return 1
 	})
 	w := &levelRecorder{Controller: overload.New(config())}
-	got, firstCome := r.Play(w), r.Play(loopsim.FirstCome{})
-	p99 := got.Wait(0.99, 0, 12*time.Second)
-	if p99 > 100*ms || got.Total.Worth < 0.95*firstCome.Total.Worth || len(w.changes) > 20 {
+	got, firstCome := r.Run(w), r.Run(loopsim.FirstCome{})
+	p99 := got.WaitQuantile(0.99, 0, 12*time.Second)
+	if p99 > 100*ms || got.Total.EarnedWeight < 0.95*firstCome.Total.EarnedWeight || len(w.changes) > 20 {
 		t.Errorf("p99 of the wait %v, weight served %.0f, first come %.0f, levels %v",
-			p99, got.Total.Worth, firstCome.Total.Worth, w.changes)
+			p99, got.Total.EarnedWeight, firstCome.Total.EarnedWeight, w.changes)
 	}
 }
 
@@ -157,15 +159,16 @@
 		}
 		return 1
 	})
-	got := r.Play(overload.New(config()))
+	got := r.Run(overload.New(config()))
 	flooding := got.ByTenant["momiji"]
 	for name, tally := range got.ByTenant {
 		if name != "momiji" && (servedFraction(tally) < 0.97 || servedFraction(tally) < servedFraction(flooding)) {
 			t.Errorf("%s: %.3f served, the flooding tenant %.3f", name, servedFraction(tally), servedFraction(flooding))
 		}
 	}
-	if p99 := got.Wait(0.99, 0, 10*time.Second); p99 > 50*ms || servedFraction(flooding) < 0.1 {
-		t.Errorf("p99 %v, %.3f of the flooding tenant served: within its quota it has to be", p99, servedFraction(flooding))
+	if p99 := got.WaitQuantile(0.99, 0, 10*time.Second); p99 > 50*ms || servedFraction(flooding) < 0.1 {
+		t.Errorf("p99 %v, %.3f of the flooding tenant served: within its quota it has to be",
+			p99, servedFraction(flooding))
 	}
 }
 
@@ -173,13 +176,13 @@
 // queries waiting. It rejects few of them, and soon serves as before.
 func TestSuspendedProcessRejectsLittle(t *testing.T) {
 	r := rush(8*time.Second, func(string, time.Duration) float64 { return 1 })
-	r.Stall = func(t time.Duration) bool { return t > 3*time.Second && t < 4*time.Second }
+	r.Stalled = func(t time.Duration) bool { return t > 3*time.Second && t < 4*time.Second }
 	w := &levelRecorder{Controller: overload.New(config())}
-	got := r.Play(w)
-	if got.Total.Refused > 0.1*got.Total.Asked || w.normalAfter(4*time.Second) > 7*time.Second {
-		t.Errorf("%.0f of %.0f rejected, levels %v", got.Total.Refused, got.Total.Asked, w.changes)
+	got := r.Run(w)
+	if got.Total.Rejected > 0.1*got.Total.Arrived || w.normalAfter(4*time.Second) > 7*time.Second {
+		t.Errorf("%.0f of %.0f rejected, levels %v", got.Total.Rejected, got.Total.Arrived, w.changes)
 	}
-	if wait := got.Wait(0.99, 6*time.Second, 8*time.Second); wait > 50*ms {
+	if wait := got.WaitQuantile(0.99, 6*time.Second, 8*time.Second); wait > 50*ms {
 		t.Errorf("p99 of the wait two seconds later %v", wait)
 	}
 }
