--- a/internal/test/virtualtime/queue.go
+++ b/internal/test/virtualtime/queue.go
@@ -1,5 +1,5 @@
-// Package virtualtime has the event queue of simulations that run in virtual time: the same events in the same order every
-// time, as fast as they can be computed.
+// Package virtualtime has the event queue of simulations that run in virtual time. Equal calls give equal events in
+// equal order, as fast as they can be computed. Instants are readings of the simulation's virtual clock.
 package virtualtime
 
 import (
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// Queue holds events until they are due: in order of their instants, and those of one instant in the order in which they were
-// added. Its zero value is empty and ready to use. It is not safe for concurrent use.
+// Queue holds events until they are due. It gives them in the order of their instants, and the events of one instant in
+// the order in which they were added. Its zero value is empty and ready to use. It is not safe for concurrent use.
 type Queue[Event any] struct {
 	pending scheduledEvents[Event]
-	added   int
+	added   int // events added so far
 }
 
-// Add schedules an event.
+// Add schedules an event at an instant, which may lie before those of events already removed.
 func (q *Queue[Event]) Add(at time.Duration, event Event) {
 	q.added++
 	heap.Push(&q.pending, scheduled[Event]{at: at, number: q.added, event: event})
 }
 
-// Len is how many events are scheduled.
+// Len returns how many events are scheduled.
 func (q *Queue[Event]) Len() int { return len(q.pending) }
 
-// Pop removes the earliest event. It panics where there is none.
+// Pop removes the earliest event and returns it with its instant. It panics if Len is 0.
 func (q *Queue[Event]) Pop() (at time.Duration, event Event) {
 	first := heap.Pop(&q.pending).(scheduled[Event])
 	return first.at, first.event
 }
 
-// Until removes and yields the events due up to an instant, those included that are added meanwhile.
+// Until removes and yields the events due at or before end. Events that the caller adds while it ranges over them are
+// included.
 func (q *Queue[Event]) Until(end time.Duration) iter.Seq2[time.Duration, Event] {
 	return func(yield func(time.Duration, Event) bool) {
 		for len(q.pending) > 0 && q.pending[0].at <= end {
@@ -41,9 +42,10 @@
 	}
 }
 
+// scheduled is an event with its place in the order.
 type scheduled[Event any] struct {
 	at     time.Duration
-	number int // order in which it was added
+	number int // how many events had been added with it; it decides among events of one instant
 	event  Event
 }
 
--- a/internal/test/virtualtime/queue_test.go
+++ b/internal/test/virtualtime/queue_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Events come in order of time, those of one instant as they were added, and those added meanwhile in their place.
-func TestQueueOrder(t *testing.T) {
+// Two events share an instant, and one is added while the queue is read. Events come in the order of their instants, those
+// of one instant as they were added.
+func TestQueueYieldsEventsInOrderOfInstantThenAddition(t *testing.T) {
 	var q Queue[string]
 	q.Add(2*time.Second, "c")
 	q.Add(time.Second, "a")
