--- a/internal/test/experiments/overload/aims.go
+++ b/internal/test/experiments/overload/aims.go
@@ -21,12 +21,14 @@
 func (e results) rushFirstCome() *outcome { return e.outcomes[variant{rushFactor, false}] }
 
 // gain is the worth in the rush, over that of first come.
-func (e results) gain() float64 { return e.rush().Worth / math.Max(e.rushFirstCome().Worth, 1e-9) }
+func (e results) gain() float64 {
+	return e.rush().EarnedWeight / math.Max(e.rushFirstCome().EarnedWeight, 1e-9)
+}
 
 // hazardsServed is the share of the hazard reports within their tenants' shares that were served in the rush.
 func (e results) hazardsServed() float64 {
 	hazards := e.rush().Classes[hazardReport]
-	return hazards.WithinServed / math.Max(1, hazards.Within)
+	return hazards.ServedWithinQuota / math.Max(1, hazards.WithinQuota)
 }
 
 // lost is how many tries were without a timely answer, with control.
@@ -42,7 +44,7 @@
 	const sliceTime = 100 * time.Millisecond
 	from := (rushEnd + 2*time.Second) / sliceTime
 	for _, s := range e.rush().Slices[from : from+time.Second/sliceTime] {
-		tries, refused = tries+s.Tries, refused+s.Refused
+		tries, refused = tries+s.Attempts, refused+s.Rejected
 	}
 	return tries, refused
 }
@@ -51,14 +53,14 @@
 	controlled, firstCome := e.normalTraffic(), e.outcomes[variant{1, false}]
 	r.Aim(e.rush().Wait99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted", e.rush().Wait99MS, maxLoopWaitMS)
 	r.Aim(e.gain() >= minGain, "worth at three times is %.2f of first come's, %.1f wanted", e.gain(), minGain)
-	r.Aim(controlled.Worth >= minNormalWorth*firstCome.Worth, "worth at one time is %.3f, first come's %.3f", controlled.Worth/controlled.Most, firstCome.Worth/firstCome.Most)
+	r.Aim(controlled.EarnedWeight >= minNormalWorth*firstCome.EarnedWeight, "worth at one time is %.3f, first come's %.3f", controlled.EarnedWeight/controlled.OfferedWeight, firstCome.EarnedWeight/firstCome.OfferedWeight)
 	r.Aim(e.hazardsServed() >= minHazards, "%.3f of the hazard reports within their share served, %.2f wanted", e.hazardsServed(), minHazards)
 	r.Aim(e.lost() == 0, "%d tries without a timely answer", e.lost())
 }
 
 // checkFairness holds the tenants within their shares against the one beyond it.
 func (e results) checkFairness(r *experiment.Report) {
-	refusedShare := func(t *loadgen.TenantResult) float64 { return float64(t.Refused) / float64(t.Asked) }
+	refusedShare := func(t *loadgen.TenantResult) float64 { return float64(t.Rejected) / float64(t.Arrived) }
 	tenants := e.rush().Tenants
 	unfair := 0.0
 	for name, t := range tenants {
@@ -87,7 +89,7 @@
 	tries, refused := e.afterRush()
 	r.Key("normal", "%.0f/s", e.normal)
 	r.Key("gain_at_3", "%.2f", e.gain())
-	r.Key("worth_at_1", "%.3f", e.normalTraffic().Worth/e.normalTraffic().Most)
+	r.Key("worth_at_1", "%.3f", e.normalTraffic().EarnedWeight/e.normalTraffic().OfferedWeight)
 	r.Key("loop_p99_ms", "%.1f", e.rush().Wait99MS)
 	r.Key("first_come_p99_ms", "%.1f", e.rushFirstCome().Wait99MS)
 	r.Key("hazards", "%.3f", e.hazardsServed())
--- a/internal/test/experiments/overload/overload.go
+++ b/internal/test/experiments/overload/overload.go
@@ -121,8 +121,8 @@
 
 func addRow(r *experiment.Report, v variant, normal float64, o *outcome) {
 	sum, hazards := total(o.Result), o.Classes[hazardReport]
-	r.Row(fmt.Sprintf("%.0f x %.0f/s", v.factor, normal), v.controlled, sum.Asked, sum.Served, sum.Refused, sum.Late, fmt.Sprintf("%.3f", o.Worth/o.Most),
-		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
+	r.Row(fmt.Sprintf("%.0f x %.0f/s", v.factor, normal), v.controlled, sum.Arrived, sum.Served, sum.Rejected, sum.Late, fmt.Sprintf("%.3f", o.EarnedWeight/o.OfferedWeight),
+		fmt.Sprintf("%.0f/%.0f", hazards.ServedWithinQuota, hazards.WithinQuota), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
 		fmt.Sprintf("%.1f", o.CPU), normalSince(o.Stats.Levels))
 }
 
--- a/internal/test/experiments/overload/site.go
+++ b/internal/test/experiments/overload/site.go
@@ -55,10 +55,10 @@
 
 // plan is traffic of a rate, in queries a second, against a front at an address.
 func plan(address string, rate float64, length time.Duration) *loadgen.Plan {
-	p := &loadgen.Plan{Target: "http://" + address, Time: length, Rate: rate, Seed: 1, Retries: 2, Classes: []loadgen.Class{
-		{Name: routeLookup, Share: 0.55, Index: "trails", Sections: 8, Of: sections, Worth: 1, Aim: 1500 * time.Millisecond, Timeout: 3 * time.Second},
-		{Name: hazardReport, Share: 0.225, Index: "hazards", Report: true, Of: sections, Worth: 2, Aim: 1500 * time.Millisecond, Timeout: 3 * time.Second},
-		{Name: conditionsSummary, Share: 0.225, Index: "conditions", Of: sections, Worth: 3, Aim: 1500 * time.Millisecond, Timeout: 3 * time.Second}}}
+	p := &loadgen.Plan{Target: "http://" + address, Duration: length, Rate: rate, Seed: 1, Retries: 2, Classes: []loadgen.Class{
+		{Name: routeLookup, Share: 0.55, Index: "trails", ShardsPerQuery: 8, Shards: sections, PriorityWeight: 1, LatencyObjective: 1500 * time.Millisecond, Timeout: 3 * time.Second},
+		{Name: hazardReport, Share: 0.225, Index: "hazards", SendsDocument: true, Shards: sections, PriorityWeight: 2, LatencyObjective: 1500 * time.Millisecond, Timeout: 3 * time.Second},
+		{Name: conditionsSummary, Share: 0.225, Index: "conditions", Shards: sections, PriorityWeight: 3, LatencyObjective: 1500 * time.Millisecond, Timeout: 3 * time.Second}}}
 	for _, name := range tenantNames() {
 		p.Tenants = append(p.Tenants, loadgen.Tenant{Name: name, Caller: name, Share: trafficShares[name], Quota: quotaOverUsual * rate * trafficShares[name]})
 	}
@@ -123,7 +123,7 @@
 // total sums the classes of a load up.
 func total(res *loadgen.Result) (sum loadgen.ClassResult) {
 	for _, c := range res.Classes {
-		sum.Asked, sum.Served, sum.Refused, sum.Late = sum.Asked+c.Asked, sum.Served+c.Served, sum.Refused+c.Refused, sum.Late+c.Late
+		sum.Arrived, sum.Served, sum.Rejected, sum.Late = sum.Arrived+c.Arrived, sum.Served+c.Served, sum.Rejected+c.Rejected, sum.Late+c.Late
 	}
 	return sum
 }
--- a/internal/test/experiments/overload/slownodes.go
+++ b/internal/test/experiments/overload/slownodes.go
@@ -70,7 +70,7 @@
 
 func addSlowRow(r *experiment.Report, controlled bool, o *outcome) {
 	sum, hazards := total(o.Result), o.Classes[hazardReport]
-	r.Row("slow nodes", controlled, sum.Asked, sum.Served, sum.Refused, o.Lost, fmt.Sprintf("%.3f", o.Worth/o.Most),
-		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
+	r.Row("slow nodes", controlled, sum.Arrived, sum.Served, sum.Rejected, o.Lost, fmt.Sprintf("%.3f", o.EarnedWeight/o.OfferedWeight),
+		fmt.Sprintf("%.0f/%.0f", hazards.ServedWithinQuota, hazards.WithinQuota), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
 		fmt.Sprintf("%.1f", o.CPU), fmt.Sprintf("%.0f MB live", o.LiveMB))
 }
--- a/internal/test/loadgen/arrivals.go
+++ b/internal/test/loadgen/arrivals.go
@@ -6,40 +6,42 @@
 	"time"
 )
 
-// arrival is a client's first try.
+// arrival is a client's first attempt.
 type arrival struct {
-	at            time.Duration
-	class, tenant int
-	section       int
+	at            time.Duration // when it is due, from the start of the run
+	class, tenant int           // indices in the plan
+	shard         int           // first shard that it asks for
 }
 
-// arrivals draws all of them. Each pair of class and tenant has a stream of its own: a burst of one leaves the others as they were.
+// arrivals draws all first attempts, in the order in which they are due. Each pair of class and tenant has a stream of
+// its own, so that a burst of one leaves the others as they were.
 func (p *Plan) arrivals() (list []arrival) {
 	for c, class := range p.Classes {
 		for t, tenant := range p.Tenants {
-			usual := p.Rate * class.Share * tenant.Share
-			if usual == 0 {
-				continue
-			}
-			rng := rand.New(rand.NewPCG(p.Seed, uint64(c<<16|t)))
-			most := 1.0
-			for _, b := range p.Bursts {
-				if b.Tenant == "" || b.Tenant == tenant.Name {
-					most *= max(1, b.Factor)
-				}
-			}
-			for at := time.Duration(0); ; { // thinned from the most there is
-				at += time.Duration(rng.ExpFloat64() / (usual * most) * float64(time.Second))
-				if at >= p.Time {
-					break
-				}
-				section := rng.IntN(class.Of)
-				if rng.Float64()*most < p.factor(tenant.Name, at) {
-					list = append(list, arrival{at, c, t, section})
-				}
+			if rate := p.Rate * class.Share * tenant.Share; rate > 0 {
+				list = append(list, p.drawArrivals(c, t, rate)...)
 			}
 		}
 	}
 	slices.SortStableFunc(list, func(x, y arrival) int { return int(x.at - y.at) })
 	return list
 }
+
+// drawArrivals draws the first attempts of a class and tenant with a usual rate in queries a second. It draws at the
+// greatest rate that bursts give, and drops arrivals where the rate is lower.
+func (p *Plan) drawArrivals(class, tenant int, rate float64) (list []arrival) {
+	rng := rand.New(rand.NewPCG(p.Seed, uint64(class<<16|tenant)))
+	name := p.Tenants[tenant].Name
+	maxFactor := p.maxTrafficFactor(name)
+	at := time.Duration(0)
+	for {
+		at += time.Duration(rng.ExpFloat64() / (rate * maxFactor) * float64(time.Second))
+		if at >= p.Duration {
+			return list
+		}
+		shard := rng.IntN(p.Classes[class].Shards)
+		if rng.Float64()*maxFactor < p.trafficFactor(name, at) {
+			list = append(list, arrival{at, class, tenant, shard})
+		}
+	}
+}
--- /dev/null
+++ b/internal/test/loadgen/counting.go
@@ -0,0 +1,170 @@
+package loadgen
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"harepass/internal/test/quotaledger"
+)
+
+// lateSlack is how much later than the client's timeout an answer may come before it counts as late. It covers delays
+// of this process.
+const lateSlack = 100 * time.Millisecond
+
+// maxRecordedLatency is the greatest latency that the histograms tell apart.
+const maxRecordedLatency = time.Minute
+
+// percentiles are those of the latencies that results have.
+var percentiles = []float64{50, 90, 99, 99.9}
+
+// counts is what a run has counted so far. It is safe for concurrent use.
+type counts struct {
+	plan *Plan
+
+	mu             sync.Mutex
+	result         *Result
+	arrivedWeights quotaledger.Ledger // priority weights by the instant of the first attempt
+	earnedWeights  quotaledger.Ledger // those of answers within the latency objective
+	classes        []*classCounts     // by index in the plan
+}
+
+// classCounts is what was counted of a class.
+type classCounts struct {
+	arrived, served quotaledger.Ledger      // queries, each with a weight of 1
+	latencies       *hdrhistogram.Histogram // microseconds
+}
+
+// attemptResult is how an attempt ended.
+type attemptResult struct {
+	status  int           // HTTP status, or statusNoAnswer
+	due     time.Duration // when it was to begin, from the start of the run
+	latency time.Duration // from due to the end of the answer
+	retries bool          // whether the client will retry
+}
+
+func newCounts(p *Plan) *counts {
+	c := &counts{
+		plan:           p,
+		arrivedWeights: quotaledger.Ledger{},
+		earnedWeights:  quotaledger.Ledger{},
+		result: &Result{
+			Classes: map[string]*ClassResult{},
+			Tenants: map[string]*TenantResult{},
+			Slices:  make([]Slice, int(p.Duration/sliceTime)+1),
+		},
+	}
+	for _, class := range p.Classes {
+		c.result.Classes[class.Name] = &ClassResult{}
+		c.classes = append(c.classes, &classCounts{
+			arrived: quotaledger.Ledger{}, served: quotaledger.Ledger{},
+			latencies: hdrhistogram.New(1, maxRecordedLatency.Microseconds(), 3),
+		})
+	}
+	for _, t := range p.Tenants {
+		c.result.Tenants[t.Name] = &TenantResult{}
+	}
+	return c
+}
+
+// report writes a line on the slice before an instant.
+func (c *counts) report(progress io.Writer, at time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.result.Slices[max(0, int(at/sliceTime)-1)]
+	fmt.Fprintf(progress, "%3.0f s: last tenth: %d asked, %d served, %d refused, %d late\n",
+		at.Seconds(), s.Arrived, s.Served, s.Rejected, s.Late)
+}
+
+// arrive counts a first attempt.
+func (c *counts) arrive(a arrival) {
+	class, tenant := c.plan.Classes[a.class], c.plan.Tenants[a.tenant].Name
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.Classes[class.Name].Arrived++
+	c.result.Tenants[tenant].Arrived++
+	c.arrivedWeights.Add(tenant, a.at, class.PriorityWeight)
+	c.classes[a.class].arrived.Add(tenant, a.at, 1)
+	c.slice(a.at).Arrived++
+}
+
+// attemptEnded counts the end of an attempt. A client counts as rejected once it does not retry any more.
+func (c *counts) attemptEnded(a arrival, r attemptResult) {
+	class, tenant := c.plan.Classes[a.class], c.plan.Tenants[a.tenant].Name
+	late := r.latency > class.Timeout+lateSlack
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	classResult, tenantResult, slice := c.result.Classes[class.Name], c.result.Tenants[tenant], c.slice(r.due)
+	slice.Attempts++
+	switch {
+	case (r.status == http.StatusOK || r.status == http.StatusCreated) && !late:
+		slice.Served++
+		classResult.Served++
+		tenantResult.Served++
+		c.classes[a.class].served.Add(tenant, a.at, 1)
+		if r.latency <= class.LatencyObjective {
+			c.earnedWeights.Add(tenant, a.at, class.PriorityWeight)
+		}
+		c.classes[a.class].latencies.RecordValue(r.latency.Microseconds())
+	case r.status == http.StatusTooManyRequests:
+		slice.Rejected++
+		if !r.retries {
+			classResult.Rejected++
+			tenantResult.Rejected++
+		}
+	case r.status == statusNoAnswer || late:
+		slice.Late++
+		classResult.Late++
+		c.result.Lost++
+	default:
+		slice.Failed++
+		classResult.Failed++
+	}
+}
+
+// slice returns the slice of an instant. It is called with mu locked.
+func (c *counts) slice(at time.Duration) *Slice {
+	return &c.result.Slices[min(len(c.result.Slices)-1, int(at/sliceTime))]
+}
+
+// finish completes the result. It is called once all attempts have ended.
+func (c *counts) finish() *Result {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for i, class := range c.plan.Classes {
+		c.finishClass(c.classes[i], c.result.Classes[class.Name])
+	}
+	for _, t := range c.plan.Tenants {
+		r := c.result.Tenants[t.Name]
+		r.EarnedWeight, r.OfferedWeight = c.earnedWeights.Sum(t.Name, t.Quota), c.arrivedWeights.Sum(t.Name, t.Quota)
+		c.result.EarnedWeight += r.EarnedWeight
+		c.result.OfferedWeight += r.OfferedWeight
+	}
+	return c.result
+}
+
+// finishClass sums up what a class had within the tenants' quotas, and its percentiles.
+func (c *counts) finishClass(class *classCounts, result *ClassResult) {
+	for _, t := range c.plan.Tenants {
+		for second, arrived := range class.arrived[t.Name] {
+			within := arrived.Queries
+			if t.Quota > 0 {
+				within = min(within, t.Quota)
+			}
+			result.WithinQuota += within
+			if served := class.served[t.Name][second]; served != nil {
+				result.ServedWithinQuota += min(within, served.Queries)
+			}
+		}
+	}
+	result.Percentiles = map[string]float64{}
+	for _, q := range percentiles {
+		milliseconds := float64(class.latencies.ValueAtPercentile(q)) / 1000
+		result.Percentiles[strconv.FormatFloat(q, 'f', -1, 64)] = milliseconds
+	}
+}
--- a/internal/test/loadgen/result.go
+++ b/internal/test/loadgen/result.go
@@ -15,39 +15,66 @@
 	"harepass/internal/test/experiment"
 )
 
-// sliceTime is the span that one Slice of a Result counts.
+// sliceTime is the span that one Slice counts.
 const sliceTime = 100 * time.Millisecond
 
-// Slice is what a load had in a tenth of a second.
-type Slice struct{ Asked, Tries, Served, Refused, Failed, Late int }
+// Slice is what one sliceTime of a run had. All its fields count queries or attempts.
+type Slice struct {
+	Arrived  int `json:"Asked"` // first attempts that were due
+	Attempts int `json:"Tries"` // attempts that ended, by the instant at which they were due
+	Served   int // attempts answered with success before the client's timeout
+	Rejected int `json:"Refused"` // attempts answered with 429
+	Failed   int // attempts answered in any other way before the client's timeout
+	Late     int // attempts without an answer, or with one after the client's timeout
+}
 
-// ClassResult is what came of a class.
+// ClassResult is what came of a class. Its counts are of queries; the retries of a client belong to its first attempt.
 type ClassResult struct {
-	Asked, Served, Refused, Failed, Late int
-	Within, WithinServed                 float64            // by second and tenant: what its share covers of the class alone
-	Percentiles                          map[string]float64 // milliseconds, from when it was due to the answer
+	Arrived           int `json:"Asked"`
+	Served            int
+	Rejected          int `json:"Refused"` // queries whose last attempt was answered with 429
+	Failed            int
+	Late              int                // queries without an answer, or with one after the client's timeout
+	WithinQuota       float64            `json:"Within"`       // queries that the quotas cover, for the class alone
+	ServedWithinQuota float64            `json:"WithinServed"` // of WithinQuota those that were served
+	Percentiles       map[string]float64 // latency in milliseconds, by percentile
 }
 
-// TenantResult is what came of a tenant.
+// TenantResult is what came of a tenant. Its counts are of queries.
 type TenantResult struct {
-	Asked, Served, Refused int
-	Worth, Most            float64
+	Arrived       int `json:"Asked"`
+	Served        int
+	Rejected      int     `json:"Refused"` // queries whose last attempt was answered with 429
+	EarnedWeight  float64 `json:"Worth"`   // priority weight earned, reduced beyond the quota
+	OfferedWeight float64 `json:"Most"`    // priority weight of all queries, reduced beyond the quota
 }
 
-// Result is what came of a load. A client's retries belong to its first try.
+// Result is what came of a run. The JSON keys are those of results already written.
 type Result struct {
-	Name    string
-	Slices  []Slice
-	Classes map[string]*ClassResult
-	Tenants map[string]*TenantResult
-	Worth   float64       // served in time, within the shares
-	Most    float64       // asked for
-	Lost    int           // tries that ended without any answer, or late ones
-	Levels  []LevelChange `json:",omitempty"`
-	Waits   []Point       `json:",omitempty"` // of the coordinator's loop, where that is known: milliseconds
+	Name          string
+	Slices        []Slice
+	Classes       map[string]*ClassResult
+	Tenants       map[string]*TenantResult
+	EarnedWeight  float64       `json:"Worth"` // sum over the tenants
+	OfferedWeight float64       `json:"Most"`  // sum over the tenants
+	Lost          int           // attempts without an answer, or with one after the client's timeout
+	Levels        []LevelChange `json:",omitempty"` // overload levels, where the coordinator reports them
+	Waits         []Point       `json:",omitempty"` // waits for the coordinator's loop in ms, where it reports them
+}
+
+// Point is a value at an instant.
+type Point struct {
+	At    float64 // seconds from the start
+	Value float64
+}
+
+// LevelChange is a change of the overload level.
+type LevelChange struct {
+	At    float64 // seconds from the start
+	Level string
 }
 
-// Write writes a result as JSON, for reports.
+// Write writes the result to a file as JSON, which ReadResults reads.
 func (r *Result) Write(path string) error {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err == nil {
@@ -56,33 +83,25 @@
 	return err
 }
 
-// Print writes a result as a table.
+// Print writes the result as a table, and a last line of figures.
 func (r *Result) Print(out io.Writer) error {
 	t := &experiment.Report{}
 	t.Table("class", "asked", "served", "refused", "failed", "late", "p50 ms", "p99 ms")
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
 		c := r.Classes[name]
-		t.Row(name, c.Asked, c.Served, c.Refused, c.Failed, c.Late, c.Percentiles["50"], c.Percentiles["99"])
+		t.Row(name, c.Arrived, c.Served, c.Rejected, c.Failed, c.Late, c.Percentiles["50"], c.Percentiles["99"])
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Tenants)) {
 		c := r.Tenants[name]
-		t.Row(name, c.Asked, c.Served, c.Refused, "", "", fmt.Sprintf("worth %.0f", c.Worth), fmt.Sprintf("of %.0f", c.Most))
+		t.Row(name, c.Arrived, c.Served, c.Rejected, "", "",
+			fmt.Sprintf("worth %.0f", c.EarnedWeight), fmt.Sprintf("of %.0f", c.OfferedWeight))
 	}
-	t.Key("worth", "%.3f", r.Worth/math.Max(r.Most, 1e-9))
+	t.Key("worth", "%.3f", r.EarnedWeight/math.Max(r.OfferedWeight, 1e-9))
 	t.Key("lost", "%d", r.Lost)
 	return t.Print("load", out)
 }
 
-// Point is a value at a time, in seconds from the start.
-type Point struct{ At, Value float64 }
-
-// LevelChange is a change of the level of overload.
-type LevelChange struct {
-	At    float64
-	Level string
-}
-
-// ReadResults reads the results of loads from JSON files; one without a name has its file's.
+// ReadResults reads results from JSON files. A result without a name gets its file's, without the extension.
 func ReadResults(paths []string) (list []*Result, err error) {
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
--- a/internal/test/loadreport/plots.go
+++ b/internal/test/loadreport/plots.go
@@ -59,12 +59,12 @@
 }
 
 func answersOverTime(r *loadgen.Result) map[string]plotter.XYs {
-	return overTime(r, map[string]func(loadgen.Slice) int{"asked": func(s loadgen.Slice) int { return s.Asked }, "served": func(s loadgen.Slice) int { return s.Served },
+	return overTime(r, map[string]func(loadgen.Slice) int{"asked": func(s loadgen.Slice) int { return s.Arrived }, "served": func(s loadgen.Slice) int { return s.Served },
 		"late": func(s loadgen.Slice) int { return s.Late }})
 }
 
 func refusalsOverTime(r *loadgen.Result) map[string]plotter.XYs {
-	return overTime(r, map[string]func(loadgen.Slice) int{"tries": func(s loadgen.Slice) int { return s.Tries }, "refused": func(s loadgen.Slice) int { return s.Refused }})
+	return overTime(r, map[string]func(loadgen.Slice) int{"tries": func(s loadgen.Slice) int { return s.Attempts }, "refused": func(s loadgen.Slice) int { return s.Rejected }})
 }
 
 func waitsOverTime(r *loadgen.Result) map[string]plotter.XYs {
--- a/internal/test/loadreport/report.go
+++ b/internal/test/loadreport/report.go
@@ -17,10 +17,10 @@
 .row{display:flex;flex-wrap:wrap;gap:1em}</style>
 <h1>Load report</h1>
 <table><tr><th>run<th>class<th>asked<th>served<th>refused<th>failed<th>late<th>p50 ms<th>p99 ms<th>worth served</tr>
-{{range $r := .Results}}{{range $name, $c := $r.Classes}}<tr><td>{{$r.Name}}<td>{{$name}}<td>{{$c.Asked}}<td>{{$c.Served}}<td>{{$c.Refused}}<td>{{$c.Failed}}<td>{{$c.Late}}
+{{range $r := .Results}}{{range $name, $c := $r.Classes}}<tr><td>{{$r.Name}}<td>{{$name}}<td>{{$c.Arrived}}<td>{{$c.Served}}<td>{{$c.Rejected}}<td>{{$c.Failed}}<td>{{$c.Late}}
 <td>{{printf "%.1f" (index $c.Percentiles "50")}}<td>{{printf "%.1f" (index $c.Percentiles "99")}}<td></tr>{{end}}
-{{range $name, $t := $r.Tenants}}<tr><td>{{$r.Name}}<td>{{$name}}<td>{{$t.Asked}}<td>{{$t.Served}}<td>{{$t.Refused}}<td><td><td><td><td>{{share $t.Worth $t.Most}}</tr>{{end}}
-<tr><td>{{$r.Name}}<td>all<td><td><td><td><td><td><td><td>{{share $r.Worth $r.Most}}</tr>{{end}}</table>
+{{range $name, $t := $r.Tenants}}<tr><td>{{$r.Name}}<td>{{$name}}<td>{{$t.Arrived}}<td>{{$t.Served}}<td>{{$t.Rejected}}<td><td><td><td><td>{{share $t.EarnedWeight $t.OfferedWeight}}</tr>{{end}}
+<tr><td>{{$r.Name}}<td>all<td><td><td><td><td><td><td><td>{{share $r.EarnedWeight $r.OfferedWeight}}</tr>{{end}}</table>
 {{range .Plots}}<h2>{{.Title}}</h2><div class="row">{{range .Pictures}}{{.}}{{end}}</div>{{end}}
 `))
 
