--- a/internal/test/loadreport/report.go
+++ b/internal/test/loadreport/report.go
@@ -1,70 +1,86 @@
-// Package loadreport draws the results of loads as one HTML page, side by side.
+// Package loadreport draws the results of several runs of loadgen as one HTML page, side by side.
 package loadreport
 
 import (
+	_ "embed" // page.html
 	"fmt"
 	"html/template"
 	"io"
 
-	"gonum.org/v1/plot/plotter"
-
 	"harepass/internal/test/loadgen"
 )
 
-var page = template.Must(template.New("report").Funcs(template.FuncMap{"share": func(x, of float64) string { return fmt.Sprintf("%.3f", x/max(of, 1e-9)) }}).Parse(`<!doctype html>
-<meta charset="utf-8"><title>harepass load report</title>
-<style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:right}th:first-child,td:first-child{text-align:left}
-.row{display:flex;flex-wrap:wrap;gap:1em}</style>
-<h1>Load report</h1>
-<table><tr><th>run<th>class<th>asked<th>served<th>refused<th>failed<th>late<th>p50 ms<th>p99 ms<th>worth served</tr>
-{{range $r := .Results}}{{range $name, $c := $r.Classes}}<tr><td>{{$r.Name}}<td>{{$name}}<td>{{$c.Arrived}}<td>{{$c.Served}}<td>{{$c.Rejected}}<td>{{$c.Failed}}<td>{{$c.Late}}
-<td>{{printf "%.1f" (index $c.Percentiles "50")}}<td>{{printf "%.1f" (index $c.Percentiles "99")}}<td></tr>{{end}}
-{{range $name, $t := $r.Tenants}}<tr><td>{{$r.Name}}<td>{{$name}}<td>{{$t.Arrived}}<td>{{$t.Served}}<td>{{$t.Rejected}}<td><td><td><td><td>{{share $t.EarnedWeight $t.OfferedWeight}}</tr>{{end}}
-<tr><td>{{$r.Name}}<td>all<td><td><td><td><td><td><td><td>{{share $r.EarnedWeight $r.OfferedWeight}}</tr>{{end}}</table>
-{{range .Plots}}<h2>{{.Title}}</h2><div class="row">{{range .Pictures}}{{.}}{{end}}</div>{{end}}
-`))
+//go:embed page.html
+var pageText string
+
+var page = template.Must(template.New("report").Funcs(template.FuncMap{"share": formatShare}).Parse(pageText))
+
+// formatShare words x as a share of a total, also of a total of 0.
+func formatShare(x, total float64) string { return fmt.Sprintf("%.3f", x/max(total, 1e-9)) }
 
+// pageData is what the page shows. Its field names are those that page.html uses.
+type pageData struct {
+	Results []*loadgen.Result
+	Plots   []plotRow
+}
+
+// plotRow is a row of plots on one scale, one for each result.
 type plotRow struct {
 	Title    string
-	Pictures []template.HTML // one for each result, or one for all
+	Pictures []template.HTML
 }
 
-// Write writes one page on several results, those of a row side by side on one scale.
+// plotKind is what the plots of a row show.
+type plotKind struct {
+	title, unit string
+	lines       func(*loadgen.Result) lines
+}
+
+var plotKinds = []plotKind{
+	{"Answers over time", "a second", answersOverTime},
+	{"Refusals and retries over time", "a second", rejectionsOverTime},
+	{"Delay of the coordinator's loop, worst in each tenth", "ms", waitsOverTime},
+	{"Latency by percentile", "ms", latencies},
+}
+
+// Write writes one HTML page on several results. Rows that no result has values for are left out.
 func Write(out io.Writer, results []*loadgen.Result) error {
-	rows := []struct {
-		title, unit string
-		lines       func(*loadgen.Result) map[string]plotter.XYs
-	}{
-		{"Answers over time", "a second", answersOverTime},
-		{"Refusals and retries over time", "a second", refusalsOverTime},
-		{"Delay of the coordinator's loop, worst in each tenth", "ms", waitsOverTime},
-		{"Latency by percentile", "ms", latencies},
-	}
-	data := struct {
-		Results []*loadgen.Result
-		Plots   []plotRow
-	}{Results: results}
-	for _, row := range rows {
-		top, drawn := 0.0, false
-		for _, r := range results {
-			for _, line := range row.lines(r) {
-				for _, p := range line {
-					top, drawn = max(top, p.Y), true
-				}
-			}
-		}
-		if !drawn {
+	data := pageData{Results: results}
+	for _, kind := range plotKinds {
+		top, hasValues := kind.greatest(results)
+		if !hasValues {
 			continue
 		}
-		pr := plotRow{Title: row.title}
-		for _, r := range results {
-			picture, err := linePlot(r.Name, row.unit, top, row.lines(r))
-			if err != nil {
-				return err
-			}
-			pr.Pictures = append(pr.Pictures, picture)
+		row, err := kind.draw(results, top)
+		if err != nil {
+			return err
 		}
-		data.Plots = append(data.Plots, pr)
+		data.Plots = append(data.Plots, row)
 	}
 	return page.Execute(out, data)
 }
+
+// greatest returns the greatest value of all results, and whether there is any value. It is never below 0.
+func (k plotKind) greatest(results []*loadgen.Result) (top float64, hasValues bool) {
+	for _, r := range results {
+		for _, line := range k.lines(r) {
+			for _, p := range line {
+				top, hasValues = max(top, p.Y), true
+			}
+		}
+	}
+	return top, hasValues
+}
+
+// draw draws one plot for each result, all with a vertical axis up to top.
+func (k plotKind) draw(results []*loadgen.Result, top float64) (plotRow, error) {
+	row := plotRow{Title: k.title}
+	for _, r := range results {
+		picture, err := linePlot(r.Name, k.unit, top, k.lines(r))
+		if err != nil {
+			return plotRow{}, err
+		}
+		row.Pictures = append(row.Pictures, picture)
+	}
+	return row, nil
+}
