--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -27,7 +27,7 @@
 func main() {
 	if err := root().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lab:", err)
-		if errors.Is(err, experiment.ErrMissed) || errors.Is(err, scaletest.ErrMissed) || errors.Is(err, faultcli.ErrSoakFailed) {
+		if errors.Is(err, experiment.ErrTargetMissed) || errors.Is(err, scaletest.ErrMissed) || errors.Is(err, faultcli.ErrSoakFailed) {
 			os.Exit(1)
 		}
 		os.Exit(2)
@@ -63,10 +63,10 @@
 	cmd.Flags().StringVar(&c.Inventory, "inventory", "deploy/nodes.example.csv", "CSV or YAML file of the nodes")
 	cmd.Flags().StringVar(&c.Data, "data", "", "YAML file of the mountain, as 'lab mountain' prints it; made from the seed if empty")
 	cmd.Flags().Uint64Var(&c.Seed, "seed", 1, "seed of the mountain")
-	cmd.Flags().IntVar(&c.Sections, "sections", 6, "sections of the mountain")
-	cmd.Flags().IntVar(&c.Cells, "cells", 3, "cells of the ring, as the coordinator's settings have them")
-	cmd.Flags().DurationVar(&c.Unit, "unit", 0, "time that a unit of work takes")
-	cmd.Flags().DurationVar(&c.Change, "change", 0, "time between changes of the data; 0 for none")
+	cmd.Flags().IntVar(&c.Shards, "sections", 6, "sections of the mountain")
+	cmd.Flags().IntVar(&c.RingSize, "cells", 3, "cells of the ring, as the coordinator's settings have them")
+	cmd.Flags().DurationVar(&c.WorkUnit, "unit", 0, "time that a unit of work takes")
+	cmd.Flags().DurationVar(&c.ChangeInterval, "change", 0, "time between changes of the data; 0 for none")
 	return cmd
 }
 
--- a/internal/test/experiment/report.go
+++ b/internal/test/experiment/report.go
@@ -1,95 +1,70 @@
-// Package experiment runs experiments, each of which plays a change and the project's own baseline, and reports what came of them.
 package experiment
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"path/filepath"
-	"slices"
 	"strings"
 	"text/tabwriter"
 )
 
-// Experiment plays a change and the project's own baseline, and reports.
-type Experiment struct {
-	Name, Short string
-	Run         func(*Report) error
-}
-
-// ErrMissed tells that an experiment ran and missed an aim.
-var ErrMissed = errors.New("an aim was missed")
-
-// Run runs the one of some experiments that has a name and prints its report. Results of its own go to the folder keep, unless
-// that is empty. ErrMissed follows where an aim was missed.
-func Run(experiments []Experiment, name string, out io.Writer, keep string) error {
-	i := slices.IndexFunc(experiments, func(e Experiment) bool { return e.Name == name })
-	if i < 0 {
-		var names []string
-		for _, e := range experiments {
-			names = append(names, e.Name)
-		}
-		return fmt.Errorf("no experiment %q; there is %s", name, strings.Join(names, ", "))
-	}
-	r := &Report{keep: keep}
-	if err := experiments[i].Run(r); err != nil {
-		return err
-	}
-	return r.Print(name, out)
-}
-
-// Report collects what an experiment shows: a table, the figures of its last line, and the aims it missed. Its zero value is
-// empty and keeps no results.
+// Report collects what an experiment shows: a table, the figures of the last line, and the targets that were missed.
+// Its zero value is empty and has no folder for results. It is not safe for concurrent use.
 type Report struct {
-	head   []any
-	rows   [][]any
-	keys   []string
-	missed []string
-	keep   string // folder for results; empty keeps none
+	header       []any
+	rows         [][]any
+	figures      []string // NAME=VALUE
+	missed       []string // one line for each target
+	resultFolder string   // empty if no files of results are wanted
 }
 
-// KeepPath is the path for a file of results; kept is false where the user wants none.
-func (r *Report) KeepPath(file string) (path string, kept bool) {
-	return filepath.Join(r.keep, file), r.keep != ""
+// ResultPath returns the path for a file of results. If wanted is false no file is to be written.
+func (r *Report) ResultPath(file string) (path string, wanted bool) {
+	return filepath.Join(r.resultFolder, file), r.resultFolder != ""
 }
 
-// Table names the columns.
-func (r *Report) Table(columns ...any) { r.head = columns }
+// Table names the columns of the table.
+func (r *Report) Table(columns ...any) { r.header = columns }
 
-// Row adds one.
-func (r *Report) Row(cells ...any) { r.rows = append(r.rows, cells) }
+// Row adds a row to the table.
+func (r *Report) Row(values ...any) { r.rows = append(r.rows, values) }
 
-// Key adds a figure to the last line.
-func (r *Report) Key(name, format string, value ...any) {
-	r.keys = append(r.keys, name+"="+fmt.Sprintf(format, value...))
+// Figure adds a figure to the last line.
+func (r *Report) Figure(name, format string, values ...any) {
+	r.figures = append(r.figures, name+"="+fmt.Sprintf(format, values...))
 }
 
-// Aim notes one that was missed.
-func (r *Report) Aim(met bool, format string, args ...any) {
+// Expect notes a target as missed unless met is true. The format and its arguments say what was seen.
+func (r *Report) Expect(met bool, format string, args ...any) {
 	if !met {
 		r.missed = append(r.missed, fmt.Sprintf(format, args...))
 	}
 }
 
-// Print writes the table, the aims that were missed and the last line. It returns ErrMissed where there are any.
+// Print writes the table, the targets that were missed, and the last line, which begins with name. It returns
+// ErrTargetMissed if a target was missed; errors of out are not reported.
 func (r *Report) Print(name string, out io.Writer) error {
+	r.printTable(out)
+	for _, m := range r.missed {
+		fmt.Fprintln(out, "missed:", m)
+	}
+	fmt.Fprintf(out, "%s: %s missed=%d\n", name, strings.Join(r.figures, " "), len(r.missed))
+	if len(r.missed) > 0 {
+		return ErrTargetMissed
+	}
+	return nil
+}
+
+func (r *Report) printTable(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, row := range append([][]any{r.head}, r.rows...) {
-		for i, cell := range row {
+	for _, row := range append([][]any{r.header}, r.rows...) {
+		for i, value := range row {
 			if i > 0 {
 				fmt.Fprint(w, "\t")
 			}
-			fmt.Fprint(w, cell)
+			fmt.Fprint(w, value)
 		}
 		fmt.Fprintln(w)
 	}
 	w.Flush()
-	for _, m := range r.missed {
-		fmt.Fprintln(out, "missed:", m)
-	}
-	fmt.Fprintf(out, "%s: %s missed=%d\n", name, strings.Join(r.keys, " "), len(r.missed))
-	if len(r.missed) > 0 {
-		return ErrMissed
-	}
-	return nil
 }
--- a/internal/test/experiments/capacity/capacity.go
+++ b/internal/test/experiments/capacity/capacity.go
@@ -27,14 +27,14 @@
 		r.Row(row...)
 	}
 	for _, missed := range result.Missed() {
-		r.Aim(false, "%s", missed)
+		r.Expect(false, "%s", missed)
 	}
-	r.Key("series", "%d", len(result.Series))
-	r.Key("seconds", "%.0f", result.Seconds)
-	if data, kept := r.KeepPath("run.json"); kept {
+	r.Figure("series", "%d", len(result.Series))
+	r.Figure("seconds", "%.0f", result.Seconds)
+	if data, kept := r.ResultPath("run.json"); kept {
 		err = result.Write(data)
 	}
-	if plot, kept := r.KeepPath("run.png"); kept {
+	if plot, kept := r.ResultPath("run.png"); kept {
 		err = errors.Join(err, capacity.Plot(result, plot))
 	}
 	return err
--- a/internal/test/experiments/choices/choices.go
+++ b/internal/test/experiments/choices/choices.go
@@ -111,19 +111,19 @@
 			}
 		}
 		without, with := results[i][0], results[i][1]
-		r.Aim(with.parts <= maxImbalance, "%d: the busiest node is sent %.2f times the mean", size.members, with.parts)
-		r.Aim(with.connections <= maxImbalance, "%d: the busiest node holds %.2f times the connections of the mean", size.members, with.connections)
-		r.Aim(with.trials <= maxImbalance, "%d: the node tried most is tried %.2f times as often as the mean", size.members, with.trials)
-		r.Aim(with.fallen == 0, "%d: %d nodes pushed over", size.members, with.fallen)
-		r.Aim(with.worth >= without.worth-maxWorthLoss, "%d: worth at work %.3f, %.3f without places", size.members, with.worth, without.worth)
-		r.Key(fmt.Sprintf("busiest_%d", size.members), "%.2f", max(with.parts, with.connections, with.trials))
+		r.Expect(with.parts <= maxImbalance, "%d: the busiest node is sent %.2f times the mean", size.members, with.parts)
+		r.Expect(with.connections <= maxImbalance, "%d: the busiest node holds %.2f times the connections of the mean", size.members, with.connections)
+		r.Expect(with.trials <= maxImbalance, "%d: the node tried most is tried %.2f times as often as the mean", size.members, with.trials)
+		r.Expect(with.fallen == 0, "%d: %d nodes pushed over", size.members, with.fallen)
+		r.Expect(with.worth >= without.worth-maxWorthLoss, "%d: worth at work %.3f, %.3f without places", size.members, with.worth, without.worth)
+		r.Figure(fmt.Sprintf("busiest_%d", size.members), "%.2f", max(with.parts, with.connections, with.trials))
 	}
 	without, with := results[1][0], results[1][1]
-	r.Key("connections", "%.2f", with.open/without.open)
-	r.Key("zone", "%.3f", with.zoneWorth)
-	r.Key("zone_gain", "%.2f", with.zoneWorth/without.zoneWorth)
-	r.Aim(with.open <= maxConnections*without.open, "300: %.0f connections, %.0f without places", with.open, without.open)
-	r.Aim(with.zoneWorth >= minZoneGain*without.zoneWorth, "300: worth with a zone lost %.3f, %.3f without places", with.zoneWorth, without.zoneWorth)
+	r.Figure("connections", "%.2f", with.open/without.open)
+	r.Figure("zone", "%.3f", with.zoneWorth)
+	r.Figure("zone_gain", "%.2f", with.zoneWorth/without.zoneWorth)
+	r.Expect(with.open <= maxConnections*without.open, "300: %.0f connections, %.0f without places", with.open, without.open)
+	r.Expect(with.zoneWorth >= minZoneGain*without.zoneWorth, "300: worth with a zone lost %.3f, %.3f without places", with.zoneWorth, without.zoneWorth)
 	return nil
 }
 
--- a/internal/test/experiments/choices/heatmap.go
+++ b/internal/test/experiments/choices/heatmap.go
@@ -36,7 +36,7 @@
 
 // keepHeatMap draws the load of the nodes by second where results are kept.
 func keepHeatMap(r *experiment.Report, name string, nodes int, load [][]int) error {
-	path, kept := r.KeepPath(name + ".svg")
+	path, kept := r.ResultPath(name + ".svg")
 	if !kept || len(load) < 2 {
 		return nil
 	}
--- a/internal/test/experiments/handover/handover.go
+++ b/internal/test/experiments/handover/handover.go
@@ -240,11 +240,11 @@
 			after[k] += p.shareInTime(afterUpgrade) / seeds
 			r.Row(map[bool]string{true: "handed on", false: "anew"}[handOn], seed, p.asked[afterUpgrade],
 				fmt.Sprintf("%.3f", p.shareInTime(beforeUpgrade)), fmt.Sprintf("%.3f", p.shareInTime(afterUpgrade)), fmt.Sprintf("%.2f", worst))
-			r.Aim(worst < 1, "seed %d, handed on %t: a cold node fell, %.2f of what it takes", seed, handOn, worst)
+			r.Expect(worst < 1, "seed %d, handed on %t: a cold node fell, %.2f of what it takes", seed, handOn, worst)
 		}
 	}
-	r.Key("anew", "%.3f", after[0])
-	r.Key("handed_on", "%.3f", after[1])
-	r.Aim(after[1] >= after[0]+minGain, "in time after the upgrade: %.3f handed on, %.3f anew; %.2f more wanted", after[1], after[0], minGain)
+	r.Figure("anew", "%.3f", after[0])
+	r.Figure("handed_on", "%.3f", after[1])
+	r.Expect(after[1] >= after[0]+minGain, "in time after the upgrade: %.3f handed on, %.3f anew; %.2f more wanted", after[1], after[0], minGain)
 	return nil
 }
--- a/internal/test/experiments/overload/aims.go
+++ b/internal/test/experiments/overload/aims.go
@@ -51,11 +51,11 @@
 
 func (e results) checkWorth(r *experiment.Report) {
 	controlled, firstCome := e.normalTraffic(), e.outcomes[variant{1, false}]
-	r.Aim(e.rush().Wait99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted", e.rush().Wait99MS, maxLoopWaitMS)
-	r.Aim(e.gain() >= minGain, "worth at three times is %.2f of first come's, %.1f wanted", e.gain(), minGain)
-	r.Aim(controlled.EarnedWeight >= minNormalWorth*firstCome.EarnedWeight, "worth at one time is %.3f, first come's %.3f", controlled.EarnedWeight/controlled.OfferedWeight, firstCome.EarnedWeight/firstCome.OfferedWeight)
-	r.Aim(e.hazardsServed() >= minHazards, "%.3f of the hazard reports within their share served, %.2f wanted", e.hazardsServed(), minHazards)
-	r.Aim(e.lost() == 0, "%d tries without a timely answer", e.lost())
+	r.Expect(e.rush().Wait99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted", e.rush().Wait99MS, maxLoopWaitMS)
+	r.Expect(e.gain() >= minGain, "worth at three times is %.2f of first come's, %.1f wanted", e.gain(), minGain)
+	r.Expect(controlled.EarnedWeight >= minNormalWorth*firstCome.EarnedWeight, "worth at one time is %.3f, first come's %.3f", controlled.EarnedWeight/controlled.OfferedWeight, firstCome.EarnedWeight/firstCome.OfferedWeight)
+	r.Expect(e.hazardsServed() >= minHazards, "%.3f of the hazard reports within their share served, %.2f wanted", e.hazardsServed(), minHazards)
+	r.Expect(e.lost() == 0, "%d tries without a timely answer", e.lost())
 }
 
 // checkFairness holds the tenants within their shares against the one beyond it.
@@ -68,13 +68,13 @@
 			unfair = max(unfair, refusedShare(t)-refusedShare(tenants[flooder]))
 		}
 	}
-	r.Aim(unfair <= 0, "a tenant within its share was refused %.3f more than the one beyond it", unfair)
+	r.Expect(unfair <= 0, "a tenant within its share was refused %.3f more than the one beyond it", unfair)
 }
 
 // checkAfterRush tells whether refused clients come back too soon, and the level too late.
 func (e results) checkAfterRush(r *experiment.Report) {
 	tries, refused := e.afterRush()
-	r.Aim(refused*20 <= tries && float64(tries) < 2.5*e.normal, "%d of %d tries refused in a second, two after the rush: who was refused comes back too soon", refused, tries)
+	r.Expect(refused*20 <= tries && float64(tries) < 2.5*e.normal, "%d of %d tries refused in a second, two after the rush: who was refused comes back too soon", refused, tries)
 	levels := e.rush().Stats.Levels
 	normalAt, last := time.Hour.Seconds(), ""
 	for _, l := range levels {
@@ -82,18 +82,18 @@
 			normalAt = min(normalAt, l.At)
 		}
 	}
-	r.Aim(normalAt < (rushEnd+normalWithin).Seconds() && last == normalLevel, "levels %v: normal wanted within %v after %v, and at the end", levels, normalWithin, rushEnd)
+	r.Expect(normalAt < (rushEnd+normalWithin).Seconds() && last == normalLevel, "levels %v: normal wanted within %v after %v, and at the end", levels, normalWithin, rushEnd)
 }
 
 func (e results) addKeys(r *experiment.Report) {
 	tries, refused := e.afterRush()
-	r.Key("normal", "%.0f/s", e.normal)
-	r.Key("gain_at_3", "%.2f", e.gain())
-	r.Key("worth_at_1", "%.3f", e.normalTraffic().EarnedWeight/e.normalTraffic().OfferedWeight)
-	r.Key("loop_p99_ms", "%.1f", e.rush().Wait99MS)
-	r.Key("first_come_p99_ms", "%.1f", e.rushFirstCome().Wait99MS)
-	r.Key("hazards", "%.3f", e.hazardsServed())
-	r.Key("tries_after", "%.2f", float64(tries)/e.normal)
-	r.Key("refused_after", "%d", refused)
-	r.Key("lost", "%d", e.lost())
+	r.Figure("normal", "%.0f/s", e.normal)
+	r.Figure("gain_at_3", "%.2f", e.gain())
+	r.Figure("worth_at_1", "%.3f", e.normalTraffic().EarnedWeight/e.normalTraffic().OfferedWeight)
+	r.Figure("loop_p99_ms", "%.1f", e.rush().Wait99MS)
+	r.Figure("first_come_p99_ms", "%.1f", e.rushFirstCome().Wait99MS)
+	r.Figure("hazards", "%.3f", e.hazardsServed())
+	r.Figure("tries_after", "%.2f", float64(tries)/e.normal)
+	r.Figure("refused_after", "%d", refused)
+	r.Figure("lost", "%d", e.lost())
 }
--- a/internal/test/experiments/overload/overload.go
+++ b/internal/test/experiments/overload/overload.go
@@ -111,7 +111,7 @@
 		control = "controlled"
 	}
 	name := fmt.Sprintf("overload-%.0fx-%s", v.factor, control)
-	path, kept := r.KeepPath(name + ".json")
+	path, kept := r.ResultPath(name + ".json")
 	if !kept {
 		return nil
 	}
--- a/internal/test/experiments/overload/slownodes.go
+++ b/internal/test/experiments/overload/slownodes.go
@@ -60,11 +60,11 @@
 		return err
 	}
 	addSlowRow(r, true, controlled)
-	r.Aim(controlled.Lost == 0, "slow nodes: %d tries without a timely answer", controlled.Lost)
-	r.Aim(controlled.LiveMB <= limitMB, "slow nodes: %.0f MB live, the limit is %.0f", controlled.LiveMB, limitMB)
-	r.Aim(firstCome.LiveMB > limitMB, "slow nodes: first come has %.0f MB live only: the case is too easy", firstCome.LiveMB)
-	r.Key("slow_live_mb", "%.0f", controlled.LiveMB)
-	r.Key("slow_first_come_mb", "%.0f", firstCome.LiveMB)
+	r.Expect(controlled.Lost == 0, "slow nodes: %d tries without a timely answer", controlled.Lost)
+	r.Expect(controlled.LiveMB <= limitMB, "slow nodes: %.0f MB live, the limit is %.0f", controlled.LiveMB, limitMB)
+	r.Expect(firstCome.LiveMB > limitMB, "slow nodes: first come has %.0f MB live only: the case is too easy", firstCome.LiveMB)
+	r.Figure("slow_live_mb", "%.0f", controlled.LiveMB)
+	r.Figure("slow_first_come_mb", "%.0f", firstCome.LiveMB)
 	return nil
 }
 
--- a/internal/test/experiments/twophase/twophase.go
+++ b/internal/test/experiments/twophase/twophase.go
@@ -114,22 +114,22 @@
 		addRow(r, m, 2, p.two, p.one.units)
 		compared, differ := p.sameAnswers()
 		differing += differ
-		r.Aim(m.share == 1 || m.share == 0.5 || compared > p.one.queries/2, "%s: only %d answers to compare", m.name, compared)
+		r.Expect(m.share == 1 || m.share == 0.5 || compared > p.one.queries/2, "%s: only %d answers to compare", m.name, compared)
 		late, wrong = late+p.one.late+p.two.late, wrong+p.one.wrong+p.two.wrong
 	}
 	quietOne, quietTwo := pairs[quiet].one, pairs[quiet].two
-	r.Aim(differing == 0, "%d answers differ from those of one phase", differing)
-	r.Aim(pairs[quiet].work() <= maxQuietWork, "quiet: %.2f of the work of one phase, at most %.1f wanted", pairs[quiet].work(), maxQuietWork)
-	r.Aim(pairs[all].work() <= maxAllWork, "all changed: %.2f of the work of one phase, at most %.2f wanted", pairs[all].work(), maxAllWork)
-	r.Aim(quietTwo.latency(99) <= quietOne.latency(99), "quiet: p99 %v in two phases, %v in one", quietTwo.latency(99), quietOne.latency(99))
-	r.Key("quiet_saved", "%.2f", 1-pairs[quiet].work())
-	r.Key("half_saved", "%.2f", 1-pairs[half].work())
-	r.Key("all_extra", "%.3f", pairs[all].work()-1)
-	r.Key("late", "%d", late)
-	r.Key("wrong", "%d", wrong)
-	r.Key("differ", "%d", differing)
-	r.Key("p99_one_ms", "%s", milliseconds(quietOne.latency(99)))
-	r.Key("p99_two_ms", "%s", milliseconds(quietTwo.latency(99)))
+	r.Expect(differing == 0, "%d answers differ from those of one phase", differing)
+	r.Expect(pairs[quiet].work() <= maxQuietWork, "quiet: %.2f of the work of one phase, at most %.1f wanted", pairs[quiet].work(), maxQuietWork)
+	r.Expect(pairs[all].work() <= maxAllWork, "all changed: %.2f of the work of one phase, at most %.2f wanted", pairs[all].work(), maxAllWork)
+	r.Expect(quietTwo.latency(99) <= quietOne.latency(99), "quiet: p99 %v in two phases, %v in one", quietTwo.latency(99), quietOne.latency(99))
+	r.Figure("quiet_saved", "%.2f", 1-pairs[quiet].work())
+	r.Figure("half_saved", "%.2f", 1-pairs[half].work())
+	r.Figure("all_extra", "%.3f", pairs[all].work()-1)
+	r.Figure("late", "%d", late)
+	r.Figure("wrong", "%d", wrong)
+	r.Figure("differ", "%d", differing)
+	r.Figure("p99_one_ms", "%s", milliseconds(quietOne.latency(99)))
+	r.Figure("p99_two_ms", "%s", milliseconds(quietTwo.latency(99)))
 	return nil
 }
 
@@ -137,8 +137,8 @@
 func addRow(r *experiment.Report, m morning, phases int, t *tally, unitsInOnePhase float64) {
 	r.Row(m.name, phases, t.queries, t.answers, t.inPart, t.refused, t.late, t.wrong, fmt.Sprintf("%.0f%%", 100*t.prunedShare()),
 		fmt.Sprintf("%.1f", t.units/float64(t.queries)), fmt.Sprintf("%.2f", t.units/unitsInOnePhase), milliseconds(t.latency(50)), milliseconds(t.latency(99)))
-	r.Aim(t.late == 0, "%s, %d phases: %d late", m.name, phases, t.late)
-	r.Aim(t.wrong == 0, "%s, %d phases: %d wrong, first: %s", m.name, phases, t.wrong, t.example)
+	r.Expect(t.late == 0, "%s, %d phases: %d late", m.name, phases, t.late)
+	r.Expect(t.wrong == 0, "%s, %d phases: %d wrong, first: %s", m.name, phases, t.wrong, t.example)
 }
 
 func milliseconds(d time.Duration) string {
--- a/internal/test/loadgen/result.go
+++ b/internal/test/loadgen/result.go
@@ -96,8 +96,8 @@
 		t.Row(name, c.Arrived, c.Served, c.Rejected, "", "",
 			fmt.Sprintf("worth %.0f", c.EarnedWeight), fmt.Sprintf("of %.0f", c.OfferedWeight))
 	}
-	t.Key("worth", "%.3f", r.EarnedWeight/math.Max(r.OfferedWeight, 1e-9))
-	t.Key("lost", "%d", r.Lost)
+	t.Figure("worth", "%.3f", r.EarnedWeight/math.Max(r.OfferedWeight, 1e-9))
+	t.Figure("lost", "%d", r.Lost)
 	return t.Print("load", out)
 }
 
