--- a/internal/test/experiments/choices/choices.go
+++ b/internal/test/experiments/choices/choices.go
@@ -1,12 +1,10 @@
-// Package choices is an experiment: fleets of three sizes whose coordinators know their number in the fleet, beside the same
-// fleets without, at work, while nodes hang, when all nodes have returned cold, and when a zone is lost and returns cold.
+// Package choices is an experiment on which replicas the coordinators of a fleet choose. It plays fleets of three sizes
+// whose coordinators know their ordinals, and beside each of them a fleet whose coordinators do not: at work, while
+// replicas do not respond, when all replicas have restarted, and when a zone is lost and comes back.
 package choices
 
 import (
 	"fmt"
-	"runtime"
-	"slices"
-	"sync"
 	"time"
 
 	"harepass/internal/test/experiment"
@@ -15,123 +13,67 @@
 
 // Experiment plays the fleets in virtual time.
 var Experiment = experiment.Experiment{
-	Name:  "choices",
-	Short: "fleets of 30, 300 and 1,000 that know their place, beside the same without: at work, with hung and with cold nodes, with a zone lost; virtual time",
-	Run:   run,
+	Name: "choices",
+	Short: "fleets of 30, 300 and 1,000 that know their place, beside the same without: " +
+		"at work, with hung and with cold nodes, with a zone lost; virtual time",
+	Run: run,
 }
 
-// fleetSize is a fleet of the experiment. The spans are such that each node is sent some thousand parts at work: what is left
-// to chance is then a twentieth.
+// fleetSize is a size of fleet that is played. Its spans let a replica get some thousand parts at work, so that
+// counts differ by chance by about a twentieth.
 type fleetSize struct {
-	members, nodes int
-	work           time.Duration // at work, counted
-	afterFault     time.Duration // after a fault, counted
+	coordinators, replicas int
+	work                   time.Duration // span at work that counts
+	afterFault             time.Duration // span after a fault that counts
 }
 
 var fleetSizes = []fleetSize{
-	{members: 30, nodes: 20, work: 40 * time.Second, afterFault: 8 * time.Second},
-	{members: 300, nodes: 200, work: 20 * time.Second, afterFault: 6 * time.Second},
-	{members: 1000, nodes: 200, work: 16 * time.Second, afterFault: 4 * time.Second},
+	{coordinators: 30, replicas: 20, work: 40 * time.Second, afterFault: 8 * time.Second},
+	{coordinators: 300, replicas: 200, work: 20 * time.Second, afterFault: 6 * time.Second},
+	{coordinators: 1000, replicas: 200, work: 16 * time.Second, afterFault: 4 * time.Second},
 }
 
-const nodesPerCell = 1
+// comparedSize is the index in fleetSizes of the size at which connections and the loss of a zone are judged.
+const comparedSize = 1
 
-// The aims.
-const (
-	maxImbalance   = 1.15 // of the busiest node over the mean
-	maxConnections = 0.5  // of the fleet, over those without numbers
-	minZoneGain    = 1.15 // of the worth while a zone is lost, over that without numbers
-	maxWorthLoss   = 0.01
-)
-
-// result is what one fleet came to in all situations.
-type result struct {
-	parts, connections, trials float64 // the busiest node over the mean; trials are parts at nodes that are known to hang
-	jain                       float64 // fairness index of the parts
-	open                       float64 // connections of the whole fleet
-	fallen                     int     // cold nodes
-	coldPressure               float64 // the most that a cold node was sent, of what makes it fall
-	worth, zoneWorth           float64
-	load                       [][]int // by second and node
-}
-
-// add takes what another situation came to into the result.
-func (r *result) add(o result) {
-	r.parts, r.connections, r.trials = r.parts+o.parts, r.connections+o.connections, r.trials+o.trials
-	r.jain, r.open = r.jain+o.jain, r.open+o.open
-	r.fallen, r.coldPressure = r.fallen+o.fallen, max(r.coldPressure, o.coldPressure)
-	r.worth, r.zoneWorth = r.worth+o.worth, r.zoneWorth+o.zoneWorth
-	if o.load != nil {
-		r.load = o.load
-	}
-}
-
-// playAll plays every situation with fleets of all sizes, without numbers (0) and with (1), as many at a time as there are
-// processors.
-func playAll() ([][2]result, error) {
-	results := make([][2]result, len(fleetSizes))
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var failed error
-	slots := make(chan struct{}, max(1, runtime.NumCPU()))
-	for i := range slices.Backward(fleetSizes) { // the longest first
-		for k, numbered := range []bool{false, true} {
-			for _, play := range []situation{atWork, allCold, zoneLost} {
-				slots <- struct{}{}
-				wg.Go(func() {
-					defer func() { <-slots }()
-					own, err := play(fleetSizes[i], numbered)
-					mu.Lock()
-					defer mu.Unlock()
-					if failed == nil {
-						failed = err
-					}
-					results[i][k].add(own)
-				})
-			}
-		}
-	}
-	wg.Wait()
-	return results, failed
-}
+// replicasPerPosition is how many replicas lie at a position of the ring.
+const replicasPerPosition = 1
 
+// run plays all fleets and reports them.
 func run(r *experiment.Report) error {
 	results, err := playAll()
 	if err != nil {
 		return err
 	}
-	r.Table("coordinators", "nodes", "places", "parts", "jain", "connections", "of them", "trials", "cold", "fell", "worth", "zone lost")
+	r.Table("coordinators", "nodes", "places", "parts", "jain", "connections", "of them", "trials", "cold", "fell",
+		"worth", "zone lost")
 	for i, size := range fleetSizes {
-		for k, numbered := range []string{"no", "yes"} {
-			v := results[i][k]
-			r.Row(size.members, size.nodes, numbered, hundredths(v.parts), fmt.Sprintf("%.4f", v.jain), hundredths(v.connections), int(v.open), hundredths(v.trials),
-				hundredths(v.coldPressure), v.fallen, fmt.Sprintf("%.3f", v.worth), fmt.Sprintf("%.3f", v.zoneWorth))
-			if err := keepHeatMap(r, fmt.Sprintf("choices-%d-%s", size.members, numbered), size.nodes, v.load); err != nil {
-				return err
-			}
+		if err := reportSize(r, size, results[i]); err != nil {
+			return err
 		}
-		without, with := results[i][0], results[i][1]
-		r.Expect(with.parts <= maxImbalance, "%d: the busiest node is sent %.2f times the mean", size.members, with.parts)
-		r.Expect(with.connections <= maxImbalance, "%d: the busiest node holds %.2f times the connections of the mean", size.members, with.connections)
-		r.Expect(with.trials <= maxImbalance, "%d: the node tried most is tried %.2f times as often as the mean", size.members, with.trials)
-		r.Expect(with.fallen == 0, "%d: %d nodes pushed over", size.members, with.fallen)
-		r.Expect(with.worth >= without.worth-maxWorthLoss, "%d: worth at work %.3f, %.3f without places", size.members, with.worth, without.worth)
-		r.Figure(fmt.Sprintf("busiest_%d", size.members), "%.2f", max(with.parts, with.connections, with.trials))
 	}
-	without, with := results[1][0], results[1][1]
-	r.Figure("connections", "%.2f", with.open/without.open)
-	r.Figure("zone", "%.3f", with.zoneWorth)
-	r.Figure("zone_gain", "%.2f", with.zoneWorth/without.zoneWorth)
-	r.Expect(with.open <= maxConnections*without.open, "300: %.0f connections, %.0f without places", with.open, without.open)
-	r.Expect(with.zoneWorth >= minZoneGain*without.zoneWorth, "300: worth with a zone lost %.3f, %.3f without places", with.zoneWorth, without.zoneWorth)
+	reportComparison(r, results[comparedSize])
 	return nil
 }
 
-func hundredths(x float64) string { return fmt.Sprintf("%.2f", x) }
-
 // newFleet sets up a fleet of a size.
-func (s fleetSize) newFleet(numbered bool) (*fleetsim.Fleet, error) {
-	c := fleetsim.BusyConfig(s.members, s.nodes, nodesPerCell)
-	c.KnowOrdinals = numbered
-	return fleetsim.New(c)
+func (s fleetSize) newFleet(knowOrdinals bool) (*fleetsim.Fleet, error) {
+	c := fleetsim.BusyConfig(s.coordinators, s.replicas, replicasPerPosition)
+	c.KnowOrdinals = knowOrdinals
+	f, err := fleetsim.New(c)
+	if err != nil {
+		return nil, fmt.Errorf("choices: fleet of %d: %w", s.coordinators, err)
+	}
+	return f, nil
+}
+
+// busyFleet sets up a fleet of a size that has been at work for a while, and begins a measurement.
+func (s fleetSize) busyFleet(knowOrdinals bool) (*fleetsim.Fleet, error) {
+	f, err := s.newFleet(knowOrdinals)
+	if err != nil {
+		return nil, err
+	}
+	f.Run(4 * time.Second)
+	f.BeginMeasurement()
+	return f, nil
 }
--- a/internal/test/experiments/choices/heatmap.go
+++ b/internal/test/experiments/choices/heatmap.go
@@ -15,39 +15,59 @@
 	"harepass/internal/test/experiment"
 )
 
-// hottest is the load, over the mean of its second, at which the colours end.
-const hottest = 3
+// maxColouredLoad is the load, as a multiple of the mean of its second, from which on all have one colour.
+const maxColouredLoad = 3
 
-// loadGrid is the load of each node by second, over the mean of its second. It implements plotter.GridXYZ.
-type loadGrid struct{ load [][]int }
+// heatMapColours is how many colours a heat map has.
+const heatMapColours = 64
 
-func (g loadGrid) Dims() (c, r int)   { return len(g.load), len(g.load[0]) }
-func (g loadGrid) X(c int) float64    { return float64(c) }
-func (g loadGrid) Y(r int) float64    { return float64(r) }
-func (g loadGrid) Z(c, r int) float64 { return min(hottest, float64(g.load[c][r])/g.mean(c)) }
+const (
+	heatMapWidth  = 18 * vg.Centimeter
+	heatMapHeight = 12 * vg.Centimeter
+)
+
+// loadGrid is the load of each replica by second, as a multiple of the mean of the second. It implements
+// plotter.GridXYZ.
+type loadGrid struct{ partsSent [][]int }
+
+// Dims implements plotter.GridXYZ: a column is a second, a row a replica.
+func (g loadGrid) Dims() (c, r int) { return len(g.partsSent), len(g.partsSent[0]) }
+
+// X implements plotter.GridXYZ.
+func (g loadGrid) X(c int) float64 { return float64(c) }
+
+// Y implements plotter.GridXYZ.
+func (g loadGrid) Y(r int) float64 { return float64(r) }
+
+// Z implements plotter.GridXYZ.
+func (g loadGrid) Z(c, r int) float64 {
+	return min(maxColouredLoad, float64(g.partsSent[c][r])/g.mean(c))
+}
 
+// mean returns the mean load of a second, of one part in all at least.
 func (g loadGrid) mean(c int) float64 {
 	sum := 0
-	for _, n := range g.load[c] {
+	for _, n := range g.partsSent[c] {
 		sum += n
 	}
-	return max(1, float64(sum)) / float64(len(g.load[c]))
+	return max(1, float64(sum)) / float64(len(g.partsSent[c]))
 }
 
-// keepHeatMap draws the load of the nodes by second where results are kept.
-func keepHeatMap(r *experiment.Report, name string, nodes int, load [][]int) error {
-	path, kept := r.ResultPath(name + ".svg")
-	if !kept || len(load) < 2 {
+// drawHeatMap draws the load of the replicas by second, where files of results are wanted. A play of less than two
+// seconds has no heat map.
+func drawHeatMap(r *experiment.Report, name string, replicas int, partsSent [][]int) error {
+	path, wanted := r.ResultPath(name + ".svg")
+	if !wanted || len(partsSent) < 2 {
 		return nil
 	}
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s: load of %d nodes, over the mean of the second", name, nodes)
+	p.Title.Text = fmt.Sprintf("%s: load of %d nodes, over the mean of the second", name, replicas)
 	p.X.Label.Text, p.Y.Label.Text = "s", "node"
 	colours := moreland.SmoothBlueRed()
 	colours.SetMin(0)
-	colours.SetMax(hottest)
-	p.Add(plotter.NewHeatMap(loadGrid{load}, colours.Palette(64)))
-	c := vgsvg.New(18*vg.Centimeter, 12*vg.Centimeter)
+	colours.SetMax(maxColouredLoad)
+	p.Add(plotter.NewHeatMap(loadGrid{partsSent}, colours.Palette(heatMapColours)))
+	c := vgsvg.New(heatMapWidth, heatMapHeight)
 	p.Draw(draw.New(c))
 	out, err := os.Create(path)
 	if err != nil {
