--- a/internal/test/experiments/capacity/capacity.go
+++ b/internal/test/experiments/capacity/capacity.go
@@ -1,4 +1,5 @@
-// Package capacity is the experiment on what a coordinator costs by the size of its fleet.
+// Package capacity is the experiment on what a coordinator and a relay cost by the size of their fleet. The
+// measurements stand in internal/test/capacity; this package offers and reports them.
 package capacity
 
 import (
@@ -9,14 +10,19 @@
 	"harepass/internal/test/experiment"
 )
 
-// Experiment is what 'lab run' offers.
-var Experiment = experiment.Experiment{Name: "capacity", Run: run,
-	Short: "what a coordinator and a relay cost by nodes, coordinators, changes, open queries and connections, fitted; see docs/CAPACITY.md"}
+// Experiment measures all costs on this machine. Progress goes to the standard error.
+var Experiment = experiment.Experiment{
+	Name: "capacity",
+	Short: "what a coordinator and a relay cost by nodes, coordinators, changes, open queries and connections, " +
+		"fitted; see docs/CAPACITY.md",
+	Run: run,
+}
 
-// HelperCommand is the command of this program for the other side of what the experiment measures.
+// HelperCommand is the command of the laboratory's program that plays the other side of the measurements, in a process
+// of its own.
 const HelperCommand = "capacity-helper"
 
-// run measures and fits all costs. Where results are kept, they are the run's JSON and its plot.
+// run measures and fits all costs. Where files of results are wanted they are the run as JSON and its plot.
 func run(r *experiment.Report) error {
 	result, err := capacity.Measure(capacity.Full(capacity.HelpInProcess(HelperCommand)), os.Stderr)
 	if err != nil {
@@ -31,11 +37,16 @@
 	}
 	r.Figure("series", "%d", len(result.Series))
 	r.Figure("seconds", "%.0f", result.Seconds)
-	if data, kept := r.ResultPath("run.json"); kept {
-		err = result.Write(data)
+	return writeFiles(r, result)
+}
+
+// writeFiles writes the run's files where files of results are wanted.
+func writeFiles(r *experiment.Report, result *capacity.Run) (err error) {
+	if path, wanted := r.ResultPath("run.json"); wanted {
+		err = result.Write(path)
 	}
-	if plot, kept := r.ResultPath("run.png"); kept {
-		err = errors.Join(err, capacity.Plot(result, plot))
+	if path, wanted := r.ResultPath("run.png"); wanted {
+		err = errors.Join(err, capacity.Plot(result, path))
 	}
 	return err
 }
