--- a/internal/test/experiments/overload/overload.go
+++ b/internal/test/experiments/overload/overload.go
@@ -1,6 +1,3 @@
-// Package overload is an experiment: a coordinator on two cores, in a process of its own, at one, two and three times its
-// normal traffic, with overload control and without. What is beyond one time comes of one tenant, beyond its share. Slow nodes
-// whose answers fill the memory follow.
 package overload
 
 import (
@@ -11,122 +8,129 @@
 	"harepass/internal/test/loadgen"
 )
 
-// Experiment measures what normal traffic is on this machine and plays the rush.
+// Experiment finds out what normal traffic is on this machine and plays its multiples.
 var Experiment = experiment.Experiment{
-	Name:  "overload",
-	Short: "a coordinator on two cores at 1, 2 and 3 times its traffic, and before slow nodes, with control and without",
-	Run:   run,
+	Name: "overload",
+	Short: "a coordinator on two cores at 1, 2 and 3 times its traffic, and before slow nodes, " +
+		"with control and without",
+	Run: run,
 }
 
 const (
-	memoryMB    = 256
-	probeRate   = 150.0  // queries a second at which the cost of a query is measured
-	normalShare = 0.48   // of the cores, or of the loop if that is less, that normal traffic takes
-	maxNormal   = 1000.0 // queries a second: what plays the clients has to keep up
+	memoryMB = 256 // memory of the coordinator's process
 
-	rushFactor = 3 // the traffic of the longest plays, which begin with normal traffic and go back to it
-	rushBegin  = time.Second
-	rushEnd    = 4500 * time.Millisecond
-	rushLength = 7500 * time.Millisecond
+	probeRate      = 150.0           // queries a second at which the cost of a query is determined
+	probeDuration  = 2 * time.Second // of the play that determines it
+	normalCPUShare = 0.48            // share of the cores that normal traffic takes
+	maxNormalRate  = 1000.0          // queries a second that the clients' side can send
 
-	normalLevel = "normal" // as the guard's log has it
-)
+	steadyDuration = 4 * time.Second // of the plays with steady traffic
 
-// The aims.
-const (
-	maxLoopWaitMS  = 50   // the 99th percentile
-	minGain        = 1.2  // of the worth in the rush, over that of first come
-	minNormalWorth = 0.99 // of the worth at normal traffic, over that of first come
-	minHazards     = 0.99 // of the hazard reports within the shares, to be served in the rush
-	normalWithin   = 2 * time.Second
+	// The play with rushFactor begins and ends with normal traffic.
+	rushFactor   = 3
+	rushBegin    = time.Second
+	rushEnd      = 4500 * time.Millisecond
+	rushDuration = 7500 * time.Millisecond
 )
 
+// trafficFactors are the multiples of normal traffic that are played.
+var trafficFactors = []float64{1, 2, rushFactor}
+
+// variant is one play.
+type variant struct {
+	factor     float64 // multiple of normal traffic
+	controlled bool    // with overload control; otherwise first come, first served
+}
+
+// run plays all variants and reports them.
 func run(r *experiment.Report) error {
-	normal, err := measureNormal()
+	normalRate, err := findNormalRate()
 	if err != nil {
 		return err
 	}
-	r.Table("traffic", "control", "asked", "served", "refused", "late", "worth", "hazards", "loop p99 ms", "loop max ms", "cpu s", "level above normal until")
-	e := results{normal: normal, outcomes: map[variant]*outcome{}}
-	for _, factor := range factors {
+	r.Table("traffic", "control", "asked", "served", "refused", "late", "worth", "hazards", "loop p99 ms",
+		"loop max ms", "cpu s", "level above normal until")
+	e := results{normalRate: normalRate, outcomes: map[variant]*outcome{}}
+	for _, factor := range trafficFactors {
 		for _, controlled := range []bool{false, true} {
 			v := variant{factor, controlled}
-			o, err := playVariant(v, normal)
+			o, err := playVariant(v, normalRate)
 			if err != nil {
-				return err
+				return fmt.Errorf("overload: %.0f times normal traffic: %w", factor, err)
 			}
 			e.outcomes[v] = o
-			if err := keep(r, v, o.Result); err != nil {
+			if err := writeResult(r, v, o.Result); err != nil {
 				return err
 			}
-			addRow(r, v, normal, o)
+			addRow(r, v, normalRate, o)
 		}
 	}
-	e.checkWorth(r)
-	e.checkFairness(r)
-	e.checkAfterRush(r)
-	if err := playSlowNodes(r); err != nil {
-		return err
+	e.judgeWeight(r)
+	e.judgeFairness(r)
+	e.judgeRecovery(r)
+	if err := playSlowReplicas(r); err != nil {
+		return fmt.Errorf("overload: slow replicas: %w", err)
 	}
-	e.addKeys(r)
+	e.addFigures(r)
 	return nil
 }
 
-// factors of normal traffic that are played.
-var factors = []float64{1, 2, rushFactor}
-
-// variant is one play.
-type variant struct {
-	factor     float64 // of normal traffic
-	controlled bool    // or first come, first served
-}
-
-// measureNormal is what normal traffic is, in queries a second: it follows from what a query costs on this machine.
-func measureNormal() (float64, error) {
-	probe, err := play(config(10*probeRate, memoryMB, false), func(address string) *loadgen.Plan { return plan(address, probeRate, 2*time.Second) }, soundNodes)
+// findNormalRate returns what normal traffic is, in queries a second. It follows from the CPU time that a query costs
+// on this machine.
+func findNormalRate() (float64, error) {
+	probe, err := play(config(10*probeRate, memoryMB, false), func(address string) *loadgen.Plan {
+		return plan(address, probeRate, probeDuration)
+	}, fastReplicas)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("overload: cost of a query: %w", err)
 	}
-	return min(maxNormal, normalShare*cores/(probe.CPU/float64(probe.Admitted))), nil
+	return min(maxNormalRate, normalCPUShare*cores/(probe.CPU/float64(probe.Admitted))), nil
 }
 
-// playVariant plays a variant. What is beyond normal traffic comes of the flooder; the rush ends before the play does.
-func playVariant(v variant, normal float64) (*outcome, error) {
-	length, burst := 4*time.Second, loadgen.Burst{From: 0, To: time.Hour}
+// playVariant plays a variant. What is beyond normal traffic comes from the flooding tenant.
+func playVariant(v variant, normalRate float64) (*outcome, error) {
+	duration, burst := steadyDuration, loadgen.Burst{From: 0, To: time.Hour}
 	if v.factor == rushFactor {
-		length, burst = rushLength, loadgen.Burst{From: rushBegin, To: rushEnd}
+		duration, burst = rushDuration, loadgen.Burst{From: rushBegin, To: rushEnd}
 	}
-	burst.Tenant, burst.Factor = flooder, 1+(v.factor-1)/trafficShares[flooder]
-	return play(config(normal, memoryMB, v.controlled), func(address string) *loadgen.Plan {
-		p := plan(address, normal, length)
+	burst.Tenant, burst.Factor = floodingTenant, 1+(v.factor-1)/trafficShares[floodingTenant]
+	return play(config(normalRate, memoryMB, v.controlled), func(address string) *loadgen.Plan {
+		p := plan(address, normalRate, duration)
 		p.Bursts = []loadgen.Burst{burst}
 		return p
-	}, soundNodes)
+	}, fastReplicas)
 }
 
-// keep writes a play's result where the user wants results kept.
-func keep(r *experiment.Report, v variant, res *loadgen.Result) error {
+// writeResult writes a play's result where files of results are wanted.
+func writeResult(r *experiment.Report, v variant, res *loadgen.Result) error {
 	control := "first-come"
 	if v.controlled {
 		control = "controlled"
 	}
 	name := fmt.Sprintf("overload-%.0fx-%s", v.factor, control)
-	path, kept := r.ResultPath(name + ".json")
-	if !kept {
+	path, wanted := r.ResultPath(name + ".json")
+	if !wanted {
 		return nil
 	}
 	res.Name = name
 	return res.Write(path)
 }
 
-func addRow(r *experiment.Report, v variant, normal float64, o *outcome) {
-	sum, hazards := total(o.Result), o.Classes[hazardReport]
-	r.Row(fmt.Sprintf("%.0f x %.0f/s", v.factor, normal), v.controlled, sum.Arrived, sum.Served, sum.Rejected, sum.Late, fmt.Sprintf("%.3f", o.EarnedWeight/o.OfferedWeight),
-		fmt.Sprintf("%.0f/%.0f", hazards.ServedWithinQuota, hazards.WithinQuota), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
-		fmt.Sprintf("%.1f", o.CPU), normalSince(o.Stats.Levels))
+func addRow(r *experiment.Report, v variant, normalRate float64, o *outcome) {
+	o.addRow(r, fmt.Sprintf("%.0f x %.0f/s", v.factor, normalRate), v.controlled, o.total().Late,
+		normalSince(o.Stats.Levels))
+}
+
+// addRow adds a play's row. The column of late queries has late, and the last column has remark.
+func (o *outcome) addRow(r *experiment.Report, traffic string, controlled bool, late int, remark string) {
+	total, hazards := o.total(), o.Classes[hazardReport]
+	r.Row(traffic, controlled, total.Arrived, total.Served, total.Rejected, late,
+		fmt.Sprintf("%.3f", o.EarnedWeight/o.OfferedWeight),
+		fmt.Sprintf("%.0f/%.0f", hazards.ServedWithinQuota, hazards.WithinQuota),
+		fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS), fmt.Sprintf("%.1f", o.CPU), remark)
 }
 
-// normalSince words when the level came back to normal; it is empty where it never left it.
+// normalSince words when the level came back to normal. It is empty if the level never left normal.
 func normalSince(levels []loadgen.LevelChange) string {
 	since := ""
 	for i, l := range levels {
--- a/internal/test/loadgen/counting.go
+++ b/internal/test/loadgen/counting.go
@@ -56,7 +56,7 @@
 		result: &Result{
 			Classes: map[string]*ClassResult{},
 			Tenants: map[string]*TenantResult{},
-			Slices:  make([]Slice, int(p.Duration/sliceTime)+1),
+			Slices:  make([]Slice, int(p.Duration/SliceTime)+1),
 		},
 	}
 	for _, class := range p.Classes {
@@ -76,7 +76,7 @@
 func (c *counts) report(progress io.Writer, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.result.Slices[max(0, int(at/sliceTime)-1)]
+	s := c.result.Slices[max(0, int(at/SliceTime)-1)]
 	fmt.Fprintf(progress, "%3.0f s: last tenth: %d asked, %d served, %d refused, %d late\n",
 		at.Seconds(), s.Arrived, s.Served, s.Rejected, s.Late)
 }
@@ -129,7 +129,7 @@
 
 // slice returns the slice of an instant. It is called with mu locked.
 func (c *counts) slice(at time.Duration) *Slice {
-	return &c.result.Slices[min(len(c.result.Slices)-1, int(at/sliceTime))]
+	return &c.result.Slices[min(len(c.result.Slices)-1, int(at/SliceTime))]
 }
 
 // finish completes the result. It is called once all attempts have ended.
--- a/internal/test/loadgen/result.go
+++ b/internal/test/loadgen/result.go
@@ -15,10 +15,10 @@
 	"harepass/internal/test/experiment"
 )
 
-// sliceTime is the span that one Slice counts.
-const sliceTime = 100 * time.Millisecond
+// SliceTime is the span that one Slice counts.
+const SliceTime = 100 * time.Millisecond
 
-// Slice is what one sliceTime of a run had. All its fields count queries or attempts.
+// Slice is what one SliceTime of a run had. All its fields count queries or attempts.
 type Slice struct {
 	Arrived  int `json:"Asked"` // first attempts that were due
 	Attempts int `json:"Tries"` // attempts that ended, by the instant at which they were due
