--- a/internal/test/experiments/twophase/tally.go
+++ b/internal/test/experiments/twophase/tally.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"math"
+	"net/http"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -10,52 +11,59 @@
 	"harepass/internal/test/endtoend"
 )
 
-// tally is what came of one run.
+// maxRecordedLatency is the greatest latency that the histogram tells apart.
+const maxRecordedLatency = 10 * time.Second
+
+// tally is what came of one play. Late and wrong answers count from its start, all else after the warm-up.
 type tally struct {
-	queries, answers, inPart, refused int
-	late, wrong                       int
-	example                           string // of what is wrong
-	pruned, sections                  int    // of all answers
-	units                             float64
-	latencies                         *hdrhistogram.Histogram // microseconds
-	unchanged                         map[int]string          // by arrival: the hits of answers during which nothing changed
+	queries, answers   int
+	incomplete         int // answers without some shards
+	rejected           int // queries without an answer
+	late               int // answers later than the deadline
+	wrong              int // violations found in answers
+	firstViolation     string
+	prunedParts, parts int                     // of all answers
+	workUnits          float64                 // units of work that the replicas did
+	latencies          *hdrhistogram.Histogram // microseconds
+	unchanged          map[int]string          // by arrival: hits of answers during which the data did not change
 }
 
 func newTally() *tally {
-	return &tally{latencies: hdrhistogram.New(1, int64(10*time.Second/time.Microsecond), 3), unchanged: map[int]string{}}
+	return &tally{latencies: hdrhistogram.New(1, maxRecordedLatency.Microseconds(), 3), unchanged: map[int]string{}}
 }
 
-func (t *tally) prunedShare() float64 { return float64(t.pruned) / math.Max(1, float64(t.sections)) }
+// prunedShare returns the share of the parts that were pruned.
+func (t *tally) prunedShare() float64 { return float64(t.prunedParts) / math.Max(1, float64(t.parts)) }
 
-// latency is that of a percentile.
+// latency returns a percentile of the latencies.
 func (t *tally) latency(percentile float64) time.Duration {
 	return time.Duration(t.latencies.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// add books an answer with its faults. During the warm-up only what is wrong or late counts.
-func (t *tally) add(warmUp bool, status int, body []byte, took time.Duration, faults []string) {
-	if t.wrong += len(faults); len(faults) > 0 && t.example == "" {
-		t.example = faults[0]
+// add counts an answer.
+func (t *tally) add(a answer, warmUp bool) {
+	if t.wrong += len(a.violations); len(a.violations) > 0 && t.firstViolation == "" {
+		t.firstViolation = a.violations[0]
 	}
-	if took > budget+lateSlack {
+	if a.latency() > deadline+lateSlack {
 		t.late++
 	}
 	if warmUp {
 		return
 	}
 	t.queries++
-	if status != 200 {
-		t.refused++
+	if a.status != http.StatusOK {
+		t.rejected++
 		return
 	}
 	t.answers++
-	t.latencies.RecordValue(took.Microseconds())
-	var a endtoend.Answer
-	if json.Unmarshal(body, &a) == nil {
-		t.pruned += a.Shards.Skipped
-		t.sections += a.Shards.Total
-		if a.TimedOut {
-			t.inPart++
+	t.latencies.RecordValue(a.latency().Microseconds())
+	var body endtoend.Answer
+	if json.Unmarshal(a.body, &body) == nil {
+		t.prunedParts += body.Shards.Skipped
+		t.parts += body.Shards.Total
+		if body.TimedOut {
+			t.incomplete++
 		}
 	}
 }
--- a/internal/test/experiments/twophase/twophase.go
+++ b/internal/test/experiments/twophase/twophase.go
@@ -1,8 +1,7 @@
-// Package twophase is an experiment: the same arrivals at a coordinator of one phase and at one of two, each before nodes of its
-// own with the same data, changes and failures.
 package twophase
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"sync"
@@ -18,34 +17,37 @@
 	Run:   run,
 }
 
-// morning is how fast the data changes: every so often, so many of the sections.
+// morning is how the data changes during a play.
 type morning struct {
-	name     string
-	every    time.Duration
-	share    float64 // of the sections
-	failures bool
-	seed     uint64
+	name         string
+	interval     time.Duration // time between changes
+	changedShare float64       // share of the shards that each change touches
+	faults       bool          // whether replicas have faults
+	seed         uint64        // source of all draws
 }
 
-const oneSection = 1.0 / sectionCount
+const oneShard = 1.0 / shards
 
 var mornings = []morning{
-	{"quiet", 2 * time.Second, oneSection, false, 1},
+	{"quiet", 2 * time.Second, oneShard, false, 1},
 	{"half", 20 * time.Millisecond, 0.5, false, 2},
 	{"all", 20 * time.Millisecond, 1, false, 3},
-	{"quiet, failures", 2 * time.Second, oneSection, true, 1},
+	{"quiet, failures", 2 * time.Second, oneShard, true, 1},
 	{"half, failures", 20 * time.Millisecond, 0.5, true, 2},
 	{"all, failures", 20 * time.Millisecond, 1, true, 3},
 }
 
-// Indices of mornings without failures.
+// concurrentMornings is how many mornings are played at a time.
+const concurrentMornings = 2
+
+// Indices of mornings without faults.
 const (
 	quiet = iota
 	half
 	all
 )
 
-// The aims, as work of the nodes over that in one phase.
+// The targets: work of the replicas in two phases, as a multiple of that in one.
 const (
 	maxQuietWork = 0.6
 	maxAllWork   = 1.05
@@ -54,11 +56,11 @@
 // pair is a morning in one phase and in two.
 type pair struct{ one, two *tally }
 
-// work is that of the nodes in two phases over that in one.
-func (p pair) work() float64 { return p.two.units / p.one.units }
+// workRatio returns the work of the replicas in two phases, as a multiple of that in one.
+func (p pair) workRatio() float64 { return p.two.workUnits / p.one.workUnits }
 
-// sameAnswers compares the answers during which nothing changed, by arrival.
-func (p pair) sameAnswers() (compared, differing int) {
+// compareAnswers compares, by arrival, the answers during which the data did not change.
+func (p pair) compareAnswers() (compared, differing int) {
 	for arrival, hits := range p.one.unchanged {
 		other := p.two.unchanged[arrival]
 		if hits == "" || other == "" {
@@ -72,73 +74,80 @@
 	return compared, differing
 }
 
-// playAll plays the mornings, two at a time: they share this machine.
+// playAll plays all mornings. The pairs are in the order of mornings.
 func playAll() ([]pair, error) {
 	pairs := make([]pair, len(mornings))
-	for some := range slices.Chunk([]int{0, 1, 2, 3, 4, 5}, 2) {
+	for group := range slices.Chunk(indicesOf(mornings), concurrentMornings) {
 		var wg sync.WaitGroup
-		errs := make(chan error, 2*len(some))
-		for _, i := range some {
-			wg.Go(func() {
-				t, err := play(mornings[i], false)
-				pairs[i].one = t
-				errs <- err
-			})
-			wg.Go(func() {
-				t, err := play(mornings[i], true)
-				pairs[i].two = t
-				errs <- err
-			})
+		errs := make([]error, 2*len(mornings))
+		for _, i := range group {
+			wg.Go(func() { pairs[i].one, errs[2*i] = play(mornings[i], false) })
+			wg.Go(func() { pairs[i].two, errs[2*i+1] = play(mornings[i], true) })
 		}
 		wg.Wait()
-		close(errs)
-		for err := range errs {
-			if err != nil {
-				return nil, err
-			}
+		if err := errors.Join(errs...); err != nil {
+			return nil, fmt.Errorf("twophase: %w", err)
 		}
 	}
 	return pairs, nil
 }
 
+func indicesOf(list []morning) (indices []int) {
+	for i := range list {
+		indices = append(indices, i)
+	}
+	return indices
+}
+
+// run plays all mornings and reports them.
 func run(r *experiment.Report) error {
 	pairs, err := playAll()
 	if err != nil {
 		return err
 	}
-	r.Table("morning", "phases", "queries", "answered", "in part", "refused", "late", "wrong", "pruned", "units/query", "work", "p50 ms", "p99 ms")
+	r.Table("morning", "phases", "queries", "answered", "in part", "refused", "late", "wrong", "pruned", "units/query",
+		"work", "p50 ms", "p99 ms")
 	differing, late, wrong := 0, 0, 0
 	for i, m := range mornings {
 		p := pairs[i]
-		addRow(r, m, 1, p.one, p.one.units)
-		addRow(r, m, 2, p.two, p.one.units)
-		compared, differ := p.sameAnswers()
+		addRow(r, m, 1, p.one, p.one.workUnits)
+		addRow(r, m, 2, p.two, p.one.workUnits)
+		compared, differ := p.compareAnswers()
 		differing += differ
-		r.Expect(m.share == 1 || m.share == 0.5 || compared > p.one.queries/2, "%s: only %d answers to compare", m.name, compared)
+		r.Expect(m.changedShare != oneShard || compared > p.one.queries/2,
+			"%s: only %d answers to compare", m.name, compared)
 		late, wrong = late+p.one.late+p.two.late, wrong+p.one.wrong+p.two.wrong
 	}
-	quietOne, quietTwo := pairs[quiet].one, pairs[quiet].two
-	r.Expect(differing == 0, "%d answers differ from those of one phase", differing)
-	r.Expect(pairs[quiet].work() <= maxQuietWork, "quiet: %.2f of the work of one phase, at most %.1f wanted", pairs[quiet].work(), maxQuietWork)
-	r.Expect(pairs[all].work() <= maxAllWork, "all changed: %.2f of the work of one phase, at most %.2f wanted", pairs[all].work(), maxAllWork)
-	r.Expect(quietTwo.latency(99) <= quietOne.latency(99), "quiet: p99 %v in two phases, %v in one", quietTwo.latency(99), quietOne.latency(99))
-	r.Figure("quiet_saved", "%.2f", 1-pairs[quiet].work())
-	r.Figure("half_saved", "%.2f", 1-pairs[half].work())
-	r.Figure("all_extra", "%.3f", pairs[all].work()-1)
+	judge(r, pairs, differing)
+	r.Figure("quiet_saved", "%.2f", 1-pairs[quiet].workRatio())
+	r.Figure("half_saved", "%.2f", 1-pairs[half].workRatio())
+	r.Figure("all_extra", "%.3f", pairs[all].workRatio()-1)
 	r.Figure("late", "%d", late)
 	r.Figure("wrong", "%d", wrong)
 	r.Figure("differ", "%d", differing)
-	r.Figure("p99_one_ms", "%s", milliseconds(quietOne.latency(99)))
-	r.Figure("p99_two_ms", "%s", milliseconds(quietTwo.latency(99)))
+	r.Figure("p99_one_ms", "%s", milliseconds(pairs[quiet].one.latency(99)))
+	r.Figure("p99_two_ms", "%s", milliseconds(pairs[quiet].two.latency(99)))
 	return nil
 }
 
-// addRow adds what came of a run; its work is shown over that of one phase.
-func addRow(r *experiment.Report, m morning, phases int, t *tally, unitsInOnePhase float64) {
-	r.Row(m.name, phases, t.queries, t.answers, t.inPart, t.refused, t.late, t.wrong, fmt.Sprintf("%.0f%%", 100*t.prunedShare()),
-		fmt.Sprintf("%.1f", t.units/float64(t.queries)), fmt.Sprintf("%.2f", t.units/unitsInOnePhase), milliseconds(t.latency(50)), milliseconds(t.latency(99)))
+// judge holds the pairs against the targets.
+func judge(r *experiment.Report, pairs []pair, differing int) {
+	quietOne, quietTwo := pairs[quiet].one.latency(99), pairs[quiet].two.latency(99)
+	r.Expect(differing == 0, "%d answers differ from those of one phase", differing)
+	r.Expect(pairs[quiet].workRatio() <= maxQuietWork, "quiet: %.2f of the work of one phase, at most %.1f wanted",
+		pairs[quiet].workRatio(), maxQuietWork)
+	r.Expect(pairs[all].workRatio() <= maxAllWork, "all changed: %.2f of the work of one phase, at most %.2f wanted",
+		pairs[all].workRatio(), maxAllWork)
+	r.Expect(quietTwo <= quietOne, "quiet: p99 %v in two phases, %v in one", quietTwo, quietOne)
+}
+
+// addRow adds a play's row, and judges it. Its work is shown as a multiple of that in one phase.
+func addRow(r *experiment.Report, m morning, phases int, t *tally, workInOnePhase float64) {
+	r.Row(m.name, phases, t.queries, t.answers, t.incomplete, t.rejected, t.late, t.wrong,
+		fmt.Sprintf("%.0f%%", 100*t.prunedShare()), fmt.Sprintf("%.1f", t.workUnits/float64(t.queries)),
+		fmt.Sprintf("%.2f", t.workUnits/workInOnePhase), milliseconds(t.latency(50)), milliseconds(t.latency(99)))
 	r.Expect(t.late == 0, "%s, %d phases: %d late", m.name, phases, t.late)
-	r.Expect(t.wrong == 0, "%s, %d phases: %d wrong, first: %s", m.name, phases, t.wrong, t.example)
+	r.Expect(t.wrong == 0, "%s, %d phases: %d wrong, first: %s", m.name, phases, t.wrong, t.firstViolation)
 }
 
 func milliseconds(d time.Duration) string {
