--- a/cmd/harepass/scale_test.go
+++ b/cmd/harepass/scale_test.go
@@ -23,7 +23,7 @@
 // The scale run at small size: real coordinators, relays and an authority beside hollow coordinators, through a killed
 // relay, a region that is cut off and a zone that goes. Every change reaches every member, and no rule is broken.
 func TestScaleRun(t *testing.T) {
-	plan, err := scaletest.Load("../../internal/test/scaletest/plans/small.yaml")
+	plan, err := scaletest.LoadPlan("../../internal/test/scaletest/plans/small.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,20 +32,20 @@
 	if err != nil {
 		t.Fatalf("%v: %+v\n%s", err, result, log.String())
 	}
-	if len(result.Missed) > 0 || result.List.Never+result.Settings.Never > 0 {
-		t.Errorf("missed %q, list %+v, settings %+v", result.Missed, result.List, result.Settings)
+	if len(result.MissedBounds) > 0 || result.List.Never+result.Settings.Never > 0 {
+		t.Errorf("missed %q, list %+v, settings %+v", result.MissedBounds, result.List, result.Settings)
 	}
 	if result.Started.Samples != plan.Coordinators || result.List.Changes == 0 ||
 		result.List.Samples != result.List.Changes*plan.Coordinators {
 		t.Errorf("of %d members: started %+v, list %+v", plan.Coordinators, result.Started, result.List)
 	}
-	for _, trouble := range result.Troubles {
+	for _, trouble := range result.Faults {
 		if trouble.Recovered.Samples != plan.Coordinators || trouble.Recovered.Never > 0 {
-			t.Errorf("%s: %+v", trouble.What, trouble.Recovered)
+			t.Errorf("%s: %+v", trouble.Description, trouble.Recovered)
 		}
 	}
-	if len(result.Troubles) != len(plan.Troubles) || result.Parts == 0 || result.Requests["200"] == 0 {
-		t.Errorf("%d troubles, %d parts, requests %v", len(result.Troubles), result.Parts, result.Requests)
+	if len(result.Faults) != len(plan.Faults) || result.Parts == 0 || result.Requests["200"] == 0 {
+		t.Errorf("%d troubles, %d parts, requests %v", len(result.Faults), result.Parts, result.Requests)
 	}
 }
 
@@ -65,7 +65,7 @@
 
 // A run is interrupted amid its changes. It ends every process that it has started.
 func TestScaleRunEndsItsProcesses(t *testing.T) {
-	plan, err := scaletest.Load("../../internal/test/scaletest/plans/small.yaml")
+	plan, err := scaletest.LoadPlan("../../internal/test/scaletest/plans/small.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -27,7 +27,7 @@
 func main() {
 	if err := root().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lab:", err)
-		if errors.Is(err, experiment.ErrMissed) || errors.Is(err, scaletest.ErrMissed) || errors.Is(err, faultcli.ErrSoakFailed) {
+		if errors.Is(err, experiment.ErrMissed) || errors.Is(err, scaletest.ErrBoundMissed) || errors.Is(err, faultcli.ErrSoakFailed) {
 			os.Exit(1)
 		}
 		os.Exit(2)
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -20,7 +20,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			plan, err := scaletest.Load(args[0])
+			plan, err := scaletest.LoadPlan(args[0])
 			if err != nil {
 				return err
 			}
@@ -31,7 +31,7 @@
 			defer remove()
 			config.Log = cmd.ErrOrStderr()
 			result, err := scaletest.Run(ctx, plan, config)
-			if result == nil || err != nil && !errors.Is(err, scaletest.ErrMissed) {
+			if result == nil || err != nil && !errors.Is(err, scaletest.ErrBoundMissed) {
 				return err
 			}
 			if out != "" {
--- a/internal/test/scaletest/baseline.go
+++ b/internal/test/scaletest/baseline.go
@@ -9,19 +9,19 @@
 
 const (
 	// baselinePatience is what discovery is taken to let a call wait for its turn before it fails it.
-	baselinePatience = 2 * time.Second
+	baselineMaxWait = 2 * time.Second
 	// baselineStart is how long members have to open their watches, before changes are published.
-	baselineStart = 8 * time.Second
+	baselineWarmUp = 8 * time.Second
 )
 
 // playBaseline plays the fleet as it is without distribution: every coordinator is a hollow one that asks one discovery, to
 // which a call that has something to tell costs a turn. All know the list at their start. The changes of the first half of
 // the play count, until its end.
-func playBaseline(ctx context.Context, plan *Plan, c Config, turn time.Duration) (result BaselineTime, err error) {
+func playBaseline(ctx context.Context, plan *Plan, c Config, turn time.Duration) (result BaselineResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	alone := *plan
-	alone.Real, alone.Nodes, alone.Clients = 0, 0, 0
+	alone.RealCoordinators, alone.Replicas, alone.Clients = 0, 0, 0
 	f, err := newFleet(c, &alone)
 	if err != nil {
 		return result, err
@@ -30,47 +30,47 @@
 		cancel()
 		err = errors.Join(err, f.close())
 	}()
-	f.publisher.registry.CallDuration, f.publisher.registry.MaxWait = turn, baselinePatience
+	f.publisher.registry.CallDuration, f.publisher.registry.MaxWait = turn, baselineMaxWait
 	sampler := newSampler(f)
 	go sampler.run(ctx)
 	f.timeline.note("without distribution, %v a call", turn)
-	for i := range f.hosts {
-		if err := f.startPlainHost(i); err != nil {
+	for i := range f.hostProcesses {
+		if err := f.startBaselineHost(i); err != nil {
 			return result, err
 		}
 	}
-	if err := f.pause(ctx, baselineStart); err != nil {
+	if err := f.pause(ctx, baselineWarmUp); err != nil {
 		return result, err
 	}
 	began := time.Now()
-	if err := f.changeFor(ctx, plan.Baseline.Lasts/2); err != nil {
+	if err := f.changeEndpointsFor(ctx, plan.Baseline.Duration/2); err != nil {
 		return result, err
 	}
-	if err := f.pauseUntil(ctx, began.Add(plan.Baseline.Lasts)); err != nil {
+	if err := f.pauseUntil(ctx, began.Add(plan.Baseline.Duration)); err != nil {
 		return result, err
 	}
 	over := time.Now()
-	h := &held{records: f.records, starts: f.started}
-	result.Turn, result.List = Seconds(turn), h.measure(f.publisher.published(), f.members)
-	result.Answered, result.Failed = f.publisher.registry.CallCounts()
+	h := &propagation{records: f.records, processStarts: f.started}
+	result.CallDuration, result.List = Seconds(turn), h.measure(f.publisher.published(), f.members)
+	result.ServedCalls, result.FailedCalls = f.publisher.registry.CallCounts()
 	perHost := (plan.Coordinators + plan.Hosts - 1) / plan.Hosts
-	result.Spent = sampler.spent(roleHost, began, over, func(string) int { return perHost })
-	result.KBPerS = result.Spent.KBPerS * float64(plan.Coordinators)
+	result.Cost = sampler.roleCost(roleHost, began, over, func(string) int { return perHost })
+	result.KBPerS = result.Cost.KBPerS * float64(plan.Coordinators)
 	return result, nil
 }
 
 // startPlainHost starts a host whose members follow discovery themselves.
-func (f *fleet) startPlainHost(i int) error {
+func (f *fleet) startBaselineHost(i int) error {
 	spec := HostSpec{}
 	var err error
-	if spec.Settings, err = numbered(f.Settings, f.plan, 0); err != nil {
+	if spec.Settings, err = encodeSettings(f.Settings, f.plan, 0); err != nil {
 		return err
 	}
 	for _, m := range f.members {
 		if m.host == i {
-			f.begun(m.name)
+			f.recordStart(m.name)
 			s := f.memberSpec(m)
-			s.Module, s.Plain, s.Known = false, f.discovery, f.publisher.registry.Index()
+			s.Module, s.DiscoveryAddress, s.KnownIndex = false, f.discoveryAddress, f.publisher.registry.Index()
 			spec.Members = append(spec.Members, s)
 		}
 	}
@@ -78,11 +78,11 @@
 }
 
 // changeFor changes entries at the plan's rate for a while.
-func (f *fleet) changeFor(ctx context.Context, d time.Duration) error {
+func (f *fleet) changeEndpointsFor(ctx context.Context, d time.Duration) error {
 	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x62617365))
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		f.changeEntry(rng)
-		if err := f.pause(ctx, max(look, f.plan.Changes.Entries)); err != nil {
+		f.restartEndpoint(rng)
+		if err := f.pause(ctx, max(pollInterval, f.plan.Changes.EndpointInterval)); err != nil {
 			return err
 		}
 	}
--- a/internal/test/scaletest/changes.go
+++ b/internal/test/scaletest/changes.go
@@ -9,10 +9,10 @@
 )
 
 // drainLasts is how long a drained node takes nothing, before it is back.
-const drainLasts = 5 * time.Second
+const drainDuration = 5 * time.Second
 
 // disturb publishes the plan's ordinary changes until ctx ends.
-func (f *fleet) disturb(ctx context.Context) {
+func (f *fleet) startChanges(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x6368616e6765))
 	every := func(d time.Duration, act func()) {
 		if d <= 0 {
@@ -32,59 +32,59 @@
 		}()
 	}
 	entries, drains := rand.New(rand.NewPCG(rng.Uint64(), 1)), rand.New(rand.NewPCG(rng.Uint64(), 2))
-	every(f.plan.Changes.Entries, func() { f.changeEntry(entries) })
-	every(f.plan.Changes.Settings, func() {
+	every(f.plan.Changes.EndpointInterval, func() { f.restartEndpoint(entries) })
+	every(f.plan.Changes.SettingsInterval, func() {
 		if err := f.changeSettings(); err != nil {
 			f.timeline.note("settings not changed: %v", err)
 		}
 	})
-	every(f.plan.Changes.Drains, func() { f.drain(ctx, drains) })
+	every(f.plan.Changes.DrainInterval, func() { f.drain(ctx, drains) })
 }
 
 // changeEntry restarts a node that is only listed, as the list tells it.
-func (f *fleet) changeEntry(rng *rand.Rand) {
-	listed := f.plan.Entries - f.plan.Nodes
+func (f *fleet) restartEndpoint(rng *rand.Rand) {
+	listed := f.plan.Endpoints - f.plan.Replicas
 	if listed == 0 {
 		return
 	}
-	i := f.plan.Nodes + rng.IntN(listed)
+	i := f.plan.Replicas + rng.IntN(listed)
 	if f.publisher.status(i) == fake.StatusInService {
-		f.publisher.change(fake.StatusInService, i)
+		f.publisher.publishStatus(fake.StatusInService, i)
 	}
 }
 
 // drain takes a node that answers out for a while, if only for the list.
 func (f *fleet) drain(ctx context.Context, rng *rand.Rand) {
-	if f.plan.Nodes == 0 {
+	if f.plan.Replicas == 0 {
 		return
 	}
-	i := rng.IntN(f.plan.Nodes)
+	i := rng.IntN(f.plan.Replicas)
 	if f.publisher.status(i) != fake.StatusInService {
 		return
 	}
-	f.nodes.takes(false, i)
-	f.publisher.change(fake.StatusTerminating, i)
+	f.replicas.setAvailable(false, i)
+	f.publisher.publishStatus(fake.StatusTerminating, i)
 	select {
-	case <-time.After(drainLasts):
+	case <-time.After(drainDuration):
 	case <-ctx.Done():
 	}
 	if f.publisher.status(i) == fake.StatusTerminating {
-		f.nodes.takes(true, i)
-		f.publisher.change(fake.StatusInService, i)
+		f.replicas.setAvailable(true, i)
+		f.publisher.publishStatus(fake.StatusInService, i)
 	}
 }
 
 // changeSettings publishes the next version.
 func (f *fleet) changeSettings() error {
 	f.mu.Lock()
-	f.number++
-	number := f.number
+	f.settingsNumber++
+	number := f.settingsNumber
 	f.mu.Unlock()
-	f.publisher.settings(number)
+	f.publisher.publishSettings(number)
 	return f.writeSettings(true)
 }
 
 // probe publishes a change of the list, to see when it is in force everywhere.
-func (f *fleet) probe() *Publication {
-	return f.publisher.change(fake.StatusInService, f.plan.Entries-1)
+func (f *fleet) publishProbe() *Publication {
+	return f.publisher.publishStatus(fake.StatusInService, f.plan.Endpoints-1)
 }
--- a/internal/test/scaletest/control.go
+++ b/internal/test/scaletest/control.go
@@ -40,22 +40,22 @@
 const (
 	settingsFile = "settings.json"
 	// serverReaders are calls that a control process may hold at once: two for each member of the whole fleet.
-	serverReaders = 2*mostMembers + 100
-	serverCores   = 2
+	maxControlReaders = 2*maxCoordinators + 100
+	controlCores      = 2
 )
 
 // writeSettings writes the latest version of the settings, and has the authority read them where it runs.
 func (f *fleet) writeSettings(again bool) error {
-	f.settingsFile.Lock() // the last one written is the latest
-	defer f.settingsFile.Unlock()
+	f.settingsFileMutex.Lock() // the last one written is the latest
+	defer f.settingsFileMutex.Unlock()
 	f.mu.Lock()
-	number := f.number
+	number := f.settingsNumber
 	f.mu.Unlock()
-	data, err := numbered(f.Settings, f.plan, number)
+	data, err := encodeSettings(f.Settings, f.plan, number)
 	if err != nil {
 		return err
 	}
-	if _, err := f.write(settingsFile, data); err != nil || !again {
+	if _, err := f.writeFile(settingsFile, data); err != nil || !again {
 		return err
 	}
 	return f.authority.process.signal(syscall.SIGHUP)
@@ -63,26 +63,26 @@
 
 // writeInvalidSettings hands the authority settings that are cut off.
 func (f *fleet) writeInvalidSettings() error {
-	f.settingsFile.Lock()
-	defer f.settingsFile.Unlock()
-	data, err := numbered(f.Settings, f.plan, 0)
+	f.settingsFileMutex.Lock()
+	defer f.settingsFileMutex.Unlock()
+	data, err := encodeSettings(f.Settings, f.plan, 0)
 	if err != nil {
 		return err
 	}
-	if _, err := f.write(settingsFile, data[:len(data)/2]); err != nil {
+	if _, err := f.writeFile(settingsFile, data[:len(data)/2]); err != nil {
 		return err
 	}
 	return f.authority.process.signal(syscall.SIGHUP)
 }
 
 // startServer starts the authority, or a relay with an upstream.
-func (f *fleet) startServer(s *server, upstream string) error {
+func (f *fleet) startControlProcess(s *controlProcess, upstream string) error {
 	s.upstream = upstream
 	file := relayFile{Listen: s.address, Zone: zoneName(s.zone), Region: regionName(s.region), Heartbeat: f.plan.Heartbeat,
-		SnapshotBytes: f.plan.SnapshotRate, Readers: serverReaders, Cores: serverCores}
+		SnapshotBytes: f.plan.SnapshotRate, Readers: maxControlReaders, Cores: controlCores}
 	name, of := "authority", roleAuthority
 	if upstream == "" {
-		file.Authority = &authorityFile{Discovery: f.discovery, Settings: filepath.Join(f.Dir, settingsFile)}
+		file.Authority = &authorityFile{Discovery: f.discoveryAddress, Settings: filepath.Join(f.Dir, settingsFile)}
 	} else {
 		name, of = s.name(), roleRelay
 		file.Sources = []relaySource{{Address: upstream, Zone: zoneName(f.authority.zone), Region: regionName(f.authority.region)}}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	path, err := f.write(name+".yaml", data)
+	path, err := f.writeFile(name+".yaml", data)
 	if err != nil {
 		return err
 	}
@@ -106,27 +106,29 @@
 }
 
 // startAgain starts a relay that has ended where it was.
-func (f *fleet) startAgain(s *server) error { return f.startServer(s, s.upstream) }
+func (f *fleet) restartControlProcess(s *controlProcess) error {
+	return f.startControlProcess(s, s.upstream)
+}
 
 // serverStatus is what the run reads of a control process's status.
-type serverStatus struct {
+type relayStatus struct {
 	Instances struct{ Index, Entries int64 }
 	Settings  struct{ Index, Entries int64 }
 }
 
 // awaitServer waits until a control process has the whole list and the settings.
-func (f *fleet) awaitServer(ctx context.Context, s *server) error {
+func (f *fleet) awaitControlProcess(ctx context.Context, s *controlProcess) error {
 	for {
-		if status, ok := statusOf(s.address); ok && status.Instances.Entries >= int64(f.plan.Entries) && status.Settings.Entries > 0 {
+		if status, ok := fetchRelayStatus(s.address); ok && status.Instances.Entries >= int64(f.plan.Endpoints) && status.Settings.Entries > 0 {
 			return nil
 		}
-		if err := f.pause(ctx, look); err != nil {
+		if err := f.pause(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-func statusOf(address string) (status serverStatus, ok bool) {
+func fetchRelayStatus(address string) (status relayStatus, ok bool) {
 	client := http.Client{Timeout: time.Second}
 	answer, err := client.Get("http://" + address + "/relay/status")
 	if err != nil {
--- a/internal/test/scaletest/delays.go
+++ b/internal/test/scaletest/delays.go
@@ -8,10 +8,10 @@
 )
 
 // Measured are times from the publishing of changes until they were in force, over all members and changes.
-type Measured struct {
+type DelaySummary struct {
 	Median  Seconds `json:"median_s"`
 	P99     Seconds `json:"p99_s"`
-	Last    Seconds `json:"last_s"`
+	Max     Seconds `json:"last_s"`
 	Changes int     `json:"changes"`
 	Samples int     `json:"samples"`
 	Never   int     `json:"never,omitempty"` // members that never had a change in force, summed over the changes
@@ -29,13 +29,13 @@
 func (s Seconds) String() string { return time.Duration(s).Round(time.Millisecond).String() }
 
 // measuredOf sums up some times.
-func measuredOf(changes int, times []time.Duration, never int) Measured {
-	m := Measured{Changes: changes, Samples: len(times), Never: never}
+func summarizeDelays(changes int, times []time.Duration, never int) DelaySummary {
+	m := DelaySummary{Changes: changes, Samples: len(times), Never: never}
 	if len(times) == 0 {
 		return m
 	}
 	slices.Sort(times)
-	m.Median, m.P99, m.Last = quantile(times, 0.5), quantile(times, 0.99), Seconds(times[len(times)-1])
+	m.Median, m.P99, m.Max = quantile(times, 0.5), quantile(times, 0.99), Seconds(times[len(times)-1])
 	return m
 }
 
@@ -46,24 +46,24 @@
 
 // held are the times at which each member had a change in force, from its publishing on or from the end of a cut that kept
 // its member from it. Members whose process was started after the publishing are left out.
-type held struct {
-	records *records
-	starts  map[string][]time.Time
-	cuts    []*occurrence
+type propagation struct {
+	records       *records
+	processStarts map[string][]time.Time
+	isolations    []*faultRun
 }
 
 // delay is how long a member took to have a change in force; counts is false where it says nothing, and ever where it never
 // had it.
-func (h *held) delay(m *member, p Publication) (d time.Duration, counts, ever bool) {
+func (h *propagation) delay(m *member, p Publication) (d time.Duration, counts, ever bool) {
 	list := h.records.of(m.name, p.Resource)
-	i := sort.Search(len(list), func(i int) bool { return list[i].has(p) })
-	for i < len(list) && !list[i].Whole {
+	i := sort.Search(len(list), func(i int) bool { return list[i].covers(p) })
+	for i < len(list) && !list[i].Complete {
 		i++
 	}
-	starts := h.starts[m.name]
+	starts := h.processStarts[m.name]
 	started := starts[len(starts)-1]
 	if i < len(list) {
-		started = startBefore(starts, list[i].At)
+		started = lastStartBefore(starts, list[i].At)
 	}
 	if started.After(p.At) {
 		return 0, false, false
@@ -72,8 +72,8 @@
 		return 0, true, false
 	}
 	from := p.At
-	for _, o := range h.cuts {
-		if m.region == o.region && p.At.After(o.begin.Add(-time.Second)) && p.At.Before(o.end) && list[i].At.After(o.end) {
+	for _, o := range h.isolations {
+		if m.region == o.isolatedRegion && p.At.After(o.begin.Add(-time.Second)) && p.At.Before(o.end) && list[i].At.After(o.end) {
 			from = o.end
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // startBefore is the last of some starts before an instant.
-func startBefore(starts []time.Time, by time.Time) (start time.Time) {
+func lastStartBefore(starts []time.Time, by time.Time) (start time.Time) {
 	for _, s := range starts {
 		if s.Before(by) {
 			start = s
@@ -91,15 +91,15 @@
 }
 
 // has tells whether a record holds a change.
-func (t Taken) has(p Publication) bool {
+func (t VersionRecord) covers(p Publication) bool {
 	if p.Index == 0 { // the fleet without distribution, whose discovery counts for itself
-		return t.Mark >= p.Mark
+		return t.Sequence >= p.Sequence
 	}
 	return t.Index >= p.Index
 }
 
 // measure sums up some changes over some members.
-func (h *held) measure(changes []Publication, members []*member) Measured {
+func (h *propagation) measure(changes []Publication, members []*member) DelaySummary {
 	var times []time.Duration
 	never := 0
 	for _, p := range changes {
@@ -113,5 +113,5 @@
 			}
 		}
 	}
-	return measuredOf(len(changes), times, never)
+	return summarizeDelays(len(changes), times, never)
 }
--- a/internal/test/scaletest/fleet.go
+++ b/internal/test/scaletest/fleet.go
@@ -27,18 +27,18 @@
 
 // member is a coordinator, hollow or real.
 type member struct {
-	name   string
-	no     int
-	zone   int
-	region int
-	real   bool
-	listen string // of a real one
-	host   int    // of a hollow one
+	name    string
+	ordinal int
+	zone    int
+	region  int
+	real    bool
+	address string // of a real one
+	host    int    // of a hollow one
 }
 
 // server is a control process.
-type server struct {
-	no      int // of a relay; the authority has none
+type controlProcess struct {
+	ordinal int // of a relay; the authority has none
 	region  int
 	zone    int
 	address string
@@ -47,64 +47,64 @@
 	process  *process
 }
 
-func (s *server) name() string { return fmt.Sprintf("relay%d", s.no) }
+func (s *controlProcess) name() string { return fmt.Sprintf("relay%d", s.ordinal) }
 
 // fleet is everything that runs.
 type fleet struct {
 	Config
-	plan      *Plan
-	publisher *publisher
-	nodes     *nodes
-	network   *network
-	records   *records
-	timeline  *timeline
-	list      net.Listener // discovery's
-	discovery string
+	plan              *Plan
+	publisher         *publisher
+	replicas          *replicas
+	network           *network
+	records           *records
+	timeline          *timeline
+	discoveryListener net.Listener // discovery's
+	discoveryAddress  string
 
-	authority *server
-	relays    []*server
-	members   []*member
-	reals     map[string]*process
-	hosts     []*process
-	sources   [][]SourceSpec // by region
-	crowds    []*faultinjection.ClientPool
-	spoiler   *spoiler
+	authority       *controlProcess
+	relays          []*controlProcess
+	members         []*member
+	realProcesses   map[string]*process
+	hostProcesses   []*process
+	sources         [][]SourceSpec // by region
+	clientPools     []*faultinjection.ClientPool
+	corruptingProxy *corruptingProxy
 
-	clientsOver  sync.Once
-	settingsFile sync.Mutex // held while it is written
+	stopClientsOnce   sync.Once
+	settingsFileMutex sync.Mutex // held while it is written
 
-	mu      sync.Mutex
-	number  int64                  // of the settings' latest version
-	started map[string][]time.Time // when a member's processes were started
-	cuts    map[int]bool           // regions that are cut off
-	bytes   map[string][2]int64    // that a host's members have read and written
+	mu              sync.Mutex
+	settingsNumber  int64                  // of the settings' latest version
+	started         map[string][]time.Time // when a member's processes were started
+	isolatedRegions map[int]bool           // regions that are cut off
+	hostTraffic     map[string][2]int64    // that a host's members have read and written
 }
 
 // newFleet opens what is not a process of its own, and places members and servers.
 func newFleet(c Config, plan *Plan) (*fleet, error) {
 	f := &fleet{Config: c, plan: plan, network: &network{plan: plan}, records: newRecords(), timeline: newTimeline(c.Log),
-		reals: map[string]*process{}, started: map[string][]time.Time{}, cuts: map[int]bool{}, bytes: map[string][2]int64{}}
+		realProcesses: map[string]*process{}, started: map[string][]time.Time{}, isolatedRegions: map[int]bool{}, hostTraffic: map[string][2]int64{}}
 	var addresses []string
 	var err error
-	if f.nodes, addresses, err = openNodes(plan.Nodes); err != nil {
+	if f.replicas, addresses, err = openReplicas(plan.Replicas); err != nil {
 		return nil, err
 	}
-	f.publisher = newPublisher(makeEntries(plan, addresses))
-	if f.list, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		f.nodes.close()
+	f.publisher = newPublisher(makeEndpoints(plan, addresses))
+	if f.discoveryListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		f.replicas.close()
 		return nil, err
 	}
-	f.discovery = f.list.Addr().String()
-	go f.publisher.registry.Serve(f.list)
+	f.discoveryAddress = f.discoveryListener.Addr().String()
+	go f.publisher.registry.Serve(f.discoveryListener)
 	for i := range plan.Coordinators {
-		m := &member{name: fmt.Sprintf("c%d", i), no: i, zone: i % plan.Zones, real: i < plan.Real}
+		m := &member{name: fmt.Sprintf("c%d", i), ordinal: i, zone: i % plan.Zones, real: i < plan.RealCoordinators}
 		m.region = m.zone % plan.Regions
 		if !m.real {
-			m.host = (i - plan.Real) * plan.Hosts / (plan.Coordinators - plan.Real)
+			m.host = (i - plan.RealCoordinators) * plan.Hosts / (plan.Coordinators - plan.RealCoordinators)
 		}
 		f.members = append(f.members, m)
 	}
-	f.hosts, f.sources = make([]*process, plan.Hosts), make([][]SourceSpec, plan.Regions)
+	f.hostProcesses, f.sources = make([]*process, plan.Hosts), make([][]SourceSpec, plan.Regions)
 	return f, nil
 }
 
@@ -117,15 +117,15 @@
 	if err != nil {
 		return err
 	}
-	f.authority = &server{no: -1, address: address}
-	if err := f.startServer(f.authority, ""); err != nil {
+	f.authority = &controlProcess{ordinal: -1, address: address}
+	if err := f.startControlProcess(f.authority, ""); err != nil {
 		return err
 	}
-	if err := f.awaitServer(ctx, f.authority); err != nil {
+	if err := f.awaitControlProcess(ctx, f.authority); err != nil {
 		return err
 	}
 	for i := range f.plan.Relays {
-		r := &server{no: i, zone: i % f.plan.Zones, region: i % f.plan.Zones % f.plan.Regions}
+		r := &controlProcess{ordinal: i, zone: i % f.plan.Zones, region: i % f.plan.Zones % f.plan.Regions}
 		if r.address, err = faultinjection.Reserve(); err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 		}
 	}
 	for _, r := range f.relays {
-		if err := f.awaitServer(ctx, r); err != nil {
+		if err := f.awaitControlProcess(ctx, r); err != nil {
 			return err
 		}
 	}
@@ -143,29 +143,29 @@
 }
 
 // startRelay starts a relay, by a way of its own to the authority.
-func (f *fleet) startRelay(r *server) error {
-	upstream, err := f.network.to(r.region, f.authority.region, f.authority.address)
+func (f *fleet) startRelay(r *controlProcess) error {
+	upstream, err := f.network.addressFrom(r.region, f.authority.region, f.authority.address)
 	if err != nil {
 		return err
 	}
-	return f.startServer(r, upstream)
+	return f.startControlProcess(r, upstream)
 }
 
 // placeSources says how each region's members reach the relays.
 func (f *fleet) placeSources() error {
-	if f.plan.spoils() {
+	if f.plan.corruptsAnswers() {
 		var err error
-		if f.spoiler, err = newSpoiler(f.relays[0].address); err != nil {
+		if f.corruptingProxy, err = newCorruptingProxy(f.relays[0].address); err != nil {
 			return err
 		}
 	}
 	for region := range f.plan.Regions {
 		for _, r := range f.relays {
 			behind := r.address
-			if r.no == 0 && f.spoiler != nil {
-				behind = f.spoiler.address()
+			if r.ordinal == 0 && f.corruptingProxy != nil {
+				behind = f.corruptingProxy.address()
 			}
-			address, err := f.network.to(region, r.region, behind)
+			address, err := f.network.addressFrom(region, r.region, behind)
 			if err != nil {
 				return err
 			}
@@ -179,7 +179,7 @@
 
 // startMembers starts all members at once.
 func (f *fleet) startMembers() error {
-	for i := range f.hosts {
+	for i := range f.hostProcesses {
 		if err := f.startHost(i); err != nil {
 			return err
 		}
@@ -199,12 +199,12 @@
 func (f *fleet) startHost(i int) error {
 	spec := HostSpec{}
 	var err error
-	if spec.Settings, err = numbered(f.Settings, f.plan, 0); err != nil {
+	if spec.Settings, err = encodeSettings(f.Settings, f.plan, 0); err != nil {
 		return err
 	}
 	for _, m := range f.members {
 		if !m.real && m.host == i {
-			f.begun(m.name)
+			f.recordStart(m.name)
 			spec.Members = append(spec.Members, f.memberSpec(m))
 		}
 	}
@@ -215,36 +215,38 @@
 func (f *fleet) runHost(i int, spec HostSpec) error {
 	name := fmt.Sprintf("host%d", i)
 	p, err := startProcess(command{name: name, role: roleHost, args: append(f.Lab[:len(f.Lab):len(f.Lab)], HollowCommand),
-		env: append(f.Env[:len(f.Env):len(f.Env)], hostProcessors), dir: f.Dir, feed: true,
-		out: func(out io.Reader) { f.records.read(out, func(read, written int64) { f.passed(name, read, written) }) }})
+		env: append(f.Env[:len(f.Env):len(f.Env)], hostProcessors), dir: f.Dir, needsStdin: true,
+		readStdout: func(out io.Reader) {
+			f.records.read(out, func(read, written int64) { f.recordTraffic(name, read, written) })
+		}})
 	if err != nil {
 		return err
 	}
-	f.hosts[i] = p
-	return json.NewEncoder(p.in).Encode(spec)
+	f.hostProcesses[i] = p
+	return json.NewEncoder(p.stdin).Encode(spec)
 }
 
 // hostProcessors bounds how many processors a host uses at once: several share the machine with all that it plays.
 const hostProcessors = "GOMAXPROCS=2"
 
 func (f *fleet) memberSpec(m *member) MemberSpec {
-	hollow := m.no - f.plan.Real
+	hollow := m.ordinal - f.plan.RealCoordinators
 	modules := f.plan.Modules
-	return MemberSpec{Name: m.name, No: m.no, Fleet: f.plan.Coordinators, Zone: zoneName(m.zone), Region: regionName(m.region),
-		Module:  (hollow+1)*modules/(f.plan.Coordinators-f.plan.Real) > hollow*modules/(f.plan.Coordinators-f.plan.Real),
-		Sources: f.sources[m.region], Hold: f.plan.Heartbeat}
+	return MemberSpec{Name: m.name, Ordinal: m.ordinal, FleetSize: f.plan.Coordinators, Zone: zoneName(m.zone), Region: regionName(m.region),
+		Module:  (hollow+1)*modules/(f.plan.Coordinators-f.plan.RealCoordinators) > hollow*modules/(f.plan.Coordinators-f.plan.RealCoordinators),
+		Sources: f.sources[m.region], Heartbeat: f.plan.Heartbeat}
 }
 
-func (f *fleet) begun(name string) {
+func (f *fleet) recordStart(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.started[name] = append(f.started[name], time.Now())
 }
 
-func (f *fleet) passed(host string, read, written int64) {
+func (f *fleet) recordTraffic(host string, read, written int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.bytes[host] = [2]int64{read, written}
+	f.hostTraffic[host] = [2]int64{read, written}
 }
 
 // awaitMembers waits until each member has the whole list and settings, and each real one takes clients.
@@ -253,7 +255,7 @@
 	for {
 		missing := ""
 		for _, m := range f.members {
-			if !f.has(m, List) || !f.has(m, Settings) {
+			if !f.hasResource(m, List) || !f.hasResource(m, Settings) {
 				missing = m.name
 				break
 			}
@@ -261,10 +263,10 @@
 		if missing == "" {
 			break
 		}
-		if time.Since(began) > startWithin {
-			return fmt.Errorf("scale: %s has no whole list and settings after %v", missing, startWithin)
+		if time.Since(began) > startTimeout {
+			return fmt.Errorf("scale: %s has no whole list and settings after %v", missing, startTimeout)
 		}
-		if err := f.pause(ctx, look); err != nil {
+		if err := f.pause(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -273,17 +275,17 @@
 }
 
 // has tells whether a member has had a resource whole since it was started last.
-func (f *fleet) has(m *member, r Resource) bool {
+func (f *fleet) hasResource(m *member, r Resource) bool {
 	last, ok := f.records.latest(m.name, r)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	starts := f.started[m.name]
-	return ok && last.Whole && last.At.After(starts[len(starts)-1])
+	return ok && last.Complete && last.At.After(starts[len(starts)-1])
 }
 
 const (
-	look        = 20 * time.Millisecond
-	startWithin = 3 * time.Minute
+	pollInterval = 20 * time.Millisecond
+	startTimeout = 3 * time.Minute
 )
 
 // pause waits, or returns what has ended the run, such as a process that ended by itself.
@@ -294,8 +296,8 @@
 		return ctx.Err()
 	}
 	for _, p := range f.processes() {
-		if !p.runs() && !p.ended.Load() {
-			return fmt.Errorf("scale: %s has ended by itself: %v; see its log in %s", p.name, p.err, f.Dir)
+		if !p.isRunning() && !p.endExpected.Load() {
+			return fmt.Errorf("scale: %s has ended by itself: %v; see its log in %s", p.name, p.exitErr, f.Dir)
 		}
 	}
 	return nil
@@ -305,17 +307,17 @@
 func (f *fleet) processes() (all []*process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range append([]*server{f.authority}, f.relays...) {
+	for _, s := range append([]*controlProcess{f.authority}, f.relays...) {
 		if s != nil && s.process != nil {
 			all = append(all, s.process)
 		}
 	}
-	for _, p := range f.hosts {
+	for _, p := range f.hostProcesses {
 		if p != nil {
 			all = append(all, p)
 		}
 	}
-	for _, p := range f.reals {
+	for _, p := range f.realProcesses {
 		all = append(all, p)
 	}
 	return all
@@ -323,7 +325,7 @@
 
 // close ends everything that was started.
 func (f *fleet) close() error {
-	f.endClients()
+	f.stopClients()
 	all := f.processes()
 	errs := make([]error, len(all))
 	var ending sync.WaitGroup
@@ -332,15 +334,15 @@
 	}
 	ending.Wait()
 	f.network.close()
-	f.nodes.close()
-	if f.spoiler != nil {
-		f.spoiler.close()
+	f.replicas.close()
+	if f.corruptingProxy != nil {
+		f.corruptingProxy.close()
 	}
-	return errors.Join(append(errs, f.list.Close())...)
+	return errors.Join(append(errs, f.discoveryListener.Close())...)
 }
 
 // write puts a configuration into the run's folder, whole at once.
-func (f *fleet) write(name string, data []byte) (path string, err error) {
+func (f *fleet) writeFile(name string, data []byte) (path string, err error) {
 	path = filepath.Join(f.Dir, name)
 	if err := os.WriteFile(path+".new", data, 0o600); err != nil {
 		return "", err
--- a/internal/test/scaletest/follow.go
+++ b/internal/test/scaletest/follow.go
@@ -18,7 +18,7 @@
 // follower is what a member follows a resource with; apply takes what changes.
 func (m *hollow) follower(resource distribution.Path, check func([]versionlog.Entry) error, apply func(distribution.Update)) *distribution.Follower {
 	cfg := distribution.Config{Path: resource, Locality: failover.Locality{Zone: m.Zone, Region: m.Region}, Check: check, Apply: apply,
-		Heartbeat: m.Hold, Dial: m.host.dial, Rand: rand.New(rand.NewPCG(uint64(m.No), uint64(len(resource))))}
+		Heartbeat: m.Heartbeat, Dial: m.host.dial, Rand: rand.New(rand.NewPCG(uint64(m.Ordinal), uint64(len(resource))))}
 	for _, s := range m.Sources {
 		cfg.Sources = append(cfg.Sources, failover.Source{Address: s.Address, Locality: failover.Locality{Zone: s.Zone, Region: s.Region}})
 	}
@@ -29,13 +29,13 @@
 func (m *hollow) followList(ctx context.Context) {
 	nodes := platform.NewRelayedList(platform.List{})
 	nodes.Listed = func(scope scatter.UpdateKind, list []core.Endpoint) {
-		if m.owner != nil {
-			m.owner.UpdateEndpoints(platform.Source, scope, list)
+		if m.coordinator != nil {
+			m.coordinator.UpdateEndpoints(platform.Source, scope, list)
 		}
 	}
 	nodes.Part = func(list []core.Endpoint) {
-		if m.owner != nil {
-			m.owner.UpdateEndpointsPartially(platform.Source, list)
+		if m.coordinator != nil {
+			m.coordinator.UpdateEndpointsPartially(platform.Source, list)
 		}
 	}
 	m.follower(distribution.Endpoints, nodes.Check, func(u distribution.Update) {
@@ -48,7 +48,7 @@
 func (m *hollow) followSettings(ctx context.Context) {
 	m.follower(distribution.Settings, nil, func(u distribution.Update) {
 		for _, e := range u.Entries {
-			if number, half, ok := m.configure(e); ok {
+			if number, half, ok := m.applySettings(e); ok {
 				m.record(Settings, u, number, half)
 			}
 		}
@@ -67,22 +67,22 @@
 }
 
 // configure takes a version of the settings over; ok is false where it is refused.
-func (m *hollow) configure(e versionlog.Entry) (number int64, half, ok bool) {
+func (m *hollow) applySettings(e versionlog.Entry) (number int64, half, ok bool) {
 	settings, caps, err := readSettings(e)
 	if err != nil {
 		return 0, false, false
 	}
-	settings.Coordinators, settings.Ordinal, settings.Subscribe = m.Fleet, m.No+1, true
-	if m.owner != nil && m.owner.Configure(settings, core.Limits{MaxOpen: caps.MaxOpen, Shards: caps.Shards}) != nil {
+	settings.Coordinators, settings.Ordinal, settings.Subscribe = m.FleetSize, m.Ordinal+1, true
+	if m.coordinator != nil && m.coordinator.Configure(settings, core.Limits{MaxOpen: caps.MaxOpen, Shards: caps.Shards}) != nil {
 		return 0, false, false
 	}
-	number, whole := numberOf(settings.RetryAfter, caps.KeepAlive)
+	number, whole := decodeSettingsNumber(settings.RetryAfter, caps.KeepAlive)
 	return number, !whole, true
 }
 
 // record notes what is in force. A reader in the middle of several slices is not whole: what has moved to later indexes is
 // still to come.
 func (m *hollow) record(resource Resource, u distribution.Update, number int64, half bool) {
-	m.host.record(Taken{Member: m.Name, Resource: resource, Epoch: u.Slice.Version.Epoch, Index: u.Slice.Version.Index, Mark: number,
-		At: time.Now(), Whole: u.Complete, Half: half})
+	m.host.record(VersionRecord{Member: m.Name, Resource: resource, Epoch: u.Slice.Version.Epoch, Index: u.Slice.Version.Index, Sequence: number,
+		At: time.Now(), Complete: u.Complete, Mixed: half})
 }
--- a/internal/test/scaletest/hollow.go
+++ b/internal/test/scaletest/hollow.go
@@ -28,16 +28,16 @@
 
 // MemberSpec is one hollow coordinator.
 type MemberSpec struct {
-	Name    string
-	No      int
-	Fleet   int // coordinators in all
-	Zone    string
-	Region  string
-	Module  bool // with the decision module
-	Sources []SourceSpec
-	Hold    time.Duration // the heartbeat
-	Plain   string        // discovery's address; then there are no sources, and nothing follows the settings
-	Known   int64         // then: the version of the list that the member knows at its start
+	Name             string
+	Ordinal          int
+	FleetSize        int // coordinators in all
+	Zone             string
+	Region           string
+	Module           bool // with the decision module
+	Sources          []SourceSpec
+	Heartbeat        time.Duration // the heartbeat
+	DiscoveryAddress string        // discovery's address; then there are no sources, and nothing follows the settings
+	KnownIndex       int64         // then: the version of the list that the member knows at its start
 }
 
 // SourceSpec is a relay as a member reaches it.
@@ -48,9 +48,9 @@
 }
 
 const (
-	flushEvery = 50 * time.Millisecond
-	bytesEvery = time.Second
-	bytesLine  = "#bytes"
+	flushInterval     = 50 * time.Millisecond
+	trafficInterval   = time.Second
+	trafficLinePrefix = "#bytes"
 )
 
 // host runs hollow coordinators in one process.
@@ -86,7 +86,7 @@
 
 // report hands the records out, and now and then the bytes, until ctx ends.
 func (h *host) report(ctx context.Context) {
-	flush, count := time.NewTicker(flushEvery), time.NewTicker(bytesEvery)
+	flush, count := time.NewTicker(flushInterval), time.NewTicker(trafficInterval)
 	defer flush.Stop()
 	defer count.Stop()
 	for {
@@ -97,7 +97,7 @@
 			}
 		case <-count.C:
 			h.mu.Lock()
-			fmt.Fprintln(h.out, bytesLine, h.read.Load(), h.written.Load())
+			fmt.Fprintln(h.out, trafficLinePrefix, h.read.Load(), h.written.Load())
 			h.mu.Unlock()
 		case <-ctx.Done():
 			return
@@ -111,7 +111,7 @@
 	return h.out.Flush()
 }
 
-func (h *host) record(t Taken) {
+func (h *host) record(t VersionRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t.write(h.out)
@@ -146,13 +146,13 @@
 // hollow is a coordinator that follows list and settings, has no clients and sends nothing.
 type hollow struct {
 	MemberSpec
-	host  *host
-	owner *core.Coordinator // nil without the module
-	file  json.RawMessage
+	host        *host
+	coordinator *core.Coordinator // nil without the module
+	settings    json.RawMessage
 }
 
 func newHollow(h *host, spec MemberSpec, settings json.RawMessage) (*hollow, error) {
-	m := &hollow{MemberSpec: spec, host: h, file: settings}
+	m := &hollow{MemberSpec: spec, host: h, settings: settings}
 	if !spec.Module {
 		return m, nil
 	}
@@ -160,23 +160,23 @@
 	if err != nil {
 		return nil, err
 	}
-	parsed.Coordinators, parsed.Ordinal, parsed.Subscribe = spec.Fleet, spec.No+1, true
+	parsed.Coordinators, parsed.Ordinal, parsed.Subscribe = spec.FleetSize, spec.Ordinal+1, true
 	frames := &platform.Caller{CallsPerConn: caps.CallsPerConn, MaxConns: 1, ConnectTimeout: caps.ConnectTimeout, KeepAlive: caps.KeepAlive}
-	m.owner, err = core.New(core.Config{Seed: uint64(spec.No), Settings: parsed, Clock: core.SystemClock(),
+	m.coordinator, err = core.New(core.Config{Seed: uint64(spec.Ordinal), Settings: parsed, Clock: core.SystemClock(),
 		Callers: map[string]core.Caller{platform.Scheme: frames}, Subscribe: func() {}, PolledSource: platform.Source})
 	if err == nil {
-		frames.Reporter = m.owner
+		frames.Reporter = m.coordinator
 	}
 	return m, err
 }
 
 // run follows until ctx ends.
 func (m *hollow) run(ctx context.Context) {
-	if m.owner != nil {
-		go m.owner.Run()
+	if m.coordinator != nil {
+		go m.coordinator.Run()
 	}
-	if m.Plain != "" {
-		m.followPlain(ctx)
+	if m.DiscoveryAddress != "" {
+		m.followDiscovery(ctx)
 		return
 	}
 	var both sync.WaitGroup
--- a/internal/test/scaletest/judge.go
+++ b/internal/test/scaletest/judge.go
@@ -10,14 +10,16 @@
 )
 
 // judge holds the result against the plan's bounds.
-func (r *Result) judge(plan *Plan) {
-	miss := func(format string, args ...any) { r.Missed = append(r.Missed, fmt.Sprintf(format, args...)) }
-	must := plan.Must
-	check := func(what string, m Measured, d Delays) {
+func (r *Result) checkBounds(plan *Plan) {
+	miss := func(format string, args ...any) {
+		r.MissedBounds = append(r.MissedBounds, fmt.Sprintf(format, args...))
+	}
+	must := plan.Bounds
+	check := func(what string, m DelaySummary, d DelayBounds) {
 		for _, c := range []struct {
 			which      string
 			had, bound time.Duration
-		}{{"median", time.Duration(m.Median), d.Median}, {"p99", time.Duration(m.P99), d.P99}, {"last", time.Duration(m.Last), d.Last}} {
+		}{{"median", time.Duration(m.Median), d.Median}, {"p99", time.Duration(m.P99), d.P99}, {"last", time.Duration(m.Max), d.Max}} {
 			if c.bound > 0 && c.had > c.bound {
 				miss("%s: the %s is %v, at most %v is allowed", what, c.which, c.had.Round(time.Millisecond), c.bound)
 			}
@@ -28,28 +30,28 @@
 	}
 	check("list", r.List, must.List)
 	check("settings", r.Settings, must.Settings)
-	check("start", r.Started, Delays{Last: must.Started})
-	for _, t := range r.Troubles {
-		check(t.What+": after its end", t.Recovered, Delays{Last: must.Recovered})
+	check("start", r.Started, DelayBounds{Max: must.Started})
+	for _, t := range r.Faults {
+		check(t.Description+": after its end", t.Recovered, DelayBounds{Max: must.Recovered})
 	}
 	for _, c := range []struct {
 		of    role
-		bound Share
-	}{{roleAuthority, must.Relay}, {roleRelay, must.Relay}, {roleHost, must.Member}} {
-		spent := r.Calm[c.of]
+		bound CostBounds
+	}{{roleAuthority, must.Relay}, {roleRelay, must.Relay}, {roleHost, must.HollowMember}} {
+		spent := r.Undisturbed[c.of]
 		for _, b := range []struct {
 			what       string
 			had, bound float64
-		}{{"of a core", spent.CPUMost, c.bound.CPU}, {"MB", spent.MemoryMost, c.bound.MemoryMB}, {"KB/s", spent.KBPerSMost, c.bound.KBPerS}} {
+		}{{"of a core", spent.CPUMax, c.bound.CPU}, {"MB", spent.MemoryMBMax, c.bound.MemoryMB}, {"KB/s", spent.KBPerSMax, c.bound.KBPerS}} {
 			if b.bound > 0 && b.had > b.bound {
 				miss("%s: %.4f %s, at most %.4f is allowed", c.of, b.had, b.what, b.bound)
 			}
 		}
 	}
-	if must.Ratio > 0 {
-		r.judgeRatio(must.Ratio, miss)
+	if must.CostRatio > 0 {
+		r.checkCostRatio(must.CostRatio, miss)
 	}
-	for _, example := range r.Broken.examples {
+	for _, example := range r.Violations.examples {
 		miss("%s", example)
 	}
 	for _, how := range slices.Sorted(maps.Keys(r.Requests)) {
@@ -57,12 +59,12 @@
 			miss("%d requests were answered %s", r.Requests[how], how)
 		}
 	}
-	if plan.Clients > 0 && plan.Real > 0 && r.Requests["200"] == 0 {
+	if plan.Clients > 0 && plan.RealCoordinators > 0 && r.Requests["200"] == 0 {
 		miss("no request was served")
 	}
 }
 
-func (r *Result) judgeRatio(most float64, miss func(string, ...any)) {
+func (r *Result) checkCostRatio(most float64, miss func(string, ...any)) {
 	if r.Ratio == nil {
 		miss("nothing was counted that a hollow one could be compared by")
 		return
--- a/internal/test/scaletest/measure.go
+++ b/internal/test/scaletest/measure.go
@@ -6,34 +6,34 @@
 )
 
 // measure sums the records up.
-func (f *fleet) measure(played []*occurrence) *Result {
-	result := &Result{Plan: f.plan.Name, Requests: map[string]int{}, Parts: f.nodes.parts,
-		Sizes: Sizes{Coordinators: f.plan.Coordinators, Real: f.plan.Real, Modules: f.plan.Modules, Entries: f.plan.Entries, Nodes: f.plan.Nodes,
-			Control: 1 + len(f.relays), Processes: len(f.processes()), Regions: f.plan.Regions, Zones: f.plan.Zones}}
+func (f *fleet) measure(played []*faultRun) *Result {
+	result := &Result{Plan: f.plan.Name, Requests: map[string]int{}, Parts: f.replicas.partCount,
+		Sizes: Sizes{Coordinators: f.plan.Coordinators, RealCoordinators: f.plan.RealCoordinators, Modules: f.plan.Modules, Endpoints: f.plan.Endpoints, Replicas: f.plan.Replicas,
+			ControlProcesses: 1 + len(f.relays), Processes: len(f.processes()), Regions: f.plan.Regions, Zones: f.plan.Zones}}
 	var published, ordinary []Publication
 	for _, p := range f.publisher.published() {
 		if p.Index == 0 {
-			result.Unseen++
+			result.UnobservedChanges++
 			continue
 		}
 		published = append(published, p)
-		if !slices.ContainsFunc(played, func(o *occurrence) bool { return o.covers(p, f.plan.recovery()) }) {
+		if !slices.ContainsFunc(played, func(o *faultRun) bool { return o.affects(p, f.plan.recoveryTime()) }) {
 			ordinary = append(ordinary, p)
 		}
 	}
-	h := &held{records: f.records, starts: f.started}
+	h := &propagation{records: f.records, processStarts: f.started}
 	for _, o := range played {
-		if o.region >= 0 {
-			h.cuts = append(h.cuts, o)
+		if o.isolatedRegion >= 0 {
+			h.isolations = append(h.isolations, o)
 		}
 	}
 	result.Started = f.measureStart()
-	result.List, result.Settings = h.measure(of(List, ordinary), f.members), h.measure(of(Settings, ordinary), f.members)
+	result.List, result.Settings = h.measure(ofResource(List, ordinary), f.members), h.measure(ofResource(Settings, ordinary), f.members)
 	for _, o := range played {
-		result.Troubles = append(result.Troubles, f.measureTrouble(h, o, published))
+		result.Faults = append(result.Faults, f.measureFault(h, o, published))
 	}
-	result.Broken = f.broken(published)
-	for _, c := range f.crowds {
+	result.Violations = f.findViolations(published)
+	for _, c := range f.clientPools {
 		for how, n := range c.Outcomes() {
 			result.Requests[how] += n
 		}
@@ -42,20 +42,20 @@
 }
 
 // recovery is how long after a trouble's end changes still count as its own.
-func (p *Plan) recovery() time.Duration {
-	if p.Must.Recovered > 0 {
-		return p.Must.Recovered
+func (p *Plan) recoveryTime() time.Duration {
+	if p.Bounds.Recovered > 0 {
+		return p.Bounds.Recovered
 	}
-	return mostRecovery
+	return defaultRecovery
 }
 
 // covers tells whether a change was published while a trouble could hold it up.
-func (o *occurrence) covers(p Publication, recovery time.Duration) bool {
-	return p.At.After(o.begin.Add(-margin)) && p.At.Before(o.end.Add(recovery))
+func (o *faultRun) affects(p Publication, recovery time.Duration) bool {
+	return p.At.After(o.begin.Add(-faultMargin)) && p.At.Before(o.end.Add(recovery))
 }
 
 // of are the changes of one resource.
-func of(r Resource, some []Publication) (list []Publication) {
+func ofResource(r Resource, some []Publication) (list []Publication) {
 	for _, p := range some {
 		if p.Resource == r {
 			list = append(list, p)
@@ -65,10 +65,10 @@
 }
 
 // measureTrouble sums up one trouble: what was published in it, and the first change after its end.
-func (f *fleet) measureTrouble(h *held, o *occurrence, published []Publication) TroubleTimes {
+func (f *fleet) measureFault(h *propagation, o *faultRun, published []Publication) FaultDelays {
 	var during, after []Publication
 	for _, p := range published {
-		if o.covers(p, margin) {
+		if o.affects(p, faultMargin) {
 			during = append(during, p)
 		}
 		if p.Resource == List && len(after) == 0 && !p.At.Before(o.end) {
@@ -77,23 +77,23 @@
 	}
 	var reached []*member
 	for _, m := range f.members {
-		if m.region != o.region {
+		if m.region != o.isolatedRegion {
 			reached = append(reached, m)
 		}
 	}
-	return TroubleTimes{What: o.what, At: o.begin.Sub(f.timeline.began).Seconds(), List: h.measure(of(List, during), reached),
-		Settings: h.measure(of(Settings, during), reached), Recovered: h.measure(after, f.members), Spoilt: o.spoilt}
+	return FaultDelays{Description: o.description, At: o.begin.Sub(f.timeline.began).Seconds(), List: h.measure(ofResource(List, during), reached),
+		Settings: h.measure(ofResource(Settings, during), reached), Recovered: h.measure(after, f.members), CorruptedAnswers: o.corruptedAnswers}
 }
 
 // measureStart sums up how long members took from their first start until they had list and settings.
-func (f *fleet) measureStart() Measured {
+func (f *fleet) measureStart() DelaySummary {
 	var times []time.Duration
 	never := 0
 	for _, m := range f.members {
 		had, whole := time.Time{}, true
 		for _, r := range []Resource{List, Settings} {
 			list := f.records.of(m.name, r)
-			i := slices.IndexFunc(list, func(t Taken) bool { return t.Whole })
+			i := slices.IndexFunc(list, func(t VersionRecord) bool { return t.Complete })
 			if whole = whole && i >= 0; whole && list[i].At.After(had) {
 				had = list[i].At
 			}
@@ -104,11 +104,11 @@
 		}
 		times = append(times, had.Sub(f.started[m.name][0]))
 	}
-	return measuredOf(0, times, never)
+	return summarizeDelays(0, times, never)
 }
 
 // measureSpent sums up what the processes spent, by phase.
-func (f *fleet) measureSpent(result *Result, s *sampler, phases []time.Time, played []*occurrence) {
+func (f *fleet) measureCosts(result *Result, s *sampler, phases []time.Time, played []*faultRun) {
 	starting, started, calm, over := phases[0], phases[1], phases[2], phases[3]
 	trouble := over
 	if len(played) > 0 {
@@ -117,20 +117,20 @@
 	members := map[string]int{}
 	for _, m := range f.members {
 		if !m.real {
-			members[f.hosts[m.host].name]++
+			members[f.hostProcesses[m.host].name]++
 		}
 	}
 	per := func(process string) int { return max(1, members[process]) }
-	phase := func(from, to time.Time) map[role]Spent {
-		by := map[role]Spent{}
+	phase := func(from, to time.Time) map[role]RoleCost {
+		by := map[role]RoleCost{}
 		for _, r := range []role{roleAuthority, roleRelay, roleCoordinator, roleHost} {
-			by[r] = s.spent(r, from, to, per)
+			by[r] = s.roleCost(r, from, to, per)
 		}
 		return by
 	}
-	result.Starting, result.Calm, result.Troubled = phase(starting, started), phase(calm, trouble), phase(trouble, over)
-	result.Machine = map[string]MachineLoad{"starting": s.machine(starting, started), "calm": s.machine(calm, trouble), "troubled": s.machine(trouble, over)}
-	if real, hollow := result.Calm[roleCoordinator], result.Calm[roleHost]; f.plan.Must.Ratio > 0 && real.CPU > 0 && real.KBPerS > 0 {
+	result.Starting, result.Undisturbed, result.DuringFaults = phase(starting, started), phase(calm, trouble), phase(trouble, over)
+	result.Machine = map[string]MachineLoad{"starting": s.machineLoad(starting, started), "calm": s.machineLoad(calm, trouble), "troubled": s.machineLoad(trouble, over)}
+	if real, hollow := result.Undisturbed[roleCoordinator], result.Undisturbed[roleHost]; f.plan.Bounds.CostRatio > 0 && real.CPU > 0 && real.KBPerS > 0 {
 		result.Ratio = &Ratio{CPU: hollow.CPU / real.CPU, Bytes: hollow.KBPerS / real.KBPerS}
 	}
 }
--- a/internal/test/scaletest/network.go
+++ b/internal/test/scaletest/network.go
@@ -16,18 +16,18 @@
 	plan *Plan
 
 	mu    sync.Mutex
-	links []*way
+	links []*regionLink
 }
 
 // way leads from a region to a server.
-type way struct {
+type regionLink struct {
 	*faultinjection.Link
 	from, to int // regions
 }
 
 // to gives the address at which a server can be reached from a region.
-func (n *network) to(from, region int, address string) (string, error) {
-	if from == region && !n.plan.Links.All {
+func (n *network) addressFrom(from, region int, address string) (string, error) {
+	if from == region && !n.plan.Links.WithinRegions {
 		return address, nil
 	}
 	link, err := faultinjection.NewLink(address)
@@ -39,12 +39,12 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links = append(n.links, &way{link, from, region})
+	n.links = append(n.links, &regionLink{link, from, region})
 	return link.Address(), nil
 }
 
 // between lists the links that leave a region or lead into it.
-func (n *network) between(region int) (some []*way) {
+func (n *network) linksOf(region int) (some []*regionLink) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, w := range n.links {
@@ -56,8 +56,8 @@
 }
 
 // cut holds what goes between a region and all others; one-sided, only what goes into it.
-func (n *network) cut(region int, oneSided bool) {
-	for _, w := range n.between(region) {
+func (n *network) isolate(region int, oneSided bool) {
+	for _, w := range n.linksOf(region) {
 		into := faultinjection.ToServer
 		if w.from == region {
 			into = faultinjection.ToClient
@@ -71,7 +71,7 @@
 
 // heal ends a cut. Connections that stood through it break, as they do once a machine is back that has been away.
 func (n *network) heal(region int) {
-	for _, w := range n.between(region) {
+	for _, w := range n.linksOf(region) {
 		w.Cut(faultinjection.ToServer, false)
 		w.Cut(faultinjection.ToClient, false)
 		w.Reset()
@@ -79,14 +79,14 @@
 }
 
 // lose holds up or breaks links between regions as the plan says, until ctx ends.
-func (n *network) lose(ctx context.Context, rng *rand.Rand, cutOff func(region int) bool) {
+func (n *network) injectLoss(ctx context.Context, rng *rand.Rand, cutOff func(region int) bool) {
 	loss := n.plan.Links.Loss
-	if loss.Every <= 0 {
+	if loss.Interval <= 0 {
 		return
 	}
 	for {
 		select {
-		case <-time.After(loss.Every):
+		case <-time.After(loss.Interval):
 		case <-ctx.Done():
 			return
 		}
@@ -100,13 +100,13 @@
 		if w.from == w.to || cutOff(w.from) || cutOff(w.to) {
 			continue
 		}
-		if rng.Float64() < loss.Resets {
+		if rng.Float64() < loss.ResetShare {
 			w.Reset()
 			continue
 		}
 		direction := faultinjection.Direction(rng.IntN(2))
 		w.Cut(direction, true)
-		time.AfterFunc(loss.Hold, func() {
+		time.AfterFunc(loss.StallDuration, func() {
 			if !cutOff(w.from) && !cutOff(w.to) {
 				w.Cut(direction, false)
 			}
--- a/internal/test/scaletest/plan_test.go
+++ b/internal/test/scaletest/plan_test.go
@@ -14,7 +14,7 @@
 		t.Fatalf("plans %v, %v", files, err)
 	}
 	for _, file := range files {
-		if _, err := Load(file); err != nil {
+		if _, err := LoadPlan(file); err != nil {
 			t.Error(err)
 		}
 	}
@@ -47,7 +47,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Load(file); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), file) {
+		if _, err := LoadPlan(file); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), file) {
 			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
 	}
--- a/internal/test/scaletest/process.go
+++ b/internal/test/scaletest/process.go
@@ -25,38 +25,38 @@
 )
 
 // endWithin is how long a process has from SIGTERM until it is killed.
-const endWithin = 10 * time.Second
+const stopTimeout = 10 * time.Second
 
 // process is one that the run has started. What it writes to standard error is kept in a file.
 type process struct {
-	name string
-	role role
-	cmd  *exec.Cmd
-	in   io.WriteCloser // nil unless it is fed
-	over chan struct{}  // closed when it has ended
-	err  error          // how it ended; read after over
-	done sync.WaitGroup // readers of its output
+	name          string
+	role          role
+	cmd           *exec.Cmd
+	stdin         io.WriteCloser // nil unless it is fed
+	exited        chan struct{}  // closed when it has ended
+	exitErr       error          // how it ended; read after over
+	outputReaders sync.WaitGroup // readers of its output
 
-	log   string      // the file of what it writes to standard error
-	began int64       // its size when the process was started
-	ended atomic.Bool // by the run, which meant to
+	logPath        string      // the file of what it writes to standard error
+	logSizeAtStart int64       // its size when the process was started
+	endExpected    atomic.Bool // by the run, which meant to
 }
 
 // command says how a process is started.
 type command struct {
-	name string
-	role role
-	args []string // the program with its arguments
-	env  []string // beside the run's own
-	dir  string   // for the log
-	out  func(io.Reader)
-	errs func(io.Reader) // nil for the log alone
-	feed bool
+	name       string
+	role       role
+	args       []string // the program with its arguments
+	env        []string // beside the run's own
+	dir        string   // for the log
+	readStdout func(io.Reader)
+	readStderr func(io.Reader) // nil for the log alone
+	needsStdin bool
 }
 
 // startProcess starts one that does not outlive the run.
 func startProcess(c command) (*process, error) {
-	p := &process{name: c.name, role: c.role, cmd: exec.Command(c.args[0], c.args[1:]...), over: make(chan struct{})}
+	p := &process{name: c.name, role: c.role, cmd: exec.Command(c.args[0], c.args[1:]...), exited: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), c.env...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := os.OpenFile(filepath.Join(c.dir, c.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -64,38 +64,38 @@
 		return nil, err
 	}
 	p.cmd.Stderr = log
-	p.log = log.Name()
-	p.began = p.logged()
-	if c.feed {
-		if p.in, err = p.cmd.StdinPipe(); err != nil {
+	p.logPath = log.Name()
+	p.logSizeAtStart = p.loggedBytes()
+	if c.needsStdin {
+		if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 			return nil, err
 		}
 	}
-	if err := p.follow(c, log); err != nil {
+	if err := p.openOutput(c, log); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("scale: %s: %w", c.name, errors.Join(err, log.Close()))
 	}
 	go func() {
-		p.done.Wait() // before Wait closes the pipes
+		p.outputReaders.Wait() // before Wait closes the pipes
 		log.Close()
-		p.err = p.cmd.Wait()
-		close(p.over)
+		p.exitErr = p.cmd.Wait()
+		close(p.exited)
 	}()
 	return p, nil
 }
 
 // follow reads what the process writes.
-func (p *process) follow(c command, log io.Writer) error {
-	if c.out != nil {
+func (p *process) openOutput(c command, log io.Writer) error {
+	if c.readStdout != nil {
 		out, err := p.cmd.StdoutPipe()
 		if err != nil {
 			return err
 		}
-		p.done.Go(func() { c.out(out) })
+		p.outputReaders.Go(func() { c.readStdout(out) })
 	}
-	if c.errs == nil {
+	if c.readStderr == nil {
 		return nil
 	}
 	p.cmd.Stderr = nil
@@ -103,25 +103,25 @@
 	if err != nil {
 		return err
 	}
-	p.done.Go(func() { c.errs(io.TeeReader(errs, log)) })
+	p.outputReaders.Go(func() { c.readStderr(io.TeeReader(errs, log)) })
 	return nil
 }
 
 // logged is how many bytes the process has written to its log.
-func (p *process) logged() int64 {
-	info, err := os.Stat(p.log)
+func (p *process) loggedBytes() int64 {
+	info, err := os.Stat(p.logPath)
 	if err != nil {
 		return 0
 	}
-	return info.Size() - p.began
+	return info.Size() - p.logSizeAtStart
 }
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
 // runs tells whether the process has not ended.
-func (p *process) runs() bool {
+func (p *process) isRunning() bool {
 	select {
-	case <-p.over:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -129,7 +129,7 @@
 }
 
 func (p *process) signal(s syscall.Signal) error {
-	if !p.runs() {
+	if !p.isRunning() {
 		return os.ErrProcessDone
 	}
 	return p.cmd.Process.Signal(s)
@@ -137,33 +137,33 @@
 
 // kill ends the process at once and waits for that.
 func (p *process) kill() {
-	p.ended.Store(true)
+	p.endExpected.Store(true)
 	p.signal(syscall.SIGKILL)
-	<-p.over
+	<-p.exited
 }
 
 // stop ends the process as planned, or kills it where that takes too long.
 func (p *process) stop() error {
-	if p.ended.Swap(true) && !p.runs() {
+	if p.endExpected.Swap(true) && !p.isRunning() {
 		return nil
 	}
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
-	if p.in != nil {
-		p.in.Close()
+	if p.stdin != nil {
+		p.stdin.Close()
 	}
 	select {
-	case <-p.over:
-	case <-time.After(endWithin):
+	case <-p.exited:
+	case <-time.After(stopTimeout):
 		p.kill()
 		return fmt.Errorf("scale: %s does not end", p.name)
 	}
 	var exit *exec.ExitError
-	if errors.As(p.err, &exit) && exit.ExitCode() < 0 { // ended by the signal itself
+	if errors.As(p.exitErr, &exit) && exit.ExitCode() < 0 { // ended by the signal itself
 		return nil
 	}
-	if p.err != nil {
-		return fmt.Errorf("scale: %s ended with %w", p.name, p.err)
+	if p.exitErr != nil {
+		return fmt.Errorf("scale: %s ended with %w", p.name, p.exitErr)
 	}
 	return nil
 }
--- a/internal/test/scaletest/publisher.go
+++ b/internal/test/scaletest/publisher.go
@@ -20,45 +20,45 @@
 // Publication is a change as its source had it. Its mark tells it from all others of its resource and rises with each: the
 // entries' since_ms, or the number that a version of the settings carries.
 type Publication struct {
-	Resource Resource
-	Mark     int64
-	At       time.Time
-	Names    []string // the entries that changed
-	Status   string   // that they have since
-	Index    int64    // the authority's; 0 until it is known
+	Resource      Resource
+	Sequence      int64
+	At            time.Time
+	EndpointNames []string // the entries that changed
+	Status        string   // that they have since
+	Index         int64    // the authority's; 0 until it is known
 }
 
 // publisher changes the list and keeps what it published.
 type publisher struct {
 	registry *Registry
 
-	mu      sync.Mutex
-	entries []fake.Endpoint // as they are now
-	mark    int64
-	all     []*Publication
-	byMark  map[int64]*Publication // of the list
-	numbers map[int64]*Publication // of the settings
+	mu              sync.Mutex
+	endpoints       []fake.Endpoint // as they are now
+	lastSequence    int64
+	publications    []*Publication
+	endpointChanges map[int64]*Publication // of the list
+	settingsChanges map[int64]*Publication // of the settings
 }
 
 func newPublisher(entries []fake.Endpoint) *publisher {
-	return &publisher{registry: NewRegistry(entries), entries: entries, byMark: map[int64]*Publication{}, numbers: map[int64]*Publication{}}
+	return &publisher{registry: NewRegistry(entries), endpoints: entries, endpointChanges: map[int64]*Publication{}, settingsChanges: map[int64]*Publication{}}
 }
 
 // change gives some entries a status, in one instant.
-func (p *publisher) change(status string, which ...int) *Publication {
+func (p *publisher) publishStatus(status string, which ...int) *Publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.mark = max(now.UnixMilli(), p.mark+1)
-	pub := &Publication{Resource: List, Mark: p.mark, At: now, Status: status}
+	p.lastSequence = max(now.UnixMilli(), p.lastSequence+1)
+	pub := &Publication{Resource: List, Sequence: p.lastSequence, At: now, Status: status}
 	var changed []fake.Endpoint
 	for _, i := range which {
-		e := &p.entries[i]
-		e.Status, e.SinceMS = status, p.mark
+		e := &p.endpoints[i]
+		e.Status, e.SinceMS = status, p.lastSequence
 		changed = append(changed, *e)
-		pub.Names = append(pub.Names, e.Name)
+		pub.EndpointNames = append(pub.EndpointNames, e.Name)
 	}
-	p.all, p.byMark[p.mark] = append(p.all, pub), pub
+	p.publications, p.endpointChanges[p.lastSequence] = append(p.publications, pub), pub
 	p.registry.Put(changed...)
 	return pub
 }
@@ -67,25 +67,25 @@
 func (p *publisher) status(i int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.entries[i].Status
+	return p.endpoints[i].Status
 }
 
 // settings notes a version of the settings that is about to be handed to the authority.
-func (p *publisher) settings(number int64) *Publication {
+func (p *publisher) publishSettings(number int64) *Publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pub := &Publication{Resource: Settings, Mark: number, At: time.Now()}
-	p.all, p.numbers[number] = append(p.all, pub), pub
+	pub := &Publication{Resource: Settings, Sequence: number, At: time.Now()}
+	p.publications, p.settingsChanges[number] = append(p.publications, pub), pub
 	return pub
 }
 
 // seen notes which index the authority gave to a mark.
-func (p *publisher) seen(r Resource, mark, index int64) {
+func (p *publisher) recordIndex(r Resource, mark, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	marks := p.byMark
+	marks := p.endpointChanges
 	if r == Settings {
-		marks = p.numbers
+		marks = p.settingsChanges
 	}
 	if pub := marks[mark]; pub != nil {
 		pub.Index = max(pub.Index, index)
@@ -93,11 +93,11 @@
 }
 
 // seenGone notes which index the authority gave to an entry's removal, of which nothing but the name is told.
-func (p *publisher) seenGone(name string, index int64) {
+func (p *publisher) recordRemovalIndex(name string, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := len(p.all) - 1; i >= 0; i-- {
-		if pub := p.all[i]; pub.Status == fake.StatusTerminated && slices.Contains(pub.Names, name) {
+	for i := len(p.publications) - 1; i >= 0; i-- {
+		if pub := p.publications[i]; pub.Status == fake.StatusTerminated && slices.Contains(pub.EndpointNames, name) {
 			pub.Index = max(pub.Index, index)
 			return
 		}
@@ -109,7 +109,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Publication
-	for _, pub := range p.all {
+	for _, pub := range p.publications {
 		list = append(list, *pub)
 	}
 	return list
--- a/internal/test/scaletest/real.go
+++ b/internal/test/scaletest/real.go
@@ -33,9 +33,9 @@
 
 // startReal starts a process of the program that follows the relays.
 func (f *fleet) startReal(m *member) error {
-	if m.listen == "" {
+	if m.address == "" {
 		var err error
-		if m.listen, err = faultinjection.Reserve(); err != nil {
+		if m.address, err = faultinjection.Reserve(); err != nil {
 			return err
 		}
 	}
@@ -51,26 +51,26 @@
 	if err != nil {
 		return err
 	}
-	path, err := f.write(m.name+".yaml", data)
+	path, err := f.writeFile(m.name+".yaml", data)
 	if err != nil {
 		return err
 	}
-	f.begun(m.name)
+	f.recordStart(m.name)
 	reader := &logReader{member: m.name, records: f.records}
 	p, err := startProcess(command{name: m.name, role: roleCoordinator, args: append(f.Program[:len(f.Program):len(f.Program)], "serve", "-distribution", path),
-		env: append(f.Env[:len(f.Env):len(f.Env)], "PROXY_CONFIG="+config), dir: f.Dir, errs: reader.read})
+		env: append(f.Env[:len(f.Env):len(f.Env)], "PROXY_CONFIG="+config), dir: f.Dir, readStderr: reader.read})
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reals[m.name] = p
+	f.realProcesses[m.name] = p
 	return nil
 }
 
 // writeConfig writes what the platform tells a coordinator: it knows no list at its start.
 func (f *fleet) writeConfig(m *member) (path string, err error) {
-	settings, err := numbered(f.Settings, f.plan, 0)
+	settings, err := encodeSettings(f.Settings, f.plan, 0)
 	if err != nil {
 		return "", err
 	}
@@ -78,14 +78,14 @@
 	if err := json.Unmarshal(settings, &own); err != nil {
 		return "", err
 	}
-	own["me"] = m.no
-	data, err := json.Marshal(map[string]any{"name": m.name, "listen": m.listen, "discovery": f.discovery, "seed": fmt.Sprintf("%016x", uint64(m.no+1)*0x9e3779b97f4a7c15),
+	own["me"] = m.ordinal
+	data, err := json.Marshal(map[string]any{"name": m.name, "listen": m.address, "discovery": f.discoveryAddress, "seed": fmt.Sprintf("%016x", uint64(m.ordinal+1)*0x9e3779b97f4a7c15),
 		"limits": map[string]any{"cores": realCores, "memory_mb": realMemoryMB, "sockets": realSockets},
 		"known":  fake.EndpointList{Snapshot: true, Endpoints: []fake.Endpoint{}}, "settings": own})
 	if err != nil {
 		return "", err
 	}
-	return f.write(m.name+".json", data)
+	return f.writeFile(m.name+".json", data)
 }
 
 // The lines of a coordinator's log that are read.
@@ -96,47 +96,47 @@
 
 // logReader makes records of a coordinator's own log.
 type logReader struct {
-	member            string
-	records           *records
-	advice, keepAlive int64 // the settings' number in both its places
+	member                            string
+	records                           *records
+	retryAfterNumber, keepAliveNumber int64 // the settings' number in both its places
 }
 
 // read takes lines until the log ends.
 func (l *logReader) read(in io.Reader) {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
-		l.line(lines.Text())
+		l.readLine(lines.Text())
 	}
 	io.Copy(io.Discard, in) // a line that is too long ends the scanner, not the process
 }
 
-func (l *logReader) line(line string) {
+func (l *logReader) readLine(line string) {
 	switch {
 	case strings.Contains(line, changedLine):
 		for _, place := range []struct {
 			key    string
 			base   time.Duration
 			number *int64
-		}{{"caps.max_retry_after_us: ", adviceBase, &l.advice}, {"caps.keepalive_us: ", keepAliveBase, &l.keepAlive}} {
-			if value, ok := numberAfter(line, place.key); ok {
+		}{{"caps.max_retry_after_us: ", retryAfterBase, &l.retryAfterNumber}, {"caps.keepalive_us: ", keepAliveBase, &l.keepAliveNumber}} {
+			if value, ok := parseNumberAfter(line, place.key); ok {
 				*place.number = value - place.base.Microseconds()
 			}
 		}
 	case strings.Contains(line, inForceLine):
-		l.inForce(line)
+		l.recordVersion(line)
 	}
 }
 
 // inForce makes a record.
-func (l *logReader) inForce(line string) {
-	t := Taken{Member: l.member, Resource: List, Whole: true}
+func (l *logReader) recordVersion(line string) {
+	t := VersionRecord{Member: l.member, Resource: List, Complete: true}
 	if strings.Contains(line, "resource=settings") {
-		t.Resource, t.Mark, t.Half = Settings, l.advice, l.advice != l.keepAlive
+		t.Resource, t.Sequence, t.Mixed = Settings, l.retryAfterNumber, l.retryAfterNumber != l.keepAliveNumber
 	}
 	var ms int64
 	for key, value := range map[string]*int64{"epoch=": &t.Epoch, "index=": &t.Index, "at_unix_ms=": &ms} {
 		var ok bool
-		if *value, ok = numberAfter(line, key); !ok {
+		if *value, ok = parseNumberAfter(line, key); !ok {
 			return
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // numberAfter is the number that follows a key in a line.
-func numberAfter(line, key string) (int64, bool) {
+func parseNumberAfter(line, key string) (int64, bool) {
 	_, rest, found := strings.Cut(line, key)
 	if !found {
 		return 0, false
--- a/internal/test/scaletest/run.go
+++ b/internal/test/scaletest/run.go
@@ -11,11 +11,11 @@
 
 const (
 	settleAfterStart = 3 * time.Second // until what is measured counts as calm
-	mostRecovery     = 30 * time.Second
+	defaultRecovery  = 30 * time.Second
 	// margin is how long before and after a trouble changes count as its own.
-	margin = time.Second
+	faultMargin = time.Second
 	// lastWithin is how long the last change has to get everywhere before the members are held against it.
-	lastWithin = 10 * time.Second
+	settleTimeout = 10 * time.Second
 )
 
 // Run plays a plan. The error is ErrMissed where a bound was missed or a rule broken; the result is there also then.
@@ -27,7 +27,7 @@
 		result, err = play(ctx, plan, c)
 	}
 	if err == nil && plan.Baseline != nil {
-		for _, turn := range plan.Baseline.Turns {
+		for _, turn := range plan.Baseline.CallDurations {
 			b, e := playBaseline(ctx, plan, c, turn)
 			if err = e; err != nil {
 				break
@@ -39,8 +39,8 @@
 		return result, err
 	}
 	result.Seconds = time.Since(began).Seconds()
-	if result.judge(plan); len(result.Missed) > 0 {
-		return result, ErrMissed
+	if result.checkBounds(plan); len(result.MissedBounds) > 0 {
+		return result, ErrBoundMissed
 	}
 	return result, nil
 }
@@ -57,7 +57,7 @@
 		cancel()
 		failed := f.close()
 		if result != nil && failed != nil {
-			result.Missed = append(result.Missed, strings.Split(failed.Error(), "\n")...)
+			result.MissedBounds = append(result.MissedBounds, strings.Split(failed.Error(), "\n")...)
 			return
 		}
 		err = errors.Join(err, failed)
@@ -80,15 +80,15 @@
 		return nil, err
 	}
 	calm := time.Now().Add(settleAfterStart)
-	go f.network.lose(ctx, rand.New(rand.NewPCG(plan.Seed, 0x6c6f7373)), f.isCutOff)
+	go f.network.injectLoss(ctx, rand.New(rand.NewPCG(plan.Seed, 0x6c6f7373)), f.isIsolated)
 	changing, stopChanges := context.WithCancel(ctx)
 	defer stopChanges()
-	f.disturb(changing)
-	played, err := f.trouble(ctx, calm)
+	f.startChanges(changing)
+	played, err := f.playFaults(ctx, calm)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.pauseUntil(ctx, calm.Add(plan.Lasts)); err != nil {
+	if err := f.pauseUntil(ctx, calm.Add(plan.Duration)); err != nil {
 		return nil, err
 	}
 	stopChanges()
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	result = f.measure(played)
-	f.measureSpent(result, sampler, []time.Time{starting, started, calm, over}, played)
+	f.measureCosts(result, sampler, []time.Time{starting, started, calm, over}, played)
 	return result, nil
 }
 
@@ -107,24 +107,24 @@
 		if !m.real {
 			continue
 		}
-		for !ready(m.listen) {
-			if err := f.pause(ctx, look); err != nil {
+		for !isReady(m.address) {
+			if err := f.pause(ctx, pollInterval); err != nil {
 				return err
 			}
 		}
 		if f.plan.Clients > 0 {
-			crowd, err := f.nodes.ask(f.plan, f.Settings, m.name, m.listen)
+			crowd, err := f.replicas.openClients(f.plan, f.Settings, m.name, m.address)
 			if err != nil {
 				return err
 			}
-			f.crowds = append(f.crowds, crowd)
+			f.clientPools = append(f.clientPools, crowd)
 		}
 	}
 	return nil
 }
 
 // ready tells whether a coordinator says that it takes clients.
-func ready(address string) bool {
+func isReady(address string) bool {
 	client := http.Client{Timeout: time.Second}
 	answer, err := client.Get("http://" + address + "/health/ready")
 	if err != nil {
@@ -138,12 +138,12 @@
 // settle publishes a last change and waits until every member has it, and the last settings, or for some seconds. Then the
 // clients end.
 func (f *fleet) settle(ctx context.Context) error {
-	f.probe()
-	for end := time.Now().Add(lastWithin); time.Now().Before(end); {
+	f.publishProbe()
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
 		if err := f.pause(ctx, time.Second); err != nil {
 			return err
 		}
-		var b Broken
+		var b Violations
 		for _, m := range f.members {
 			f.checkEnd(&b, m, List, f.publisher.published())
 			f.checkEnd(&b, m, Settings, f.publisher.published())
@@ -152,14 +152,14 @@
 			break
 		}
 	}
-	f.endClients()
+	f.stopClients()
 	return nil
 }
 
 // endClients lets all clients finish what they have asked.
-func (f *fleet) endClients() {
-	f.clientsOver.Do(func() {
-		for _, c := range f.crowds {
+func (f *fleet) stopClients() {
+	f.stopClientsOnce.Do(func() {
+		for _, c := range f.clientPools {
 			c.Stop()
 		}
 	})
--- a/internal/test/scaletest/spoiler.go
+++ b/internal/test/scaletest/spoiler.go
@@ -14,66 +14,66 @@
 )
 
 // spoiler stands between members and a relay and spoils answers of status 200.
-type spoiler struct {
+type corruptingProxy struct {
 	listener net.Listener
 	proxy    *httputil.ReverseProxy
 
-	mu     sync.Mutex
-	how    string            // one of Spoils; empty for none
-	kept   map[string][]byte // the last answer with entries by path, before the present way of spoiling
-	spoilt int
+	mu           sync.Mutex
+	corruption   string            // one of Spoils; empty for none
+	savedAnswers map[string][]byte // the last answer with entries by path, before the present way of spoiling
+	corrupted    int
 }
 
 // The ways in which answers are spoilt.
 const (
-	garbled    = "garbled"
-	oversized  = "oversized"
-	outOfOrder = "out-of-order"
-	replayed   = "replayed"
+	corruptGarbled    = "garbled"
+	corruptOversized  = "oversized"
+	corruptOutOfOrder = "out-of-order"
+	corruptReplayed   = "replayed"
 )
 
 // Spoils lists them.
-var Spoils = []string{garbled, oversized, outOfOrder, replayed}
+var Corruptions = []string{corruptGarbled, corruptOversized, corruptOutOfOrder, corruptReplayed}
 
 // paddingBytes makes an answer larger than any that is allowed.
 const paddingBytes = 1 << 20
 
 // newSpoiler opens one before a server.
-func newSpoiler(address string) (*spoiler, error) {
+func newCorruptingProxy(address string) (*corruptingProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &spoiler{listener: l, kept: map[string][]byte{}}
+	s := &corruptingProxy{listener: l, savedAnswers: map[string][]byte{}}
 	s.proxy = httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
-	s.proxy.ModifyResponse = s.modify
+	s.proxy.ModifyResponse = s.modifyResponse
 	s.proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) }
 	go http.Serve(l, s.proxy)
 	return s, nil
 }
 
-func (s *spoiler) address() string { return s.listener.Addr().String() }
+func (s *corruptingProxy) address() string { return s.listener.Addr().String() }
 
-func (s *spoiler) close() { s.listener.Close() }
+func (s *corruptingProxy) close() { s.listener.Close() }
 
 // become sets how answers are spoilt from now on.
-func (s *spoiler) become(how string) {
+func (s *corruptingProxy) setCorruption(how string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.how = how; how != "" {
-		s.spoilt = 0
+	if s.corruption = how; how != "" {
+		s.corrupted = 0
 	}
 }
 
 // count is how many answers were spoilt in the last way.
-func (s *spoiler) count() int {
+func (s *corruptingProxy) corruptedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.spoilt
+	return s.corrupted
 }
 
 // modify spoils an answer.
-func (s *spoiler) modify(answer *http.Response) error {
+func (s *corruptingProxy) modifyResponse(answer *http.Response) error {
 	if answer.StatusCode != http.StatusOK {
 		return nil
 	}
@@ -81,43 +81,43 @@
 	if err != nil {
 		return err
 	}
-	body = s.spoil(answer.Request.URL.Path, body)
+	body = s.corrupt(answer.Request.URL.Path, body)
 	answer.Body = io.NopCloser(bytes.NewReader(body))
 	answer.ContentLength = int64(len(body))
 	answer.Header.Set("Content-Length", strconv.Itoa(len(body)))
 	return nil
 }
 
-func (s *spoiler) spoil(path string, body []byte) []byte {
+func (s *corruptingProxy) corrupt(path string, body []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	spoilt := body
-	switch s.how {
-	case garbled:
+	switch s.corruption {
+	case corruptGarbled:
 		spoilt = append(slices.Clone(body[:len(body)/2]), "\x00{{"...)
-	case oversized:
+	case corruptOversized:
 		spoilt = append(bytes.Repeat([]byte(" "), paddingBytes), body...)
-	case outOfOrder:
-		spoilt = reversed(body)
-	case replayed:
-		if old, known := s.kept[path]; known {
+	case corruptOutOfOrder:
+		spoilt = reverseEntries(body)
+	case corruptReplayed:
+		if old, known := s.savedAnswers[path]; known {
 			spoilt = old
 		}
 	default:
-		if entriesOf(body) > 0 {
-			s.kept[path] = body
+		if countEntries(body) > 0 {
+			s.savedAnswers[path] = body
 		}
 	}
 	if !bytes.Equal(spoilt, body) {
-		s.spoilt++
+		s.corrupted++
 	}
 	return spoilt
 }
 
 // generic is an answer whatever it holds.
-type generic map[string]json.RawMessage
+type jsonObject map[string]json.RawMessage
 
-func entriesOf(body []byte) int {
+func countEntries(body []byte) int {
 	var answer struct {
 		Endpoints []json.RawMessage `json:"endpoints"`
 	}
@@ -126,8 +126,8 @@
 }
 
 // reversed has the entries in the wrong order or, where there are too few for that, an index that goes back.
-func reversed(body []byte) []byte {
-	var answer generic
+func reverseEntries(body []byte) []byte {
+	var answer jsonObject
 	if json.Unmarshal(body, &answer) != nil {
 		return body
 	}
--- a/internal/test/scaletest/trouble.go
+++ b/internal/test/scaletest/trouble.go
@@ -11,35 +11,35 @@
 )
 
 // occurrence is a trouble as it was played.
-type occurrence struct {
-	Trouble
-	what       string
-	begin, end time.Time
-	region     int // that is cut off; -1 for none
-	spoilt     int // answers
+type faultRun struct {
+	Fault
+	description      string
+	begin, end       time.Time
+	isolatedRegion   int // that is cut off; -1 for none
+	corruptedAnswers int // answers
 }
 
 // probeAfter is how long after a trouble's beginning a change is published.
 const probeAfter = 50 * time.Millisecond
 
 // play plays the troubles at their times; those that last end by themselves.
-func (f *fleet) trouble(ctx context.Context, began time.Time) (played []*occurrence, err error) {
+func (f *fleet) playFaults(ctx context.Context, began time.Time) (played []*faultRun, err error) {
 	var lasting sync.WaitGroup
 	defer lasting.Wait()
 	var mu sync.Mutex
 	var failed error
-	for _, t := range f.plan.Troubles {
+	for _, t := range f.plan.Faults {
 		if err := f.pauseUntil(ctx, began.Add(t.At)); err != nil {
 			return played, err
 		}
-		o := &occurrence{Trouble: t, what: t.String(), region: -1, begin: time.Now()}
+		o := &faultRun{Fault: t, description: t.String(), isolatedRegion: -1, begin: time.Now()}
 		played = append(played, o)
-		f.timeline.note("trouble: %s", o.what)
-		if err := f.begin(ctx, o); err != nil {
+		f.timeline.note("trouble: %s", o.description)
+		if err := f.beginFault(ctx, o); err != nil {
 			return played, err
 		}
 		lasting.Go(func() {
-			if err := f.endLater(ctx, o); err != nil {
+			if err := f.awaitFaultEnd(ctx, o); err != nil {
 				mu.Lock()
 				failed = err
 				mu.Unlock()
@@ -51,49 +51,49 @@
 }
 
 // String names a trouble.
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	what := ""
 	switch {
 	case t.KillRelay != nil:
 		what = fmt.Sprintf("relay %d killed", *t.KillRelay)
 	case t.PauseRelay != nil:
 		what = fmt.Sprintf("relay %d paused", *t.PauseRelay)
-	case t.CutRegion != nil && t.OneSided:
-		what = fmt.Sprintf("nothing reaches region %d", *t.CutRegion)
-	case t.CutRegion != nil:
-		what = fmt.Sprintf("region %d cut off", *t.CutRegion)
+	case t.IsolateRegion != nil && t.InboundOnly:
+		what = fmt.Sprintf("nothing reaches region %d", *t.IsolateRegion)
+	case t.IsolateRegion != nil:
+		what = fmt.Sprintf("region %d cut off", *t.IsolateRegion)
 	case t.RestartAll:
 		what = "all members started at once"
-	case t.ZoneGone != nil:
-		what = fmt.Sprintf("the entries of zone %d gone", *t.ZoneGone)
-	case t.Spoil != "":
-		what = fmt.Sprintf("answers of relay 0 %s", t.Spoil)
+	case t.RemoveZone != nil:
+		what = fmt.Sprintf("the entries of zone %d gone", *t.RemoveZone)
+	case t.CorruptAnswers != "":
+		what = fmt.Sprintf("answers of relay 0 %s", t.CorruptAnswers)
 	case t.Settings != "":
 		what = fmt.Sprintf("%s settings", t.Settings)
 	}
-	if t.For > 0 {
-		what += fmt.Sprintf(" for %v", t.For)
+	if t.Duration > 0 {
+		what += fmt.Sprintf(" for %v", t.Duration)
 	}
 	return what
 }
 
 // begin does what a trouble begins with.
-func (f *fleet) begin(ctx context.Context, o *occurrence) error {
+func (f *fleet) beginFault(ctx context.Context, o *faultRun) error {
 	switch {
 	case o.KillRelay != nil:
 		f.relays[*o.KillRelay].process.kill()
 	case o.PauseRelay != nil:
 		return f.relays[*o.PauseRelay].process.signal(syscall.SIGSTOP)
-	case o.CutRegion != nil:
-		o.region = *o.CutRegion
-		f.cutOff(o.region, true)
-		f.network.cut(o.region, o.OneSided)
+	case o.IsolateRegion != nil:
+		o.isolatedRegion = *o.IsolateRegion
+		f.setIsolated(o.isolatedRegion, true)
+		f.network.isolate(o.isolatedRegion, o.InboundOnly)
 	case o.RestartAll:
 		return f.restartAll(ctx)
-	case o.ZoneGone != nil:
-		f.changeZone(*o.ZoneGone, fake.StatusTerminated)
-	case o.Spoil != "":
-		f.spoiler.become(o.Spoil) // counts anew
+	case o.RemoveZone != nil:
+		f.setZoneStatus(*o.RemoveZone, fake.StatusTerminated)
+	case o.CorruptAnswers != "":
+		f.corruptingProxy.setCorruption(o.CorruptAnswers) // counts anew
 	case o.Settings != "":
 		return f.writeInvalidSettings()
 	}
@@ -101,42 +101,42 @@
 }
 
 // endLater publishes a probe soon after the beginning, ends the trouble when its time is over, and publishes another.
-func (f *fleet) endLater(ctx context.Context, o *occurrence) error {
-	if o.ZoneGone == nil && !o.RestartAll {
+func (f *fleet) awaitFaultEnd(ctx context.Context, o *faultRun) error {
+	if o.RemoveZone == nil && !o.RestartAll {
 		if err := f.pause(ctx, probeAfter); err != nil {
 			return err
 		}
-		f.probe()
+		f.publishProbe()
 	}
 	o.end = time.Now()
-	if o.For <= 0 {
+	if o.Duration <= 0 {
 		return nil
 	}
-	if err := f.pauseUntil(ctx, o.begin.Add(o.For)); err != nil {
+	if err := f.pauseUntil(ctx, o.begin.Add(o.Duration)); err != nil {
 		return err
 	}
-	err := f.finish(o)
+	err := f.endFault(o)
 	o.end = time.Now()
-	f.timeline.note("over: %s", o.what)
-	f.probe()
+	f.timeline.note("over: %s", o.description)
+	f.publishProbe()
 	return err
 }
 
 // finish ends a trouble that lasts.
-func (f *fleet) finish(o *occurrence) error {
+func (f *fleet) endFault(o *faultRun) error {
 	switch {
 	case o.KillRelay != nil:
-		return f.startAgain(f.relays[*o.KillRelay])
+		return f.restartControlProcess(f.relays[*o.KillRelay])
 	case o.PauseRelay != nil:
 		return f.relays[*o.PauseRelay].process.signal(syscall.SIGCONT)
-	case o.CutRegion != nil:
-		f.network.heal(o.region)
-		f.cutOff(o.region, false)
-	case o.ZoneGone != nil:
-		f.changeZone(*o.ZoneGone, fake.StatusInService)
-	case o.Spoil != "":
-		f.spoiler.become("")
-		o.spoilt = f.spoiler.count()
+	case o.IsolateRegion != nil:
+		f.network.heal(o.isolatedRegion)
+		f.setIsolated(o.isolatedRegion, false)
+	case o.RemoveZone != nil:
+		f.setZoneStatus(*o.RemoveZone, fake.StatusInService)
+	case o.CorruptAnswers != "":
+		f.corruptingProxy.setCorruption("")
+		o.corruptedAnswers = f.corruptingProxy.corruptedCount()
 	case o.Settings != "":
 		return f.changeSettings()
 	}
@@ -144,41 +144,41 @@
 }
 
 // cutOff notes that a region is cut off, or no more.
-func (f *fleet) cutOff(region int, yes bool) {
+func (f *fleet) setIsolated(region int, yes bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cuts[region] = yes
+	f.isolatedRegions[region] = yes
 }
 
-func (f *fleet) isCutOff(region int) bool {
+func (f *fleet) isIsolated(region int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cuts[region]
+	return f.isolatedRegions[region]
 }
 
 // changeZone gives all entries of a zone a status at once.
-func (f *fleet) changeZone(zone int, status string) {
+func (f *fleet) setZoneStatus(zone int, status string) {
 	var which, answering []int
-	for i := zone; i < f.plan.Entries; i += f.plan.Zones {
+	for i := zone; i < f.plan.Endpoints; i += f.plan.Zones {
 		which = append(which, i)
-		if i < f.plan.Nodes {
+		if i < f.plan.Replicas {
 			answering = append(answering, i)
 		}
 	}
-	f.nodes.takes(status == fake.StatusInService, answering...)
-	f.publisher.change(status, which...)
+	f.replicas.setAvailable(status == fake.StatusInService, answering...)
+	f.publisher.publishStatus(status, which...)
 	f.timeline.note("%d entries of zone %d: %s", len(which), zone, status)
 }
 
 // restartAll ends all members, real ones as planned, starts them at once and waits until all have list and settings.
 func (f *fleet) restartAll(ctx context.Context) error {
 	var ending sync.WaitGroup
-	for _, p := range f.hosts {
+	for _, p := range f.hostProcesses {
 		ending.Go(p.kill)
 	}
 	f.mu.Lock()
-	reals := f.reals
-	f.reals = map[string]*process{}
+	reals := f.realProcesses
+	f.realProcesses = map[string]*process{}
 	f.mu.Unlock()
 	errs := make(chan error, len(reals))
 	for _, p := range reals {
--- a/internal/test/scaletest/usage.go
+++ b/internal/test/scaletest/usage.go
@@ -13,14 +13,14 @@
 
 // Usage is what a process has spent since its start.
 type Usage struct {
-	CPU    time.Duration // user and system
-	KB     int           // resident now
-	MostKB int           // resident at most
-	Bytes  int64         // read and written, sockets and files alike
+	CPU            time.Duration // user and system
+	ResidentKB     int           // resident now
+	PeakResidentKB int           // resident at most
+	Bytes          int64         // read and written, sockets and files alike
 }
 
 // usageOf reads what the system tells of a process.
-func usageOf(pid int) (u Usage, err error) {
+func readUsage(pid int) (u Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
@@ -35,14 +35,14 @@
 		return u, err
 	}
 	u.CPU = time.Duration(user+system) * time.Second / ticksPerSecond
-	u.KB = int(field(pid, "status", "VmRSS:"))
-	u.MostKB = int(field(pid, "status", "VmHWM:"))
-	u.Bytes = field(pid, "io", "rchar:") + field(pid, "io", "wchar:")
+	u.ResidentKB = int(readProcField(pid, "status", "VmRSS:"))
+	u.PeakResidentKB = int(readProcField(pid, "status", "VmHWM:"))
+	u.Bytes = readProcField(pid, "io", "rchar:") + readProcField(pid, "io", "wchar:")
 	return u, nil
 }
 
 // machineBusy is the time that all processors together have been busy.
-func machineBusy() (time.Duration, error) {
+func readMachineBusy() (time.Duration, error) {
 	stat, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, err
@@ -55,7 +55,7 @@
 }
 
 // field is a number from one of the files of a process; 0 where it is not told.
-func field(pid int, file, name string) int64 {
+func readProcField(pid int, file, name string) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, file))
 	if err != nil {
 		return 0
--- a/internal/test/scaletest/verdict_test.go
+++ b/internal/test/scaletest/verdict_test.go
@@ -12,7 +12,7 @@
 // smallFleet has two members, one entry with a node, and no processes.
 func smallFleet(t *testing.T) (*fleet, time.Time) {
 	t.Helper()
-	plan := &Plan{Regions: 1, Zones: 1, Coordinators: 2, Hosts: 1, Entries: 1, Nodes: 1}
+	plan := &Plan{Regions: 1, Zones: 1, Coordinators: 2, Hosts: 1, Endpoints: 1, Replicas: 1}
 	f, err := newFleet(Config{Dir: t.TempDir()}, plan)
 	if err != nil {
 		t.Fatal(err)
@@ -26,8 +26,8 @@
 }
 
 // at is a record of a list's version so long after the start.
-func at(began time.Time, member string, after time.Duration, epoch, index int64) Taken {
-	return Taken{Member: member, Resource: List, Epoch: epoch, Index: index, At: began.Add(after), Whole: true}
+func at(began time.Time, member string, after time.Duration, epoch, index int64) VersionRecord {
+	return VersionRecord{Member: member, Resource: List, Epoch: epoch, Index: index, At: began.Add(after), Complete: true}
 }
 
 // The verdict sees versions that go back, halves and members that are behind, and lets a new process begin anew.
@@ -39,11 +39,11 @@
 	f.records.add(at(began, "c0", 4*time.Second, 1, 7)) // of a new process
 	f.records.add(at(began, "c0", 5*time.Second, 1, 6)) // back
 	half := at(began, "c1", time.Second, 1, 3)
-	half.Resource, half.Half = Settings, true
+	half.Resource, half.Mixed = Settings, true
 	f.records.add(half)
 	f.records.add(at(began, "c1", time.Second, 1, 9))
-	b := f.broken([]Publication{{Resource: List, Index: 7, At: began}})
-	if b.WentBack != 1 || b.Half != 1 || b.Behind != 1 || len(b.examples) != 3 {
+	b := f.findViolations([]Publication{{Resource: List, Index: 7, At: began}})
+	if b.Regressions != 1 || b.MixedSettings != 1 || b.Behind != 1 || len(b.examples) != 3 {
 		t.Errorf("%+v", b)
 	}
 }
@@ -52,10 +52,10 @@
 // after the node is back.
 func TestVerdictOnSends(t *testing.T) {
 	f, began := smallFleet(t)
-	name := f.publisher.entries[0].Name
+	name := f.publisher.endpoints[0].Name
 	published := []Publication{
-		{Resource: List, Index: 2, At: began.Add(time.Second), Names: []string{name}, Status: fake.StatusTerminating},
-		{Resource: List, Index: 3, At: began.Add(9 * time.Second), Names: []string{name}, Status: fake.StatusInService},
+		{Resource: List, Index: 2, At: began.Add(time.Second), EndpointNames: []string{name}, Status: fake.StatusTerminating},
+		{Resource: List, Index: 3, At: began.Add(9 * time.Second), EndpointNames: []string{name}, Status: fake.StatusInService},
 	}
 	f.records.add(at(began, "c0", 2*time.Second, 1, 2))
 	f.records.add(at(began, "c0", 9*time.Second, 1, 3))
@@ -64,10 +64,10 @@
 		after  time.Duration
 		want   int
 	}{{"c0", 2500 * time.Millisecond, 0}, {"c0", 4 * time.Second, 1}, {"c1", 4 * time.Second, 0}, {"c0", 10 * time.Second, 0}} {
-		f.nodes.sends = []send{{c.member, 0, began.Add(c.after)}}
-		var b Broken
-		if f.checkSends(&b, published); b.Forbidden != c.want {
-			t.Errorf("a part of %s after %v counts %d times, want %d", c.member, c.after, b.Forbidden, c.want)
+		f.replicas.partsWhileUnavailable = []receivedPart{{c.member, 0, began.Add(c.after)}}
+		var b Violations
+		if f.checkParts(&b, published); b.ForbiddenParts != c.want {
+			t.Errorf("a part of %s after %v counts %d times, want %d", c.member, c.after, b.ForbiddenParts, c.want)
 		}
 	}
 }
@@ -77,18 +77,18 @@
 func TestDelays(t *testing.T) {
 	f, began := smallFleet(t)
 	partial := at(began, "c0", 1100*time.Millisecond, 1, 4)
-	partial.Whole = false
+	partial.Complete = false
 	f.records.add(partial)
 	f.records.add(at(began, "c0", 5*time.Second, 1, 5))
 	f.started["c1"] = []time.Time{began.Add(3 * time.Second)}
 	f.records.add(at(began, "c1", 4*time.Second, 1, 5))
-	h := &held{records: f.records, starts: f.started}
+	h := &propagation{records: f.records, processStarts: f.started}
 	change := Publication{Resource: List, Index: 4, At: began.Add(time.Second)}
-	if m := h.measure([]Publication{change}, f.members); m.Samples != 1 || m.Last != Seconds(4*time.Second) || m.Never != 0 {
+	if m := h.measure([]Publication{change}, f.members); m.Samples != 1 || m.Max != Seconds(4*time.Second) || m.Never != 0 {
 		t.Errorf("%+v", m)
 	}
-	h.cuts = []*occurrence{{begin: began.Add(500 * time.Millisecond), end: began.Add(4500 * time.Millisecond), region: 0}}
-	if m := h.measure([]Publication{change}, f.members); m.Last != Seconds(500*time.Millisecond) {
+	h.isolations = []*faultRun{{begin: began.Add(500 * time.Millisecond), end: began.Add(4500 * time.Millisecond), isolatedRegion: 0}}
+	if m := h.measure([]Publication{change}, f.members); m.Max != Seconds(500*time.Millisecond) {
 		t.Errorf("behind a cut: %+v", m)
 	}
 	change.Index = 6
@@ -100,14 +100,14 @@
 // Records go through a host's output as they are, and lines of a coordinator's log become records.
 func TestRecordsAreRead(t *testing.T) {
 	var out bytes.Buffer
-	sent := Taken{Member: "c7", Resource: Settings, Epoch: 3, Index: 4, Mark: 5, At: time.Unix(6, 7), Whole: true, Half: true}
+	sent := VersionRecord{Member: "c7", Resource: Settings, Epoch: 3, Index: 4, Sequence: 5, At: time.Unix(6, 7), Complete: true, Mixed: true}
 	sent.write(&out)
 	out.WriteString("#bytes 8 9\nnonsense\n")
 	r := newRecords()
 	var read, written int64
 	r.read(&out, func(in, to int64) { read, written = in, to })
-	if got, _ := r.latest("c7", Settings); got != sent || read != 8 || written != 9 || len(r.strays) != 1 {
-		t.Errorf("%+v, %d, %d, %q", got, read, written, r.strays)
+	if got, _ := r.latest("c7", Settings); got != sent || read != 8 || written != 9 || len(r.unreadableLines) != 1 {
+		t.Errorf("%+v, %d, %d, %q", got, read, written, r.unreadableLines)
 	}
 	l := &logReader{member: "c1", records: r}
 	l.read(strings.NewReader(`x INFO settings changed change="caps.max_retry_after_us: 1000003, was 1000000"
@@ -115,7 +115,7 @@
 x INFO version in force resource=settings epoch=1 index=2 at_unix_ms=1790000000000
 x INFO version in force resource=instances epoch=1 index=9 at_unix_ms=1790000000001
 `))
-	if got, _ := r.latest("c1", Settings); got.Mark != 3 || !got.Half || got.Index != 2 {
+	if got, _ := r.latest("c1", Settings); got.Sequence != 3 || !got.Mixed || got.Index != 2 {
 		t.Errorf("settings: %+v", got)
 	}
 	if got, _ := r.latest("c1", List); got.Index != 9 || got.Epoch != 1 || got.At != time.UnixMilli(1790000000001) {
--- a/internal/test/scaletest/watch.go
+++ b/internal/test/scaletest/watch.go
@@ -22,27 +22,27 @@
 			}}).Run(ctx)
 	}
 	var both sync.WaitGroup
-	both.Go(func() { follow(distribution.Endpoints, f.seenEntry) })
-	both.Go(func() { follow(distribution.Settings, f.seenSettings) })
+	both.Go(func() { follow(distribution.Endpoints, f.recordEndpointIndex) })
+	both.Go(func() { follow(distribution.Settings, f.recordSettingsIndex) })
 	both.Wait()
 }
 
 // seenEntry notes the index of a changed entry.
-func (f *fleet) seenEntry(e versionlog.Entry) {
+func (f *fleet) recordEndpointIndex(e versionlog.Entry) {
 	if e.Removed {
-		f.publisher.seenGone(e.Name, e.Index)
+		f.publisher.recordRemovalIndex(e.Name, e.Index)
 		return
 	}
 	var entry fake.Endpoint
 	if json.Unmarshal(e.Body, &entry) == nil {
-		f.publisher.seen(List, entry.SinceMS, e.Index)
+		f.publisher.recordIndex(List, entry.SinceMS, e.Index)
 	}
 }
 
 // seenSettings notes the index of a version of the settings.
-func (f *fleet) seenSettings(e versionlog.Entry) {
+func (f *fleet) recordSettingsIndex(e versionlog.Entry) {
 	if settings, caps, err := readSettings(e); err == nil {
-		number, _ := numberOf(settings.RetryAfter, caps.KeepAlive)
-		f.publisher.seen(Settings, number, e.Index)
+		number, _ := decodeSettingsNumber(settings.RetryAfter, caps.KeepAlive)
+		f.publisher.recordIndex(Settings, number, e.Index)
 	}
 }
