--- a/cmd/harepass/scale_test.go
+++ b/cmd/harepass/scale_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	if _, err := playPlan(t, ctx, plan, lineCanceller{"trouble: ", cancel}); !errors.Is(err, context.Canceled) {
+	if _, err := playPlan(t, ctx, plan, lineCanceller{scaletest.FaultBegan, cancel}); !errors.Is(err, context.Canceled) {
 		t.Errorf("an interrupted run ends with %v", err)
 	}
 	lists, err := filepath.Glob("/proc/self/task/*/children")
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -90,8 +90,8 @@
 
 // logInForce writes from when on a version of a resource is in force in this process.
 func logInForce(path distribution.Path, v versionlog.Version) {
-	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, path.ResourceName(), "epoch", v.Epoch, "index", v.Index,
-		"at_unix_ms", time.Now().UnixMilli())
+	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, path.ResourceName(),
+		logmsg.KeyEpoch, v.Epoch, logmsg.KeyIndex, v.Index, logmsg.KeyInForceAt, time.Now().UnixMilli())
 }
 
 // versionText is a version for logs: epoch and index.
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -66,6 +66,13 @@
 	AuthorityFilesRejected = "authority files rejected"
 )
 
+// Keys of VersionInForce, besides KeyResource.
+const (
+	KeyEpoch     = "epoch"
+	KeyIndex     = "index"
+	KeyInForceAt = "at_unix_ms" // Unix milliseconds by the coordinator's clock
+)
+
 // Keys of OverloadLevelChanged.
 const (
 	KeyOverloadLevel   = "level"
--- a/internal/test/scaletest/baseline.go
+++ b/internal/test/scaletest/baseline.go
@@ -8,21 +8,24 @@
 )
 
 const (
-	// baselinePatience is what discovery is taken to let a call wait for its turn before it fails it.
+	// baselineMaxWait is discovery's service time-out: a call that would wait longer fails.
 	baselineMaxWait = 2 * time.Second
-	// baselineStart is how long members have to open their watches, before changes are published.
+	// baselineWarmUp is how long members have to open their watches before changes are published.
 	baselineWarmUp = 8 * time.Second
+	// baselineStream tells the random draws of a baseline's changes from others with the plan's seed.
+	baselineStream = 0x62617365
 )
 
-// playBaseline plays the fleet as it is without distribution: every coordinator is a hollow one that asks one discovery, to
-// which a call that has something to tell costs a turn. All know the list at their start. The changes of the first half of
-// the play count, until its end.
-func playBaseline(ctx context.Context, plan *Plan, c Config, turn time.Duration) (result BaselineResult, err error) {
+// playBaseline plays the fleet without distribution: every coordinator is hollow and polls one discovery, for which a call
+// with a change takes callDuration. All have the endpoint list at their start. Changes are published in the first half of
+// the play, and are measured until its end.
+func playBaseline(ctx context.Context, plan *Plan, config Config, callDuration time.Duration) (
+	result BaselineResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	alone := *plan
-	alone.RealCoordinators, alone.Replicas, alone.Clients = 0, 0, 0
-	f, err := newFleet(c, &alone)
+	hollowPlan := *plan
+	hollowPlan.RealCoordinators, hollowPlan.Replicas, hollowPlan.Clients = 0, 0, 0
+	f, err := newFleet(config, &hollowPlan)
 	if err != nil {
 		return result, err
 	}
@@ -30,56 +33,53 @@
 		cancel()
 		err = errors.Join(err, f.close())
 	}()
-	f.publisher.registry.CallDuration, f.publisher.registry.MaxWait = turn, baselineMaxWait
+	registry := f.publisher.registry
+	registry.CallDuration, registry.MaxWait = callDuration, baselineMaxWait
 	sampler := newSampler(f)
-	go sampler.run(ctx)
-	f.timeline.note("without distribution, %v a call", turn)
-	for i := range f.hostProcesses {
-		if err := f.startBaselineHost(i); err != nil {
-			return result, err
-		}
-	}
-	if err := f.pause(ctx, baselineWarmUp); err != nil {
-		return result, err
-	}
-	began := time.Now()
-	if err := f.changeEndpointsFor(ctx, plan.Baseline.Duration/2); err != nil {
-		return result, err
-	}
-	if err := f.pauseUntil(ctx, began.Add(plan.Baseline.Duration)); err != nil {
+	f.background.Go(func() { sampler.run(ctx) })
+	f.timeline.note("without distribution, %v a call", callDuration)
+	began, err := f.playPolls(ctx)
+	if err != nil {
 		return result, err
 	}
 	over := time.Now()
-	h := &propagation{records: f.records, processStarts: f.started}
-	result.CallDuration, result.List = Seconds(turn), h.measure(f.publisher.published(), f.members)
-	result.ServedCalls, result.FailedCalls = f.publisher.registry.CallCounts()
+	delays := &propagation{records: f.records, processStarts: f.started}
+	result.CallDuration = Seconds(callDuration)
+	result.List = delays.measure(f.publisher.published(), f.members)
+	result.ServedCalls, result.FailedCalls = registry.CallCounts()
 	perHost := (plan.Coordinators + plan.Hosts - 1) / plan.Hosts
 	result.Cost = sampler.roleCost(roleHost, began, over, func(string) int { return perHost })
 	result.KBPerS = result.Cost.KBPerS * float64(plan.Coordinators)
 	return result, nil
 }
 
-// startPlainHost starts a host whose members follow discovery themselves.
-func (f *fleet) startBaselineHost(i int) error {
-	spec := HostSpec{}
-	var err error
-	if spec.Settings, err = encodeSettings(f.Settings, f.plan, 0); err != nil {
-		return err
-	}
-	for _, m := range f.members {
-		if m.host == i {
-			f.recordStart(m.name)
-			s := f.memberSpec(m)
-			s.Module, s.DiscoveryAddress, s.KnownIndex = false, f.discoveryAddress, f.publisher.registry.Index()
-			spec.Members = append(spec.Members, s)
+// playPolls starts the hosts, publishes the changes and returns when the baseline's duration has passed since it began.
+func (f *fleet) playPolls(ctx context.Context) (began time.Time, err error) {
+	for host := range f.hostProcesses {
+		if err := f.startHost(host, f.baselineMemberSpec); err != nil {
+			return began, err
 		}
 	}
-	return f.runHost(i, spec)
+	if err := f.pause(ctx, baselineWarmUp); err != nil {
+		return began, err
+	}
+	began = time.Now()
+	if err := f.changeEndpointsFor(ctx, f.plan.Baseline.Duration/2); err != nil {
+		return began, err
+	}
+	return began, f.pauseUntil(ctx, began.Add(f.plan.Baseline.Duration))
+}
+
+// baselineMemberSpec describes a member that polls discovery itself and has no decision module.
+func (f *fleet) baselineMemberSpec(m *member) MemberSpec {
+	spec := f.memberSpec(m)
+	spec.Module, spec.DiscoveryAddress, spec.KnownIndex = false, f.discoveryAddress, f.publisher.registry.Index()
+	return spec
 }
 
-// changeFor changes entries at the plan's rate for a while.
+// changeEndpointsFor changes endpoints at the plan's interval for d.
 func (f *fleet) changeEndpointsFor(ctx context.Context, d time.Duration) error {
-	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x62617365))
+	rng := rand.New(rand.NewPCG(f.plan.Seed, baselineStream))
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		f.restartEndpoint(rng)
 		if err := f.pause(ctx, max(pollInterval, f.plan.Changes.EndpointInterval)); err != nil {
--- a/internal/test/scaletest/measure.go
+++ b/internal/test/scaletest/measure.go
@@ -5,114 +5,135 @@
 	"time"
 )
 
-// measure sums the records up.
-func (f *fleet) measure(played []*faultRun) *Result {
-	result := &Result{Plan: f.plan.Name, Requests: map[string]int{}, Parts: f.replicas.partCount,
-		Sizes: Sizes{Coordinators: f.plan.Coordinators, RealCoordinators: f.plan.RealCoordinators, Modules: f.plan.Modules, Endpoints: f.plan.Endpoints, Replicas: f.plan.Replicas,
-			ControlProcesses: 1 + len(f.relays), Processes: len(f.processes()), Regions: f.plan.Regions, Zones: f.plan.Zones}}
-	var published, ordinary []Publication
-	for _, p := range f.publisher.published() {
-		if p.Index == 0 {
+const (
+	// faultMargin is how long before a fault's beginning and after its end a change counts as affected by it.
+	faultMargin = time.Second
+	// defaultRecovery takes the place of Bounds.Recovered where a plan has none.
+	defaultRecovery = 30 * time.Second
+)
+
+// measure sums up the records, except for costs.
+func (f *fleet) measure(faults []*faultRun) *Result {
+	result := &Result{Plan: f.plan.Name, Requests: map[string]int{}, Parts: f.replicas.parts(), Sizes: f.sizes()}
+	var observed, undisturbed []Publication
+	for _, change := range f.publisher.published() {
+		if change.Index == 0 {
 			result.UnobservedChanges++
 			continue
 		}
-		published = append(published, p)
-		if !slices.ContainsFunc(played, func(o *faultRun) bool { return o.affects(p, f.plan.recoveryTime()) }) {
-			ordinary = append(ordinary, p)
+		observed = append(observed, change)
+		affected := func(fault *faultRun) bool { return fault.affects(change, f.plan.recoveryTime()) }
+		if !slices.ContainsFunc(faults, affected) {
+			undisturbed = append(undisturbed, change)
 		}
 	}
-	h := &propagation{records: f.records, processStarts: f.started}
-	for _, o := range played {
-		if o.isolatedRegion >= 0 {
-			h.isolations = append(h.isolations, o)
+	delays := &propagation{records: f.records, processStarts: f.started}
+	for _, fault := range faults {
+		if fault.isolatedRegion >= 0 {
+			delays.isolations = append(delays.isolations, fault)
 		}
 	}
 	result.Started = f.measureStart()
-	result.List, result.Settings = h.measure(ofResource(List, ordinary), f.members), h.measure(ofResource(Settings, ordinary), f.members)
-	for _, o := range played {
-		result.Faults = append(result.Faults, f.measureFault(h, o, published))
-	}
-	result.Violations = f.findViolations(published)
-	for _, c := range f.clientPools {
-		for how, n := range c.Outcomes() {
-			result.Requests[how] += n
+	result.List = delays.measure(ofResource(List, undisturbed), f.members)
+	result.Settings = delays.measure(ofResource(Settings, undisturbed), f.members)
+	for _, fault := range faults {
+		result.Faults = append(result.Faults, f.measureFault(delays, fault, observed))
+	}
+	result.Violations = f.findViolations(observed)
+	for _, pool := range f.clientPools {
+		for outcome, count := range pool.Outcomes() {
+			result.Requests[outcome] += count
 		}
 	}
 	return result
 }
 
-// recovery is how long after a trouble's end changes still count as its own.
-func (p *Plan) recoveryTime() time.Duration {
-	if p.Bounds.Recovered > 0 {
-		return p.Bounds.Recovered
+// sizes returns what the run was made of.
+func (f *fleet) sizes() Sizes {
+	return Sizes{
+		Coordinators: f.plan.Coordinators, RealCoordinators: f.plan.RealCoordinators, Modules: f.plan.Modules,
+		Endpoints: f.plan.Endpoints, Replicas: f.plan.Replicas,
+		ControlProcesses: 1 + len(f.relays), Processes: len(f.processes()),
+		Regions: f.plan.Regions, Zones: f.plan.Zones,
 	}
-	return defaultRecovery
 }
 
-// covers tells whether a change was published while a trouble could hold it up.
-func (o *faultRun) affects(p Publication, recovery time.Duration) bool {
-	return p.At.After(o.begin.Add(-faultMargin)) && p.At.Before(o.end.Add(recovery))
+// affects reports whether a change was published while a fault, or what it left for some time after its end, could delay
+// it.
+func (r *faultRun) affects(change Publication, after time.Duration) bool {
+	return change.At.After(r.begin.Add(-faultMargin)) && change.At.Before(r.end.Add(after))
 }
 
-// of are the changes of one resource.
-func ofResource(r Resource, some []Publication) (list []Publication) {
-	for _, p := range some {
-		if p.Resource == r {
-			list = append(list, p)
+// ofResource returns the changes of one resource.
+func ofResource(resource Resource, changes []Publication) (selected []Publication) {
+	for _, change := range changes {
+		if change.Resource == resource {
+			selected = append(selected, change)
 		}
 	}
-	return list
+	return selected
 }
 
-// measureTrouble sums up one trouble: what was published in it, and the first change after its end.
-func (f *fleet) measureFault(h *propagation, o *faultRun, published []Publication) FaultDelays {
+// measureFault sums up one fault: the changes that were published in it, and the first change after its end.
+func (f *fleet) measureFault(delays *propagation, fault *faultRun, observed []Publication) FaultDelays {
 	var during, after []Publication
-	for _, p := range published {
-		if o.affects(p, faultMargin) {
-			during = append(during, p)
+	for _, change := range observed {
+		if fault.affects(change, faultMargin) {
+			during = append(during, change)
 		}
-		if p.Resource == List && len(after) == 0 && !p.At.Before(o.end) {
-			after = append(after, p)
+		if change.Resource == List && len(after) == 0 && !change.At.Before(fault.end) {
+			after = append(after, change)
 		}
 	}
-	var reached []*member
+	var reachable []*member
 	for _, m := range f.members {
-		if m.region != o.isolatedRegion {
-			reached = append(reached, m)
+		if m.region != fault.isolatedRegion {
+			reachable = append(reachable, m)
 		}
 	}
-	return FaultDelays{Description: o.description, At: o.begin.Sub(f.timeline.began).Seconds(), List: h.measure(ofResource(List, during), reached),
-		Settings: h.measure(ofResource(Settings, during), reached), Recovered: h.measure(after, f.members), CorruptedAnswers: o.corruptedAnswers}
+	return FaultDelays{
+		Description: fault.description, At: fault.begin.Sub(f.timeline.began).Seconds(),
+		List:             delays.measure(ofResource(List, during), reachable),
+		Settings:         delays.measure(ofResource(Settings, during), reachable),
+		Recovered:        delays.measure(after, f.members),
+		CorruptedAnswers: fault.corruptedAnswers,
+	}
 }
 
-// measureStart sums up how long members took from their first start until they had list and settings.
+// measureStart sums up how long members took from their first start until they had complete versions of both resources.
 func (f *fleet) measureStart() DelaySummary {
-	var times []time.Duration
+	var delays []time.Duration
 	never := 0
 	for _, m := range f.members {
-		had, whole := time.Time{}, true
-		for _, r := range []Resource{List, Settings} {
-			list := f.records.of(m.name, r)
-			i := slices.IndexFunc(list, func(t VersionRecord) bool { return t.Complete })
-			if whole = whole && i >= 0; whole && list[i].At.After(had) {
-				had = list[i].At
-			}
-		}
-		if !whole {
+		if at, ok := f.firstComplete(m); ok {
+			delays = append(delays, at.Sub(f.started[m.name][0]))
+		} else {
 			never++
-			continue
 		}
-		times = append(times, had.Sub(f.started[m.name][0]))
 	}
-	return summarizeDelays(0, times, never)
+	return summarizeDelays(0, delays, never)
 }
 
-// measureSpent sums up what the processes spent, by phase.
-func (f *fleet) measureCosts(result *Result, s *sampler, phases []time.Time, played []*faultRun) {
-	starting, started, calm, over := phases[0], phases[1], phases[2], phases[3]
-	trouble := over
-	if len(played) > 0 {
-		trouble = played[0].begin
+// firstComplete returns when a member first had complete versions of both resources; ok is false where it never did.
+func (f *fleet) firstComplete(m *member) (at time.Time, ok bool) {
+	for _, resource := range []Resource{List, Settings} {
+		list := f.records.of(m.name, resource)
+		i := slices.IndexFunc(list, func(r VersionRecord) bool { return r.Complete })
+		if i < 0 {
+			return time.Time{}, false
+		}
+		if list[i].At.After(at) {
+			at = list[i].At
+		}
+	}
+	return at, true
+}
+
+// measureCosts sums up what processes and the machine spent in each phase. The time of faults begins with the first one.
+func (f *fleet) measureCosts(result *Result, s *sampler, p phases, faults []*faultRun) {
+	firstFault := p.over
+	if len(faults) > 0 {
+		firstFault = faults[0].begin
 	}
 	members := map[string]int{}
 	for _, m := range f.members {
@@ -120,17 +141,24 @@
 			members[f.hostProcesses[m.host].name]++
 		}
 	}
-	per := func(process string) int { return max(1, members[process]) }
-	phase := func(from, to time.Time) map[role]RoleCost {
-		by := map[role]RoleCost{}
-		for _, r := range []role{roleAuthority, roleRelay, roleCoordinator, roleHost} {
-			by[r] = s.roleCost(r, from, to, per)
+	membersOf := func(process string) int { return max(1, members[process]) }
+	costs := func(from, to time.Time) map[role]RoleCost {
+		byRole := map[role]RoleCost{}
+		for _, r := range roles {
+			byRole[r] = s.roleCost(r, from, to, membersOf)
 		}
-		return by
+		return byRole
+	}
+	result.Starting = costs(p.starting, p.started)
+	result.Undisturbed = costs(p.undisturbed, firstFault)
+	result.DuringFaults = costs(firstFault, p.over)
+	result.Machine = map[string]MachineLoad{
+		phaseStarting:     s.machineLoad(p.starting, p.started),
+		phaseUndisturbed:  s.machineLoad(p.undisturbed, firstFault),
+		phaseDuringFaults: s.machineLoad(firstFault, p.over),
 	}
-	result.Starting, result.Undisturbed, result.DuringFaults = phase(starting, started), phase(calm, trouble), phase(trouble, over)
-	result.Machine = map[string]MachineLoad{"starting": s.machineLoad(starting, started), "calm": s.machineLoad(calm, trouble), "troubled": s.machineLoad(trouble, over)}
-	if real, hollow := result.Undisturbed[roleCoordinator], result.Undisturbed[roleHost]; f.plan.Bounds.CostRatio > 0 && real.CPU > 0 && real.KBPerS > 0 {
-		result.Ratio = &Ratio{CPU: hollow.CPU / real.CPU, Bytes: hollow.KBPerS / real.KBPerS}
+	realCost, hollowCost := result.Undisturbed[roleCoordinator], result.Undisturbed[roleHost]
+	if f.plan.Bounds.CostRatio > 0 && realCost.CPU > 0 && realCost.KBPerS > 0 {
+		result.Ratio = &Ratio{CPU: hollowCost.CPU / realCost.CPU, Bytes: hollowCost.KBPerS / realCost.KBPerS}
 	}
 }
--- a/internal/test/scaletest/network.go
+++ b/internal/test/scaletest/network.go
@@ -10,8 +10,8 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// network is the ways between regions: one link for each region and each server outside of it, or for all of them where
-// the plan says so.
+// network is the links between regions: one for each pair of a region and a process outside of it that the region's
+// processes call. Where the plan says so, calls within a region go through links as well.
 type network struct {
 	plan *Plan
 
@@ -19,67 +19,68 @@
 	links []*regionLink
 }
 
-// way leads from a region to a server.
+// regionLink leads from a region to one process.
 type regionLink struct {
 	*faultinjection.Link
 	from, to int // regions
 }
 
-// to gives the address at which a server can be reached from a region.
-func (n *network) addressFrom(from, region int, address string) (string, error) {
-	if from == region && !n.plan.Links.WithinRegions {
+// addressFrom returns the address by which processes of one region reach a process of another at its own address.
+func (n *network) addressFrom(from, to int, address string) (string, error) {
+	if from == to && !n.plan.Links.WithinRegions {
 		return address, nil
 	}
 	link, err := faultinjection.NewLink(address)
 	if err != nil {
 		return "", err
 	}
-	if from != region {
+	if from != to {
 		link.Delay(n.plan.Links.Delay)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links = append(n.links, &regionLink{link, from, region})
+	n.links = append(n.links, &regionLink{link, from, to})
 	return link.Address(), nil
 }
 
-// between lists the links that leave a region or lead into it.
-func (n *network) linksOf(region int) (some []*regionLink) {
+// linksOf returns the links that lead out of a region or into it.
+func (n *network) linksOf(region int) (links []*regionLink) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range n.links {
-		if w.from != w.to && (w.from == region || w.to == region) {
-			some = append(some, w)
+	for _, link := range n.links {
+		if link.from != link.to && (link.from == region || link.to == region) {
+			links = append(links, link)
 		}
 	}
-	return some
+	return links
 }
 
-// cut holds what goes between a region and all others; one-sided, only what goes into it.
-func (n *network) isolate(region int, oneSided bool) {
-	for _, w := range n.linksOf(region) {
-		into := faultinjection.ToServer
-		if w.from == region {
-			into = faultinjection.ToClient
+// isolate stalls what is sent between a region and all others; inboundOnly stalls just what is sent into the region.
+func (n *network) isolate(region int, inboundOnly bool) {
+	for _, link := range n.linksOf(region) {
+		inbound, outbound := faultinjection.ToServer, faultinjection.ToClient
+		if link.from == region {
+			inbound, outbound = outbound, inbound
 		}
-		w.Cut(into, true)
-		if !oneSided {
-			w.Cut(1-into, true)
+		link.Cut(inbound, true)
+		if !inboundOnly {
+			link.Cut(outbound, true)
 		}
 	}
 }
 
-// heal ends a cut. Connections that stood through it break, as they do once a machine is back that has been away.
+// heal ends the isolation of a region. Its connections break, like those to a machine that comes back after an outage.
 func (n *network) heal(region int) {
-	for _, w := range n.linksOf(region) {
-		w.Cut(faultinjection.ToServer, false)
-		w.Cut(faultinjection.ToClient, false)
-		w.Reset()
+	for _, link := range n.linksOf(region) {
+		link.Cut(faultinjection.ToServer, false)
+		link.Cut(faultinjection.ToClient, false)
+		link.Reset()
 	}
 }
 
-// lose holds up or breaks links between regions as the plan says, until ctx ends.
-func (n *network) injectLoss(ctx context.Context, rng *rand.Rand, cutOff func(region int) bool) {
+// injectLoss stalls or breaks a random link between regions at the plan's interval until ctx ends. Links of regions for
+// which isIsolated is true are left alone.
+func (n *network) injectLoss(ctx context.Context, rng *rand.Rand, isIsolated func(region int) bool) {
 	loss := n.plan.Links.Loss
 	if loss.Interval <= 0 {
 		return
@@ -96,29 +97,33 @@
 		if len(links) == 0 {
 			return
 		}
-		w := links[rng.IntN(len(links))]
-		if w.from == w.to || cutOff(w.from) || cutOff(w.to) {
+		link := links[rng.IntN(len(links))]
+		if link.from == link.to || isIsolated(link.from) || isIsolated(link.to) {
 			continue
 		}
 		if rng.Float64() < loss.ResetShare {
-			w.Reset()
+			link.Reset()
 			continue
 		}
-		direction := faultinjection.Direction(rng.IntN(2))
-		w.Cut(direction, true)
-		time.AfterFunc(loss.StallDuration, func() {
-			if !cutOff(w.from) && !cutOff(w.to) {
-				w.Cut(direction, false)
-			}
-		})
+		link.stall(faultinjection.Direction(rng.IntN(2)), loss.StallDuration, isIsolated)
 	}
 }
 
-// close ends all links.
+// stall passes nothing in one direction for d. A region that has become isolated by then keeps its links stalled.
+func (l *regionLink) stall(direction faultinjection.Direction, d time.Duration, isIsolated func(region int) bool) {
+	l.Cut(direction, true)
+	time.AfterFunc(d, func() {
+		if !isIsolated(l.from) && !isIsolated(l.to) {
+			l.Cut(direction, false)
+		}
+	})
+}
+
+// close closes all links.
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range n.links {
-		w.Close()
+	for _, link := range n.links {
+		link.Close()
 	}
 }
--- a/internal/test/scaletest/plan.go
+++ b/internal/test/scaletest/plan.go
@@ -1,12 +1,7 @@
-// Package scaletest plays a large fleet on one machine: real processes of the program, hollow coordinators that hold only what
-// lists and settings need, the control processes between them and a discovery stand-in, and links between regions that can
-// be broken. A plan in YAML names sizes, troubles and bounds; the result holds the measurements against the bounds. It is
-// for tests and the laboratory only.
 package scaletest
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -15,111 +10,107 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Plan is what a run is made of, what happens in it and what has to hold.
+// Plan is what a run is made of, what happens in it and which bounds it has to meet.
 type Plan struct {
 	Name             string        `yaml:"name"`
-	Seed             uint64        `yaml:"seed"`
-	Duration         time.Duration `yaml:"lasts"` // from when every member has the whole list
-	Regions          int           `yaml:"regions"`
-	Zones            int           `yaml:"zones"`        // dealt out to the regions in turn
-	Coordinators     int           `yaml:"coordinators"` // in all
-	RealCoordinators int           `yaml:"real"`         // of them, processes of the program
-	Modules          int           `yaml:"modules"`      // of the hollow ones, those that hold the decision module too
-	Hosts            int           `yaml:"hosts"`        // processes that hold the hollow ones
-	Endpoints        int           `yaml:"entries"`
-	RingSize         int           `yaml:"cells"`   // of the ring; 0 for one to each entry, so that three hold a section
-	Replicas         int           `yaml:"nodes"`   // of the entries, stand-ins that answer
-	Clients          int           `yaml:"clients"` // of each real coordinator
-	Relays           int           `yaml:"relays"`  // beside the authority; 0 plays the baseline alone
-	Heartbeat        time.Duration `yaml:"heartbeat"`
-	SnapshotRate     int           `yaml:"snapshot_rate"` // bytes a second that a relay spends on snapshots
+	Seed             uint64        `yaml:"seed"`          // of every draw of the run
+	Duration         time.Duration `yaml:"lasts"`         // from shortly after the clients' start to the last change
+	Regions          int           `yaml:"regions"`       // each has at least one zone
+	Zones            int           `yaml:"zones"`         // zone z lies in region z modulo Regions
+	Coordinators     int           `yaml:"coordinators"`  // real and hollow ones together
+	RealCoordinators int           `yaml:"real"`          // coordinators that are processes of the program
+	Modules          int           `yaml:"modules"`       // hollow coordinators that also run the decision module
+	Hosts            int           `yaml:"hosts"`         // processes that run the hollow coordinators
+	Endpoints        int           `yaml:"entries"`       // entries of the endpoint list
+	RingSize         int           `yaml:"cells"`         // ring positions; 0 gives each endpoint that does not answer its own
+	Replicas         int           `yaml:"nodes"`         // endpoints that answer; they are the first of the list
+	Clients          int           `yaml:"clients"`       // clients of each real coordinator
+	Relays           int           `yaml:"relays"`        // besides the authority; 0 plays the baseline alone
+	Heartbeat        time.Duration `yaml:"heartbeat"`     // how long a watch waits at most for a change
+	SnapshotRate     int           `yaml:"snapshot_rate"` // snapshot budget of each relay, in bytes a second; 0 for its default
 
 	Changes  Changes   `yaml:"changes"`
 	Links    Links     `yaml:"links"`
-	Faults   []Fault   `yaml:"troubles"`
-	Baseline *Baseline `yaml:"baseline"` // nil for none
+	Faults   []Fault   `yaml:"troubles"` // ordered by At
+	Baseline *Baseline `yaml:"baseline"` // nil plays none
 	Bounds   Bounds    `yaml:"must"`
 }
 
-// Changes is the ordinary rate of changes.
+// Changes are the intervals at which ordinary changes are published.
 type Changes struct {
-	EndpointInterval time.Duration `yaml:"entries"`  // between two changed entries of the list; 0 for none
+	EndpointInterval time.Duration `yaml:"entries"`  // between two changed endpoints; 0 for none
 	SettingsInterval time.Duration `yaml:"settings"` // between two versions of the settings; 0 for none
-	DrainInterval    time.Duration `yaml:"drains"`   // between two drains of nodes that answer; 0 for none
+	DrainInterval    time.Duration `yaml:"drains"`   // between two drains of replicas that answer; 0 for none
 }
 
-// Links are the ways between regions. Those within a region are direct unless All is set.
+// Links are the connections between regions. Those within a region are direct unless WithinRegions is set.
 type Links struct {
-	WithinRegions bool          `yaml:"all"`
-	Delay         time.Duration `yaml:"delay"` // of each piece, in each direction
+	WithinRegions bool          `yaml:"all"`   // also connections within a region go through a link
+	Delay         time.Duration `yaml:"delay"` // of each piece of data between regions, in each direction
 	Loss          Loss          `yaml:"loss"`
 }
 
-// Loss holds the bytes of a link, or breaks its connections, now and then.
+// Loss stalls a link between regions, or breaks its connections, from time to time.
 type Loss struct {
-	Interval      time.Duration `yaml:"every"` // 0 for never
-	StallDuration time.Duration `yaml:"hold"`
-	ResetShare    float64       `yaml:"resets"` // share of the losses that break connections
+	Interval      time.Duration `yaml:"every"`  // between two losses; 0 for none
+	StallDuration time.Duration `yaml:"hold"`   // how long a stalled link passes nothing in one direction
+	ResetShare    float64       `yaml:"resets"` // share of the losses that break connections instead, from 0 to 1
 }
 
-// Trouble is one thing that happens. Exactly one of the fields after For is set.
+// Fault is one thing that goes wrong. Exactly one field after Duration names it; InboundOnly belongs to IsolateRegion.
 type Fault struct {
-	At       time.Duration `yaml:"at"`
-	Duration time.Duration `yaml:"for"` // until it ends by itself; 0 for good
-
-	KillRelay      *int   `yaml:"kill_relay"`  // by number; started again after For
-	PauseRelay     *int   `yaml:"pause_relay"` // SIGSTOP until For is over
-	IsolateRegion  *int   `yaml:"cut_region"`  // from all others
-	InboundOnly    bool   `yaml:"one_sided"`   // with CutRegion: only what goes into the region is held
-	RestartAll     bool   `yaml:"restart_all"` // every member is killed and started
-	RemoveZone     *int   `yaml:"zone_gone"`   // its entries leave the list, one by one; back after For
-	CorruptAnswers string `yaml:"spoil"`       // what the first relay's answers become: see Spoils
-	Settings       string `yaml:"settings"`    // "invalid": the authority is given settings that it has to refuse
+	At       time.Duration `yaml:"at"`  // since the beginning of Plan.Duration
+	Duration time.Duration `yaml:"for"` // after which it is undone; 0 for never
+
+	KillRelay      *int   `yaml:"kill_relay"`  // number of the relay that is killed, and started again after Duration
+	PauseRelay     *int   `yaml:"pause_relay"` // number of the relay that is stopped by SIGSTOP, until SIGCONT
+	IsolateRegion  *int   `yaml:"cut_region"`  // number of the region that is isolated from all others
+	InboundOnly    bool   `yaml:"one_sided"`   // data leaves the isolated region, but none enters it
+	RestartAll     bool   `yaml:"restart_all"` // every member is ended and started again, all at once
+	RemoveZone     *int   `yaml:"zone_gone"`   // number of the zone whose endpoints leave the list at one instant
+	CorruptAnswers string `yaml:"spoil"`       // how answers of the first relay are corrupted: one of Corruptions
+	Settings       string `yaml:"settings"`    // "invalid": the authority is given settings that it has to reject
 }
 
-// Baseline plays the fleet once more as it is without distribution: every coordinator asks one discovery itself, which
-// serves calls in turn.
+// invalidSettings is the only value of Fault.Settings besides the empty one.
+const invalidSettings = "invalid"
+
+// Baseline plays the fleet once more without distribution: every coordinator polls one discovery itself, which serves one
+// call after another.
 type Baseline struct {
-	CallDurations []time.Duration `yaml:"turns"` // what a call costs discovery; one play each
+	CallDurations []time.Duration `yaml:"turns"` // how long discovery takes for a call with a change; one play for each
 	Duration      time.Duration   `yaml:"lasts"` // of each play
 }
 
-// Delays bound the time from the publishing of a change until it is in force, over all members and changes.
+// DelayBounds bound the delays from the publishing of a change until it is in force, over all members and changes. A zero
+// bounds nothing.
 type DelayBounds struct {
 	Median time.Duration `yaml:"median" json:"median"`
 	P99    time.Duration `yaml:"p99" json:"p99"`
 	Max    time.Duration `yaml:"last" json:"last"`
 }
 
-// Share bounds what a process of a role spends; a zero bounds nothing.
+// CostBounds bound what a process of a role costs. A zero bounds nothing.
 type CostBounds struct {
-	CPU      float64 `yaml:"cpu"`       // of a core
-	MemoryMB float64 `yaml:"memory_mb"` // resident, at most
-	KBPerS   float64 `yaml:"kb_per_s"`  // of distribution, in and out
+	CPU      float64 `yaml:"cpu"`       // share of a core
+	MemoryMB float64 `yaml:"memory_mb"` // largest resident size
+	KBPerS   float64 `yaml:"kb_per_s"`  // bytes of distribution, read and written
 }
 
-// Must is what has to hold besides the rules that always do: no version goes back, no half configuration, no request lost,
-// no part sent where the list in force forbids it, everyone at the last version at the end.
+// Bounds are what a run has to meet besides the rules that hold in every run: no version goes back, no settings of two
+// versions are in force, no request is lost, no part is sent where the endpoint list in force forbids it, and every member
+// has the last version at the end. A zero bounds nothing.
 type Bounds struct {
-	List         DelayBounds   `yaml:"list"`      // outside of troubles
-	Settings     DelayBounds   `yaml:"settings"`  // outside of troubles
-	Recovered    time.Duration `yaml:"recovered"` // after a trouble's end, until the last member has the latest version
-	Started      time.Duration `yaml:"started"`   // from the start of all until the last member has list and settings
-	HollowMember CostBounds    `yaml:"member"`    // a hollow one's share of its host
-	Relay        CostBounds    `yaml:"relay"`     // also the authority's
-	CostRatio    float64       `yaml:"ratio"`     // most between a hollow and a real one's CPU, or bytes, either way; 0 for no comparison
+	List         DelayBounds   `yaml:"list"`      // of the endpoint list, away from faults
+	Settings     DelayBounds   `yaml:"settings"`  // of the settings, away from faults
+	Recovered    time.Duration `yaml:"recovered"` // from a fault's end until the last member has the next version
+	Started      time.Duration `yaml:"started"`   // from a member's start until it has endpoint list and settings
+	HollowMember CostBounds    `yaml:"member"`    // of one hollow coordinator, as its share of its host
+	Relay        CostBounds    `yaml:"relay"`     // of each relay and of the authority
+	CostRatio    float64       `yaml:"ratio"`     // of CPU and of bytes, hollow to real or real to hollow; 0 compares nothing
 }
 
-// Bounds of what one machine can hold.
-const (
-	maxProcesses        = 300
-	maxEndpoints        = 7000
-	maxCoordinators     = 1500
-	maxControlProcesses = 10
-	maxDuration         = 10 * time.Minute
-)
-
-// cells is how many cells the ring has. The nodes that answer have the first ones to themselves.
+// ringSize is how many ring positions there are. The replicas that answer have the first ones to themselves.
 func (p *Plan) ringSize() int {
 	if p.RingSize > 0 {
 		return p.RingSize
@@ -127,108 +118,37 @@
 	return max(replicationFactor, p.replicaPositions()+p.Endpoints-p.Replicas)
 }
 
-// nodeCells is how many cells the nodes that answer have.
+// replicaPositions is how many ring positions the replicas that answer have.
 func (p *Plan) replicaPositions() int { return min(maxReplicaPositions, p.Replicas) }
 
-// Load reads a plan from a file.
-func LoadPlan(file string) (*Plan, error) {
-	data, err := os.ReadFile(file)
-	if err != nil {
-		return nil, err
-	}
-	p := &Plan{}
-	d := yaml.NewDecoder(bytes.NewReader(data))
-	d.KnownFields(true)
-	err = d.Decode(p)
-	if err == nil {
-		err = p.validate()
-	}
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
-	}
-	return p, nil
+// corruptsAnswers reports whether some fault corrupts answers.
+func (p *Plan) corruptsAnswers() bool {
+	return slices.ContainsFunc(p.Faults, func(fault Fault) bool { return fault.CorruptAnswers != "" })
 }
 
-// check names the first thing that no run could be or do.
-func (p *Plan) validate() error {
-	for _, c := range []struct {
-		what         string
-		have, lo, hi int
-	}{
-		{"regions", p.Regions, 1, 7}, {"zones", p.Zones, p.Regions, 19}, {"coordinators", p.Coordinators, 1, maxCoordinators},
-		{"real", p.RealCoordinators, 0, min(40, p.Coordinators)}, {"modules", p.Modules, 0, p.Coordinators - p.RealCoordinators},
-		{"hosts", p.Hosts, 0, 20}, {"entries", p.Endpoints, 1, maxEndpoints}, {"nodes", p.Replicas, 0, min(60, p.Endpoints)},
-		{"clients", p.Clients, 0, 20}, {"relays", p.Relays, 0, maxControlProcesses - 1},
-	} {
-		if c.have < c.lo || c.have > c.hi {
-			return fmt.Errorf("%s: %d is not within %d and %d", c.what, c.have, c.lo, c.hi)
-		}
+// recoveryTime is how long after a fault's end changes still count as affected by it.
+func (p *Plan) recoveryTime() time.Duration {
+	if p.Bounds.Recovered > 0 {
+		return p.Bounds.Recovered
 	}
-	switch {
-	case p.Hosts == 0 && p.Coordinators > p.RealCoordinators:
-		return errors.New("hosts: hollow coordinators need one at least")
-	case p.Duration <= 0 || p.Duration > maxDuration:
-		return fmt.Errorf("lasts: %v is not within 0 and %v", p.Duration, maxDuration)
-	case p.Relays == 0 && p.Baseline == nil:
-		return errors.New("relays: without any and without a baseline there is nothing to play")
-	case p.RingSize > 0 && (p.RingSize <= maxReplicaPositions || p.RingSize > p.Endpoints):
-		return fmt.Errorf("cells: %d is not within %d and %d", p.RingSize, maxReplicaPositions+1, p.Endpoints)
-	case p.Clients > 0 && p.Replicas < minReplicasForClients:
-		return fmt.Errorf("nodes: clients need %d at least", minReplicasForClients)
-	case 1+p.Relays+p.Hosts+p.RealCoordinators > maxProcesses:
-		return fmt.Errorf("more than %d processes", maxProcesses)
-	}
-	for i, t := range p.Faults {
-		if err := p.validateFault(t); err != nil {
-			return fmt.Errorf("trouble %d at %v: %w", i+1, t.At, err)
-		}
-		if i > 0 && t.At < p.Faults[i-1].At {
-			return fmt.Errorf("trouble %d at %v comes before the one above", i+1, t.At)
-		}
-	}
-	return nil
-}
-
-// spoils tells whether some trouble spoils answers.
-func (p *Plan) corruptsAnswers() bool {
-	return slices.ContainsFunc(p.Faults, func(t Fault) bool { return t.CorruptAnswers != "" })
+	return defaultRecovery
 }
 
-// checkTrouble names what no trouble could be.
-func (p *Plan) validateFault(t Fault) error {
-	set := 0
-	for _, number := range []struct {
-		what string
-		no   *int
-		most int
-	}{{"kill_relay", t.KillRelay, p.Relays}, {"pause_relay", t.PauseRelay, p.Relays}, {"cut_region", t.IsolateRegion, p.Regions}, {"zone_gone", t.RemoveZone, p.Zones}} {
-		if number.no == nil {
-			continue
-		}
-		set++
-		if *number.no < 0 || *number.no >= number.most {
-			return fmt.Errorf("%s: %d is not within 0 and %d", number.what, *number.no, number.most-1)
-		}
+// LoadPlan reads a plan from a file. The error wraps ErrInvalidPlan where the file is no plan, or one that no run could
+// play.
+func LoadPlan(file string) (*Plan, error) {
+	data, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
 	}
-	for _, yes := range []bool{t.RestartAll, t.CorruptAnswers != "", t.Settings != ""} {
-		if yes {
-			set++
-		}
+	plan := &Plan{}
+	decoder := yaml.NewDecoder(bytes.NewReader(data))
+	decoder.KnownFields(true)
+	if err = decoder.Decode(plan); err == nil {
+		err = plan.validate()
 	}
-	switch {
-	case set != 1:
-		return fmt.Errorf("names %d things; one trouble is one", set)
-	case (t.PauseRelay != nil || t.IsolateRegion != nil) && t.Duration <= 0:
-		return errors.New("for: a pause or a cut has to end")
-	case t.At+t.Duration >= p.Duration:
-		return fmt.Errorf("ends after the run, which lasts %v", p.Duration)
-	case t.CorruptAnswers != "" && !slices.Contains(Corruptions, t.CorruptAnswers):
-		return fmt.Errorf("spoil %q is none of %v", t.CorruptAnswers, Corruptions)
-	case t.Settings != "" && t.Settings != invalidSettings:
-		return fmt.Errorf("settings %q is not %q", t.Settings, invalidSettings)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w: %w", file, ErrInvalidPlan, err)
 	}
-	return nil
+	return plan, nil
 }
-
-// invalidSettings names the trouble in which the authority is given settings that it has to refuse.
-const invalidSettings = "invalid"
--- a/internal/test/scaletest/plan_test.go
+++ b/internal/test/scaletest/plan_test.go
@@ -1,14 +1,15 @@
 package scaletest
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// The committed plans are ones that a run can play.
-func TestPlansLoad(t *testing.T) {
+// Every committed plan is one that a run can play.
+func TestCommittedPlansLoad(t *testing.T) {
 	files, err := filepath.Glob("plans/*.yaml")
 	if err != nil || len(files) < 4 {
 		t.Fatalf("plans %v, %v", files, err)
@@ -20,8 +21,8 @@
 	}
 }
 
-// What no run could be or do is refused with what is wrong.
-func TestPlansAreChecked(t *testing.T) {
+// A plan that no run could play is rejected. The error names the file and what is wrong in it.
+func TestInvalidPlansAreRejected(t *testing.T) {
 	base := "name: x\nlasts: 10s\nregions: 2\nzones: 3\ncoordinators: 5\nhosts: 1\nentries: 9\nrelays: 2\n"
 	for text, want := range map[string]string{
 		base + "colour: red\n":                                              "colour",
@@ -47,7 +48,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := LoadPlan(file); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), file) {
+		if _, err := LoadPlan(file); !errors.Is(err, ErrInvalidPlan) || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), file) {
 			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
 	}
--- a/internal/test/scaletest/process.go
+++ b/internal/test/scaletest/process.go
@@ -16,47 +16,53 @@
 // role is what a process is in the fleet.
 type role string
 
-// The roles.
+// The roles, as reports name them.
 const (
 	roleAuthority   role = "authority"
 	roleRelay       role = "relay"
-	roleCoordinator role = "coordinator"
+	roleCoordinator role = "coordinator" // a real one
 	roleHost        role = "host of hollow coordinators"
 )
 
-// endWithin is how long a process has from SIGTERM until it is killed.
+// roles are all roles, in the order of reports.
+var roles = []role{roleAuthority, roleRelay, roleCoordinator, roleHost}
+
+// stopTimeout is how long after SIGTERM a process that still runs is killed.
 const stopTimeout = 10 * time.Second
 
-// process is one that the run has started. What it writes to standard error is kept in a file.
+// process is a process that the run has started. What it writes to standard error is in a file.
 type process struct {
 	name          string
 	role          role
 	cmd           *exec.Cmd
-	stdin         io.WriteCloser // nil unless it is fed
-	exited        chan struct{}  // closed when it has ended
-	exitErr       error          // how it ended; read after over
-	outputReaders sync.WaitGroup // readers of its output
-
-	logPath        string      // the file of what it writes to standard error
-	logSizeAtStart int64       // its size when the process was started
-	endExpected    atomic.Bool // by the run, which meant to
+	stdin         io.WriteCloser // nil unless its command needs it
+	exited        chan struct{}  // closed when the process has exited and its output has been read
+	exitErr       error          // of exec.Cmd.Wait; to be read once exited is closed
+	outputReaders sync.WaitGroup
+
+	logPath        string
+	logSizeAtStart int64       // bytes; a process that is started again appends to its log
+	endExpected    atomic.Bool // the run has begun to end the process
 }
 
 // command says how a process is started.
 type command struct {
 	name       string
 	role       role
-	args       []string // the program with its arguments
-	env        []string // beside the run's own
-	dir        string   // for the log
-	readStdout func(io.Reader)
-	readStderr func(io.Reader) // nil for the log alone
+	args       []string        // the program and its arguments
+	env        []string        // KEY=VALUE, besides this process's own environment
+	dir        string          // folder of the log
+	readStdout func(io.Reader) // reads standard output to its end; nil discards it
+	readStderr func(io.Reader) // reads standard error to its end, besides the log; nil for the log alone
 	needsStdin bool
 }
 
-// startProcess starts one that does not outlive the run.
+// startProcess starts a process. The kernel kills it if this process exits without having stopped it.
 func startProcess(c command) (*process, error) {
-	p := &process{name: c.name, role: c.role, cmd: exec.Command(c.args[0], c.args[1:]...), exited: make(chan struct{})}
+	p := &process{
+		name: c.name, role: c.role,
+		cmd: exec.Command(c.args[0], c.args[1:]...), exited: make(chan struct{}),
+	}
 	p.cmd.Env = append(os.Environ(), c.env...)
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := os.OpenFile(filepath.Join(c.dir, c.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -68,46 +74,49 @@
 	p.logSizeAtStart = p.loggedBytes()
 	if c.needsStdin {
 		if p.stdin, err = p.cmd.StdinPipe(); err != nil {
-			return nil, err
+			return nil, errors.Join(err, log.Close())
 		}
 	}
 	if err := p.openOutput(c, log); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
 	if err := p.cmd.Start(); err != nil {
-		return nil, fmt.Errorf("scale: %s: %w", c.name, errors.Join(err, log.Close()))
-	}
-	go func() {
-		p.outputReaders.Wait() // before Wait closes the pipes
-		log.Close()
-		p.exitErr = p.cmd.Wait()
-		close(p.exited)
-	}()
+		return nil, fmt.Errorf("scaletest: %s: %w", c.name, errors.Join(err, log.Close()))
+	}
+	go p.awaitExit(log)
 	return p, nil
 }
 
-// follow reads what the process writes.
+// awaitExit waits until the process has exited. exec.Cmd.Wait closes the pipes, so the output is read to its end before.
+func (p *process) awaitExit(log io.Closer) {
+	p.outputReaders.Wait()
+	log.Close()
+	p.exitErr = p.cmd.Wait()
+	close(p.exited)
+}
+
+// openOutput starts the readers of what the process will write.
 func (p *process) openOutput(c command, log io.Writer) error {
 	if c.readStdout != nil {
-		out, err := p.cmd.StdoutPipe()
+		stdout, err := p.cmd.StdoutPipe()
 		if err != nil {
 			return err
 		}
-		p.outputReaders.Go(func() { c.readStdout(out) })
+		p.outputReaders.Go(func() { c.readStdout(stdout) })
 	}
 	if c.readStderr == nil {
 		return nil
 	}
 	p.cmd.Stderr = nil
-	errs, err := p.cmd.StderrPipe()
+	stderr, err := p.cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
-	p.outputReaders.Go(func() { c.readStderr(io.TeeReader(errs, log)) })
+	p.outputReaders.Go(func() { c.readStderr(io.TeeReader(stderr, log)) })
 	return nil
 }
 
-// logged is how many bytes the process has written to its log.
+// loggedBytes is how many bytes the process has written to its log.
 func (p *process) loggedBytes() int64 {
 	info, err := os.Stat(p.logPath)
 	if err != nil {
@@ -118,7 +127,7 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// runs tells whether the process has not ended.
+// isRunning reports whether the process has not exited yet.
 func (p *process) isRunning() bool {
 	select {
 	case <-p.exited:
@@ -128,6 +137,7 @@
 	}
 }
 
+// signal sends a signal; the error is os.ErrProcessDone where the process has exited.
 func (p *process) signal(s syscall.Signal) error {
 	if !p.isRunning() {
 		return os.ErrProcessDone
@@ -135,19 +145,21 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// kill ends the process at once and waits for that.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	p.endExpected.Store(true)
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// stop ends the process as planned, or kills it where that takes too long.
+// stop sends SIGTERM and waits until the process has exited; after stopTimeout it kills the process. The error wraps
+// ErrProcessFailed where that was needed, or where the process exited with an error. A process that was killed before is
+// no error.
 func (p *process) stop() error {
 	if p.endExpected.Swap(true) && !p.isRunning() {
 		return nil
 	}
-	p.signal(syscall.SIGCONT)
+	p.signal(syscall.SIGCONT) // a paused process would not see SIGTERM
 	p.signal(syscall.SIGTERM)
 	if p.stdin != nil {
 		p.stdin.Close()
@@ -156,14 +168,14 @@
 	case <-p.exited:
 	case <-time.After(stopTimeout):
 		p.kill()
-		return fmt.Errorf("scale: %s does not end", p.name)
+		return fmt.Errorf("%w: %s did not exit within %v of SIGTERM", ErrProcessFailed, p.name, stopTimeout)
 	}
 	var exit *exec.ExitError
 	if errors.As(p.exitErr, &exit) && exit.ExitCode() < 0 { // ended by the signal itself
 		return nil
 	}
 	if p.exitErr != nil {
-		return fmt.Errorf("scale: %s ended with %w", p.name, p.exitErr)
+		return fmt.Errorf("%w: %s: %w", ErrProcessFailed, p.name, p.exitErr)
 	}
 	return nil
 }
--- a/internal/test/scaletest/publisher.go
+++ b/internal/test/scaletest/publisher.go
@@ -8,109 +8,117 @@
 	"harepass/internal/test/fake"
 )
 
-// Resource is what is distributed.
+// Resource is what is distributed in versions.
 type Resource string
 
 // The resources.
 const (
-	List     Resource = "list"
+	List     Resource = "list" // the endpoint list
 	Settings Resource = "settings"
 )
 
-// Publication is a change as its source had it. Its mark tells it from all others of its resource and rises with each: the
-// entries' since_ms, or the number that a version of the settings carries.
+// Publication is a change of a resource as its source published it.
 type Publication struct {
-	Resource      Resource
+	Resource Resource
+	// Sequence tells a change from all others of its resource and rises with each. The endpoint list carries it as the
+	// changed endpoints' since_ms, the settings as the number of their version.
 	Sequence      int64
 	At            time.Time
-	EndpointNames []string // the entries that changed
-	Status        string   // that they have since
-	Index         int64    // the authority's; 0 until it is known
+	EndpointNames []string // the endpoints that changed; empty for the settings
+	Status        string   // of these endpoints from here on; empty for the settings
+	Index         int64    // which the authority gave to the change; 0 until that is known
 }
 
-// publisher changes the list and keeps what it published.
+// publisher changes the endpoint list and records all changes of both resources. Its methods may be called by any
+// goroutine.
 type publisher struct {
 	registry *Registry
 
 	mu              sync.Mutex
-	endpoints       []fake.Endpoint // as they are now
-	lastSequence    int64
-	publications    []*Publication
-	endpointChanges map[int64]*Publication // of the list
-	settingsChanges map[int64]*Publication // of the settings
+	endpoints       []fake.Endpoint        // in their present state
+	lastSequence    int64                  // of the endpoint list
+	publications    []*Publication         // in the order of publishing
+	endpointChanges map[int64]*Publication // by sequence number
+	settingsChanges map[int64]*Publication // by sequence number
 }
 
-func newPublisher(entries []fake.Endpoint) *publisher {
-	return &publisher{registry: NewRegistry(entries), endpoints: entries, endpointChanges: map[int64]*Publication{}, settingsChanges: map[int64]*Publication{}}
+// newPublisher returns a publisher whose registry has some endpoints, as its first version.
+func newPublisher(endpoints []fake.Endpoint) *publisher {
+	return &publisher{
+		registry: NewRegistry(endpoints), endpoints: endpoints,
+		endpointChanges: map[int64]*Publication{}, settingsChanges: map[int64]*Publication{},
+	}
 }
 
-// change gives some entries a status, in one instant.
-func (p *publisher) publishStatus(status string, which ...int) *Publication {
+// publishStatus gives some endpoints, by number, a status and a new start, all at one instant.
+func (p *publisher) publishStatus(status string, numbers ...int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	p.lastSequence = max(now.UnixMilli(), p.lastSequence+1)
-	pub := &Publication{Resource: List, Sequence: p.lastSequence, At: now, Status: status}
+	publication := &Publication{Resource: List, Sequence: p.lastSequence, At: now, Status: status}
 	var changed []fake.Endpoint
-	for _, i := range which {
-		e := &p.endpoints[i]
-		e.Status, e.SinceMS = status, p.lastSequence
-		changed = append(changed, *e)
-		pub.EndpointNames = append(pub.EndpointNames, e.Name)
+	for _, i := range numbers {
+		endpoint := &p.endpoints[i]
+		endpoint.Status, endpoint.SinceMS = status, p.lastSequence
+		changed = append(changed, *endpoint)
+		publication.EndpointNames = append(publication.EndpointNames, endpoint.Name)
 	}
-	p.publications, p.endpointChanges[p.lastSequence] = append(p.publications, pub), pub
+	p.publications = append(p.publications, publication)
+	p.endpointChanges[p.lastSequence] = publication
 	p.registry.Put(changed...)
-	return pub
 }
 
-// status is an entry's now.
-func (p *publisher) status(i int) string {
+// publishSettings records a version of the settings that is about to be given to the authority.
+func (p *publisher) publishSettings(number int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.endpoints[i].Status
+	publication := &Publication{Resource: Settings, Sequence: number, At: time.Now()}
+	p.publications = append(p.publications, publication)
+	p.settingsChanges[number] = publication
 }
 
-// settings notes a version of the settings that is about to be handed to the authority.
-func (p *publisher) publishSettings(number int64) *Publication {
+// status returns the present status of an endpoint, by number.
+func (p *publisher) status(number int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pub := &Publication{Resource: Settings, Sequence: number, At: time.Now()}
-	p.publications, p.settingsChanges[number] = append(p.publications, pub), pub
-	return pub
+	return p.endpoints[number].Status
 }
 
-// seen notes which index the authority gave to a mark.
-func (p *publisher) recordIndex(r Resource, mark, index int64) {
+// recordIndex notes the index that the authority gave to an entry of the change with a sequence number. The change itself
+// has the highest index of its entries.
+func (p *publisher) recordIndex(resource Resource, sequence, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	marks := p.endpointChanges
-	if r == Settings {
-		marks = p.settingsChanges
+	changes := p.endpointChanges
+	if resource == Settings {
+		changes = p.settingsChanges
 	}
-	if pub := marks[mark]; pub != nil {
-		pub.Index = max(pub.Index, index)
+	if publication := changes[sequence]; publication != nil {
+		publication.Index = max(publication.Index, index)
 	}
 }
 
-// seenGone notes which index the authority gave to an entry's removal, of which nothing but the name is told.
+// recordRemovalIndex notes the index that the authority gave to the removal of an endpoint. A removal carries no sequence
+// number, so it belongs to the latest change that ended an endpoint of its name.
 func (p *publisher) recordRemovalIndex(name string, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := len(p.publications) - 1; i >= 0; i-- {
-		if pub := p.publications[i]; pub.Status == fake.StatusTerminated && slices.Contains(pub.EndpointNames, name) {
-			pub.Index = max(pub.Index, index)
+	for _, publication := range slices.Backward(p.publications) {
+		if publication.Status == fake.StatusTerminated && slices.Contains(publication.EndpointNames, name) {
+			publication.Index = max(publication.Index, index)
 			return
 		}
 	}
 }
 
-// published lists what has been published so far.
+// published returns the changes so far, in the order of publishing.
 func (p *publisher) published() []Publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var list []Publication
-	for _, pub := range p.publications {
-		list = append(list, *pub)
+	var publications []Publication
+	for _, publication := range p.publications {
+		publications = append(publications, *publication)
 	}
-	return list
+	return publications
 }
--- a/internal/test/scaletest/registry.go
+++ b/internal/test/scaletest/registry.go
@@ -27,8 +27,8 @@
 	changed      chan struct{} // closed and replaced at each change
 	snapshot     []byte        // the complete list in its latest version; nil where it has to be made
 	idleAt       time.Time     // when the calls that were accepted are served
-	answers      int
-	failed       int
+	servedCalls  int
+	failedCalls  int
 }
 
 // NewRegistry returns a registry that lists some endpoints.
@@ -65,7 +65,7 @@
 func (r *Registry) CallCounts() (served, failed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.answers, r.failed
+	return r.servedCalls, r.failedCalls
 }
 
 // Serve answers calls until the listener is closed, which gives the error.
@@ -136,10 +136,10 @@
 		begin = r.idleAt
 	}
 	if r.MaxWait > 0 && begin.Sub(now) > r.MaxWait {
-		r.failed++
+		r.failedCalls++
 		return r.MaxWait, false
 	}
-	r.answers++
+	r.servedCalls++
 	r.idleAt = begin.Add(r.CallDuration)
 	return r.idleAt.Sub(now), true
 }
--- a/internal/test/scaletest/run.go
+++ b/internal/test/scaletest/run.go
@@ -10,34 +10,40 @@
 )
 
 const (
-	settleAfterStart = 3 * time.Second // until what is measured counts as calm
-	defaultRecovery  = 30 * time.Second
-	// margin is how long before and after a trouble changes count as its own.
-	faultMargin = time.Second
-	// lastWithin is how long the last change has to get everywhere before the members are held against it.
+	// settleAfterStart is the time from the clients' start until the fleet counts as undisturbed.
+	settleAfterStart = 3 * time.Second
+	// settleTimeout bounds the wait at the end of a run for every member to have the last versions.
 	settleTimeout = 10 * time.Second
+	// settleInterval is the time between two looks at whether every member has the last versions.
+	settleInterval = time.Second
+	// readyTimeout bounds a request to a coordinator's readiness endpoint.
+	readyTimeout = time.Second
+
+	// lossStream tells the random draws of lost links from others with the plan's seed.
+	lossStream = 0x6c6f7373
 )
 
-// Run plays a plan. The error is ErrMissed where a bound was missed or a rule broken; the result is there also then.
-func Run(ctx context.Context, plan *Plan, c Config) (*Result, error) {
+// Run plays a plan once. The error is ErrBoundMissed where a bound was missed or a rule broken; the result is complete then
+// as well. Other errors say why the run could not be finished. Run returns early once ctx ends, and has ended every
+// process that it started when it returns.
+func Run(ctx context.Context, plan *Plan, config Config) (*Result, error) {
 	began := time.Now()
 	result := &Result{Plan: plan.Name}
-	var err error
 	if plan.Relays > 0 {
-		result, err = play(ctx, plan, c)
+		var err error
+		if result, err = playDistribution(ctx, plan, config); err != nil {
+			return result, err
+		}
 	}
-	if err == nil && plan.Baseline != nil {
-		for _, turn := range plan.Baseline.CallDurations {
-			b, e := playBaseline(ctx, plan, c, turn)
-			if err = e; err != nil {
-				break
+	if plan.Baseline != nil {
+		for _, callDuration := range plan.Baseline.CallDurations {
+			baseline, err := playBaseline(ctx, plan, config, callDuration)
+			if err != nil {
+				return result, err
 			}
-			result.Baseline = append(result.Baseline, b)
+			result.Baseline = append(result.Baseline, baseline)
 		}
 	}
-	if err != nil {
-		return result, err
-	}
 	result.Seconds = time.Since(began).Seconds()
 	if result.checkBounds(plan); len(result.MissedBounds) > 0 {
 		return result, ErrBoundMissed
@@ -45,63 +51,94 @@
 	return result, nil
 }
 
-// play plays the fleet with distribution.
-func play(ctx context.Context, plan *Plan, c Config) (result *Result, err error) {
+// playDistribution plays the fleet with an authority and relays. Processes that failed only at their end are bounds missed
+// where there is a result.
+func playDistribution(ctx context.Context, plan *Plan, config Config) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f, err := newFleet(c, plan)
+	f, err := newFleet(config, plan)
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		cancel()
-		failed := f.close()
-		if result != nil && failed != nil {
-			result.MissedBounds = append(result.MissedBounds, strings.Split(failed.Error(), "\n")...)
+		closeErr := f.close()
+		if result != nil && closeErr != nil {
+			result.MissedBounds = append(result.MissedBounds, strings.Split(closeErr.Error(), "\n")...)
 			return
 		}
-		err = errors.Join(err, failed)
+		err = errors.Join(err, closeErr)
 	}()
+	return f.play(ctx)
+}
+
+// phases are the instants that divide a run.
+type phases struct {
+	starting    time.Time // all members are started from here on
+	started     time.Time // every member has the endpoint list and the settings
+	undisturbed time.Time // the clients have settled; Plan.Duration begins
+	over        time.Time // Plan.Duration has passed; no more ordinary changes
+}
+
+// play starts everything, plays changes and faults, and measures.
+func (f *fleet) play(ctx context.Context) (*Result, error) {
 	sampler := newSampler(f)
-	go sampler.run(ctx)
-	if err := f.startControl(ctx); err != nil {
+	f.background.Go(func() { sampler.run(ctx) })
+	var p phases
+	if err := f.startAll(ctx, &p); err != nil {
 		return nil, err
 	}
-	go f.watchAuthority(ctx)
-	starting := time.Now()
-	if err := f.startMembers(); err != nil {
+	faults, err := f.disturb(ctx, &p)
+	if err != nil {
 		return nil, err
 	}
-	if err := f.awaitMembers(ctx); err != nil {
+	if err := f.settle(ctx); err != nil {
 		return nil, err
 	}
-	started := time.Now()
-	if err := f.startClients(ctx); err != nil {
-		return nil, err
+	result := f.measure(faults)
+	f.measureCosts(result, sampler, p, faults)
+	return result, nil
+}
+
+// startAll starts the control processes, then the members, then the clients.
+func (f *fleet) startAll(ctx context.Context, p *phases) error {
+	if err := f.startControl(ctx); err != nil {
+		return err
+	}
+	f.background.Go(func() { f.watchAuthority(ctx) })
+	p.starting = time.Now()
+	if err := f.startMembers(); err != nil {
+		return err
+	}
+	if err := f.awaitMembers(ctx); err != nil {
+		return err
 	}
-	calm := time.Now().Add(settleAfterStart)
-	go f.network.injectLoss(ctx, rand.New(rand.NewPCG(plan.Seed, 0x6c6f7373)), f.isIsolated)
+	p.started = time.Now()
+	return f.startClients(ctx)
+}
+
+// disturb plays the ordinary changes, the losses of links and the faults for the plan's duration, and returns the faults
+// as they were played.
+func (f *fleet) disturb(ctx context.Context, p *phases) ([]*faultRun, error) {
+	p.undisturbed = time.Now().Add(settleAfterStart)
+	lossRand := rand.New(rand.NewPCG(f.plan.Seed, lossStream))
+	f.background.Go(func() { f.network.injectLoss(ctx, lossRand, f.isIsolated) })
 	changing, stopChanges := context.WithCancel(ctx)
 	defer stopChanges()
 	f.startChanges(changing)
-	played, err := f.playFaults(ctx, calm)
+	faults, err := f.playFaults(ctx, p.undisturbed)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.pauseUntil(ctx, calm.Add(plan.Duration)); err != nil {
+	if err := f.pauseUntil(ctx, p.undisturbed.Add(f.plan.Duration)); err != nil {
 		return nil, err
 	}
 	stopChanges()
-	over := time.Now()
-	if err := f.settle(ctx); err != nil {
-		return nil, err
-	}
-	result = f.measure(played)
-	f.measureCosts(result, sampler, []time.Time{starting, started, calm, over}, played)
-	return result, nil
+	p.over = time.Now()
+	return faults, nil
 }
 
-// startClients lets the clients of the real members ask, once these take them.
+// startClients starts the clients of each real coordinator once it is ready for them.
 func (f *fleet) startClients(ctx context.Context) error {
 	for _, m := range f.members {
 		if !m.real {
@@ -113,19 +150,19 @@
 			}
 		}
 		if f.plan.Clients > 0 {
-			crowd, err := f.replicas.openClients(f.plan, f.Settings, m.name, m.address)
+			pool, err := f.replicas.openClients(f.plan, f.Settings, m.name, m.address)
 			if err != nil {
 				return err
 			}
-			f.clientPools = append(f.clientPools, crowd)
+			f.clientPools = append(f.clientPools, pool)
 		}
 	}
 	return nil
 }
 
-// ready tells whether a coordinator says that it takes clients.
+// isReady reports whether the coordinator at an address says that it accepts clients.
 func isReady(address string) bool {
-	client := http.Client{Timeout: time.Second}
+	client := http.Client{Timeout: readyTimeout}
 	answer, err := client.Get("http://" + address + "/health/ready")
 	if err != nil {
 		return false
@@ -135,20 +172,20 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// settle publishes a last change and waits until every member has it, and the last settings, or for some seconds. Then the
-// clients end.
+// settle publishes a last change and waits until every member has it and the last settings, or until settleTimeout has
+// passed. After that it stops the clients.
 func (f *fleet) settle(ctx context.Context) error {
 	f.publishProbe()
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
-		if err := f.pause(ctx, time.Second); err != nil {
+		if err := f.pause(ctx, settleInterval); err != nil {
 			return err
 		}
-		var b Violations
+		var v Violations
 		for _, m := range f.members {
-			f.checkEnd(&b, m, List, f.publisher.published())
-			f.checkEnd(&b, m, Settings, f.publisher.published())
+			f.checkEnd(&v, m, List, f.publisher.published())
+			f.checkEnd(&v, m, Settings, f.publisher.published())
 		}
-		if b.Behind == 0 {
+		if v.Behind == 0 {
 			break
 		}
 	}
@@ -156,11 +193,11 @@
 	return nil
 }
 
-// endClients lets all clients finish what they have asked.
+// stopClients waits until all clients have had the answers to what they have sent. Only the first call does anything.
 func (f *fleet) stopClients() {
 	f.stopClientsOnce.Do(func() {
-		for _, c := range f.clientPools {
-			c.Stop()
+		for _, pool := range f.clientPools {
+			pool.Stop()
 		}
 	})
 }
--- a/internal/test/scaletest/settings.go
+++ b/internal/test/scaletest/settings.go
@@ -2,21 +2,22 @@
 
 import (
 	"encoding/json"
-	"errors"
+	"fmt"
 	"time"
 )
 
-// Each version of the settings carries its number in two places that different parts of the program take over: whoever
-// has different numbers there has half a version in force.
+// Each version of the settings carries its number in two settings that different parts of the program put in force. A
+// coordinator that has different numbers there has settings of two versions in force.
 const (
-	retryAfterBase = time.Second
-	keepAliveBase  = 30 * time.Second
+	retryAfterBase = time.Second      // caps.max_retry_after_us of version 0; version n has n microseconds more
+	keepAliveBase  = 30 * time.Second // caps.keepalive_us of version 0; version n has n microseconds more
 )
 
-// plenty is a quota that no client of a run reaches.
+// unreachableQuota is a tenant's quota, in queries a second, that the clients of no run reach.
 const unreachableQuota = 10_000_000
 
-// numbered words a version of the settings for a fleet.
+// encodeSettings returns a version of the settings for a fleet: those of the site, with the plan's ring, the fleet's size
+// and the version's number. The error wraps ErrInvalidSettings where the site's lack an object that is changed.
 func encodeSettings(site json.RawMessage, plan *Plan, number int64) ([]byte, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(site, &settings); err != nil {
@@ -26,23 +27,24 @@
 	caps, _ := settings["caps"].(map[string]any)
 	rules, _ := settings["rules"].(map[string]any)
 	if family == nil || caps == nil || rules == nil {
-		return nil, errors.New("scale: the settings have no family_info, no caps or no rules")
+		return nil, fmt.Errorf("%w: no family_info, no caps or no rules", ErrInvalidSettings)
 	}
 	settings["balancers"], settings["me"], settings["discovery"] = plan.Coordinators, 0, "ask"
 	family["positions"], family["reach"], family["shards"] = plan.ringSize(), replicationFactor, plan.ringSize()
 	rules["ask_every_us"] = listMaxAge.Microseconds()
 	caps["max_retry_after_us"] = retryAfterBase.Microseconds() + number
 	caps["keepalive_us"] = keepAliveBase.Microseconds() + number
-	if customers, ok := settings["customers"].([]any); ok {
-		for _, c := range customers {
-			c.(map[string]any)["quota_per_s"] = unreachableQuota
+	if tenants, ok := settings["customers"].([]any); ok {
+		for _, tenant := range tenants {
+			tenant.(map[string]any)["quota_per_s"] = unreachableQuota
 		}
 	}
 	return json.MarshalIndent(settings, "", " ")
 }
 
-// numberOf reads the number back; whole is false where it is not the same in both places.
-func decodeSettingsNumber(advice, keepAlive time.Duration) (number int64, whole bool) {
-	number = (advice - retryAfterBase).Microseconds()
+// decodeSettingsNumber returns the number of the version that two settings belong to; consistent is false where they
+// belong to different ones.
+func decodeSettingsNumber(retryAfter, keepAlive time.Duration) (number int64, consistent bool) {
+	number = (retryAfter - retryAfterBase).Microseconds()
 	return number, number == (keepAlive - keepAliveBase).Microseconds()
 }
--- /dev/null
+++ b/internal/test/scaletest/version_records.go
@@ -0,0 +1,109 @@
+package scaletest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+	"time"
+)
+
+// VersionRecord is a member's own record of a version of a resource that came into force there.
+type VersionRecord struct {
+	Member   string
+	Resource Resource
+	Epoch    int64
+	Index    int64
+	Sequence int64 // of the newest change in the version; 0 where the record does not say it
+	At       time.Time
+	Complete bool // nothing of the version is still to come
+	Mixed    bool // the settings in force are of two versions
+}
+
+// olderThan reports whether the record is of an older version than another one.
+func (r VersionRecord) olderThan(other VersionRecord) bool {
+	return r.Epoch < other.Epoch || r.Epoch == other.Epoch && r.Index < other.Index
+}
+
+// covers reports whether a change is part of the record's version.
+func (r VersionRecord) covers(p Publication) bool {
+	if p.Index == 0 { // without an authority there is no index of a change
+		return r.Sequence >= p.Sequence
+	}
+	return r.Index >= p.Index
+}
+
+// write writes a record as one line.
+func (r VersionRecord) write(w io.Writer) error {
+	_, err := fmt.Fprintf(w, "%s %s %d %d %d %d %t %t\n",
+		r.Member, r.Resource, r.Epoch, r.Index, r.Sequence, r.At.UnixNano(), r.Complete, r.Mixed)
+	return err
+}
+
+// parseVersionRecord parses a line that VersionRecord.write has written.
+func parseVersionRecord(line string) (r VersionRecord, err error) {
+	var nanos int64
+	_, err = fmt.Sscan(line,
+		&r.Member, &r.Resource, &r.Epoch, &r.Index, &r.Sequence, &nanos, &r.Complete, &r.Mixed)
+	r.At = time.Unix(0, nanos)
+	return r, err
+}
+
+// records are the records of all members, in the order in which each member made them. Its methods may be called by any
+// goroutine.
+type records struct {
+	mu              sync.Mutex
+	byMember        map[string]map[Resource][]VersionRecord
+	unreadableLines []string // lines of hosts that are neither a record nor traffic
+}
+
+func newRecords() *records { return &records{byMember: map[string]map[Resource][]VersionRecord{}} }
+
+// add appends a record to its member's.
+func (r *records) add(record VersionRecord) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.byMember[record.Member] == nil {
+		r.byMember[record.Member] = map[Resource][]VersionRecord{}
+	}
+	byResource := r.byMember[record.Member]
+	byResource[record.Resource] = append(byResource[record.Resource], record)
+}
+
+// read reads a host's lines until its output ends. It passes the bytes that the host has counted to onTraffic.
+func (r *records) read(stdout io.Reader, onTraffic func(read, written int64)) {
+	lines := bufio.NewScanner(stdout)
+	for lines.Scan() {
+		if counts, isTraffic := strings.CutPrefix(lines.Text(), trafficLinePrefix); isTraffic {
+			var read, written int64
+			fmt.Sscan(counts, &read, &written)
+			onTraffic(read, written)
+			continue
+		}
+		record, err := parseVersionRecord(lines.Text())
+		if err != nil {
+			r.mu.Lock()
+			r.unreadableLines = append(r.unreadableLines, lines.Text())
+			r.mu.Unlock()
+			continue
+		}
+		r.add(record)
+	}
+}
+
+// of returns what a member has recorded of a resource so far. It may be read while more is added.
+func (r *records) of(member string, resource Resource) []VersionRecord {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.byMember[member][resource]
+}
+
+// latest returns a member's last record of a resource, if it has one.
+func (r *records) latest(member string, resource Resource) (VersionRecord, bool) {
+	list := r.of(member, resource)
+	if len(list) == 0 {
+		return VersionRecord{}, false
+	}
+	return list[len(list)-1], true
+}
