--- a/internal/test/scaletest/baseline.go
+++ b/internal/test/scaletest/baseline.go
@@ -11,14 +11,14 @@
 	// baselineMaxWait is discovery's service time-out: a call that would wait longer fails.
 	baselineMaxWait = 2 * time.Second
 	// baselineWarmUp is how long members have to open their watches before changes are published.
-	baselineWarmUp = 8 * time.Second
+	baselineStartTime = 8 * time.Second
 	// baselineStream tells the random draws of a baseline's changes from others with the plan's seed.
 	baselineStream = 0x62617365
 )
 
-// playBaseline plays the fleet without distribution: every coordinator is hollow and polls one discovery, for which a call
-// with a change takes callDuration. All have the endpoint list at their start. Changes are published in the first half of
-// the play, and are measured until its end.
+// playBaseline plays the fleet without distribution: every coordinator is hollow and polls one discovery, for which a
+// call with a change takes callDuration. All have the endpoint list at their start. Changes are published in the
+// first half of the play, and are measured until its end.
 func playBaseline(ctx context.Context, plan *Plan, config Config, callDuration time.Duration) (
 	result BaselineResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -60,14 +60,14 @@
 			return began, err
 		}
 	}
-	if err := f.pause(ctx, baselineWarmUp); err != nil {
+	if err := f.wait(ctx, baselineStartTime); err != nil {
 		return began, err
 	}
 	began = time.Now()
 	if err := f.changeEndpointsFor(ctx, f.plan.Baseline.Duration/2); err != nil {
 		return began, err
 	}
-	return began, f.pauseUntil(ctx, began.Add(f.plan.Baseline.Duration))
+	return began, f.waitUntil(ctx, began.Add(f.plan.Baseline.Duration))
 }
 
 // baselineMemberSpec describes a member that polls discovery itself and has no decision module.
@@ -82,7 +82,7 @@
 	rng := rand.New(rand.NewPCG(f.plan.Seed, baselineStream))
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		f.restartEndpoint(rng)
-		if err := f.pause(ctx, max(pollInterval, f.plan.Changes.EndpointInterval)); err != nil {
+		if err := f.wait(ctx, max(pollInterval, f.plan.Changes.EndpointInterval)); err != nil {
 			return err
 		}
 	}
--- a/internal/test/scaletest/bounds.go
+++ b/internal/test/scaletest/bounds.go
@@ -46,7 +46,8 @@
 		{"max", time.Duration(delays.Max), bounds.Max},
 	} {
 		if c.bound > 0 && c.delay > c.bound {
-			r.miss("%s: the %s is %v, at most %v is allowed", name, c.statistic, c.delay.Round(time.Millisecond), c.bound)
+			r.miss("%s: the %s is %v, at most %v is allowed",
+				name, c.statistic, c.delay.Round(time.Millisecond), c.bound)
 		}
 	}
 	if delays.Never > 0 {
--- a/internal/test/scaletest/changes.go
+++ b/internal/test/scaletest/changes.go
@@ -15,8 +15,8 @@
 	changesStream = 0x6368616e6765
 )
 
-// startChanges publishes the plan's ordinary changes until ctx ends. Each kind of change has a goroutine and random draws
-// of its own.
+// startChanges publishes the plan's ordinary changes until ctx ends. Each kind of change has a goroutine and random
+// draws of its own.
 func (f *fleet) startChanges(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(f.plan.Seed, changesStream))
 	endpointRand := rand.New(rand.NewPCG(rng.Uint64(), 1))
@@ -61,7 +61,8 @@
 	}
 }
 
-// drain takes some replica that answers out of service for drainDuration, or until ctx ends. The replica itself goes on.
+// drain takes some replica that answers out of service for drainDuration, or until ctx ends. The replica itself goes
+// on.
 func (f *fleet) drain(ctx context.Context, rng *rand.Rand) {
 	if f.plan.Replicas == 0 {
 		return
--- a/internal/test/scaletest/control_process.go
+++ b/internal/test/scaletest/control_process.go
@@ -91,7 +91,7 @@
 		if ok && status.Instances.Entries >= int64(f.plan.Endpoints) && status.Settings.Entries > 0 {
 			return nil
 		}
-		if err := f.pause(ctx, pollInterval); err != nil {
+		if err := f.wait(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/test/scaletest/corrupting_proxy.go
+++ b/internal/test/scaletest/corrupting_proxy.go
@@ -30,15 +30,15 @@
 // indexSetback is how far the index of an answer goes back that has too few entries to be out of order.
 const indexSetback = 2
 
-// corruptingProxy stands between members and a relay and corrupts answers of status 200. Its methods may be called by any
-// goroutine.
+// corruptingProxy stands between members and a relay and corrupts answers of status 200. Its methods may be called by
+// any goroutine.
 type corruptingProxy struct {
 	listener net.Listener
 	proxy    *httputil.ReverseProxy
 
 	mu           sync.Mutex
 	corruption   string            // one of Corruptions, or empty
-	savedAnswers map[string][]byte // by path: the last answer with entries that was passed on while nothing was corrupted
+	savedAnswers map[string][]byte // by path: the last with entries while nothing was corrupted
 	corrupted    int               // answers since the latest corruption began
 }
 
@@ -130,8 +130,8 @@
 	return len(answer.Endpoints)
 }
 
-// reverseEntries returns an answer with its entries in reverse order or, where it has fewer than two, with an index that
-// goes back.
+// reverseEntries returns an answer with its entries in reverse order or, where it has fewer than two, with an index
+// that goes back.
 func reverseEntries(body []byte) []byte {
 	var answer map[string]json.RawMessage
 	if json.Unmarshal(body, &answer) != nil {
--- a/internal/test/scaletest/cost.go
+++ b/internal/test/scaletest/cost.go
@@ -1,8 +1,8 @@
 package scaletest
 
 // RoleCost is what the processes of a role spent between two instants. CPU is in shares of a core; bytes are those of
-// distribution alone for hosts, and those of all sockets and files but the log for other roles. All figures but Processes
-// and Members are of a process, or of a member of a host.
+// distribution alone for hosts, and those of all sockets and files but the log for other roles. All figures but
+// Processes and Members are of a process, or of a member of a host.
 type RoleCost struct {
 	Processes  int     `json:"processes"`
 	Members    int     `json:"members,omitempty"` // hollow coordinators of the hosts; 0 for other roles
--- a/internal/test/scaletest/fault.go
+++ b/internal/test/scaletest/fault.go
@@ -34,7 +34,7 @@
 	var mu sync.Mutex
 	var endErr error
 	for _, fault := range f.plan.Faults {
-		if err := f.pauseUntil(ctx, began.Add(fault.At)); err != nil {
+		if err := f.waitUntil(ctx, began.Add(fault.At)); err != nil {
 			return faults, err
 		}
 		run := &faultRun{Fault: fault, description: fault.String(), isolatedRegion: -1, begin: time.Now()}
@@ -109,7 +109,7 @@
 // publishes another probe. A removed zone and a restart publish changes, or wait for them, by themselves.
 func (f *fleet) awaitFaultEnd(ctx context.Context, run *faultRun) error {
 	if run.RemoveZone == nil && !run.RestartAll {
-		if err := f.pause(ctx, probeDelay); err != nil {
+		if err := f.wait(ctx, probeDelay); err != nil {
 			return err
 		}
 		f.publishProbe()
@@ -118,7 +118,7 @@
 	if run.Duration <= 0 {
 		return nil
 	}
-	if err := f.pauseUntil(ctx, run.begin.Add(run.Duration)); err != nil {
+	if err := f.waitUntil(ctx, run.begin.Add(run.Duration)); err != nil {
 		return err
 	}
 	err := f.endFault(run)
@@ -177,8 +177,8 @@
 	f.timeline.note("%d endpoints of zone %d: %s", len(endpoints), zone, status)
 }
 
-// restartAll kills all hosts and stops all real coordinators, starts all members at once and waits until all have endpoint
-// list and settings.
+// restartAll kills all hosts and stops all real coordinators, starts all members at once and waits until all have
+// endpoint list and settings.
 func (f *fleet) restartAll(ctx context.Context) error {
 	var stopping sync.WaitGroup
 	for _, p := range f.hostProcesses {
--- a/internal/test/scaletest/fleet.go
+++ b/internal/test/scaletest/fleet.go
@@ -16,7 +16,7 @@
 type Config struct {
 	Dir      string    // existing folder for configurations and logs
 	Program  []string  // the program to run, with the arguments that come before its sub-command
-	Lab      []string  // a program that calls RunHost for HollowCommand, with the arguments that come before the command
+	Lab      []string  // a program that calls RunHost for HollowCommand, with the arguments before that
 	Env      []string  // environment of all processes, KEY=VALUE, besides this process's own
 	Settings []byte    // the site's settings, as JSON
 	Log      io.Writer // gets a line for each event of the run; nil discards them
@@ -115,9 +115,9 @@
 // pollInterval is the time between two looks at a condition that a run waits for.
 const pollInterval = 20 * time.Millisecond
 
-// pause waits for d. It returns an error where ctx has ended, or one that wraps ErrProcessFailed where a process has exited
-// by itself.
-func (f *fleet) pause(ctx context.Context, d time.Duration) error {
+// wait waits for d. It returns an error where ctx has ended, or one that wraps ErrProcessFailed where a process has
+// exited by itself.
+func (f *fleet) wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
@@ -125,16 +125,17 @@
 	}
 	for _, p := range f.processes() {
 		if !p.isRunning() && !p.endExpected.Load() {
-			return fmt.Errorf("%w: %s exited by itself: %v; see its log in %s", ErrProcessFailed, p.name, p.exitErr, f.Dir)
+			return fmt.Errorf("%w: %s exited by itself: %v; see its log in %s",
+				ErrProcessFailed, p.name, p.exitErr, f.Dir)
 		}
 	}
 	return nil
 }
 
-// pauseUntil waits for an instant, with the errors of pause.
-func (f *fleet) pauseUntil(ctx context.Context, at time.Time) error {
+// waitUntil waits for an instant, with the errors of wait.
+func (f *fleet) waitUntil(ctx context.Context, at time.Time) error {
 	for time.Now().Before(at) {
-		if err := f.pause(ctx, min(time.Until(at), time.Second)); err != nil {
+		if err := f.wait(ctx, min(time.Until(at), time.Second)); err != nil {
 			return err
 		}
 	}
--- a/internal/test/scaletest/hollow_baseline.go
+++ b/internal/test/scaletest/hollow_baseline.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// listMaxAge is the settings' ask_every_us in a run: how old an endpoint list may get before discovery is polled again.
+	// listMaxAge is the settings' ask_every_us in a run: how old an endpoint list may get before discovery is polled
+	// again.
 	listMaxAge = 10 * time.Second
 	// pollStream tells the random draws of polls from others with a member's ordinal.
 	pollStream = 0x70616365
@@ -42,8 +43,8 @@
 	discovery.Run(ctx)
 }
 
-// newestSequence is the sequence number of the newest change among some endpoints: changes carry theirs as the instant of
-// the endpoint's status, in milliseconds.
+// newestSequence is the sequence number of the newest change among some endpoints: changes carry theirs as the
+// instant of the endpoint's status, in milliseconds.
 func newestSequence(endpoints []core.Endpoint) (sequence int64) {
 	for _, e := range endpoints {
 		sequence = max(sequence, e.StartedAt.Milliseconds())
--- a/internal/test/scaletest/hollow_follow.go
+++ b/internal/test/scaletest/hollow_follow.go
@@ -15,7 +15,8 @@
 	"harepass/internal/wire"
 )
 
-// newFollower returns what a member follows a resource with: check may reject entries, apply gets those that are accepted.
+// newFollower returns what a member follows a resource with: check may reject entries, apply gets those that are
+// accepted.
 func (m *hollow) newFollower(resource distribution.Path, check func([]versionlog.Entry) error,
 	apply func(distribution.Update)) *distribution.Follower {
 	config := distribution.Config{
@@ -73,8 +74,8 @@
 	return wire.JSONSettings(body.Settings)
 }
 
-// applySettings puts a version of the settings in force and returns its number, as decodeSettingsNumber does; ok is false
-// where the version is rejected.
+// applySettings puts a version of the settings in force and returns its number, as decodeSettingsNumber does; ok is
+// false where the version is rejected.
 func (m *hollow) applySettings(entry versionlog.Entry) (number int64, consistent, ok bool) {
 	settings, limits, err := parseSettings(entry)
 	if err != nil {
--- a/internal/test/scaletest/host.go
+++ b/internal/test/scaletest/host.go
@@ -59,8 +59,8 @@
 	read, written atomic.Int64  // bytes of all connections
 }
 
-// RunHost reads a HostSpec from in, runs its coordinators and writes their records to out, until in or ctx ends. It is to be
-// called once in a process, which has to exit afterwards: decision modules run until then.
+// RunHost reads a HostSpec from in, runs its coordinators and writes their records to out, until in or ctx ends. It
+// is to be called once in a process, which has to exit afterwards: decision modules run until then.
 func RunHost(ctx context.Context, in io.Reader, out io.Writer) error {
 	var spec HostSpec
 	if err := json.NewDecoder(in).Decode(&spec); err != nil {
--- a/internal/test/scaletest/measure.go
+++ b/internal/test/scaletest/measure.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// affects reports whether a change was published while a fault, or what it left for some time after its end, could delay
-// it.
+// affects reports whether a change was published while a fault, or what it left for some time after its end, could
+// delay it.
 func (r *faultRun) affects(change Publication, after time.Duration) bool {
 	return change.At.After(r.begin.Add(-faultMargin)) && change.At.Before(r.end.Add(after))
 }
@@ -129,7 +129,8 @@
 	return at, true
 }
 
-// measureCosts sums up what processes and the machine spent in each phase. The time of faults begins with the first one.
+// measureCosts sums up what processes and the machine spent in each phase. The time of faults begins with the first
+// one.
 func (f *fleet) measureCosts(result *Result, s *sampler, p phases, faults []*faultRun) {
 	firstFault := p.over
 	if len(faults) > 0 {
--- a/internal/test/scaletest/plan.go
+++ b/internal/test/scaletest/plan.go
@@ -22,12 +22,12 @@
 	Modules          int           `yaml:"modules"`       // hollow coordinators that also run the decision module
 	Hosts            int           `yaml:"hosts"`         // processes that run the hollow coordinators
 	Endpoints        int           `yaml:"entries"`       // entries of the endpoint list
-	RingSize         int           `yaml:"cells"`         // ring positions; 0 gives each endpoint that does not answer its own
+	RingSize         int           `yaml:"cells"`         // ring positions; 0 gives one to each endpoint that does not answer
 	Replicas         int           `yaml:"nodes"`         // endpoints that answer; they are the first of the list
 	Clients          int           `yaml:"clients"`       // clients of each real coordinator
 	Relays           int           `yaml:"relays"`        // besides the authority; 0 plays the baseline alone
 	Heartbeat        time.Duration `yaml:"heartbeat"`     // how long a watch waits at most for a change
-	SnapshotRate     int           `yaml:"snapshot_rate"` // snapshot budget of each relay, in bytes a second; 0 for its default
+	SnapshotRate     int           `yaml:"snapshot_rate"` // snapshot budget of a relay, in bytes a second; 0 for its default
 
 	Changes  Changes   `yaml:"changes"`
 	Links    Links     `yaml:"links"`
@@ -75,15 +75,15 @@
 // invalidSettings is the only value of Fault.Settings besides the empty one.
 const invalidSettings = "invalid"
 
-// Baseline plays the fleet once more without distribution: every coordinator polls one discovery itself, which serves one
-// call after another.
+// Baseline plays the fleet once more without distribution: every coordinator polls one discovery itself, which serves
+// one call after another.
 type Baseline struct {
 	CallDurations []time.Duration `yaml:"turns"` // how long discovery takes for a call with a change; one play for each
 	Duration      time.Duration   `yaml:"lasts"` // of each play
 }
 
-// DelayBounds bound the delays from the publishing of a change until it is in force, over all members and changes. A zero
-// bounds nothing.
+// DelayBounds bound the delays from the publishing of a change until it is in force, over all members and changes. A
+// zero bounds nothing.
 type DelayBounds struct {
 	Median time.Duration `yaml:"median" json:"median"`
 	P99    time.Duration `yaml:"p99" json:"p99"`
@@ -97,9 +97,9 @@
 	KBPerS   float64 `yaml:"kb_per_s"`  // bytes of distribution, read and written
 }
 
-// Bounds are what a run has to meet besides the rules that hold in every run: no version goes back, no settings of two
-// versions are in force, no request is lost, no part is sent where the endpoint list in force forbids it, and every member
-// has the last version at the end. A zero bounds nothing.
+// Bounds are what a run has to meet besides the rules that hold in every run: no version goes back, no settings of
+// two versions are in force, no request is lost, no part is sent where the endpoint list in force forbids it, and
+// every member has the last version at the end. A zero bounds nothing.
 type Bounds struct {
 	List         DelayBounds   `yaml:"list"`      // of the endpoint list, away from faults
 	Settings     DelayBounds   `yaml:"settings"`  // of the settings, away from faults
@@ -107,7 +107,7 @@
 	Started      time.Duration `yaml:"started"`   // from a member's start until it has endpoint list and settings
 	HollowMember CostBounds    `yaml:"member"`    // of one hollow coordinator, as its share of its host
 	Relay        CostBounds    `yaml:"relay"`     // of each relay and of the authority
-	CostRatio    float64       `yaml:"ratio"`     // of CPU and of bytes, hollow to real or real to hollow; 0 compares nothing
+	CostRatio    float64       `yaml:"ratio"`     // of CPU and of bytes, hollow to real or reverse; 0 compares nothing
 }
 
 // ringSize is how many ring positions there are. The replicas that answer have the first ones to themselves.
--- a/internal/test/scaletest/plan_test.go
+++ b/internal/test/scaletest/plan_test.go
@@ -48,7 +48,9 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := LoadPlan(file); !errors.Is(err, ErrInvalidPlan) || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), file) {
+		_, err := LoadPlan(file)
+		if !errors.Is(err, ErrInvalidPlan) || !strings.Contains(err.Error(), want) ||
+			!strings.Contains(err.Error(), file) {
 			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
 	}
--- a/internal/test/scaletest/process.go
+++ b/internal/test/scaletest/process.go
@@ -87,7 +87,8 @@
 	return p, nil
 }
 
-// awaitExit waits until the process has exited. exec.Cmd.Wait closes the pipes, so the output is read to its end before.
+// awaitExit waits until the process has exited. exec.Cmd.Wait closes the pipes, so the output is read to its end
+// before.
 func (p *process) awaitExit(log io.Closer) {
 	p.outputReaders.Wait()
 	log.Close()
@@ -153,8 +154,8 @@
 }
 
 // stop sends SIGTERM and waits until the process has exited; after stopTimeout it kills the process. The error wraps
-// ErrProcessFailed where that was needed, or where the process exited with an error. A process that was killed before is
-// no error.
+// ErrProcessFailed where that was needed, or where the process exited with an error. A process that was killed before
+// is no error.
 func (p *process) stop() error {
 	if p.endExpected.Swap(true) && !p.isRunning() {
 		return nil
--- a/internal/test/scaletest/process_usage.go
+++ b/internal/test/scaletest/process_usage.go
@@ -23,7 +23,8 @@
 	Bytes      int64         // read and written, by sockets and files alike
 }
 
-// readUsage reads what the system says of a process. The error wraps ErrUnreadableUsage where that cannot be understood.
+// readUsage reads what the system says of a process. The error wraps ErrUnreadableUsage where that cannot be
+// understood.
 func readUsage(pid int) (u Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/test/scaletest/propagation.go
+++ b/internal/test/scaletest/propagation.go
@@ -18,7 +18,8 @@
 // String rounds the duration to milliseconds.
 func (s Seconds) String() string { return time.Duration(s).Round(time.Millisecond).String() }
 
-// DelaySummary sums up the delays from the publishing of changes until they were in force, over all members and changes.
+// DelaySummary sums up the delays from the publishing of changes until they were in force, over all members and
+// changes.
 type DelaySummary struct {
 	Median  Seconds `json:"median_s"`
 	P99     Seconds `json:"p99_s"`
@@ -61,8 +62,8 @@
 	neverInForce                     // the change never came into force there
 )
 
-// delay returns how long a change took to come into force at a member: from its publishing, or from the end of an isolation
-// that kept it from the member.
+// delay returns how long a change took to come into force at a member: from its publishing, or from the end of an
+// isolation that kept it from the member.
 func (p *propagation) delay(m *member, change Publication) (time.Duration, delayOutcome) {
 	list := p.records.of(m.name, change.Resource)
 	first := sort.Search(len(list), func(i int) bool { return list[i].covers(change) })
--- a/internal/test/scaletest/propagation_test.go
+++ b/internal/test/scaletest/propagation_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A change comes into force at one member after four seconds, while another member is started only later. The delay counts
-// from the publishing until the version is complete, from the end of an isolation for a member behind one, and not at all
-// for the member that was started later. A change that nobody has is counted as never in force.
+// A change comes into force at one member after four seconds, while another member is started only later. The delay
+// counts from the publishing until the version is complete, from the end of an isolation for a member behind one, and
+// not at all for the member that was started later. A change that nobody has is counted as never in force.
 func TestDelayCountsFromPublishingOrEndOfIsolation(t *testing.T) {
 	f, began := newSmallFleet(t)
 	partial := listRecord("c0", began.Add(1100*time.Millisecond), 1, 4)
--- a/internal/test/scaletest/publisher.go
+++ b/internal/test/scaletest/publisher.go
@@ -85,8 +85,8 @@
 	return p.endpoints[number].Status
 }
 
-// recordIndex notes the index that the authority gave to an entry of the change with a sequence number. The change itself
-// has the highest index of its entries.
+// recordIndex notes the index that the authority gave to an entry of the change with a sequence number. The change
+// itself has the highest index of its entries.
 func (p *publisher) recordIndex(resource Resource, sequence, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// recordRemovalIndex notes the index that the authority gave to the removal of an endpoint. A removal carries no sequence
-// number, so it belongs to the latest change that ended an endpoint of its name.
+// recordRemovalIndex notes the index that the authority gave to the removal of an endpoint. A removal carries no
+// sequence number, so it belongs to the latest change that ended an endpoint of its name.
 func (p *publisher) recordRemovalIndex(name string, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/test/scaletest/real_coordinator.go
+++ b/internal/test/scaletest/real_coordinator.go
@@ -8,7 +8,8 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// startReal starts a process of the program that follows the relays. A member that is started again has its address again.
+// startReal starts a process of the program that follows the relays. A member that is started again has its address
+// again.
 func (f *fleet) startReal(m *member) error {
 	if m.address == "" {
 		var err error
--- a/internal/test/scaletest/registry.go
+++ b/internal/test/scaletest/registry.go
@@ -77,7 +77,7 @@
 	if !r.await(req.Context(), poll.From, poll.Wait) {
 		return
 	}
-	if r.hasChanges(poll.From) && !r.serveInTurn(req.Context()) {
+	if r.hasChanges(poll.From) && !r.awaitService(req.Context()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -113,9 +113,9 @@
 	return from < r.index()
 }
 
-// serveInTurn waits until the call is served, after those before it. It reports false where the call would have had to
+// awaitService waits until the call is served, after those before it. It reports false where the call would have had to
 // wait for more than MaxWait before that; it has then waited for MaxWait.
-func (r *Registry) serveInTurn(ctx context.Context) bool {
+func (r *Registry) awaitService(ctx context.Context) bool {
 	wait, accepted := r.schedule()
 	if wait > 0 {
 		select {
--- a/internal/test/scaletest/replicas.go
+++ b/internal/test/scaletest/replicas.go
@@ -11,8 +11,8 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// The replicas that answer have the first ring positions to themselves. Clients query only the shards whose holders are all
-// among them, so that no part goes to an endpoint that does not answer.
+// The replicas that answer have the first ring positions to themselves. Clients query only the shards whose holders
+// are all among them, so that no part goes to an endpoint that does not answer.
 const (
 	// replicationFactor is how many ring positions hold a shard.
 	replicationFactor = 3
@@ -62,7 +62,8 @@
 	At      time.Time
 }
 
-// replicas are the fakes of replicas that answer, and what they have received. Its methods may be called by any goroutine.
+// replicas are the fakes of replicas that answer, and what they have received. Its methods may be called by any
+// goroutine.
 type replicas struct {
 	listeners []net.Listener // by replica
 
@@ -150,7 +151,9 @@
 }
 
 // openClients starts the clients of a member, which query the shards that only these replicas hold.
-func (r *replicas) openClients(plan *Plan, settings []byte, member, address string) (*faultinjection.ClientPool, error) {
+func (r *replicas) openClients(
+	plan *Plan, settings []byte, member, address string,
+) (*faultinjection.ClientPool, error) {
 	r.mu.Lock()
 	r.memberByOrigin[faultinjection.QueryOrigin(address)] = member
 	r.mu.Unlock()
--- a/internal/test/scaletest/result.go
+++ b/internal/test/scaletest/result.go
@@ -16,7 +16,7 @@
 type Result struct {
 	Plan         string                 `json:"plan"`
 	Sizes        Sizes                  `json:"sizes"`
-	Started      DelaySummary           `json:"started"`  // from a member's start until it had endpoint list and settings
+	Started      DelaySummary           `json:"started"`  // from a member's start until it had both resources
 	List         DelaySummary           `json:"list"`     // of the endpoint list, away from faults
 	Settings     DelaySummary           `json:"settings"` // of the settings, away from faults
 	Faults       []FaultDelays          `json:"troubles,omitempty"`
@@ -29,7 +29,8 @@
 	Parts        int                    `json:"parts"`             // that reached replicas
 	Ratio        *Ratio                 `json:"ratio,omitempty"`   // nil where the plan bounds none
 	Baseline     []BaselineResult       `json:"baseline,omitempty"`
-	// UnobservedChanges are those to which the authority gave no index: a later change overtook them on their way there.
+	// UnobservedChanges are those to which the authority gave no index: a later change overtook them on their way
+	// there.
 	UnobservedChanges int      `json:"unseen_changes"`
 	MissedBounds      []string `json:"missed"`  // a sentence for each missed bound and each broken rule
 	Seconds           float64  `json:"seconds"` // duration of the whole run
@@ -54,7 +55,7 @@
 	At               float64      `json:"at_s"`      // seconds since the run's beginning
 	List             DelaySummary `json:"list"`      // of the endpoint list, to members that were not isolated
 	Settings         DelaySummary `json:"settings"`  // of the settings, to members that were not isolated
-	Recovered        DelaySummary `json:"recovered"` // of the first change of the endpoint list after the end, to all members
+	Recovered        DelaySummary `json:"recovered"` // of the first endpoint list change after the end, to all members
 	CorruptedAnswers int          `json:"spoilt_answers,omitempty"`
 }
 
@@ -69,7 +70,7 @@
 	CallDuration Seconds      `json:"turn_s"` // how long discovery took for a call with a change
 	List         DelaySummary `json:"list"`
 	ServedCalls  int          `json:"calls_answered"`
-	FailedCalls  int          `json:"calls_failed"` // calls that discovery rejected, since they would have waited too long
+	FailedCalls  int          `json:"calls_failed"` // calls that discovery rejected after MaxWait
 	Cost         RoleCost     `json:"spent"`        // of a hollow coordinator
 	KBPerS       float64      `json:"kb_per_s"`     // of all coordinators together
 }
--- a/internal/test/scaletest/run.go
+++ b/internal/test/scaletest/run.go
@@ -23,9 +23,9 @@
 	lossStream = 0x6c6f7373
 )
 
-// Run plays a plan once. The error is ErrBoundMissed where a bound was missed or a rule broken; the result is complete then
-// as well. Other errors say why the run could not be finished. Run returns early once ctx ends, and has ended every
-// process that it started when it returns.
+// Run plays a plan once. The error is ErrBoundMissed where a bound was missed or a rule broken; the result is
+// complete then as well. Other errors say why the run could not be finished. Run returns early once ctx ends, and has
+// ended every process that it started when it returns.
 func Run(ctx context.Context, plan *Plan, config Config) (*Result, error) {
 	began := time.Now()
 	result := &Result{Plan: plan.Name}
@@ -51,8 +51,8 @@
 	return result, nil
 }
 
-// playDistribution plays the fleet with an authority and relays. Processes that failed only at their end are bounds missed
-// where there is a result.
+// playDistribution plays the fleet with an authority and relays. Processes that failed only at their end are bounds
+// missed where there is a result.
 func playDistribution(ctx context.Context, plan *Plan, config Config) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -117,8 +117,8 @@
 	return f.startClients(ctx)
 }
 
-// disturb plays the ordinary changes, the losses of links and the faults for the plan's duration, and returns the faults
-// as they were played.
+// disturb plays the ordinary changes, the losses of links and the faults for the plan's duration, and returns the
+// faults as they were played.
 func (f *fleet) disturb(ctx context.Context, p *phases) ([]*faultRun, error) {
 	p.undisturbed = time.Now().Add(settleAfterStart)
 	lossRand := rand.New(rand.NewPCG(f.plan.Seed, lossStream))
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := f.pauseUntil(ctx, p.undisturbed.Add(f.plan.Duration)); err != nil {
+	if err := f.waitUntil(ctx, p.undisturbed.Add(f.plan.Duration)); err != nil {
 		return nil, err
 	}
 	stopChanges()
@@ -145,7 +145,7 @@
 			continue
 		}
 		for !isReady(m.address) {
-			if err := f.pause(ctx, pollInterval); err != nil {
+			if err := f.wait(ctx, pollInterval); err != nil {
 				return err
 			}
 		}
@@ -177,7 +177,7 @@
 func (f *fleet) settle(ctx context.Context) error {
 	f.publishProbe()
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
-		if err := f.pause(ctx, settleInterval); err != nil {
+		if err := f.wait(ctx, settleInterval); err != nil {
 			return err
 		}
 		var v Violations
--- a/internal/test/scaletest/sampler.go
+++ b/internal/test/scaletest/sampler.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// sampleProcesses takes one sample of each process. A host's bytes are those that its members have counted; the bytes of
-// other processes are those that the system has counted, without their logs.
+// sampleProcesses takes one sample of each process. A host's bytes are those that its members have counted; the bytes
+// of other processes are those that the system has counted, without their logs.
 func (s *sampler) sampleProcesses() {
 	for _, p := range s.fleet.processes() {
 		usage, err := readUsage(p.pid())
@@ -129,8 +129,8 @@
 	return load
 }
 
-// roleCost sums up the samples of a role between two instants. What a process spent is divided by its membersOf, which is
-// at least 1.
+// roleCost sums up the samples of a role between two instants. What a process spent is divided by its membersOf,
+// which is at least 1.
 func (s *sampler) roleCost(of role, from, to time.Time, membersOf func(process string) int) RoleCost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/test/scaletest/settings.go
+++ b/internal/test/scaletest/settings.go
@@ -16,8 +16,8 @@
 // unreachableQuota is a tenant's quota, in queries a second, that the clients of no run reach.
 const unreachableQuota = 10_000_000
 
-// encodeSettings returns a version of the settings for a fleet: those of the site, with the plan's ring, the fleet's size
-// and the version's number. The error wraps ErrInvalidSettings where the site's lack an object that is changed.
+// encodeSettings returns a version of the settings for a fleet: those of the site, with the plan's ring, the fleet's
+// size and the version's number. The error wraps ErrInvalidSettings where the site's lack an object that is changed.
 func encodeSettings(site json.RawMessage, plan *Plan, number int64) ([]byte, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(site, &settings); err != nil {
--- a/internal/test/scaletest/start.go
+++ b/internal/test/scaletest/start.go
@@ -14,11 +14,12 @@
 // startTimeout bounds the time from the start of all members until each has the endpoint list and the settings.
 const startTimeout = 3 * time.Minute
 
-// hostProcessors bounds how many processors a host uses at once: several hosts share the machine with everything else that
-// the run starts.
+// hostProcessors bounds how many processors a host uses at once: several hosts share the machine with everything else
+// that the run starts.
 const hostProcessors = "GOMAXPROCS=2"
 
-// startControl starts the authority, then the relays, and waits until each has the complete endpoint list and the settings.
+// startControl starts the authority, then the relays, and waits until each has the complete endpoint list and the
+// settings.
 func (f *fleet) startControl(ctx context.Context) error {
 	if err := f.writeSettings(); err != nil {
 		return err
@@ -182,7 +183,7 @@
 			return fmt.Errorf("%w: %s lacks endpoint list or settings after %v",
 				ErrStartTimeout, f.members[missing].name, startTimeout)
 		}
-		if err := f.pause(ctx, pollInterval); err != nil {
+		if err := f.wait(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/test/scaletest/timeline.go
+++ b/internal/test/scaletest/timeline.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// timeline writes down what the run does, with the time since its beginning. Its methods may be called by any goroutine.
+// timeline writes down what the run does, with the time since its beginning. Its methods may be called by any
+// goroutine.
 type timeline struct {
 	began time.Time
 
--- a/internal/test/scaletest/version_records_test.go
+++ b/internal/test/scaletest/version_records_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A host's output carries records and traffic as they were written; a line that is neither is noted as unreadable. Lines
-// of a real coordinator's log become records.
+// A host's output carries records and traffic as they were written; a line that is neither is noted as unreadable.
+// Lines of a real coordinator's log become records.
 func TestRecordsAreReadFromHostsAndLogs(t *testing.T) {
 	var out bytes.Buffer
 	sent := VersionRecord{
--- a/internal/test/scaletest/violations.go
+++ b/internal/test/scaletest/violations.go
@@ -53,8 +53,8 @@
 	return v
 }
 
-// checkOrder counts a member's versions that went back, and its settings of two versions. A new process may begin with an
-// older version than the one before it had.
+// checkOrder counts a member's versions that went back, and its settings of two versions. A new process may begin
+// with an older version than the one before it had.
 func (f *fleet) checkOrder(v *Violations, m *member, resource Resource) {
 	list := f.records.of(m.name, resource)
 	starts := f.started[m.name]
--- a/internal/test/scaletest/violations_test.go
+++ b/internal/test/scaletest/violations_test.go
@@ -28,8 +28,9 @@
 	return VersionRecord{Member: member, Resource: List, Epoch: epoch, Index: index, At: at, Complete: true}
 }
 
-// One member's version goes back, another has settings of two versions in force, and the first is behind at the end. Each
-// is one violation. A higher epoch with a lower index is none, nor is a lower index of a process that was started anew.
+// One member's version goes back, another has settings of two versions in force, and the first is behind at the end.
+// Each is one violation. A higher epoch with a lower index is none, nor is a lower index of a process that was
+// started anew.
 func TestVersionsThatGoBackMixOrEndBehindAreViolations(t *testing.T) {
 	f, began := newSmallFleet(t)
 	f.records.add(listRecord("c0", began.Add(time.Second), 1, 5))
@@ -47,9 +48,9 @@
 	}
 }
 
-// A replica is drained and comes back. A part that reaches it is forbidden once its sender has had the drain in force for
-// longer than the grace, but neither within the grace, nor from a member that was not notified, nor after the replica is
-// back.
+// A replica is drained and comes back. A part that reaches it is forbidden once its sender has had the drain in force
+// for longer than the grace, but neither within the grace, nor from a member that was not notified, nor after the
+// replica is back.
 func TestPartsAfterDrainGraceAreForbidden(t *testing.T) {
 	f, began := newSmallFleet(t)
 	names := []string{f.publisher.endpoints[0].Name}
