--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -33,7 +33,7 @@
 	cancelled    bool            // by the coordinator; a Caller may end an attempt as Cancelled by itself
 	cancelReason scatter.Outcome // with cancelled: the outcome that the module hears in the place of Cancelled
 	timer        *timer          // cancels the attempt when Timeout is over; with cancelled, ends it after cancelGrace
-	ended        bool            // the module has heard the attempt's outcome
+	ended        bool            // the module knows the outcome
 	neverRan     bool            // with ended: no replica has run it, so a retry needs no deduplication
 	permit       permit          // whether the attempt may still begin
 }
--- a/internal/core/list_lease.go
+++ b/internal/core/list_lease.go
@@ -7,7 +7,7 @@
 )
 
 // listLease is the lease on the polled source's list. Once it is over, nothing new is sent by that list: replicas may
-// be draining that this coordinator has not heard of.
+// be draining without this coordinator knowing.
 type listLease struct {
 	endTimer      *timer // when the lease is over; nil where the source has set no end, or it has been reached
 	expired       bool   // the lease is over, and the list has not been confirmed since
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -15,7 +15,7 @@
 	latest  atomic.Pointer[maintenance.Register] // set by any goroutine; nil before the first
 	changed chan struct{}                        // has a token while latest may not have been applied
 
-	applied   *maintenance.Register // the value of latest that the module has heard of
+	applied   *maintenance.Register // the value of latest that the module knows
 	register  maintenance.Register  // the contents of applied
 	uncovered []int                 // shards that the last warning named
 }
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -26,7 +26,7 @@
 // Class is a class of queries.
 type Class struct {
 	Name           string
-	PriorityWeight float64 // what an answer in time is worth
+	PriorityWeight float64 // what a timely answer counts
 	NonIdempotent  bool    // its parts must not run twice
 	TypicalParts   float64 // usual number of parts, until arrivals have shown it; at least 1
 }
--- a/internal/decide/overload/memory_level.go
+++ b/internal/decide/overload/memory_level.go
@@ -68,7 +68,7 @@
 // OpenQuery is an open query as a candidate for being ended.
 type OpenQuery struct {
 	Bytes          int64   // bytes booked for the query
-	PriorityWeight float64 // what its answer in time is worth
+	PriorityWeight float64 // what its timely answer counts
 	MayHaveRun     bool    // a part that must not run twice may have run: the client could not know whether it did
 }
 
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -12,7 +12,7 @@
 	// stalledShare is the share of the tightest latency objective by which a timer may fire late before the
 	// coordinator itself counts as stalled.
 	stalledShare = 0.1
-	// randomStream is the second word of the seed.
+	// randomStream is the second half of the seed.
 	randomStream = 0x756d62
 )
 
--- a/internal/decide/scatter/settings.go
+++ b/internal/decide/scatter/settings.go
@@ -26,7 +26,7 @@
 	MaxAttempts  int           // for each part, the first included; at least 1
 	Hedging      bool          // two attempts of a part may be outstanding at once
 	Cancellation bool          // attempts can be cancelled
-	RetryAfter   time.Duration // how long rejected clients may be asked to stay away; 0 where they are told nothing
+	RetryAfter   time.Duration // how long rejected clients are asked to wait; 0 if they are asked for nothing
 
 	// OverQuotaWeight is the priority weight of traffic beyond a tenant's quota, as a share of the usual one; 1 where
 	// quotas do not matter.
--- a/internal/opensearch/first_phase.go
+++ b/internal/opensearch/first_phase.go
@@ -9,8 +9,8 @@
 	"harepass/internal/http1"
 )
 
-// This file words the first phase of a search, and reads what it brings, in the API's public terms. The version of a
-// shard is a stats aggregation over all of its documents, whatever the query: the first phase asks for it with the
+// This file builds the request of a search's first phase and reads the response, in the API's public terms. The version
+// of a shard is a stats aggregation over all of its documents, whatever the query: the first phase asks for it with the
 // exact number of hits and no hit; a full search whose value is to be cached asks for it beside its hits. One search
 // sees one state of a shard, so hits and version belong together.
 
--- a/internal/opensearch/replica_request.go
+++ b/internal/opensearch/replica_request.go
@@ -12,8 +12,8 @@
 	"harepass/internal/http1"
 )
 
-// requestFor words an attempt to a replica at an address, with the time that is left as the request's time-out. A query
-// of another front goes to the index of its class. ok is false where no index has the class: the attempt ends as
+// requestFor builds the request of an attempt to a replica at an address, with the time that is left as the request's
+// time-out. A query of another front goes to the index of its class. ok is false where no index has the class: the attempt ends as
 // NotSent then, as every attempt of that class at replicas that offer the API does, and neither a log line nor a
 // counter tells it. It shows as incomplete or failed queries of one class, and is mended by an index of that
 // class in the configuration file.
@@ -46,7 +46,7 @@
 	return s.body
 }
 
-// translate words an attempt of a query that came from another front.
+// translate builds the request of an attempt of a query that came from another front.
 func (caller *Caller) translate(at *core.Attempt) (req *http1.Message, ok bool) {
 	ix := caller.Config.indexOfClass(at.Class)
 	if ix == nil {
@@ -64,14 +64,14 @@
 	return searchRequest(ix, at, body), true
 }
 
-// searchRequest words a search of one shard.
+// searchRequest builds a search of one shard.
 func searchRequest(ix *Index, at *core.Attempt, body []byte) *http1.Message {
 	const target = "/%s/_search?preference=_shards:%d&allow_partial_search_results=false&timeout=%dms"
 	return jsonRequest(http.MethodPost,
 		fmt.Sprintf(target, url.PathEscape(ix.name), at.Shard, remainingMillis(at)), body)
 }
 
-// documentRequest words the storing of a document.
+// documentRequest builds the request that stores a document.
 func documentRequest(doc *document, at *core.Attempt) *http1.Message {
 	operation := "_doc"
 	if doc.createOnly {
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -13,7 +13,7 @@
 
 // Limits are the settings that bind the program round the decision module rather than the module.
 type Limits struct {
-	Shards         int           // 0 where it is not told
+	Shards         int           // 0 if not given
 	MaxOpen        int           // queries and parts open at once; 0 for no limit
 	CallsPerConn   int           // calls that one connection to a replica carries at once
 	ConnectTimeout time.Duration // for connections to replicas
