--- a/Makefile
+++ b/Makefile
@@ -19,8 +19,8 @@
 	go test ./internal/http1 -run '^$$' -fuzz '^FuzzServer$$' -fuzztime 20s
 	go test ./internal/platform -run '^$$' -fuzz '^FuzzCaller$$' -fuzztime 20s
 	go test ./internal/platform -run '^$$' -fuzz '^FuzzFrames$$' -fuzztime 20s
-	go test ./internal/operator -run '^$$' -fuzz '^FuzzParse$$' -fuzztime 20s
-	go test ./internal/operator -run '^$$' -fuzz '^FuzzSnapshot$$' -fuzztime 20s
+	go test ./internal/operator -run '^$$' -fuzz '^FuzzParseCall$$' -fuzztime 20s
+	go test ./internal/operator -run '^$$' -fuzz '^FuzzDecode$$' -fuzztime 20s
 	go test ./internal/config -run '^$$' -fuzz '^FuzzReload$$' -fuzztime 20s
 
 # Both take their configuration from PROXY_CONFIG, from the file that SEARCH names, or from both.
