--- a/internal/decide/scatter/admission_test.go
+++ b/internal/decide/scatter/admission_test.go
@@ -121,7 +121,8 @@
 		for range 20 {
 			s := base()
 			s.Classes[0].MinFraction, s.RingSize = minFraction, 4
-			h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
+			h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1},
+				Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
 			h.m.replicas.byID["d"].latencyRatio = 10 // its mean is twice the objective
 			rejected += len(of[Reject](h.query("c", 0, 1, 2, 3)))
 		}
@@ -143,7 +144,8 @@
 	} {
 		s := base()
 		s.Classes[0].MinFraction, s.RingSize = tc.minFraction, 4
-		h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
+		h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1},
+			Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
 		sent := 0
 		for range 40 {
 			h.m.replicas.byID["d"].latencyRatio = tc.ratio // at 10 its mean is twice the objective
@@ -209,8 +211,9 @@
 			r.health.ejected, r.latencyRatio, r.health.failsFast, r.health.nextProbe = true, tc.ratio, tc.failing, now+sec
 			now += sec / 10
 			q := fmt.Sprint("q", i)
-			for _, act := range m.Step(now, []Event{QueryArrived{ID: q, Number: int64(i), Class: "c", Parts: 1, Expires: now + 5*sec},
-				PartArrived{ID: q + ".0", Number: int64(i), Weight: 1}}) {
+			events := []Event{QueryArrived{ID: q, Number: int64(i), Class: "c", Parts: 1, Expires: now + 5*sec},
+				PartArrived{ID: q + ".0", Number: int64(i), Weight: 1}}
+			for _, act := range m.Step(now, events) {
 				if s, ok := act.(Send); ok {
 					sent++
 					m.Step(now, []Event{AttemptEnded{Part: s.Part, Replica: "r", Outcome: Cancelled}, QueryCancelled{ID: q}})
--- a/internal/decide/scatter/checkpoint_test.go
+++ b/internal/decide/scatter/checkpoint_test.go
@@ -25,7 +25,8 @@
 	now := 100 * sec
 	for n := int64(1); n < 200; n++ {
 		now += 50 * ms
-		events := []Event{QueryArrived{ID: "q", Number: n, Class: "c", Parts: 1, Expires: now + 5*sec}, PartArrived{ID: "p", Number: n, Weight: 1}}
+		events := []Event{QueryArrived{ID: "q", Number: n, Class: "c", Parts: 1, Expires: now + 5*sec},
+			PartArrived{ID: "p", Number: n, Weight: 1}}
 		for _, act := range old.Step(now, events) {
 			if send, ok := act.(Send); ok { // r3 fails each time
 				out := Succeeded
@@ -33,7 +34,8 @@
 					out = Errored
 				}
 				now += 10 * ms
-				old.Step(now, []Event{AttemptEnded{Part: send.Part, Replica: send.Replica, Outcome: out, Latency: 10 * ms}, QueryCancelled{ID: "q"}})
+				ended := AttemptEnded{Part: send.Part, Replica: send.Replica, Outcome: out, Latency: 10 * ms}
+				old.Step(now, []Event{ended, QueryCancelled{ID: "q"}})
 			}
 		}
 	}
@@ -55,7 +57,8 @@
 	fresh.Restore(again)
 	got := fresh.Checkpoint()
 	got.At = m.At
-	if !reflect.DeepEqual(got.Classes, m.Classes) || got.WarmedUpRate != m.WarmedUpRate || got.Intervals != m.Intervals || !reflect.DeepEqual(got.Shards, m.Shards) ||
+	if !reflect.DeepEqual(got.Classes, m.Classes) || got.WarmedUpRate != m.WarmedUpRate ||
+		got.Intervals != m.Intervals || !reflect.DeepEqual(got.Shards, m.Shards) ||
 		!reflect.DeepEqual(got.Replicas[1:], m.Replicas[1:]) {
 		t.Errorf("recalled\n%+v, remembered\n%+v", got, m)
 	}
@@ -63,10 +66,13 @@
 		t.Errorf("a replica that was started anew is known as it was: %+v", r)
 	}
 
-	again.Classes[0].MeanLatency, again.WarmedUpRate, again.Replicas[1].LatencyRatio, again.Replicas[2].ClassExcludedUntil = -1, -1, 0, nil
+	again.Classes[0].MeanLatency, again.WarmedUpRate = -1, -1
+	again.Replicas[1].LatencyRatio, again.Replicas[2].ClassExcludedUntil = 0, nil
 	doubtful := learn(3)
 	doubtful.Restore(again)
-	if r := doubtful.replicas.byID["r3"]; doubtful.classes.byName["c"].meanLatency <= 0 || doubtful.traffic.warmedUpRate < 0 || doubtful.replicas.byID["r2"].latencyRatio == 0 || r.health.ejected || len(r.classHealth) != 2 {
+	if r := doubtful.replicas.byID["r3"]; doubtful.classes.byName["c"].meanLatency <= 0 ||
+		doubtful.traffic.warmedUpRate < 0 || doubtful.replicas.byID["r2"].latencyRatio == 0 ||
+		r.health.ejected || len(r.classHealth) != 2 {
 		t.Error("figures that cannot be were taken over")
 	}
 	doubtful.Step(101*sec, nil)
--- a/internal/decide/scatter/completeness_test.go
+++ b/internal/decide/scatter/completeness_test.go
@@ -36,7 +36,8 @@
 		if len(of[Reject](acts)) != 1 || len(of[Send](acts)) != 0 {
 			t.Errorf("%v left: %v", left, acts)
 		}
-		if acts = h.step(5*ms, QueryCancelled{ID: "q"}); len(acts) != 0 && (len(of[Reject](acts)) > 0 || len(of[Send](acts)) > 0) {
+		acts = h.step(5*ms, QueryCancelled{ID: "q"})
+		if len(acts) != 0 && (len(of[Reject](acts)) > 0 || len(of[Send](acts)) > 0) {
 			t.Errorf("%v left, afterwards: %v", left, acts)
 		}
 	}
@@ -64,7 +65,8 @@
 		{"below the minimum", 1, .5, 1, false, false},
 	} {
 		s := base()
-		s.Classes[0].CompleteFraction, s.Classes[0].MinFraction, s.Classes[0].LateWeight = tc.completeFraction, tc.minFraction, 0
+		s.Classes[0].CompleteFraction, s.Classes[0].MinFraction = tc.completeFraction, tc.minFraction
+		s.Classes[0].LateWeight = 0
 		h := start(t, s, names("a", "b")...)
 		h.m.hedges.tokens = 0
 		all := h.query("c", 0, 1, 2, 3)
--- a/internal/decide/scatter/coordinators_test.go
+++ b/internal/decide/scatter/coordinators_test.go
@@ -44,7 +44,10 @@
 }
 
 func newCoordinators(t *testing.T, n int, s Settings) *coordinators {
-	f := &coordinators{now: 100 * sec, onSend: func(string) {}, onEnd: func(string, time.Duration) {}, arrivals: map[string]time.Duration{}}
+	f := &coordinators{
+		now: 100 * sec, arrivals: map[string]time.Duration{},
+		onSend: func(string) {}, onEnd: func(string, time.Duration) {},
+	}
 	s.Coordinators = n
 	for i := range n {
 		s.Ordinal = i + 1
@@ -70,7 +73,8 @@
 		case SetTimer:
 			heap.Push(&f.due, fleetEvent{f.now + x.After, TimerFired{}, r})
 		case CancelAttempt: // what is cancelled goes on at its replica
-			heap.Push(&f.due, fleetEvent{f.now, AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Latency: 200 * ms}, r})
+			ended := AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Latency: 200 * ms}
+			heap.Push(&f.due, fleetEvent{f.now, ended, r})
 		case Answer:
 			f.onEnd(x.Query, f.now-f.arrivals[x.Query])
 		case Send:
@@ -81,7 +85,8 @@
 			}
 			no := r.tries[x.Part]
 			r.tries[x.Part]++
-			heap.Push(&f.due, fleetEvent{f.now + took, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: end, Latency: took}, r})
+			ended := AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: end, Latency: took}
+			heap.Push(&f.due, fleetEvent{f.now + took, ended, r})
 		}
 	}
 }
@@ -103,7 +108,9 @@
 		f.arrivals[id] = f.now
 		evs := []Event{QueryArrived{ID: id, Number: f.queries, Class: "c", Expires: f.now + sec, Parts: shards}}
 		for i := range shards {
-			evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: f.queries, Shard: (int(f.queries)*11 + i) % ringSize, Weight: 1 / float64(shards)})
+			shard := (int(f.queries)*11 + i) % ringSize
+			part := fmt.Sprint(id, ".", i)
+			evs = append(evs, PartArrived{ID: part, Number: f.queries, Shard: shard, Weight: 1 / float64(shards)})
 		}
 		f.step(r, evs...)
 	}
@@ -123,8 +130,10 @@
 		{300, 0, 30, 25 * ms, 90},
 		{300, 210, 30, 25 * ms, 90},
 	} {
-		s := Settings{RingSize: tc.nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
-			Classes:   []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}},
+		s := Settings{RingSize: tc.nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms,
+			MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
+			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3,
+				CompleteFraction: 1, MinFraction: 0.7}},
 			SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}}
 		f := newCoordinators(t, tc.coordinators, s)
 		var list []Replica
@@ -158,12 +167,14 @@
 		}
 		// Of what it can do for certain in the 8 s, or of what there is for it, where that is less.
 		least := 0.55 * min(tc.capacity*ramp(list[0].StartedAt+4*sec), 1/tc.gap.Seconds()) * 8
-		t.Logf("%d coordinators, %d fresh: %d parts, %.0f wanted; at worst %.2f of what overloads it", tc.coordinators, tc.fresh, len(sent), least, worst)
+		t.Logf("%d coordinators, %d fresh: %d parts, %.0f wanted; at worst %.2f of what overloads it",
+			tc.coordinators, tc.fresh, len(sent), least, worst)
 		if worst > slowStartSafety {
 			t.Errorf("%d coordinators, %d fresh: a window brought %.2f of what overloads it", tc.coordinators, tc.fresh, worst)
 		}
 		if float64(len(sent)) < least {
-			t.Errorf("%d coordinators, %d fresh: %d parts in 8 s, %.0f at least could be served", tc.coordinators, tc.fresh, len(sent), least)
+			t.Errorf("%d coordinators, %d fresh: %d parts in 8 s, %.0f at least could be served",
+				tc.coordinators, tc.fresh, len(sent), least)
 		}
 	}
 }
@@ -179,8 +190,12 @@
 		service       = time.Second / 80 // of a part, one at a time
 		queue         = 450 * ms         // of work, and full beyond it
 	)
-	f := newCoordinators(t, 300, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
-		Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}}})
+	f := newCoordinators(t, 300, Settings{
+		RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms,
+		MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
+		Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3,
+			CompleteFraction: 1, MinFraction: 1}},
+	})
 	var list []Replica
 	for i := range nodes {
 		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
@@ -224,8 +239,11 @@
 	t.Parallel()
 	const nodes = 30
 	play := func(me int) (a *coordinators, used func(bad string) map[string]bool) {
-		f := newCoordinators(t, 1, Settings{RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
-			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 1}}})
+		f := newCoordinators(t, 1, Settings{
+			RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
+			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3,
+				CompleteFraction: 1, MinFraction: 1}},
+		})
 		s := f.all[0].machine.settings
 		s.Coordinators, s.Ordinal = 300, me
 		if err := f.all[0].machine.Configure(s); err != nil {
--- a/internal/decide/scatter/deferred_test.go
+++ b/internal/decide/scatter/deferred_test.go
@@ -12,7 +12,8 @@
 	h.n++
 	acts := h.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 4, Expires: h.now + 6*sec},
 		PartArrived{ID: "q1.0", Number: 1, Weight: 0.25}, PartArrived{ID: "q1.1", Number: 1, Weight: 0.25, Deferred: true},
-		PartArrived{ID: "q1.2", Number: 1, Weight: 0.25, Deferred: true}, PartArrived{ID: "q1.3", Number: 1, Weight: 0.25, Deferred: true})
+		PartArrived{ID: "q1.2", Number: 1, Weight: 0.25, Deferred: true},
+		PartArrived{ID: "q1.3", Number: 1, Weight: 0.25, Deferred: true})
 	if sends := of[Send](acts); len(sends) != 1 || sends[0].Part != "q1.0" {
 		t.Fatalf("%v, want only the part that is not held", acts)
 	}
@@ -28,7 +29,8 @@
 		t.Fatalf("%v, want the part that was let out", acts)
 	}
 	// A part that is out and turns out to be known is cancelled, and its late outcome changes nothing.
-	acts = h.step(0, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q9.9", Resolved: true})
+	acts = h.step(0, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q1.2", Resolved: true},
+		PartReleased{ID: "q9.9", Resolved: true})
 	if off := of[CancelAttempt](acts); len(off) != 1 || off[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
 		t.Fatalf("%v, want the attempt cancelled and no answer from half of the weight", acts)
 	}
@@ -49,7 +51,8 @@
 		s.Classes[0].MinFraction = 0.7
 		h := start(t, s, names("r1", "r2")...)
 		h.step(0, QueryArrived{ID: "q1", Number: 1, Class: "c", Parts: 2, Expires: h.now + sec},
-			PartArrived{ID: "q1.0", Number: 1, Weight: in, Deferred: true}, PartArrived{ID: "q1.1", Number: 1, Weight: 1 - in, Deferred: true})
+			PartArrived{ID: "q1.0", Number: 1, Weight: in, Deferred: true},
+			PartArrived{ID: "q1.1", Number: 1, Weight: 1 - in, Deferred: true})
 		h.step(0, PartReleased{ID: "q1.0", Resolved: true})
 		answers, rejections := 0, 0
 		for range 200 {
--- a/internal/decide/scatter/endpoint_cost_test.go
+++ b/internal/decide/scatter/endpoint_cost_test.go
@@ -168,7 +168,8 @@
 				set.Coordinators += 40
 				configure()
 			case 600:
-				set.Classes = append(set.Classes[:1:1], Class{Name: "new", LatencyObjective: sec, Deadline: 2 * sec, CompleteFraction: 1, MinFraction: 1}, set.Classes[1])
+				added := Class{Name: "new", LatencyObjective: sec, Deadline: 2 * sec, CompleteFraction: 1, MinFraction: 1}
+				set.Classes = append(set.Classes[:1:1], added, set.Classes[1])
 				configure()
 			case 700:
 				set.Classes = append(set.Classes[:1:1], set.Classes[2])
@@ -194,15 +195,18 @@
 	t.Parallel()
 	const nodes = 12
 	s := fleetMember(t, nodes, true)
-	s.step(false, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "r3", RingPosition: 3, State: Draining}}})
+	draining := Replica{ID: "r3", RingPosition: 3, State: Draining}
+	s.step(false, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{draining}})
 	set := s.machine.settings
-	set.Classes = append(set.Classes[:2:2], Class{Name: "new", LatencyObjective: sec, Deadline: 2 * sec, CompleteFraction: 1, MinFraction: 1})
+	added := Class{Name: "new", LatencyObjective: sec, Deadline: 2 * sec, CompleteFraction: 1, MinFraction: 1}
+	set.Classes = append(set.Classes[:2:2], added)
 	if err := s.machine.Configure(set); err != nil {
 		t.Fatal(err)
 	}
 	before := s.machine.Checkpoint()
 	s.machine.Restore(before)
-	if after := s.machine.Checkpoint(); fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
+	after := s.machine.Checkpoint()
+	if fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
 		t.Errorf("the memory changed from %v to %v", before, after)
 	}
 	s.query(nodes, false)
@@ -252,7 +256,8 @@
 				id := fmt.Sprint("w", s.n)
 				events := []Event{QueryArrived{ID: id, Number: s.n, Class: "c", Expires: s.now + 5*sec, Parts: parts}}
 				for i := range parts {
-					events = append(events, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: (int(s.n)*7 + i) % nodes, Weight: 1.0 / parts})
+					shard := (int(s.n)*7 + i) % nodes
+					events = append(events, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: shard, Weight: 1.0 / parts})
 				}
 				s.served(events...)
 			}
--- a/internal/decide/scatter/endpoints_test.go
+++ b/internal/decide/scatter/endpoints_test.go
@@ -125,7 +125,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &replicaFleet{harness: &harness{t: t, m: a, now: 100 * sec}, failures: map[string]Outcome{}, attempts: map[string]int{},
+	f := &replicaFleet{harness: &harness{t: t, m: a, now: 100 * sec},
+		failures: map[string]Outcome{}, attempts: map[string]int{},
 		service: map[string]time.Duration{"gone1": 250 * ms, "gone2": 250 * ms, "b": 100 * ms}}
 	f.failures["gone1"], f.failures["gone2"] = ConnectFailed, ConnectFailed
 	f.clear()
--- a/internal/decide/scatter/example_test.go
+++ b/internal/decide/scatter/example_test.go
@@ -10,7 +10,8 @@
 // One query of two parts is sent, served and answered.
 func Example() {
 	agg, err := scatter.New(7, scatter.Settings{
-		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 8, MaxAttempts: 3, Hedging: true, Cancellation: true,
+		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 8,
+		MaxAttempts: 3, Hedging: true, Cancellation: true,
 		Classes: []scatter.Class{{Name: "search", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second,
 			PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}},
 	})
--- a/internal/decide/scatter/harness_test.go
+++ b/internal/decide/scatter/harness_test.go
@@ -13,9 +13,12 @@
 
 // base is the settings of a small fleet: one ring position, so that every replica holds every shard.
 func base() Settings {
-	return Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3,
+	return Settings{
+		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3,
 		Hedging: true, Cancellation: true,
-		Classes: []Class{{Name: "c", LatencyObjective: 2 * sec, Deadline: 6 * sec, PriorityWeight: 1, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1}}}
+		Classes: []Class{{Name: "c", LatencyObjective: 2 * sec, Deadline: 6 * sec, PriorityWeight: 1, LateWeight: 0.1,
+			CompleteFraction: 1, MinFraction: 1}},
+	}
 }
 
 // harness drives one Machine by hand.
--- a/internal/decide/scatter/hedging_test.go
+++ b/internal/decide/scatter/hedging_test.go
@@ -58,7 +58,8 @@
 		if len(off) > 0 {
 			again = of[Send](h.step(5*ms, ended(first.Part, 0, first.Replica, Cancelled, after)))
 		}
-		if lost := len(again) == 1 && again[0].Replica != first.Replica && after < sec; lost != tc.lost || !lost && len(off) > 0 {
+		lost := len(again) == 1 && again[0].Replica != first.Replica && after < sec
+		if lost != tc.lost || !lost && len(off) > 0 {
 			t.Errorf("%+v: cancelled %v after %v, then %v", tc, off, after, again)
 		}
 	}
--- a/internal/decide/scatter/outliers_test.go
+++ b/internal/decide/scatter/outliers_test.go
@@ -149,7 +149,8 @@
 // and the other class goes on there.
 func TestFailingClassIsExcludedAlone(t *testing.T) {
 	s := base()
-	s.Classes = append(s.Classes, Class{Name: "d", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1})
+	s.Classes = append(s.Classes,
+		Class{Name: "d", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1})
 	for name, o := range map[string]Outcome{"silence": TimedOut, "errors": Errored} {
 		h := start(t, s, names("a", "b")...)
 		a, c, d := h.m.replicas.byID["a"], h.m.classes.list[0], h.m.classes.list[1]
@@ -274,7 +275,8 @@
 	h := start(t, base(), names("a")...)
 	r := h.m.replicas.byID["a"]
 	one := func(o Outcome) time.Duration {
-		h.m.classes.list[0].meanLatency, r.latencyRatio, h.now = 0.2, 1, max(h.now, r.health.rejectingUntil)+ms // no crowd is predicted
+		h.m.classes.list[0].meanLatency, r.latencyRatio = 0.2, 1 // no crowd is predicted
+		h.now = max(h.now, r.health.rejectingUntil) + ms
 		x := of[Send](h.query("c", 0))[0]
 		h.step(ms, ended(x.Part, 0, "a", o, ms), QueryCancelled{ID: fmt.Sprint("q", h.n)})
 		return r.health.rejectingUntil - h.now
--- a/internal/decide/scatter/probes_test.go
+++ b/internal/decide/scatter/probes_test.go
@@ -11,7 +11,8 @@
 func TestProbesWithoutHedging(t *testing.T) {
 	s := base()
 	s.Hedging = false
-	s.Classes = append(s.Classes, Class{Name: "part", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 0.5})
+	s.Classes = append(s.Classes,
+		Class{Name: "part", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 0.5})
 	probes := map[string]int{}
 	for _, class := range []string{"c", "part"} {
 		h := start(t, s, names("a", "b", "c", "d")...)
--- a/internal/decide/scatter/random_test.go
+++ b/internal/decide/scatter/random_test.go
@@ -91,7 +91,8 @@
 						sum += weight[p]
 					}
 				}
-				completeFraction, minFraction := s.Classes[0].CompleteFraction, min(s.Classes[0].MinFraction, s.Classes[0].CompleteFraction)
+				completeFraction := s.Classes[0].CompleteFraction
+				minFraction := min(s.Classes[0].MinFraction, completeFraction)
 				wasComplete, second := first[x.Query]
 				if second {
 					if completeFraction = 1; s.Classes[0].MinFraction >= s.Classes[0].CompleteFraction {
--- a/internal/decide/scatter/reconfigure_test.go
+++ b/internal/decide/scatter/reconfigure_test.go
@@ -18,10 +18,14 @@
 		t.Fatal(err)
 	}
 	m.Step(sec, []Event{EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1"}, {ID: "r2"}}}})
-	m.Step(sec, []Event{QueryArrived{ID: "q", Number: 1, Class: "d", Parts: 1, Expires: 5 * sec}, PartArrived{ID: "q.0", Number: 1, Weight: 1}})
-	m.classes.byName["e"].meanLatency, m.replicas.byID["r1"].classHealth[2].consecutiveFaults, m.shards.byNumber[0].rates[2] = 0.123, 7, 5
+	m.Step(sec, []Event{QueryArrived{ID: "q", Number: 1, Class: "d", Parts: 1, Expires: 5 * sec},
+		PartArrived{ID: "q.0", Number: 1, Weight: 1}})
+	m.classes.byName["e"].meanLatency = 0.123
+	m.replicas.byID["r1"].classHealth[2].consecutiveFaults = 7
+	m.shards.byNumber[0].rates[2] = 5
 	next := s
-	next.Classes = []Class{s.Classes[2], {Name: "f", LatencyObjective: sec, Deadline: sec, CompleteFraction: 1}, s.Classes[0]}
+	added := Class{Name: "f", LatencyObjective: sec, Deadline: sec, CompleteFraction: 1}
+	next.Classes = []Class{s.Classes[2], added, s.Classes[0]}
 	if err := m.Configure(next); err != nil {
 		t.Fatal(err)
 	}
@@ -37,12 +41,15 @@
 	if got := fmt.Sprint(names()); got != "[e f c d]" { // d has a part out
 		t.Errorf("classes %s", got)
 	}
-	if e := m.classes.byName["e"]; e.meanLatency != 0.123 || m.replicas.byID["r1"].classHealth[0].consecutiveFaults != 7 || m.shards.byNumber[0].rates[0] != 5 || m.classes.byName["d"] != nil {
-		t.Errorf("e: base %v, faults %v, rates %v", e.meanLatency, m.replicas.byID["r1"].classHealth, m.shards.byNumber[0].rates)
+	e, health, rates := m.classes.byName["e"], m.replicas.byID["r1"].classHealth, m.shards.byNumber[0].rates
+	if e.meanLatency != 0.123 || health[0].consecutiveFaults != 7 || rates[0] != 5 || m.classes.byName["d"] != nil {
+		t.Errorf("e: base %v, faults %v, rates %v", e.meanLatency, health, rates)
 	}
 	m.Step(sec+1, nil)
-	m.Step(2*sec, []Event{AttemptEnded{Part: "q.0", Replica: m.queries.parts["q.0"].attempts[0].replica.ID, Latency: sec / 10}})
-	if err := m.Configure(next); err != nil || fmt.Sprint(names()) != "[e f c]" || len(m.replicas.byID["r1"].classHealth) != 3 {
+	replica := m.queries.parts["q.0"].attempts[0].replica.ID
+	m.Step(2*sec, []Event{AttemptEnded{Part: "q.0", Replica: replica, Latency: sec / 10}})
+	err = m.Configure(next)
+	if err != nil || fmt.Sprint(names()) != "[e f c]" || len(m.replicas.byID["r1"].classHealth) != 3 {
 		t.Errorf("%v, classes %v", err, names())
 	}
 }
@@ -64,7 +71,9 @@
 		t.Fatal(err)
 	}
 	k := m.classes.byName["c"]
-	if k == old || k.meanLatency != 0.4 || k.samples.count != 30 || k.maxAttempts != next.MaxAttempts || old.maxAttempts != s.MaxAttempts || len(m.replicas.byID["r1"].siblings) != 1 {
+	if k == old || k.meanLatency != 0.4 || k.samples.count != 30 ||
+		k.maxAttempts != next.MaxAttempts || old.maxAttempts != s.MaxAttempts ||
+		len(m.replicas.byID["r1"].siblings) != 1 {
 		t.Errorf("%+v, %d siblings", k, len(m.replicas.byID["r1"].siblings))
 	}
 	next.MaxAttempts = 1
@@ -98,9 +107,11 @@
 		t.Errorf("the same settings again make %d of %d lists of replicas anew", remade, len(before))
 	}
 	moved := s.machine.replicas.byID["more1"]
-	s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "more1", RingPosition: 6}}}})
+	elsewhere := Replica{ID: "more1", RingPosition: 6}
+	s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{elsewhere}}})
 	configure()
-	if want := s.machine.replicas.ring.siblings(moved); !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.machine.replicas.byID["more7"]) {
+	want := s.machine.replicas.ring.siblings(moved)
+	if !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.machine.replicas.byID["more7"]) {
 		t.Errorf("of %d nodes one that moved has %d siblings, want %d", nodes, len(moved.siblings), len(want))
 	}
 }
--- a/internal/decide/scatter/recorded_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -45,9 +45,16 @@
 var WireForm func([]Action) []byte
 
 func newRecordedLoad(t testing.TB, open, nodes int, trouble bool) *recordedLoad {
-	s := Settings{Coordinators: 1, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
-		Classes: []Class{{Name: "c", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7},
-			{Name: "once", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 2, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1, Idempotency: NonIdempotent}}}
+	s := Settings{
+		Coordinators: 1, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: 5 * ms,
+		MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
+		Classes: []Class{
+			{Name: "c", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 1, LateWeight: 0.3,
+				CompleteFraction: 1, MinFraction: 0.7},
+			{Name: "once", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 2, LateWeight: 0.1,
+				CompleteFraction: 1, MinFraction: 1, Idempotency: NonIdempotent},
+		},
+	}
 	m, err := New(1, s)
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +83,8 @@
 			} else if trouble && k%13 == 0 {
 				o, after = TimedOut, x.Timeout
 			}
-			heap.Push(&s.out, delivery{s.now + after, AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: o, Latency: after}})
+			ended := AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: o, Latency: after}
+			heap.Push(&s.out, delivery{s.now + after, ended})
 		}
 	}
 	s.digest = s.digest*31 + h.Sum64()
@@ -102,7 +110,8 @@
 	id := fmt.Sprint("q", s.n)
 	evs := []Event{QueryArrived{ID: id, Number: s.n, Class: class, Expires: s.now + 5*sec, Parts: parts}}
 	for i := range parts {
-		evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: (int(s.n)*7 + i) % nodes, Weight: 1 / float64(parts)})
+		shard := (int(s.n)*7 + i) % nodes
+		evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: shard, Weight: 1 / float64(parts)})
 	}
 	s.step(trouble, evs...)
 }
--- a/internal/decide/scatter/replica_fleet_test.go
+++ b/internal/decide/scatter/replica_fleet_test.go
@@ -22,8 +22,10 @@
 }
 
 func newReplicaFleet(t *testing.T, s Settings, ids ...string) *replicaFleet {
-	f := &replicaFleet{harness: start(t, s, names(ids...)...), service: map[string]time.Duration{}, failures: map[string]Outcome{},
-		attempts: map[string]int{}}
+	f := &replicaFleet{
+		harness: start(t, s, names(ids...)...), service: map[string]time.Duration{}, failures: map[string]Outcome{},
+		attempts: map[string]int{},
+	}
 	for _, id := range ids {
 		f.service[id] = 100 * ms
 	}
--- a/internal/decide/scatter/shares_test.go
+++ b/internal/decide/scatter/shares_test.go
@@ -11,7 +11,8 @@
 	two := []Class{{Name: "tight", LatencyObjective: sec, Deadline: 3 * sec, CompleteFraction: 1, MinFraction: 1},
 		{Name: "loose", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1}}
 	one := two[:1]
-	three := append(two[:2:2], Class{Name: "last", LatencyObjective: 3 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1})
+	three := append(two[:2:2],
+		Class{Name: "last", LatencyObjective: 3 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1})
 	for _, tc := range []struct {
 		name    string
 		classes []Class
--- a/internal/decide/scatter/slow_start_test.go
+++ b/internal/decide/scatter/slow_start_test.go
@@ -18,7 +18,8 @@
 		},
 		"restarted again and again": func(h *harness) {
 			for i := range time.Duration(5) {
-				h.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "starting", StartedAt: 100*sec + 1 + i*ms}}})
+				restarted := Replica{ID: "starting", StartedAt: 100*sec + 1 + i*ms}
+				h.step(ms, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{restarted}})
 			}
 		},
 		"returned without notice": func(h *harness) {
@@ -56,8 +57,10 @@
 					}
 				}
 				// One core at the starting work of 0.4 s and at the ramp that the window ends with.
-				ramp := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*slowStart.Window.Seconds()/slowStart.Duration.Seconds()
-				if most := fleets * slowStart.OverloadFactor * ramp * slowStart.Window.Seconds() / 0.4; sent < fleets || float64(sent) > most {
+				first, window := slowStart.InitialCapacity, slowStart.Window.Seconds()
+				ramp := first + (1-first)*window/slowStart.Duration.Seconds()
+				most := fleets * slowStart.OverloadFactor * ramp * window / 0.4
+				if sent < fleets || float64(sent) > most {
 					t.Errorf("%s, %d coordinators, multiple %.1f: %d parts in the first window of %d starts, at most %.0f",
 						name, coordinators, slowStart.OverloadFactor, sent, fleets, most)
 				}
@@ -74,7 +77,8 @@
 		s := base()
 		s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 100 * sec, OverloadFactor: 3, Window: sec}
 		if rare {
-			s.Classes = append(s.Classes, Class{Name: "rare", LatencyObjective: 20 * sec, Deadline: 60 * sec, CompleteFraction: 1, MinFraction: 1})
+			s.Classes = append(s.Classes,
+				Class{Name: "rare", LatencyObjective: 20 * sec, Deadline: 60 * sec, CompleteFraction: 1, MinFraction: 1})
 		}
 		f := newReplicaFleet(t, s, "a")
 		f.run(5*sec, 50*ms) // parts of the common class take 0.1 s
