--- a/internal/platform/agent_test.go
+++ b/internal/platform/agent_test.go
@@ -32,7 +32,8 @@
 		time.Sleep(time.Second)
 	}
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	for end := time.Now().Add(time.Duration(hold) * time.Millisecond); a.holds && !a.changed.Load() && !a.down.Load() && time.Now().Before(end); {
+	end := time.Now().Add(time.Duration(hold) * time.Millisecond)
+	for a.holds && !a.changed.Load() && !a.down.Load() && time.Now().Before(end) {
 		time.Sleep(time.Millisecond)
 	}
 	if a.down.Load() {
--- a/internal/platform/cost_test.go
+++ b/internal/platform/cost_test.go
@@ -17,11 +17,17 @@
 func BenchmarkWideQuery(b *testing.B) {
 	const nodes, sections = 60, 120
 	clock := core.SystemClock()
-	caller := &Caller{CallsPerConn: 32, ConnectTimeout: time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second}
+	caller := &Caller{
+		CallsPerConn: 32, ConnectTimeout: time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
+	}
+	settings := scatter.Settings{
+		Coordinators: 80, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1,
+		TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, Subscribe: true,
+		Classes: []scatter.Class{{Name: "summary", LatencyObjective: 380 * time.Millisecond, Deadline: 2 * time.Second,
+			PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}},
+	}
 	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Subscribe: func() {}, PolledSource: Source,
-		Callers: map[string]core.Caller{Scheme: caller}, Settings: scatter.Settings{Coordinators: 80, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1,
-			TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, Subscribe: true, Classes: []scatter.Class{
-				{Name: "summary", LatencyObjective: 380 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}}}})
+		Callers: map[string]core.Caller{Scheme: caller}, Settings: settings})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -36,7 +42,8 @@
 		go (&fake.Replicas{Script: func(shard, _ int) fake.Reply { // apart from each other, as nodes answer
 			return fake.Reply{After: time.Duration(5+shard*37%50) * time.Millisecond}
 		}}).ServeFrames(l)
-		list = append(list, core.Endpoint{Replica: scatter.Replica{ID: fmt.Sprint("n", i), RingPosition: i}, Address: l.Addr().String(), Scheme: Scheme})
+		replica := scatter.Replica{ID: fmt.Sprint("n", i), RingPosition: i}
+		list = append(list, core.Endpoint{Replica: replica, Address: l.Addr().String(), Scheme: Scheme})
 	}
 	go owner.Run()
 	defer caller.Close()
@@ -49,7 +56,8 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	for b.Loop() {
 		id := fmt.Sprint("q", clock().Nanoseconds())
-		a := owner.Execute(&core.Query{ID: id, Class: "summary", Deadline: clock() + 2*time.Second, Body: []byte("c41e77d0"), Parts: parts}, nil)
+		a := owner.Execute(&core.Query{ID: id, Class: "summary", Deadline: clock() + 2*time.Second,
+			Body: []byte("c41e77d0"), Parts: parts}, nil)
 		if a.Status != core.Served {
 			b.Fatalf("%+v", a.Status)
 		}
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -34,25 +34,35 @@
 	}
 	defer l.Close()
 	go fleet.ServeFrames(l)
-	nodes := &Caller{CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
+	nodes := &Caller{
+		CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			time.Sleep(late)
 			return (&net.Dialer{}).DialContext(ctx, "tcp", address)
-		}}
+		},
+	}
 	defer nodes.Close()
 	clock := core.SystemClock()
-	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
-		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}}}
-	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Callers: map[string]core.Caller{Scheme: nodes}, Subscribe: func() {}, PolledSource: "test"})
+	settings := scatter.Settings{
+		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond,
+		MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second,
+			PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}},
+	}
+	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
+		PolledSource: "test", Callers: map[string]core.Caller{Scheme: nodes}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	nodes.Reporter = owner
 	go owner.Run()
 	defer owner.Stop()
-	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{{Replica: scatter.Replica{ID: "n0", State: scatter.Ready}, Address: l.Addr().String(), Scheme: Scheme}})
+	replica := scatter.Replica{ID: "n0", State: scatter.Ready}
+	endpoint := core.Endpoint{Replica: replica, Address: l.Addr().String(), Scheme: Scheme}
+	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{endpoint})
 	until := time.Now().Add(budget)
-	a := owner.Execute(&core.Query{ID: "q", Class: "c", Deadline: clock() + budget, Parts: []core.Part{{Shard: 0, Weight: 1}}}, nil)
+	query := &core.Query{ID: "q", Class: "c", Deadline: clock() + budget, Parts: []core.Part{{Shard: 0, Weight: 1}}}
+	a := owner.Execute(query, nil)
 	if a.Status != core.Served {
 		t.Fatalf("the answer is %+v", a)
 	}
@@ -80,7 +90,8 @@
 	until := time.Now().Add(budget)
 	for shard := range 2 {
 		body := fmt.Sprintf(`{"slices":[{"slice":%d,"mass":1}],"filter":"f"}`, shard)
-		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: q%d\r\nX-Call-Class: c\r\nX-Budget: %dm\r\nContent-Length: %d\r\n\r\n%s", shard, budget.Milliseconds(), len(body), body)
+		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: q%d\r\nX-Call-Class: c\r\n"+
+			"X-Budget: %dm\r\nContent-Length: %d\r\n\r\n%s", shard, budget.Milliseconds(), len(body), body)
 	}
 	<-parts
 	second := <-parts
@@ -95,17 +106,26 @@
 func serveBehindOwner(t *testing.T, fleet *fake.Replicas) string {
 	node, clients := listenLocal(t), listenLocal(t)
 	go fleet.ServeFrames(node)
-	nodes := &Caller{CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second}
+	nodes := &Caller{
+		CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
+	}
 	t.Cleanup(nodes.Close)
 	clock := core.SystemClock()
-	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
-		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}}}
-	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Callers: map[string]core.Caller{Scheme: nodes}, Subscribe: func() {}, PolledSource: "test"})
+	settings := scatter.Settings{
+		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond,
+		MaxAttempts: 4, Cancellation: true, RetryAfter: time.Second,
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second,
+			PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}},
+	}
+	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
+		PolledSource: "test", Callers: map[string]core.Caller{Scheme: nodes}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	nodes.Reporter = owner
-	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{{Replica: scatter.Replica{ID: "n0", State: scatter.Ready}, Address: node.Addr().String(), Scheme: Scheme}})
+	replica := scatter.Replica{ID: "n0", State: scatter.Ready}
+	endpoint := core.Endpoint{Replica: replica, Address: node.Addr().String(), Scheme: Scheme}
+	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{endpoint})
 	go owner.Run()
 	t.Cleanup(owner.Stop)
 	server := &http1.Server{Handler: (&Front{Coordinator: owner, Clock: clock}).Handle, Limits: http1.DefaultLimits}
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -17,11 +17,11 @@
 //
 // # Goroutines
 //
-// Each connection to a replica has a writer, which Caller starts, and a reader, which the writer starts and waits for; both
-// end when the connection is closed, at the latest by Caller.Close, which does not wait for them. All their state is guarded
-// by the Caller's lock, under which nothing blocks. Discovery.Run is one goroutine, which its caller starts and ends by its
-// context; a subscription has a second one that waits for a new address, and is waited for. Front.Handle runs on the
-// goroutines of http1.Server.
+// Each connection to a replica has a writer, which Caller starts, and a reader, which the writer starts and waits for;
+// both end when the connection is closed, at the latest by Caller.Close, which does not wait for them. All their state
+// is guarded by the Caller's lock, under which nothing blocks. Discovery.Run is one goroutine, which its caller starts
+// and ends by its context; a subscription has a second one that waits for a new address, and is waited for.
+// Front.Handle runs on the goroutines of http1.Server.
 //
 // # Words
 //
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -21,7 +21,8 @@
 
 func TestRequestsThatAreNone(t *testing.T) {
 	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 1,
-		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, CompleteFraction: 1, MinFraction: 1}}}
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second,
+			CompleteFraction: 1, MinFraction: 1}}}
 	owner, err := core.New(core.Config{Settings: settings, Clock: core.SystemClock(), Subscribe: func() {}})
 	if err != nil {
 		t.Fatal(err)
@@ -52,25 +53,33 @@
 		{request("POST", "/api", good, "X-Call-Id", "a", "X-Budget", "99999999999999999m"), 400, "X-Budget"},
 		{request("POST", "/api", good, "X-Call-Id", "a", "X-Budget", "1m", "X-Call-Class", "d"), 400, "unknown class"},
 		{request("POST", "/api", `{}`, "X-Call-Id", "a", "X-Budget", "1m"), 400, "no filter"},
-		{request("POST", "/api", `{"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1000m", "X-Call-Class", "c"), 400, "no parts"},
+		{request("POST", "/api", `{"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1000m", "X-Call-Class", "c"),
+			400, "no parts"},
 		{request("POST", "/api", "{\"slices\":[],\"filter\":\"\xff\"}", "X-Call-Id", "a", "X-Budget", "1m"), 400, "UTF-8"},
-		{request("POST", "/api", `{"slices":[{"mass":1}],"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1m"), 400, "without its number"},
-		{request("POST", "/api", `{"slices":[{"slice":1.5,"mass":1}],"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1m"), 400, "bad body"},
-		{request("POST", "/api", `{"slices":[{"slice":-1,"mass":1}],"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1000m", "X-Call-Class", "c"), 400, "unknown shard"},
-		{request("POST", "/api", `{"slices":[{"slice":1,"mass":0.5},{"slice":1,"mass":0.5}],"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1000m", "X-Call-Class", "c"), 400, "twice"},
+		{request("POST", "/api", `{"slices":[{"mass":1}],"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1m"),
+			400, "without its number"},
+		{request("POST", "/api", `{"slices":[{"slice":1.5,"mass":1}],"filter":"f"}`, "X-Call-Id", "a", "X-Budget", "1m"),
+			400, "bad body"},
+		{request("POST", "/api", `{"slices":[{"slice":-1,"mass":1}],"filter":"f"}`,
+			"X-Call-Id", "a", "X-Budget", "1000m", "X-Call-Class", "c"), 400, "unknown shard"},
+		{request("POST", "/api", `{"slices":[{"slice":1,"mass":0.5},{"slice":1,"mass":0.5}],"filter":"f"}`,
+			"X-Call-Id", "a", "X-Budget", "1000m", "X-Call-Class", "c"), 400, "twice"},
 		{twice, 400, "more than once"},
 	} {
 		m := f.Handle(tc.req, nil)
 		if m.Status != tc.status || !strings.Contains(string(m.Body), tc.want) {
-			t.Errorf("%s %s %s %v: %d %s, want %d %s", tc.req.Method, tc.req.Target, tc.req.Body, tc.req.Header, m.Status, m.Body, tc.status, tc.want)
+			t.Errorf("%s %s %s %v: %d %s, want %d %s",
+				tc.req.Method, tc.req.Target, tc.req.Body, tc.req.Header, m.Status, m.Body, tc.status, tc.want)
 		}
 	}
-	whole := request("POST", "/api", good, "X-Call-Id", "a", "X-Budget", "250000u", "X-Again", "1", "X-Caller", "acme", "X-Call-Class", "c")
+	whole := request("POST", "/api", good,
+		"X-Call-Id", "a", "X-Budget", "250000u", "X-Again", "1", "X-Caller", "acme", "X-Call-Class", "c")
 	q, err := f.parseHead(whole)
 	if err == nil {
 		err = parseBody(q, whole.Body)
 	}
-	if left := q.Deadline - f.Clock(); err != nil || left <= 0 || left > 250*time.Millisecond || !q.IsRetry || q.Tenant != "acme" ||
+	left := q.Deadline - f.Clock()
+	if err != nil || left <= 0 || left > 250*time.Millisecond || !q.IsRetry || q.Tenant != "acme" ||
 		q.Class != "c" || string(q.Body) != "f" {
 		t.Errorf("%+v, %v", q, err)
 	}
--- a/internal/platform/one_change_test.go
+++ b/internal/platform/one_change_test.go
@@ -34,7 +34,8 @@
 func oneEntry(node int, index int64) versionlog.Entry {
 	name := fmt.Sprintf("n%04d", node)
 	return versionlog.Entry{Name: name, Index: index, Body: fmt.Appendf(nil,
-		`{"version":%d,"name":%q,"address":"127.0.0.1:9","zone":"z","type":"m","group":1,"status":"in_service","weight":1,"since_ms":0}`, index, name)}
+		`{"version":%d,"name":%q,"address":"127.0.0.1:9","zone":"z","type":"m","group":1,"status":"in_service","weight":1,"since_ms":0}`,
+		index, name)}
 }
 
 func (r *reader) take(tb testing.TB, slice versionlog.Slice) {
@@ -45,13 +46,15 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, MissingFromSnapshot: c.MissingFromSnapshot, SnapshotCompleted: c.SnapshotCompleted, Complete: c.Complete})
+	r.list.Apply(distribution.Update{Slice: slice, Entries: c.Entries, MissingFromSnapshot: c.MissingFromSnapshot,
+		SnapshotCompleted: c.SnapshotCompleted, Complete: c.Complete})
 }
 
 // change takes the next change of one entry.
 func (r *reader) change(tb testing.TB) {
 	r.index++
-	r.take(tb, versionlog.Slice{Version: versionlog.Version{Epoch: 1, Index: r.index}, NewestIndex: r.index, Entries: []versionlog.Entry{oneEntry(3, r.index)}})
+	version := versionlog.Version{Epoch: 1, Index: r.index}
+	r.take(tb, versionlog.Slice{Version: version, NewestIndex: r.index, Entries: []versionlog.Entry{oneEntry(3, r.index)}})
 }
 
 // leastAllocations is the smallest number of allocations that one of many calls makes. What pools lack makes some calls
--- a/internal/platform/rejection_test.go
+++ b/internal/platform/rejection_test.go
@@ -33,28 +33,39 @@
 func front(b testing.TB, refuse bool) *Front {
 	e := &echo{}
 	clock := core.SystemClock()
-	o, err := core.New(core.Config{Seed: 1, PolledSource: "test", Clock: clock, Callers: map[string]core.Caller{"echo": e}, Subscribe: func() {}, Admitter: noGate{refuse},
-		Settings: scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 3, Cancellation: true, TickInterval: time.Millisecond, RetryAfter: time.Second,
-			Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateWeight: 0.5, CompleteFraction: 1, MinFraction: 1}}}})
+	settings := scatter.Settings{
+		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 3, Cancellation: true,
+		TickInterval: time.Millisecond, RetryAfter: time.Second,
+		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: 3 * time.Second,
+			PriorityWeight: 1, LateWeight: 0.5, CompleteFraction: 1, MinFraction: 1}},
+	}
+	o, err := core.New(core.Config{Seed: 1, PolledSource: "test", Clock: clock, Subscribe: func() {},
+		Callers: map[string]core.Caller{"echo": e}, Admitter: noGate{refuse}, Settings: settings})
 	if err != nil {
 		b.Fatal(err)
 	}
 	e.o = o
 	go o.Run()
 	b.Cleanup(o.Stop)
-	o.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{{Replica: scatter.Replica{ID: "a"}, Address: "a", Scheme: "echo"}, {Replica: scatter.Replica{ID: "b"}, Address: "b", Scheme: "echo"}})
+	o.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{
+		{Replica: scatter.Replica{ID: "a"}, Address: "a", Scheme: "echo"},
+		{Replica: scatter.Replica{ID: "b"}, Address: "b", Scheme: "echo"},
+	})
 	<-o.Started()
 	return &Front{Coordinator: o, Clock: clock}
 }
 
 func handle(f *Front, i int) int {
-	body := `{"slices":[{"slice":1,"mass":0.25},{"slice":2,"mass":0.25},{"slice":3,"mass":0.25},{"slice":4,"mass":0.25}],"filter":"c41e77d0"}`
-	return f.Handle(request("POST", "/api", body, "X-Call-Id", fmt.Sprint("q", i), "X-Call-Class", "c", "X-Budget", "3000m"), nil).Status
+	body := `{"slices":[{"slice":1,"mass":0.25},{"slice":2,"mass":0.25},` +
+		`{"slice":3,"mass":0.25},{"slice":4,"mass":0.25}],"filter":"c41e77d0"}`
+	message := request("POST", "/api", body, "X-Call-Id", fmt.Sprint("q", i), "X-Call-Class", "c", "X-Budget", "3000m")
+	return f.Handle(message, nil).Status
 }
 
 // What the gate refuses is refused before its body is read: spoilt as it is, that is not looked at.
 func TestRefusedByItsHead(t *testing.T) {
-	m := front(t, true).Handle(request("POST", "/api", "{", "X-Call-Id", "q", "X-Call-Class", "c", "X-Budget", "3000m"), nil)
+	message := request("POST", "/api", "{", "X-Call-Id", "q", "X-Call-Class", "c", "X-Budget", "3000m")
+	m := front(t, true).Handle(message, nil)
 	if m.Status != 429 || m.Header.Get("Retry-After") != "1" {
 		t.Errorf("%d %v", m.Status, m.Header)
 	}
--- a/internal/platform/relayed_list_test.go
+++ b/internal/platform/relayed_list_test.go
@@ -20,7 +20,9 @@
 // A drain in an early slice of the first snapshot reaches the owner with that slice. Names are gone with the last
 // one, and only that brings the list as such; the copy for a process that takes over has all of it.
 func TestDistributedList(t *testing.T) {
-	d := NewRelayedList(List{Endpoints: []Endpoint{{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"}}})
+	d := NewRelayedList(List{Endpoints: []Endpoint{
+		{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"},
+	}})
 	if got := d.Known(); !slices.Equal(got, []string{"known", "old"}) {
 		t.Errorf("known %v", got)
 	}
@@ -46,11 +48,15 @@
 		d.Apply(u)
 	}
 	update(distribution.Update{}, distributedEntry("known", "terminating"), distributedEntry("a", "in_service"))
-	update(distribution.Update{SnapshotCompleted: true, MissingFromSnapshot: []string{"old"}}, distributedEntry("b", "in_service"))
+	update(distribution.Update{SnapshotCompleted: true, MissingFromSnapshot: []string{"old"}},
+		distributedEntry("b", "in_service"))
 	update(distribution.Update{Complete: true}, distributedEntry("a", "terminated"))
 	update(distribution.Update{}, distributedEntry("c", "in_service")) // a later snapshot's first slice
-	want := fmt.Sprintf("part known:%d a:%d, list %d b:%d old:%d, list %d a:%d, list %d c:%d", scatter.Draining, scatter.Ready,
-		scatter.IncrementalUpdate, scatter.Ready, scatter.Removed, scatter.IncrementalUpdate, scatter.Removed, scatter.IncrementalUpdate, scatter.Ready)
+	want := fmt.Sprintf("part known:%d a:%d, list %d b:%d old:%d, list %d a:%d, list %d c:%d",
+		scatter.Draining, scatter.Ready,
+		scatter.IncrementalUpdate, scatter.Ready, scatter.Removed,
+		scatter.IncrementalUpdate, scatter.Removed,
+		scatter.IncrementalUpdate, scatter.Ready)
 	if got := strings.Join(told, ", "); got != want {
 		t.Errorf("told %s\nwant %s", got, want)
 	}
@@ -59,7 +65,9 @@
 	for _, e := range whole.Endpoints {
 		names = append(names, e.Name+" "+e.Status)
 	}
-	if got := strings.Join(names, ", "); got != "b in_service, c in_service, known terminating" || address != DistributedSource || whole.Index != 13 || changes != 4 {
+	got := strings.Join(names, ", ")
+	if got != "b in_service, c in_service, known terminating" || address != DistributedSource ||
+		whole.Index != 13 || changes != 4 {
 		t.Errorf("kept %s of %s, version %d, after %d changes", got, address, whole.Index, changes)
 	}
 }
@@ -67,8 +75,12 @@
 // Entries that are no nodes are found before any of their answer counts.
 func TestDistributedCheck(t *testing.T) {
 	d := NewRelayedList(List{})
-	for _, bad := range []string{`{"name":"a","status":"confused"}`, `{"name":"a","status":"in_service","group":"x"}`, `{"status":"in_service"}`, `7`} {
-		if err := d.Check([]versionlog.Entry{distributedEntry("b", "in_service"), {Name: "a", Body: []byte(bad)}}); err == nil {
+	for _, bad := range []string{
+		`{"name":"a","status":"confused"}`, `{"name":"a","status":"in_service","group":"x"}`,
+		`{"status":"in_service"}`, `7`,
+	} {
+		entries := []versionlog.Entry{distributedEntry("b", "in_service"), {Name: "a", Body: []byte(bad)}}
+		if err := d.Check(entries); err == nil {
 			t.Errorf("%s passes", bad)
 		}
 	}
