--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -98,9 +98,10 @@
 		Classes: []scatter.Class{
 			{Name: "search", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, LateWeight: 0.1,
 				CompleteFraction: 1, MinFraction: 1},
-			{Name: "mark", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, Idempotency: scatter.Keyed,
-				DedupWindow: 4 * time.Second, CompleteFraction: 0.67, MinFraction: 0.5}},
-		SlowStart:   scatter.SlowStart{InitialCapacity: 0.15, Duration: 16 * time.Second, OverloadFactor: 4, Window: time.Second},
+			{Name: "mark", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1,
+				Idempotency: scatter.Keyed, DedupWindow: 4 * time.Second, CompleteFraction: 0.67, MinFraction: 0.5}},
+		SlowStart: scatter.SlowStart{
+			InitialCapacity: 0.15, Duration: 16 * time.Second, OverloadFactor: 4, Window: time.Second},
 		RetryBudget: &scatter.RetryBudget{MinRetries: 2, Ratio: 0.1, Window: 9 * time.Second}}
 	if !reflect.DeepEqual(s.Settings, want) {
 		t.Errorf("got  %+v\nwant %+v", s.Settings, want)
