--- a/internal/test/scaletest/changes.go
+++ b/internal/test/scaletest/changes.go
@@ -8,83 +8,91 @@
 	"harepass/internal/test/fake"
 )
 
-// drainLasts is how long a drained node takes nothing, before it is back.
-const drainLasts = 5 * time.Second
+const (
+	// drainDuration is how long a drained replica takes no parts.
+	drainDuration = 5 * time.Second
+	// changesStream tells the random draws of ordinary changes from others with the plan's seed.
+	changesStream = 0x6368616e6765
+)
 
-// disturb publishes the plan's ordinary changes until ctx ends.
-func (f *fleet) disturb(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x6368616e6765))
-	every := func(d time.Duration, act func()) {
-		if d <= 0 {
-			return
-		}
-		go func() {
-			ticks := time.NewTicker(d)
-			defer ticks.Stop()
-			for {
-				select {
-				case <-ticks.C:
-					act()
-				case <-ctx.Done():
-					return
-				}
-			}
-		}()
-	}
-	entries, drains := rand.New(rand.NewPCG(rng.Uint64(), 1)), rand.New(rand.NewPCG(rng.Uint64(), 2))
-	every(f.plan.Changes.Entries, func() { f.changeEntry(entries) })
-	every(f.plan.Changes.Settings, func() {
+// startChanges publishes the plan's ordinary changes until ctx ends. Each kind of change has a goroutine and random draws
+// of its own.
+func (f *fleet) startChanges(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(f.plan.Seed, changesStream))
+	endpointRand := rand.New(rand.NewPCG(rng.Uint64(), 1))
+	drainRand := rand.New(rand.NewPCG(rng.Uint64(), 2))
+	f.repeat(ctx, f.plan.Changes.EndpointInterval, func() { f.restartEndpoint(endpointRand) })
+	f.repeat(ctx, f.plan.Changes.SettingsInterval, func() {
 		if err := f.changeSettings(); err != nil {
 			f.timeline.note("settings not changed: %v", err)
 		}
 	})
-	every(f.plan.Changes.Drains, func() { f.drain(ctx, drains) })
+	f.repeat(ctx, f.plan.Changes.DrainInterval, func() { f.drain(ctx, drainRand) })
+}
+
+// repeat starts a goroutine that acts at an interval until ctx ends; an interval of 0 is never.
+func (f *fleet) repeat(ctx context.Context, interval time.Duration, act func()) {
+	if interval <= 0 {
+		return
+	}
+	f.background.Go(func() {
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
+		for {
+			select {
+			case <-ticker.C:
+				act()
+			case <-ctx.Done():
+				return
+			}
+		}
+	})
 }
 
-// changeEntry restarts a node that is only listed, as the list tells it.
-func (f *fleet) changeEntry(rng *rand.Rand) {
-	listed := f.plan.Entries - f.plan.Nodes
-	if listed == 0 {
+// restartEndpoint publishes that the process of some endpoint that does not answer has been started anew.
+func (f *fleet) restartEndpoint(rng *rand.Rand) {
+	unanswering := f.plan.Endpoints - f.plan.Replicas
+	if unanswering == 0 {
 		return
 	}
-	i := f.plan.Nodes + rng.IntN(listed)
+	i := f.plan.Replicas + rng.IntN(unanswering)
 	if f.publisher.status(i) == fake.StatusInService {
-		f.publisher.change(fake.StatusInService, i)
+		f.publisher.publishStatus(fake.StatusInService, i)
 	}
 }
 
-// drain takes a node that answers out for a while, if only for the list.
+// drain takes some replica that answers out of service for drainDuration, or until ctx ends. The replica itself goes on.
 func (f *fleet) drain(ctx context.Context, rng *rand.Rand) {
-	if f.plan.Nodes == 0 {
+	if f.plan.Replicas == 0 {
 		return
 	}
-	i := rng.IntN(f.plan.Nodes)
+	i := rng.IntN(f.plan.Replicas)
 	if f.publisher.status(i) != fake.StatusInService {
 		return
 	}
-	f.nodes.takes(false, i)
-	f.publisher.change(fake.StatusTerminating, i)
+	f.replicas.setAvailable(false, i)
+	f.publisher.publishStatus(fake.StatusTerminating, i)
 	select {
-	case <-time.After(drainLasts):
+	case <-time.After(drainDuration):
 	case <-ctx.Done():
 	}
 	if f.publisher.status(i) == fake.StatusTerminating {
-		f.nodes.takes(true, i)
-		f.publisher.change(fake.StatusInService, i)
+		f.replicas.setAvailable(true, i)
+		f.publisher.publishStatus(fake.StatusInService, i)
 	}
 }
 
-// changeSettings publishes the next version.
+// changeSettings publishes the next version of the settings.
 func (f *fleet) changeSettings() error {
 	f.mu.Lock()
-	f.number++
-	number := f.number
+	f.settingsNumber++
+	number := f.settingsNumber
 	f.mu.Unlock()
-	f.publisher.settings(number)
-	return f.writeSettings(true)
+	f.publisher.publishSettings(number)
+	return f.reloadSettings()
 }
 
-// probe publishes a change of the list, to see when it is in force everywhere.
-func (f *fleet) probe() *Publication {
-	return f.publisher.change(fake.StatusInService, f.plan.Entries-1)
+// publishProbe publishes a change of the endpoint list, whose delay shows when members can be reached.
+func (f *fleet) publishProbe() {
+	f.publisher.publishStatus(fake.StatusInService, f.plan.Endpoints-1)
 }
