--- a/internal/config/changes.go
+++ b/internal/config/changes.go
@@ -50,7 +50,7 @@
 
 // settingsChanges lists what differs in the settings. A file that lacks a key of the one in force is refused: it is
 // more likely cut off than meant so.
-func (p *Platform) settingsChanges(next *Platform) ([]string, error) {
+func (p *PlatformFile) settingsChanges(next *PlatformFile) ([]string, error) {
 	var keys, nextKeys map[string]json.RawMessage
 	if err := errors.Join(json.Unmarshal(p.data, &keys), json.Unmarshal(next.data, &nextKeys)); err != nil {
 		return nil, err
@@ -77,6 +77,6 @@
 
 // NeedsRestart reports whether next differs from p in what a running process is bound to: its name, its addresses for
 // clients and operators, and its limits.
-func (p *Platform) NeedsRestart(next *Platform) bool {
-	return p.Name != next.Name || p.Listen != next.Listen || p.Operator != next.Operator || p.Limits != next.Limits
+func (p *PlatformFile) NeedsRestart(next *PlatformFile) bool {
+	return p.Name != next.Name || p.Listen != next.Listen || p.AdminAddress != next.AdminAddress || p.Limits != next.Limits
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,10 +31,10 @@
 
 // Config is all that a coordinator needs to know before it starts.
 type Config struct {
-	Platform       *Platform // nil where PROXY_CONFIG is not set: there is no platform front
-	ListenerFD     int       // descriptor of the clients' listener that the platform holds; 0 where it holds none
-	Seed           uint64    // of all random draws of this process
-	Limits         Limits    // of this process; half of the platform's where another version runs beside it
+	Platform       *PlatformFile // nil where PROXY_CONFIG is not set: there is no platform front
+	ListenerFD     int           // descriptor of the clients' listener that the platform holds; 0 where it holds none
+	Seed           uint64        // of all random draws of this process
+	Limits         Limits        // of this process; half of the platform's where another version runs beside it
 	Settings       scatter.Settings
 	ProtocolLimits wire.Limits // what the settings bound outside of the decisions
 	ListPushed     bool        // endpoint lists are pushed to an agent, which is polled as discovery is
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -17,9 +17,9 @@
 	"config.RelaySource", "main.relaySource",
 	"config.RelayFile", "main.relayFile",
 	"config.AuthorityFile", "main.authorityFile",
-	"config.Platform", "main.config",
+	"config.PlatformFile", "main.config",
 	"config.Limits", "main.limits",
-	"Go struct field Platform.", "Go struct field config.",
+	"Go struct field PlatformFile.", "Go struct field config.",
 	"Go struct field Limits.", "Go struct field limits.",
 )
 
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -56,7 +56,7 @@
 			return decodeYAML("d", []byte("sources: [5]"), &RelayFile{})
 		},
 		"json: cannot unmarshal number into Go struct field config.name of type string": func() error {
-			return decodeJSON([]byte(`{"name":5}`), &Platform{})
+			return decodeJSON([]byte(`{"name":5}`), &PlatformFile{})
 		},
 	} {
 		err := decode()
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -98,14 +98,18 @@
 // LimitsError is limits under which no coordinator can run.
 type LimitsError struct{ Limits Limits }
 
-// Error implements error.
-func (e *LimitsError) Error() string { return fmt.Sprintf("limits %+v are too low", e.Limits) }
+// Error implements error. Operators and scripts read the text, so its names do not follow those of the fields.
+func (e *LimitsError) Error() string {
+	l := e.Limits
+	return fmt.Sprintf("limits {Cores:%v MemoryMB:%d Sockets:%d} are too low", l.Cores, l.MemoryMB, l.Descriptors)
+}
 
-// DescriptorError is a value of PROXY_FD that cannot be a descriptor handed down by the parent process.
-type DescriptorError struct{ Value string }
+// DescriptorValueError is a value of PROXY_FD that is no number, or the number of a standard stream. Whether the
+// descriptor is open, and a listener, is found out when the listener is opened.
+type DescriptorValueError struct{ Value string }
 
 // Error implements error.
-func (e *DescriptorError) Error() string {
+func (e *DescriptorValueError) Error() string {
 	return fmt.Sprintf("PROXY_FD %q is no descriptor that is handed down", e.Value)
 }
 
--- a/internal/config/fleet_settings.go
+++ b/internal/config/fleet_settings.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Platform: &Platform{Settings: settings, data: data}}
+	c := &Config{Platform: &PlatformFile{Settings: settings, data: data}}
 	if c.Settings, c.ProtocolLimits, err = wire.JSONSettings(settings); err != nil {
 		return nil, err
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,59 +2,73 @@
 
 // Limits is what the platform grants this process.
 type Limits struct {
-	Cores    float64 `json:"cores"`     // processor cores; a part of one is allowed
-	MemoryMB int     `json:"memory_mb"` // resident memory, in MiB
-	Sockets  int     `json:"sockets"`   // file descriptors
+	Cores       float64 `json:"cores"`     // processor cores; a part of one is allowed
+	MemoryMB    int     `json:"memory_mb"` // resident memory, in MiB
+	Descriptors int     `json:"sockets"`   // file descriptors that may be open at once
 }
 
 // defaultLimits hold where no platform gives any.
-var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
+var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Descriptors: 1024}
 
+// How memory and descriptors are divided.
 const (
-	// heapShare is the part of the memory that is the heap's; stacks and the sockets' buffers take the rest.
-	heapShare = 0.6
-	// reservedSockets is how many descriptors the program needs itself: streams, poller, listeners, discovery twice
-	// while it moves, and files that are read again.
-	reservedSockets = 24
-	// clientConnBytes is what a client's connection costs with its goroutines, buffer and one open request.
-	clientConnBytes = 128 << 10
-	// replicaShare divides the descriptors: one in so many is for connections to replicas.
-	replicaShare = 4
-	// idleShare divides the descriptors: one in so many may be an idle client's. Clients have at least a third for
-	// requests, and half of that remains for those who come next.
-	idleShare = 6
-	// cacheShare divides the memory: one in so many bytes may be cached for two-phase queries. The collector lets
-	// garbage grow to as much again, and buffers and queries need the rest.
-	cacheShare = 16
+	// heapFractionOfMemory is the fraction of the memory, from 0 to 1, that the heap may fill; stacks and the sockets'
+	// buffers take the rest.
+	heapFractionOfMemory = 0.6
+	// memoryBytesPerCacheByte is how many bytes of memory there have to be for each byte that two-phase queries may
+	// cache. The collector lets garbage grow to the size of the cache again, and buffers and queries need the rest.
+	memoryBytesPerCacheByte = 16
+	// bytesPerClientConn is the memory, in bytes, of a client's connection with its goroutines, its buffer and one open
+	// request.
+	bytesPerClientConn = 128 << 10
+	// reservedDescriptors is how many descriptors the program needs itself: streams, poller, listeners, two connections
+	// to discovery while its address changes, and files that are read again.
+	reservedDescriptors = 24
+	// descriptorsPerReplicaConn is how many descriptors there have to be for each connection to a replica: a quarter of
+	// the descriptors is for replicas.
+	descriptorsPerReplicaConn = 4
+	// descriptorsPerIdleConn is how many descriptors there have to be for each idle connection of a client: a sixth of
+	// the descriptors may be idle. Where memory does not bound them, clients have a third of 58 descriptors or more, so
+	// at least half of the clients' share is for connections with a request; of fewer descriptors clients have a
+	// quarter at least.
+	descriptorsPerIdleConn = 6
 )
 
-// check refuses limits under which no coordinator can run.
+// check refuses limits under which no coordinator can run. It is made before the limits are halved, so half of what
+// passes can be less than what it asks for.
 func (l Limits) check() error {
-	if l.Sockets < 2*reservedSockets || l.MemoryMB < 1 {
+	if l.Descriptors < 2*reservedDescriptors || l.MemoryMB < 1 {
 		return &LimitsError{l}
 	}
 	return nil
 }
 
-// half is what one process may use where a new version is started beside it: both together stay within l.
-func (l Limits) half() Limits {
-	l.MemoryMB, l.Sockets = max(1, l.MemoryMB/2), l.Sockets/2
+// halved is the limits of a process that PROXY_FD hands a listener. The platform may then run another version of the
+// coordinator beside it, under the same grant, during a hand-over; both together stay within l. A process keeps to
+// half for all of its life, also while it is alone. Cores are not halved.
+func (l Limits) halved() Limits {
+	l.MemoryMB, l.Descriptors = max(1, l.MemoryMB/2), l.Descriptors/2
 	return l
 }
 
-// HeapBytes is the live heap that the collector keeps to in a process with so many MiB of memory.
-func HeapBytes(memoryMB int) int64 { return int64(float64(memoryMB) * heapShare * (1 << 20)) }
+// HeapBytes is the limit, in bytes, that a process with so many MiB of memory gives the collector.
+func HeapBytes(memoryMB int) int64 {
+	return int64(float64(memoryMB) * heapFractionOfMemory * (1 << 20))
+}
 
 // ReplicaConns is how many connections to replicas there may be, besides the first one to each.
-func (l Limits) ReplicaConns() int { return max(1, l.Sockets/replicaShare) }
+func (l Limits) ReplicaConns() int { return max(1, l.Descriptors/descriptorsPerReplicaConn) }
 
-// ClientConns is how many connections clients may have, bounded by descriptors and by memory.
+// ClientConns is how many connections clients may have: as many as the descriptors that neither replicas nor the
+// program itself need, and no more than the memory holds; one at least.
 func (l Limits) ClientConns() int {
-	return max(1, min(l.Sockets-l.ReplicaConns()-reservedSockets, l.MemoryMB<<20/clientConnBytes))
+	byDescriptors := l.Descriptors - l.ReplicaConns() - reservedDescriptors
+	byMemory := l.MemoryMB << 20 / bytesPerClientConn
+	return max(1, min(byDescriptors, byMemory))
 }
 
-// IdleClientConns is how many connections stay open for clients that may ask again.
-func (l Limits) IdleClientConns() int { return max(1, l.Sockets/idleShare) }
+// IdleClientConns is how many of the clients' connections stay open without a request; one at least.
+func (l Limits) IdleClientConns() int { return max(1, l.Descriptors/descriptorsPerIdleConn) }
 
 // TwoPhaseCacheBytes is how many bytes the values may take that two-phase queries cache.
-func (l Limits) TwoPhaseCacheBytes() int { return l.MemoryMB << 20 / cacheShare }
+func (l Limits) TwoPhaseCacheBytes() int { return l.MemoryMB << 20 / memoryBytesPerCacheByte }
--- a/internal/config/overload.go
+++ b/internal/config/overload.go
@@ -29,7 +29,7 @@
 	if !exists {
 		return nil, err
 	}
-	f := &OverloadFile{LoopDelay: defaultLoopDelay, MemoryMB: max(1, int(float64(l.MemoryMB)*heapShare)),
+	f := &OverloadFile{LoopDelay: defaultLoopDelay, MemoryMB: max(1, int(float64(l.MemoryMB)*heapFractionOfMemory)),
 		MaxRetryAfter: defaultMaxRetryAfter}
 	if err := decodeYAML(path, data, f); err != nil {
 		return nil, err
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -24,15 +24,15 @@
 const firstHandedDown = 3
 
 // Platform is the file in which the platform configures one coordinator.
-type Platform struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`    // address for clients
-	Discovery string          `json:"discovery"` // address of the service that gives out the endpoint list
-	Operator  string          `json:"operator"`  // address of the admin endpoint; empty where there is none
-	Seed      string          `json:"seed"`      // hexadecimal number of 64 bits
-	Limits    Limits          `json:"limits"`
-	Known     platform.List   `json:"known"`    // the endpoint list to begin with
-	Settings  json.RawMessage `json:"settings"` // as internal/wire reads them
+type PlatformFile struct {
+	Name         string          `json:"name"`
+	Listen       string          `json:"listen"`    // address for clients
+	Discovery    string          `json:"discovery"` // address of the service that gives out the endpoint list
+	AdminAddress string          `json:"operator"`  // address of the admin endpoint; empty where there is none
+	Seed         string          `json:"seed"`      // hexadecimal number of 64 bits
+	Limits       Limits          `json:"limits"`
+	KnownList    platform.List   `json:"known"`    // the endpoint list to begin with
+	Settings     json.RawMessage `json:"settings"` // as internal/wire reads them
 
 	data []byte // the file itself
 }
@@ -71,7 +71,7 @@
 
 // readPlatform makes a Config of the platform's file and the variables.
 func readPlatform(data []byte, env Environment) (*Config, error) {
-	p := &Platform{Limits: defaultLimits, data: data}
+	p := &PlatformFile{Limits: defaultLimits, data: data}
 	if err := decodeJSON(data, p); err != nil {
 		return nil, err
 	}
@@ -95,20 +95,20 @@
 	c.Limits = p.Limits
 	if fd := env(varListenerFD); fd != "" {
 		if c.ListenerFD, err = strconv.Atoi(fd); err != nil || c.ListenerFD < firstHandedDown {
-			return nil, &DescriptorError{fd}
+			return nil, &DescriptorValueError{fd}
 		}
-		c.Limits = c.Limits.half()
+		c.Limits = c.Limits.halved()
 	}
-	if c.KnownEndpoints, err = p.Known.CoreEndpoints(); err != nil {
+	if c.KnownEndpoints, err = p.KnownList.CoreEndpoints(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
 // override puts the variables that are set in the place of the file's fields.
-func (p *Platform) override(env Environment) {
+func (p *PlatformFile) override(env Environment) {
 	for name, field := range map[string]*string{varName: &p.Name, varListen: &p.Listen,
-		varDiscovery: &p.Discovery, varOperator: &p.Operator} {
+		varDiscovery: &p.Discovery, varOperator: &p.AdminAddress} {
 		if v := env(name); v != "" {
 			*field = v
 		}
@@ -116,12 +116,12 @@
 }
 
 // checkAddresses refuses addresses that are no host and port. Only the operators' one may be missing.
-func (p *Platform) checkAddresses() error {
+func (p *PlatformFile) checkAddresses() error {
 	for _, a := range []struct {
 		name, address string
 		optional      bool
 	}{
-		{"listen", p.Listen, false}, {"discovery", p.Discovery, false}, {"operator", p.Operator, true},
+		{"listen", p.Listen, false}, {"discovery", p.Discovery, false}, {"operator", p.AdminAddress, true},
 	} {
 		if a.address == "" && a.optional {
 			continue
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -22,22 +22,22 @@
 )
 
 // drainTimes are those after SIGTERM.
-type drainTimes struct {
-	closeIdle  time.Duration // connections without an open request are closed
-	lastAnswer time.Duration // the last query has its answer: before the platform kills
+type drainSchedule struct {
+	closeIdleAfter  time.Duration // connections without an open request are closed
+	lastAnswerAfter time.Duration // the last query has its answer: before the platform kills
 }
 
 // drainTimesOf gives the times for classes. Where deadlines are short, idle connections close early enough that what
 // came just before can still be answered.
-func drainTimesOf(classes []scatter.Class) drainTimes {
+func newDrainSchedule(classes []scatter.Class) drainSchedule {
 	longest := time.Duration(0)
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
 	kill := min(longest, MaxKillDelay)
-	return drainTimes{
-		closeIdle:  AcceptAfterTerm + min(MaxCloseIdleDelay, kill/2),
-		lastAnswer: AcceptAfterTerm + kill - min(maxKillMargin, kill/4),
+	return drainSchedule{
+		closeIdleAfter:  AcceptAfterTerm + min(MaxCloseIdleDelay, kill/2),
+		lastAnswerAfter: AcceptAfterTerm + kill - min(maxKillMargin, kill/4),
 	}
 }
 
@@ -46,9 +46,9 @@
 // once it has long been without a request. Where the platform holds the listener, new connections are left to the
 // process that takes over, from the beginning on.
 func (p *process) drain() {
-	times := drainTimesOf(p.Settings.Classes)
+	times := newDrainSchedule(p.Settings.Classes)
 	slog.Info("drain started", "phase", p.coordinator.Phase().String(),
-		"idle_close_after", times.closeIdle, "last_answer_after", times.lastAnswer)
+		"idle_close_after", times.closeIdleAfter, "last_answer_after", times.lastAnswerAfter)
 	began := time.Now()
 	p.coordinator.Drain()
 	if p.ListenerFD == 0 {
@@ -58,7 +58,7 @@
 	for _, f := range p.fronts {
 		f.server.Drain()
 	}
-	time.Sleep(times.closeIdle - time.Since(began))
+	time.Sleep(times.closeIdleAfter - time.Since(began))
 	for _, f := range p.fronts {
 		f.server.Shutdown()
 	}
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -23,7 +23,7 @@
 		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second,
 			CompleteFraction: 1, MinFraction: 1}}}
 	p := &process{Config: &config.Config{Settings: settings}, clock: core.SystemClock()}
-	limits := core.Limits{DrainTimeout: drainTimesOf(settings.Classes).lastAnswer}
+	limits := core.Limits{DrainTimeout: newDrainSchedule(settings.Classes).lastAnswerAfter}
 	var err error
 	p.coordinator, err = core.New(core.Config{Settings: settings, Clock: p.clock, Subscribe: func() {}, Limits: limits})
 	if err != nil {
@@ -86,11 +86,11 @@
 func TestDrainEndsBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
 		time.Second, 3 * time.Second, 8 * time.Second} {
-		times := drainTimesOf([]scatter.Class{{Deadline: longest / 2}, {Deadline: longest}})
+		times := newDrainSchedule([]scatter.Class{{Deadline: longest / 2}, {Deadline: longest}})
 		kill := AcceptAfterTerm + min(longest, 3*time.Second)
-		if times.closeIdle < AcceptAfterTerm || times.closeIdle >= times.lastAnswer || times.lastAnswer >= kill {
+		if times.closeIdleAfter < AcceptAfterTerm || times.closeIdleAfter >= times.lastAnswerAfter || times.lastAnswerAfter >= kill {
 			t.Errorf("deadlines up to %v: idle connections close at %v, the last answer by %v, the kill at %v",
-				longest, times.closeIdle, times.lastAnswer, kill)
+				longest, times.closeIdleAfter, times.lastAnswerAfter, kill)
 		}
 	}
 }
--- a/internal/lifecycle/listeners.go
+++ b/internal/lifecycle/listeners.go
@@ -52,13 +52,13 @@
 }
 
 // DescriptorError reports that the descriptor in PROXY_FD is no listener. Err is nil where no such descriptor is open.
-type DescriptorError struct {
+type ListenerDescriptorError struct {
 	FD  int
 	Err error
 }
 
 // Error implements error.
-func (e *DescriptorError) Error() string {
+func (e *ListenerDescriptorError) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("PROXY_FD names descriptor %d, which is not open", e.FD)
 	}
@@ -66,7 +66,7 @@
 }
 
 // Unwrap returns what the system says of the descriptor, or nil.
-func (e *DescriptorError) Unwrap() error { return e.Err }
+func (e *ListenerDescriptorError) Unwrap() error { return e.Err }
 
 // clientListener is the listener that the platform hands down for the platform's front, where it does; else a new one.
 func (p *process) clientListener(address string) (net.Listener, error) {
@@ -75,12 +75,12 @@
 	}
 	f := os.NewFile(uintptr(p.ListenerFD), "PROXY_FD")
 	if f == nil {
-		return nil, &DescriptorError{FD: p.ListenerFD}
+		return nil, &ListenerDescriptorError{FD: p.ListenerFD}
 	}
 	defer f.Close()
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, &DescriptorError{p.ListenerFD, err}
+		return nil, &ListenerDescriptorError{p.ListenerFD, err}
 	}
 	return l, nil
 }
--- a/internal/lifecycle/replicas.go
+++ b/internal/lifecycle/replicas.go
@@ -13,7 +13,7 @@
 const (
 	// responseTimeoutShare divides the tightest latency objective: one part in so many is the response time-out, so
 	// that another replica can still be asked within the objective.
-	responseTimeoutShare = 5
+	responseTimeoutsPerObjective = 5
 	// maxResponseTimeout bounds the response time-out whatever the objectives are.
 	maxResponseTimeout = time.Second
 )
@@ -23,7 +23,7 @@
 func responseTimeout(classes []scatter.Class) time.Duration {
 	timeout := maxResponseTimeout
 	for _, c := range classes {
-		timeout = min(timeout, c.LatencyObjective/responseTimeoutShare)
+		timeout = min(timeout, c.LatencyObjective/responseTimeoutsPerObjective)
 	}
 	return timeout
 }
--- a/internal/lifecycle/start.go
+++ b/internal/lifecycle/start.go
@@ -78,5 +78,5 @@
 // coreLimits is what the protocol and the time to the end allow the coordinator.
 func (p *process) coreLimits() core.Limits {
 	return core.Limits{MaxOpen: p.ProtocolLimits.MaxOpen, Shards: p.ProtocolLimits.Shards,
-		DrainTimeout: drainTimesOf(p.Settings.Classes).lastAnswer}
+		DrainTimeout: newDrainSchedule(p.Settings.Classes).lastAnswerAfter}
 }
--- a/internal/lifecycle/takeover.go
+++ b/internal/lifecycle/takeover.go
@@ -26,7 +26,7 @@
 // openStore opens the stored state, if there is an admin endpoint. If the folder cannot be opened, operators' calls
 // are answered all the same, but end with this process.
 func (p *process) openStore() {
-	if p.Platform.Operator == "" {
+	if p.Platform.AdminAddress == "" {
 		return
 	}
 	files, err := p.openStateFolder()
@@ -47,8 +47,8 @@
 
 // takeOverList returns the endpoint list to begin with, and the address of the discovery that it came from. It is the
 // list that another process has stored, unless the configuration's is a later one of the same discovery.
-func (p *process) takeOverList() (list platform.List, from string) {
-	known := p.Platform.Known
+func (p *process) initialList() (list platform.List, from string) {
+	known := p.Platform.KnownList
 	if p.store == nil {
 		return known, p.Platform.Discovery
 	}
@@ -81,7 +81,7 @@
 // openAdminEndpoint accepts operators' calls. From then on what they say, and the endpoint list, is stored for the
 // process that comes next.
 func (p *process) openAdminEndpoint(ctx context.Context) error {
-	l, err := net.Listen("tcp", p.Platform.Operator)
+	l, err := net.Listen("tcp", p.Platform.AdminAddress)
 	if err != nil {
 		return fmt.Errorf("operators' door: %w", err)
 	}
