--- a/cmd/harepass/takeover_test.go
+++ b/cmd/harepass/takeover_test.go
@@ -152,7 +152,7 @@
 		{"PROXY_FD=x", `PROXY_FD "x" is no descriptor`},
 		{"PROXY_FD=3", "no listening socket"},
 		{"PROXY_FD=77", "bad file descriptor"},
-		{"PROXY_OPERATOR=" + h.ClientListener.Addr().String(), "operators' door"},
+		{"PROXY_OPERATOR=" + h.ClientListener.Addr().String(), "admin endpoint: "},
 		{"PROXY_OPERATOR=nowhere", "operator address"},
 	} {
 		p := h.start(tc.set)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -29,8 +29,8 @@
 	descriptorsPerReplicaConn = 4
 	// descriptorsPerIdleConn is how many descriptors there have to be for each idle connection of a client: a sixth of
 	// the descriptors may be idle. Where memory does not bound them, clients have a third of 58 descriptors or more, so
-	// at least half of the clients' share is for connections with a request; of fewer descriptors clients have a
-	// quarter at least.
+	// at least half of the clients' share is for connections with a request. Of 48 to 57 descriptors clients have a
+	// quarter at least; limits that were halved can be lower still.
 	descriptorsPerIdleConn = 6
 )
 
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -4,8 +4,8 @@
 // # Contract
 //
 // A caller takes the signals first, with NotifySignals, then reads the configuration, then runs the program. A signal
-// that comes while files are read is so handled once the program runs. Both Run functions return when they are told to
-// end and everything that was taken is answered, or with an error if the program cannot start. A *config.InvalidError
+// that comes while files are read is so handled once the program runs. Both Run functions return after SIGTERM or
+// SIGINT, which mean one thing to them, once every query that was accepted is answered, or with an error if the program cannot start. A *config.InvalidError
 // says that the configuration is at fault; any other error is the system's.
 //
 // One goroutine, the caller's, starts, reloads and drains; the fields of a process are its own. The goroutines that it
@@ -20,8 +20,10 @@
 //	endpoints.go         where the endpoint list comes from: discovery, relays, an inventory
 //	relayed_settings.go  settings that relays give out
 //	listeners.go         the fronts, and how descriptors are divided among clients and replicas
-//	takeover.go          what passes from one process to the next, and the admin endpoint
-//	reload.go            what a running process takes over from files and relays
+//	stored_state.go      the folder of the stored state, and the story of a hand-over between two processes
+//	inherited_list.go    which endpoint list a process begins with: the stored one, or its configuration's
+//	admin_endpoint.go    operators' calls, and what they leave for the next process
+//	reload.go            what a running process takes over from files and relays, and what it does not
 //	drain.go             the end: what is still answered, and by when
 //	signals.go           signals, and their order
 //	counters.go          the totals in the log
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -86,11 +86,11 @@
 func TestDrainEndsBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
 		time.Second, 3 * time.Second, 8 * time.Second} {
-		times := newDrainSchedule([]scatter.Class{{Deadline: longest / 2}, {Deadline: longest}})
+		schedule := newDrainSchedule([]scatter.Class{{Deadline: longest / 2}, {Deadline: longest}})
 		kill := AcceptAfterTerm + min(longest, 3*time.Second)
-		if times.closeIdleAfter < AcceptAfterTerm || times.closeIdleAfter >= times.lastAnswerAfter || times.lastAnswerAfter >= kill {
+		if schedule.closeIdleAfter < AcceptAfterTerm || schedule.closeIdleAfter >= schedule.lastAnswerAfter || schedule.lastAnswerAfter >= kill {
 			t.Errorf("deadlines up to %v: idle connections close at %v, the last answer by %v, the kill at %v",
-				longest, times.closeIdleAfter, times.lastAnswerAfter, kill)
+				longest, schedule.closeIdleAfter, schedule.lastAnswerAfter, kill)
 		}
 	}
 }
--- a/internal/lifecycle/listeners.go
+++ b/internal/lifecycle/listeners.go
@@ -51,7 +51,9 @@
 	return nil
 }
 
-// DescriptorError reports that the descriptor in PROXY_FD is no listener. Err is nil where no such descriptor is open.
+// ListenerDescriptorError reports that the descriptor in PROXY_FD is no listener. Err is nil where no such descriptor
+// is open. A value that cannot be such a descriptor is a config.DescriptorValueError, found while the configuration is
+// read.
 type ListenerDescriptorError struct {
 	FD  int
 	Err error
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -6,11 +6,11 @@
 	"syscall"
 )
 
-// Signals are those that a program obeys. Ends and reloads have a channel each: reloads, however many, must not crowd
-// out the end.
+// Signals are those that a program handles. Ends and reloads have a channel each: a full channel drops a signal, and
+// reloads, however many, must not crowd out the end.
 type Signals struct {
-	ends    chan os.Signal // SIGTERM, SIGINT
-	reloads chan os.Signal // SIGHUP; those that come while one waits are the same reload
+	ends    chan os.Signal // SIGTERM and SIGINT, which are handled alike
+	reloads chan os.Signal // SIGHUP; while one waits, further ones are dropped, since one reload does for all
 }
 
 // NotifySignals takes the signals from now on. It is to be called once, before anything that lasts.
