--- a/cmd/harepass/crowded_discovery_test.go
+++ b/cmd/harepass/crowded_discovery_test.go
@@ -16,15 +16,16 @@
 // These tests reproduce the incident of 2026-12-02 (docs/incidents) on real processes and sockets.
 
 const (
-	drainGrace  = time.Second           // the grace of draining replicas, where the settings say nothing
+	drainGrace  = time.Second           // how long draining replicas may get parts, where the settings say nothing
 	notifySlack = 50 * time.Millisecond // for a part that is on its way to its replica when the grace ends
 )
 
-// lateParts counts the parts that replicas are sent, and those that come after they may not get any more.
+// lateParts counts the parts that replicas are sent, and among them those that come although the replicas drain.
 type lateParts struct {
-	mu         sync.Mutex
-	sent, late int
-	lateFrom   time.Time // zero until the replicas drain
+	mu       sync.Mutex
+	sent     int       // all parts
+	late     int       // those that came after lateFrom
+	lateFrom time.Time // when the grace of the drain is over; zero until the replicas drain
 }
 
 // watch counts the parts of replicas.
@@ -40,16 +41,16 @@
 	}
 }
 
-// drainNow has parts count as late once the drain counts as notified and its grace is over.
+// drainNow begins the replicas' drain: parts are late once it counts as notified and its grace is over.
 func (l *lateParts) drainNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lateFrom = time.Now().Add(backoff.NotifiedAfter + drainGrace + notifySlack)
 }
 
-// A replica begins to drain while discovery is crowded: watches fall silent, and polls wait and are reset. Whatever
-// the coordinator does about its list, 6 s and the grace later nothing new goes to that replica; and once discovery
-// answers, it serves again by the new list.
+// Replicas begin to drain while discovery is crowded: watches fall silent, and polls wait and are reset. The coordinator
+// cannot learn of the drain, but is bound by it: 6 s and the grace later nothing new goes to those replicas. Once
+// discovery answers, the coordinator serves again by the new list.
 func TestDrainBehindCrowdedDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, fleet := range []int{3, 35, 300} {
@@ -63,32 +64,51 @@
 			time.Sleep(1500 * time.Millisecond)
 			parts.drainNow()
 			d.crowded.Store(true)
-			statuses := map[int]int{}
-			for end := time.Now().Add(12 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-				statuses[query(t, p.address, 0, 1, 2, 3, 4, 5)]++
-			}
+			statuses := p.queryFor(12 * time.Second)
 			d.crowded.Store(false)
 			eventually(t, "it serves again", func() bool { return query(t, p.address, 0, 1, 2, 3, 4, 5) == 200 })
-			parts.mu.Lock()
-			defer parts.mu.Unlock()
-			if parts.late > 0 {
-				t.Errorf("%d of %d parts went to draining replicas after they counted as notified; failed polls: %d\n%s",
-					parts.late, parts.sent, d.failedPolls.Load(), p.log)
-			}
-			if parts.sent == 0 || statuses[200] == 0 {
-				t.Errorf("no load: %d parts, answers %v", parts.sent, statuses)
-			}
-			for status := range statuses {
-				if status != 200 && status != 429 {
-					t.Errorf("answers %v", statuses)
-				}
-			}
+			parts.check(t, p, d)
+			checkServedOrRejected(t, statuses)
 		})
 	}
 }
 
-// Discovery is down for a while, with its replicas in service. Nobody can have been notified of anything, so the list
-// is used for as long as that lasts, and no query is rejected for it.
+// queryFor sends queries for all shards for a while, one after the other, and counts their statuses.
+func (p *limitedProcess) queryFor(d time.Duration) (statuses map[int]int) {
+	statuses = map[int]int{}
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		statuses[query(p.t, p.address, 0, 1, 2, 3, 4, 5)]++
+	}
+	return statuses
+}
+
+// check fails where a part was late, or none was sent at all.
+func (l *lateParts) check(t *testing.T, p *limitedProcess, d *crowdedDiscovery) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.late > 0 {
+		t.Errorf("%d of %d parts went to draining replicas after they counted as notified; failed polls: %d\n%s",
+			l.late, l.sent, d.failedPolls.Load(), p.log)
+	}
+	if l.sent == 0 {
+		t.Errorf("no load: no parts")
+	}
+}
+
+// checkServedOrRejected fails where no query was served, or one ended neither with 200 nor with 429.
+func checkServedOrRejected(t *testing.T, statuses map[int]int) {
+	if statuses[200] == 0 {
+		t.Errorf("no load: answers %v", statuses)
+	}
+	for status := range statuses {
+		if status != 200 && status != 429 {
+			t.Errorf("answers %v", statuses)
+		}
+	}
+}
+
+// Discovery is down for a while, with its replicas in service. It cannot have announced a change, so the list is used
+// for as long as that lasts, and no query is rejected for it.
 func TestServesWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
@@ -102,12 +122,13 @@
 		}
 	}
 	if d.failedPolls.Load() == 0 {
-		t.Error("nobody polled")
+		t.Error("discovery was not polled while it was down")
 	}
 }
 
-// A process is killed and comes back while discovery is down, so that nothing but its configuration says that a
-// replica drains. It begins with the later one of two lists: the stored one and that of its configuration.
+// A process is killed and comes back while discovery is down. Its stored list is older than that of its configuration,
+// and only the latter has a replica as draining. The process begins with the later list, and sends that replica
+// nothing.
 func TestStartsWithTheLaterList(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
@@ -115,7 +136,7 @@
 	dir := t.TempDir()
 	p.Env = append(p.Env, "TMPDIR="+dir, "PROXY_OPERATOR="+ownAddress(t))
 	discovery := startFleetMember(t, p, d, 3)
-	d.failedPolls.Add(1) // discovery's list changes
+	d.listChanged.Store(true)
 	eventually(t, "the list is stored", func() bool {
 		files := storedState(dir)
 		return len(files) == 1 && strings.Contains(files[0], `"terminating"`)
@@ -123,19 +144,15 @@
 	d.down.Store(true)
 	p.Process.Kill()
 	p.Wait()
-	p.writeConfig(p.listing(3, func(i int) string {
-		if i == 2 {
+	onlyReplica2Drains := func(replica int) string {
+		if replica == 2 {
 			return "terminating"
 		}
 		return "in_service"
-	}), discovery)
-	again := exec.Command(p.Path, p.Args[1:]...)
-	again.Env, again.Stderr = p.Env, p.log
-	before := len(p.replicas[2].Received())
-	if err := again.Start(); err != nil {
-		t.Fatal(err)
 	}
-	p.Cmd = again
+	p.writeConfig(p.listing(3, onlyReplica2Drains), discovery)
+	before := len(p.replicas[2].Received())
+	p.startAgain()
 	eventually(t, "it serves again", func() bool {
 		return strings.Count(p.log.String(), logmsg.PhaseChanged+` phase=ready`) == 2
 	})
@@ -148,3 +165,14 @@
 		t.Errorf("%d parts went to a replica that the configuration's list has as draining\n%s", n, p.log)
 	}
 }
+
+// startAgain starts a process that was killed, with its arguments, variables and log.
+func (p *limitedProcess) startAgain() {
+	p.t.Helper()
+	again := exec.Command(p.Path, p.Args[1:]...)
+	again.Env, again.Stderr = p.Env, p.log
+	if err := again.Start(); err != nil {
+		p.t.Fatal(err)
+	}
+	p.Cmd = again
+}
--- a/cmd/harepass/discovery_server_test.go
+++ b/cmd/harepass/discovery_server_test.go
@@ -25,7 +25,7 @@
 	return poll{time.Duration(hold) * time.Millisecond, from}
 }
 
-// isWatch reports whether the answer is to wait for a change.
+// isWatch reports whether the caller lets the answer wait for a change.
 func (p poll) isWatch() bool { return p.hold > time.Millisecond }
 
 // waitFor waits for a condition as long as the answer may wait, and reports whether it has come true.
@@ -47,25 +47,31 @@
 	w.Write(process.listing(version, state))
 }
 
-// crowdedDiscovery answers polls until it becomes crowded or goes down. After that its list has changed: the first two
-// replicas drain.
+// crowdedDiscovery answers polls until it becomes crowded or goes down.
 type crowdedDiscovery struct {
 	process     *limitedProcess
 	crowded     atomic.Bool   // standing watches stay silent, and each poll waits before its connection is reset
 	down        atomic.Bool   // each poll is rejected at once
 	resetDelay  time.Duration // how long a poll waits while discovery is crowded
-	failedPolls atomic.Int32  // while it was crowded or down
+	failedPolls atomic.Int32  // polls that came while discovery was crowded or down
+	listChanged atomic.Bool   // in the list the first two replicas drain; a failed poll sets it, and so may the test
+}
+
+// pollFailed counts a poll that gets no list. The list has changed from then on.
+func (d *crowdedDiscovery) pollFailed() {
+	d.failedPolls.Add(1)
+	d.listChanged.Store(true)
 }
 
 // ServeHTTP implements http.Handler.
 func (d *crowdedDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if d.down.Load() {
-		d.failedPolls.Add(1)
+		d.pollFailed()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if d.crowded.Load() {
-		d.failedPolls.Add(1)
+		d.pollFailed()
 		time.Sleep(d.resetDelay)
 		if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			c.(*net.TCPConn).SetLinger(0)
@@ -74,7 +80,7 @@
 		return
 	}
 	version, state := 1, inService
-	if d.failedPolls.Load() > 0 {
+	if d.listChanged.Load() {
 		version, state = 2, drainingBefore(2)
 	}
 	p := parsePoll(r)
--- a/internal/config/changes.go
+++ b/internal/config/changes.go
@@ -11,9 +11,13 @@
 	"harepass/internal/wire"
 )
 
-// Changes lists what would change if next took the place of c, which has a platform, in words for operators. The error
-// says why next cannot: it lacks something that c has, its settings cannot be served, or the OpenSearch front does not
-// fit them.
+// Changes lists the settings that would change if next took the place of c, which has a platform, in words for
+// operators. The list is of what the file says: it also has settings that a running process does not take over, which
+// lifecycle's reload.go names. The error says why next cannot take the place of c: it lacks something that c has, its
+// settings cannot be served, or the OpenSearch front does not fit them.
+//
+// The front's file is not read again. What c has of it is checked against the classes, tenants and shards of next, and
+// that check writes each index's deadline, from its class, into the configuration that c's front serves by.
 func (c *Config) Changes(next *Config) ([]string, error) {
 	changes, err := c.Platform.settingsChanges(next.Platform)
 	if err != nil {
@@ -31,7 +35,8 @@
 }
 
 // ChangesFrom lists what c changes in the configuration in force, which is the platform's file at path. The variables
-// override that file too. The error is ErrNoPlatform where c has no platform, and else as with Changes.
+// override that file too. The error is ErrNoPlatform where c has no platform, a *FileError or the system's where the
+// file cannot be read, and one of Changes otherwise.
 func (c *Config) ChangesFrom(path string, env Environment) ([]string, error) {
 	if c.Platform == nil {
 		return nil, ErrNoPlatform
@@ -48,8 +53,8 @@
 	return inForce.Changes(c)
 }
 
-// settingsChanges lists what differs in the settings. A file that lacks a key of the one in force is refused: it is
-// more likely cut off than meant so.
+// settingsChanges lists what differs in the settings. A file that lacks a key of the one in force is refused, with a
+// *MissingKeyError or a *MissingSettingsError: it is more likely cut off than meant so.
 func (p *PlatformFile) settingsChanges(next *PlatformFile) ([]string, error) {
 	var keys, nextKeys map[string]json.RawMessage
 	if err := errors.Join(json.Unmarshal(p.data, &keys), json.Unmarshal(next.data, &nextKeys)); err != nil {
@@ -75,8 +80,9 @@
 	return settingsdiff.Differences(settings, nextSettings), nil
 }
 
-// NeedsRestart reports whether next differs from p in what a running process is bound to: its name, its addresses for
-// clients and operators, and its limits.
+// NeedsRestart reports whether next differs from p in what a process takes over at its start only: its name, its
+// addresses for clients and operators, and its limits. It does not say which of them differs. The seed and the known
+// endpoint list are also for the start only, but no restart is needed for them.
 func (p *PlatformFile) NeedsRestart(next *PlatformFile) bool {
 	return p.Name != next.Name || p.Listen != next.Listen || p.AdminAddress != next.AdminAddress || p.Limits != next.Limits
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,15 +34,15 @@
 	Platform       *PlatformFile // nil where PROXY_CONFIG is not set: there is no platform front
 	ListenerFD     int           // descriptor of the clients' listener that the platform holds; 0 where it holds none
 	Seed           uint64        // of all random draws of this process
-	Limits         Limits        // of this process; half of the platform's where another version runs beside it
+	Limits         Limits        // of this process; half of the platform's, but for the cores, where PROXY_FD is set
 	Settings       scatter.Settings
 	ProtocolLimits wire.Limits // what the settings bound outside of the decisions
-	ListPushed     bool        // endpoint lists are pushed to an agent, which is polled as discovery is
+	ListPushed     bool        // lists are pushed to an agent, which is polled as discovery is; as at the start
 
-	KnownEndpoints []core.Endpoint // those of the platform's file
+	KnownEndpoints []core.Endpoint // of the platform's file, or of stored state in their place
 
-	OpenSearchPath     string             // of that front's file, which a reload checks again
-	OpenSearch         *opensearch.Config // nil where that front is off
+	OpenSearchPath     string             // of the OpenSearch front's file, which a reload does not read
+	OpenSearch         *opensearch.Config // nil where the OpenSearch front is off
 	Inventory          *inventory.Reader  // nil where no file lists endpoints
 	InventoryEndpoints []core.Endpoint    // as Inventory was read at the start
 
@@ -50,8 +50,8 @@
 	Distribution *DistributionFile // nil where no relay gives out endpoints or settings
 }
 
-// Load reads the platform's configuration, the OpenSearch front's file, or both, and the files of what is on besides.
-// The error is an *InvalidError.
+// Load reads the platform's configuration, the OpenSearch front's file, or both, and the files of
+// overload control and distribution where those are on. The error is an *InvalidError.
 func Load(env Environment, paths Paths, clock core.Clock) (*Config, error) {
 	c, err := load(env, paths, clock)
 	if err != nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -37,7 +37,8 @@
 	data []byte // the file itself
 }
 
-// LoadPlatform reads the file that PROXY_CONFIG names, as a reload does. The variables override what the file says.
+// LoadPlatform reads the file that PROXY_CONFIG names, as a reload does. The variables override what the file says. The
+// other files of the installation are not read, so those parts of the Config are empty.
 // The error is an *InvalidError.
 func LoadPlatform(env Environment) (*Config, error) {
 	c, err := loadPlatform(env)
@@ -45,7 +46,8 @@
 }
 
 // WithoutDiscovery is env without the address of discovery. That variable holds for the start only; from the first
-// reload on, the file decides.
+// reload on, the file decides. A file that names no discovery, since the variable did, is therefore refused at every
+// reload with an *AddressError, and the configuration in force stays.
 func WithoutDiscovery(env Environment) Environment {
 	return func(name string) string {
 		if name == varDiscovery {
@@ -87,7 +89,7 @@
 	if c.Settings, c.ProtocolLimits, err = wire.JSONSettings(p.Settings); err != nil {
 		return nil, err
 	}
-	// On sockets a list reaches only who subscribes, whether the settings say that it is pushed or polled.
+	// On sockets a list reaches only a subscriber, whether the settings say that it is pushed or polled.
 	c.ListPushed, c.Settings.Subscribe = !c.Settings.Subscribe, true
 	if err := p.Limits.check(); err != nil {
 		return nil, err
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -4,9 +4,9 @@
 // # Contract
 //
 // A caller takes the signals first, with NotifySignals, then reads the configuration, then runs the program. A signal
-// that comes while files are read is so handled once the program runs. Both Run functions return after SIGTERM or
-// SIGINT, which mean one thing to them, once every query that was accepted is answered, or with an error if the program cannot start. A *config.InvalidError
-// says that the configuration is at fault; any other error is the system's.
+// that comes while files are read is so handled once the program runs. SIGTERM and SIGINT are handled alike: both Run
+// functions then answer what they have accepted, each for a bounded time, and return. They return an error if the
+// program cannot start: a *config.InvalidError says that the configuration is at fault, any other is the system's.
 //
 // One goroutine, the caller's, starts, reloads and drains; the fields of a process are its own. The goroutines that it
 // starts end with the process: the core's with Stop, listeners' when they are closed, those that wait for the core to
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -81,16 +81,18 @@
 	})
 }
 
-// The platform kills 0.7 s and the longest deadline after SIGTERM, at most 3.7 s. The last answer is due before that,
-// and idle connections close before the last answer, also where deadlines are short.
+// A query that is not answered when the platform kills the process is lost. The platform kills 0.7 s and the longest
+// deadline after SIGTERM, and no later than 3.7 s. The last answer is due before that, and idle connections close
+// before the last answer, also where deadlines are short.
 func TestDrainEndsBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
 		time.Second, 3 * time.Second, 8 * time.Second} {
 		schedule := newDrainSchedule([]scatter.Class{{Deadline: longest / 2}, {Deadline: longest}})
 		kill := AcceptAfterTerm + min(longest, 3*time.Second)
-		if schedule.closeIdleAfter < AcceptAfterTerm || schedule.closeIdleAfter >= schedule.lastAnswerAfter || schedule.lastAnswerAfter >= kill {
+		closeIdle, lastAnswer := schedule.closeIdleAfter, schedule.lastAnswerAfter
+		if closeIdle < AcceptAfterTerm || closeIdle >= lastAnswer || lastAnswer >= kill {
 			t.Errorf("deadlines up to %v: idle connections close at %v, the last answer by %v, the kill at %v",
-				longest, schedule.closeIdleAfter, schedule.lastAnswerAfter, kill)
+				longest, closeIdle, lastAnswer, kill)
 		}
 	}
 }
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -10,10 +10,36 @@
 	"harepass/internal/platform"
 )
 
+// What a running process takes over, from the platform's file at a reload or from settings that relays give out:
+//
+//   - all settings of the coordinator's decisions, and the limits of the protocol;
+//   - for replicas that speak frames, the calls per connection and the connections' time-outs;
+//   - the classes and tenants of overload control;
+//   - the fleet size, the age limit of lists and the drain grace by which discovery is polled;
+//   - discovery's address, from the file alone.
+//
+// What it does not take over, though a change of the settings is logged as settings changed:
+//
+//   - whether endpoint lists are pushed to an agent (config.Config.ListPushed): discovery is polled as at the start;
+//   - the time-outs of connections to replicas that speak the OpenSearch API (opensearch.Caller);
+//   - the ring size by which the inventory is read;
+//   - the settings' Retry-After as the bound of overload control's.
+//
+// The name, the addresses for clients and operators, and the limits of the process need a restart. A reload with such a
+// change logs so once: the next reload of that file compares with this one, and does not repeat it. The line does not
+// say which of them has changed. The seed and the known endpoint list of the file are for the start alone. The files of
+// the OpenSearch front, of overload control and of distribution are not read again, nor is the file of settings that
+// the OpenSearch front names where there is no platform: there a reload reads the inventory and nothing else.
+//
+// A reload is refused as a whole, and the configuration in force stays, for each error of config.LoadPlatform, of
+// config.Config.Changes and of core.Coordinator.Configure. The file has to name discovery also where PROXY_DISCOVERY
+// did so at the start (config.WithoutDiscovery).
+
 // maxLoggedChanges is how many changes of settings a reload logs one by one; the rest is counted.
 const maxLoggedChanges = 40
 
-// reload reads the platform's configuration and the inventory again. Each stays in force where its file is at fault.
+// reload reads the platform's configuration and the inventory again. Where one of the files is at fault, what was read
+// of it before stays in force.
 func (p *process) reload() {
 	if p.Platform != nil {
 		if err := p.reloadPlatform(); err != nil {
@@ -36,8 +62,9 @@
 	p.coordinator.UpdateEndpoints(inventory.Source, scatter.FullUpdate, endpoints)
 }
 
-// reloadPlatform reads the platform's file and puts what a running process can take over from it in force: discovery's
-// address and the settings, unless relays give those out. It takes over all of that, or nothing and returns an error.
+// reloadPlatform reads the platform's file and puts what a running process takes over from it in force: discovery's
+// address and the settings. The file's settings no longer count once relays have given out theirs. With an error
+// nothing is put in force.
 func (p *process) reloadPlatform() error {
 	next, err := config.LoadPlatform(config.WithoutDiscovery(p.env))
 	if err == nil && p.relayedSettings.inForce {
@@ -50,7 +77,8 @@
 	return p.replaceConfig(next)
 }
 
-// replaceConfig puts the settings and discovery's address of next in force, all of it or nothing with an error.
+// replaceConfig puts the settings and discovery's address of next in force. With an error none of it is, but for the
+// deadlines of the OpenSearch front's indices, which Changes may have written.
 func (p *process) replaceConfig(next *config.Config) error {
 	changes, err := p.Changes(next)
 	if err != nil {
