--- a/cmd/harepass/crowded_discovery_test.go
+++ b/cmd/harepass/crowded_discovery_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os/exec"
 	"strings"
 	"sync"
 	"testing"
@@ -73,15 +72,6 @@
 	}
 }
 
-// queryFor sends queries for all shards for a while, one after the other, and counts their statuses.
-func (p *limitedProcess) queryFor(d time.Duration) (statuses map[int]int) {
-	statuses = map[int]int{}
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		statuses[query(p.t, p.address, 0, 1, 2, 3, 4, 5)]++
-	}
-	return statuses
-}
-
 // check fails where a part was late, or none was sent at all.
 func (l *lateParts) check(t *testing.T, p *limitedProcess, d *crowdedDiscovery) {
 	l.mu.Lock()
@@ -165,14 +155,3 @@
 		t.Errorf("%d parts went to a replica that the configuration's list has as draining\n%s", n, p.log)
 	}
 }
-
-// startAgain starts a process that was killed, with its arguments, variables and log.
-func (p *limitedProcess) startAgain() {
-	p.t.Helper()
-	again := exec.Command(p.Path, p.Args[1:]...)
-	again.Env, again.Stderr = p.Env, p.log
-	if err := again.Start(); err != nil {
-		p.t.Fatal(err)
-	}
-	p.Cmd = again
-}
--- a/cmd/harepass/discovery_test.go
+++ b/cmd/harepass/discovery_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Replicas begin to drain while every watch has fallen silent; discovery answers all but the watch that stands then. 6
-// s and the grace later they get nothing more: the complete program, on real sockets, under load.
+// Replicas begin to drain while every watch is silent: discovery never answers the watch that is open then, but answers
+// polls. The drain counts as notified 6 s later, and after the grace the replicas get nothing more.
 func TestNoPartToDrainingReplicaBehindSilentWatch(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
@@ -112,8 +112,8 @@
 	p.checkNoPartToDraining(time.Second)
 }
 
-// Lists are pushed, so new work has to end half a second after the agent knows that a replica drains. Discovery was
-// down for a moment, and the watch that stands then is never answered. The drain is kept all the same.
+// Lists are pushed, so new work has to end half a second after the agent knows that a replica drains. The agent is
+// silent from the middle of a watch, which is never answered. Nothing new goes to the replica all the same.
 func TestNoPartToDrainingReplicaBehindSilentAgent(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -112,9 +112,9 @@
 	return (&faultinjection.Process{AdminAddress: p.adminAddress}).CallAdmin(line)
 }
 
-// A coordinator takes its endpoints and settings from relays: it is ready once the list is complete, a drain and new
-// settings are in force by the next relay where the first is gone, bad settings are rejected as a whole in one line, a
-// file that is read again does not take settings back, and with no relay left it serves on by what it has.
+// A coordinator takes its endpoints and settings from relays. It is ready once the list is complete. Where the first
+// relay ends, the next one brings a drain and new settings. Bad settings are rejected completely, in one log line; a
+// file that is read again does not take settings back. With no relay left the coordinator serves on by its own copies.
 func TestRelaysGiveOutEndpointsAndSettings(t *testing.T) {
 	first, second := &fake.Replicas{}, &fake.Replicas{}
 	at := []net.Listener{listen(t), listen(t)}
@@ -207,7 +207,7 @@
 	second := startRelayedProcess(t, r, exampleSettings(t), dir)
 	second.waitForLine(logmsg.EndpointListTakenOver + ` endpoints=2`)
 	second.waitForLine(logmsg.EndpointListInForce + ` version=7/3`)
-	eventually(t, "f1 gone", func() bool { return strings.HasPrefix(second.callAdmin("maint-on f1"), "400") })
+	eventually(t, "f1 is listed no more", func() bool { return strings.HasPrefix(second.callAdmin("maint-on f1"), "400") })
 	if answer := second.callAdmin("maint-on f0"); !strings.HasPrefix(answer, "200") {
 		t.Errorf("f0: %q", answer)
 	}
--- a/cmd/harepass/host_test.go
+++ b/cmd/harepass/host_test.go
@@ -59,9 +59,9 @@
 	return p
 }
 
-// waitReady waits until a process tells operators that it serves.
+// waitReady waits until a process reports at its admin endpoint that it serves.
 func (h *host) waitReady(p *faultinjection.Process) *faultinjection.Process {
-	eventually(h.t, "a yes", p.Serves)
+	eventually(h.t, "the process serves", p.Serves)
 	return p
 }
 
--- a/cmd/harepass/idempotency_test.go
+++ b/cmd/harepass/idempotency_test.go
@@ -35,7 +35,7 @@
 
 // A connection breaks under an update after SIGTERM, and the update is sent again: without its key the replica would
 // apply it twice. The key of an update reaches its replica with every attempt, through both fronts and to both kinds
-// of replicas, and an update without one is told what it lacks.
+// of replicas, and the answer to an update without one says what is missing.
 func TestIdempotencyKeysReachReplicas(t *testing.T) {
 	const breaking = 5
 	replicas := &fake.Replicas{Script: breakFirstAttempt(breaking)}
--- a/cmd/harepass/limited_process_test.go
+++ b/cmd/harepass/limited_process_test.go
@@ -105,6 +105,17 @@
 	}
 }
 
+// startAgain starts a process that was killed, with its arguments, variables and log.
+func (p *limitedProcess) startAgain() {
+	p.t.Helper()
+	again := exec.Command(p.Path, p.Args[1:]...)
+	again.Env, again.Stderr = p.Env, p.log
+	if err := again.Start(); err != nil {
+		p.t.Fatal(err)
+	}
+	p.Cmd = again
+}
+
 // waitServing waits until a query for shards is served.
 func (p *limitedProcess) waitServing(shards ...int) {
 	p.t.Helper()
@@ -122,6 +133,15 @@
 	}
 }
 
+// queryFor sends queries for all shards for a while, one after the other, and counts their statuses.
+func (p *limitedProcess) queryFor(d time.Duration) (statuses map[int]int) {
+	statuses = map[int]int{}
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		statuses[query(p.t, p.address, 0, 1, 2, 3, 4, 5)]++
+	}
+	return statuses
+}
+
 // partsToFirst is how many parts the first two replicas have been sent.
 func (p *limitedProcess) partsToFirst() int {
 	return len(p.replicas[0].Received()) + len(p.replicas[1].Received())
--- a/cmd/harepass/relay_test.go
+++ b/cmd/harepass/relay_test.go
@@ -77,7 +77,7 @@
 }
 
 // An authority's process and that of a relay behind it: the files' versions come through, a signal has them read
-// again, files with a fault change nothing, and both end when they are told to.
+// again, files with a fault change nothing, and both end at SIGTERM.
 func TestRelayGivesOutAuthorityVersions(t *testing.T) {
 	dir := t.TempDir()
 	write := fileWriter(t, dir)
--- a/cmd/harepass/reload_test.go
+++ b/cmd/harepass/reload_test.go
@@ -10,7 +10,8 @@
 	"harepass/internal/logmsg"
 )
 
-// The program takes new settings over on SIGHUP, keeps the old ones where the file is broken, and says so in one line.
+// A file is replaced under a running process, sometimes by a broken one. On SIGHUP the process takes new settings over;
+// where the file is broken the old ones stay in force, and one log line says so.
 func TestReloadReplacesSettingsOrKeepsThem(t *testing.T) {
 	h := newHost(t)
 	path := h.ConfigPath()
--- a/cmd/harepass/serve_test.go
+++ b/cmd/harepass/serve_test.go
@@ -61,7 +61,9 @@
 	}
 	b.start("  trails: {class: route-lookup}\n  hazards: {class: hazard-report, reports: true}\n", file)
 	eventually(t, "ready", func() bool { return isReady(b.platform) })
-	eventually(t, "discovery's list", func() bool { return query(t, b.platform, 0, 1) == 200 && len(b.frames.Received()) > 0 })
+	eventually(t, "discovery's list", func() bool {
+		return query(t, b.platform, 0, 1) == 200 && len(b.frames.Received()) > 0
+	})
 	json := map[string]string{"Content-Type": "application/json"}
 	search := `{"query":{"range":{"section":{"lt":5}}}}`
 	status, body := post(t, "http://"+b.search+"/trails/_search", search, json)
@@ -76,7 +78,8 @@
 	b.drainWithOpenQuery(current)
 }
 
-// reloadInventory checks that a bad file keeps the list, and that a good one without the API replica drains that.
+// reloadInventory checks that a bad file leaves the list in force, and that a good one without the API replica drains
+// that replica.
 func (b *bothFronts) reloadInventory() {
 	b.write("nodes.csv", "name,address,port,cell\na0,127.0.0.1,none,0\n")
 	b.Process.Signal(syscall.SIGHUP)
--- a/cmd/harepass/shutdown_test.go
+++ b/cmd/harepass/shutdown_test.go
@@ -8,8 +8,8 @@
 	"harepass/internal/logmsg"
 )
 
-// A process is told to end before it is ready, by itself or amid many reloads, while discovery says nothing. It ends
-// without a fault: waiting for a list must not hold the end up, and reloads must not crowd it out.
+// SIGTERM comes before a process is ready, alone or amid many reloads, while discovery says nothing. The process ends
+// without a fault: waiting for a list must not delay the end, and reloads must not crowd it out.
 func TestEndsBeforeReady(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"end":          {syscall.SIGTERM},
--- a/cmd/harepass/stalled_process_test.go
+++ b/cmd/harepass/stalled_process_test.go
@@ -84,7 +84,7 @@
 // sendAll has every client send a query.
 func (r *stallRun) sendAll() {
 	for i, c := range r.clients {
-		c.send(r.T, fmt.Sprint("held-", i), "route-lookup", 2*time.Second, i%6)
+		c.send(r.T, fmt.Sprint("during-stall-", i), "route-lookup", 2*time.Second, i%6)
 	}
 }
 
--- a/internal/config/changes_test.go
+++ b/internal/config/changes_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// reread is what a reload does with a file before anything is taken over.
+// reread is what a reload does with a file before anything of it is in force.
 func reread(inForce *Config, data []byte) ([]string, error) {
 	next, err := readPlatform(data, emptyEnvironment)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-// A configuration is replaced while it is written, or by hand with a slip of the pen. A file that is empty, cut off
+// A file is read while it is still being written, or was edited by hand with a mistake. One that is empty, cut off
 // anywhere, lacks any key, or has a deadline or attempts not over 0, is refused; the complete one changes nothing.
 func TestBrokenConfigurationIsRefused(t *testing.T) {
 	file := exampleFile(t)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -38,7 +38,7 @@
 	ErrNoSources = errors.New("no sources")
 	// ErrNoResources means that a distribution file takes nothing from the relays that it names.
 	ErrNoResources = errors.New("no resources; without the file distribution is off")
-	// ErrAuthorityWithSources means that an authority is told to follow relays.
+	// ErrAuthorityWithSources means that an authority is configured to follow relays.
 	ErrAuthorityWithSources = errors.New("an authority has no sources")
 	// ErrAuthorityEmpty means that an authority has nothing to give out.
 	ErrAuthorityEmpty = errors.New("the authority has neither discovery, nodes nor settings")
@@ -64,7 +64,7 @@
 type RangeError struct {
 	Key     string // as the file has it
 	Value   any
-	Allowed string // the bounds, in words
+	Allowed string // the bounds, as text for operators
 }
 
 // Error implements error.
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -27,9 +27,9 @@
 // AuthorityFile says where the authority has the endpoint list and the settings from. A field that is empty gives
 // none.
 type AuthorityFile struct {
-	Discovery string `yaml:"discovery"` // address of the service that gives out the endpoint list
-	Nodes     string `yaml:"nodes"`     // path of a file with the endpoint list, in the place of discovery
-	Settings  string `yaml:"settings"`  // path of a file with the settings
+	Discovery     string `yaml:"discovery"` // address of the service that gives out the endpoint list
+	EndpointsPath string `yaml:"nodes"`     // path of a file with the endpoint list, in the place of discovery
+	SettingsPath  string `yaml:"settings"`  // path of a file with the settings
 }
 
 // defaultRelay is what holds where the file says nothing. Its budget gives 150 readers 0.94 MB each within 8 s.
@@ -91,9 +91,9 @@
 // check finds what is wrong with the sources of the endpoint list and the settings.
 func (a *AuthorityFile) check() error {
 	switch {
-	case a.Discovery == "" && a.Nodes == "" && a.Settings == "":
+	case a.Discovery == "" && a.EndpointsPath == "" && a.SettingsPath == "":
 		return ErrAuthorityEmpty
-	case a.Discovery != "" && a.Nodes != "":
+	case a.Discovery != "" && a.EndpointsPath != "":
 		return ErrAuthorityTwoLists
 	case a.Discovery == "":
 		return nil
--- a/internal/config/relay_test.go
+++ b/internal/config/relay_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// Faults of the addresses and of the limits are told at once, and each keeps its type.
+// Faults of the addresses and of the limits are reported together, and each keeps its type.
 func TestRelayFaultsAreTypedErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "relay.yaml")
 	if err := os.WriteFile(path, []byte("readers: 0"), 0o600); err != nil {
--- a/internal/config/upstream.go
+++ b/internal/config/upstream.go
@@ -11,11 +11,11 @@
 
 // Upstream is what the files of coordinators and relays say of the relays that are followed.
 type Upstream struct {
-	Zone      string        `yaml:"zone"` // where this process runs
-	Region    string        `yaml:"region"`
-	Sources   []RelaySource `yaml:"sources"`   // relays, or the authority
-	Heartbeat time.Duration `yaml:"heartbeat"` // how long a call stays open where nothing has changed
-	Allowance time.Duration `yaml:"allowance"` // how much later than the heartbeat an answer may come
+	Zone             string        `yaml:"zone"` // where this process runs
+	Region           string        `yaml:"region"`
+	Sources          []RelaySource `yaml:"sources"`   // relays, or the authority
+	Heartbeat        time.Duration `yaml:"heartbeat"` // how long a call stays open where nothing has changed
+	SilenceTolerance time.Duration `yaml:"allowance"` // how much later than the heartbeat an answer may come
 }
 
 // RelaySource is a relay that may be followed.
@@ -33,7 +33,7 @@
 
 // defaultUpstream holds where the file says nothing of the calls' times.
 func defaultUpstream() Upstream {
-	return Upstream{Heartbeat: distribution.DefaultHeartbeat, Allowance: distribution.DefaultSilenceTolerance}
+	return Upstream{Heartbeat: distribution.DefaultHeartbeat, SilenceTolerance: distribution.DefaultSilenceTolerance}
 }
 
 // checkSources refuses a list of sources that is empty, has one twice, or one that is no host and port.
@@ -60,8 +60,8 @@
 	switch {
 	case u.Heartbeat < minHeartbeat || u.Heartbeat > maxHeartbeat:
 		return &RangeError{"heartbeat", u.Heartbeat, allowed}
-	case u.Allowance < minHeartbeat || u.Allowance > maxHeartbeat:
-		return &RangeError{"allowance", u.Allowance, allowed}
+	case u.SilenceTolerance < minHeartbeat || u.SilenceTolerance > maxHeartbeat:
+		return &RangeError{"allowance", u.SilenceTolerance, allowed}
 	}
 	return nil
 }
@@ -73,6 +73,6 @@
 		locality := failover.Locality{Zone: s.Zone, Region: s.Region}
 		c.Sources = append(c.Sources, failover.Source{Address: s.Address, Locality: locality})
 	}
-	c.Heartbeat, c.SilenceTolerance = u.Heartbeat, u.Allowance
+	c.Heartbeat, c.SilenceTolerance = u.Heartbeat, u.SilenceTolerance
 	return c
 }
--- a/internal/lifecycle/counters.go
+++ b/internal/lifecycle/counters.go
@@ -14,8 +14,8 @@
 // countersInterval is the time between two log lines with the totals.
 const countersInterval = 10 * time.Second
 
-// logCounters writes all totals periodically, if any has changed, until ctx ends. What a process did is then known
-// when it is gone.
+// logCounters writes all totals periodically, if any has changed, until ctx ends. The log then
+// shows what a process did, also after it was killed.
 func logCounters(ctx context.Context) {
 	ticker := time.NewTicker(countersInterval)
 	defer ticker.Stop()
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -24,7 +24,7 @@
 // discovery. Either begins with the list that is known.
 func (p *process) newEndpointSource(cfg *core.Config) {
 	p.openStore()
-	known, from := p.initialList()
+	known, listDiscovery := p.initialList()
 	cfg.PolledSource = platform.Source
 	if p.store != nil {
 		cfg.OnCheckpoint = p.store.SetCheckpoint
@@ -33,7 +33,7 @@
 		p.relayedList = platform.NewRelayedList(known)
 		return
 	}
-	if from != p.Platform.Discovery {
+	if listDiscovery != p.Platform.Discovery {
 		known = platform.List{} // its version counts at another service, so all of the list is polled
 	}
 	p.discovery = platform.NewDiscovery(p.Platform.Discovery, known)
--- a/internal/lifecycle/inherited_list.go
+++ b/internal/lifecycle/inherited_list.go
@@ -15,12 +15,12 @@
 // configuration's list is taken where both are of one discovery and the configuration's version is the later one;
 // versions of two discoveries cannot be compared. It is also taken where no list is stored, or the stored one cannot
 // be read.
-func (p *process) initialList() (list platform.List, from string) {
+func (p *process) initialList() (list platform.List, discovery string) {
 	configured := p.Platform.KnownList
 	if p.store == nil {
 		return configured, p.Platform.Discovery
 	}
-	data, from := p.store.InheritedList()
+	data, discovery := p.store.InheritedList()
 	if len(data) == 0 {
 		return configured, p.Platform.Discovery
 	}
@@ -29,13 +29,13 @@
 		slog.Warn("stored endpoint list rejected", logmsg.KeyError, err)
 		return configured, p.Platform.Discovery
 	}
-	if from == p.Platform.Discovery && configured.Index > stored.Index {
+	if discovery == p.Platform.Discovery && configured.Index > stored.Index {
 		slog.Info("stored endpoint list outdated", "version", stored.Index, "configured_version", configured.Index)
-		return configured, from
+		return configured, discovery
 	}
 	p.KnownEndpoints = endpoints
 	slog.Info(logmsg.EndpointListTakenOver, "endpoints", len(endpoints), "version", stored.Index)
-	return stored, from
+	return stored, discovery
 }
 
 // readStoredList reads an endpoint list from stored state.
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// handleEvents reloads at each signal to do so, and takes over the settings that relays give out, until the process is
-// told to end.
+// handleEvents reloads at each signal to do so, and takes over the settings that relays give out, until a signal
+// to end comes.
 func (p *process) handleEvents(signals *Signals) {
 	untilEnd(signals, p.relayedSettings.updates, p.reload, p.applySettingsUpdate)
 }
--- a/internal/lifecycle/relay.go
+++ b/internal/lifecycle/relay.go
@@ -53,7 +53,7 @@
 	r := &relayProcess{file: f, server: relay.NewServer(endpoints, settings, f.Readers)}
 	if a := f.Authority; a != nil {
 		r.authority = &relay.Authority{Endpoints: endpoints, Settings: settings, Discovery: a.Discovery,
-			EndpointsFile: a.Nodes, SettingsFile: a.Settings, CheckSettings: config.CheckFleetSettings}
+			EndpointsFile: a.EndpointsPath, SettingsFile: a.SettingsPath, CheckSettings: config.CheckFleetSettings}
 	}
 	return r
 }
--- a/internal/lifecycle/relayed_settings.go
+++ b/internal/lifecycle/relayed_settings.go
@@ -44,7 +44,7 @@
 	go f.Run(ctx)
 }
 
-// applySettingsUpdate puts a version of the settings in force as a whole, or none of it.
+// applySettingsUpdate puts a version of the settings in force, completely or not at all.
 func (p *process) applySettingsUpdate(u settingsUpdate) {
 	next, err := p.WithFleetSettings(u.settings, p.env)
 	if err == nil {
--- a/internal/lifecycle/start.go
+++ b/internal/lifecycle/start.go
@@ -12,8 +12,8 @@
 )
 
 // start builds the coordinator with its callers, its sources of endpoints and its fronts, and sets all of them going.
-// The coordinator knows lists, maintenance and checkpoint before its first step; listeners open last, so that no
-// client is taken by a process that cannot start.
+// The coordinator has lists, maintenance and checkpoint before its first tick; listeners open last, so that no
+// client is accepted by a process that cannot start.
 func (p *process) start(ctx context.Context) error {
 	cfg := core.Config{Seed: p.Seed, Settings: p.Settings, Limits: p.coreLimits(), Clock: p.clock,
 		Callers: map[string]core.Caller{}, Subscribe: func() {}, PolledSource: inventory.Source}
