--- a/cmd/harepass/serve_test.go
+++ b/cmd/harepass/serve_test.go
@@ -116,7 +116,9 @@
 	b.write("nodes.csv", "name,address,port,cell,api\n")
 	b.write("config.json", file(moveTo))
 	b.Process.Signal(syscall.SIGHUP)
-	eventually(b.t, "discovery's move", func() bool { return query(b.t, b.platform, 0) == 200 && len(moved.Received()) > 0 })
+	eventually(b.t, "discovery's move", func() bool {
+		return query(b.t, b.platform, 0) == 200 && len(moved.Received()) > 0
+	})
 	before := len(b.frames.Received())
 	for range 5 {
 		if status := query(b.t, b.platform, 0, 1, 2); status != 200 || len(b.frames.Received()) > before {
