--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -24,20 +24,21 @@
 const firstHandedDown = 3
 
 // Platform is the file in which the platform configures one coordinator.
-type Platform struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`    // address for clients
-	Discovery string          `json:"discovery"` // address of the service that gives out the endpoint list
-	Operator  string          `json:"operator"`  // address of the admin endpoint; empty where there is none
-	Seed      string          `json:"seed"`      // hexadecimal number of 64 bits
-	Limits    Limits          `json:"limits"`
-	Known     platform.List   `json:"known"`    // the endpoint list to begin with
-	Settings  json.RawMessage `json:"settings"` // as internal/wire reads them
+type PlatformFile struct {
+	Name         string          `json:"name"`
+	Listen       string          `json:"listen"`    // address for clients
+	Discovery    string          `json:"discovery"` // address of the service that gives out the endpoint list
+	AdminAddress string          `json:"operator"`  // address of the admin endpoint; empty where there is none
+	Seed         string          `json:"seed"`      // hexadecimal number of 64 bits
+	Limits       Limits          `json:"limits"`
+	KnownList    platform.List   `json:"known"`    // the endpoint list to begin with
+	Settings     json.RawMessage `json:"settings"` // as internal/wire reads them
 
 	data []byte // the file itself
 }
 
-// LoadPlatform reads the file that PROXY_CONFIG names, as a reload does. The variables override what the file says.
+// LoadPlatform reads the file that PROXY_CONFIG names, as a reload does. The variables override what the file says. The
+// other files of the installation are not read, so those parts of the Config are empty.
 // The error is an *InvalidError.
 func LoadPlatform(env Environment) (*Config, error) {
 	c, err := loadPlatform(env)
@@ -45,7 +46,8 @@
 }
 
 // WithoutDiscovery is env without the address of discovery. That variable holds for the start only; from the first
-// reload on, the file decides.
+// reload on, the file decides. A file that names no discovery, since the variable did, is therefore refused at every
+// reload with an *AddressError, and the configuration in force stays.
 func WithoutDiscovery(env Environment) Environment {
 	return func(name string) string {
 		if name == varDiscovery {
@@ -71,7 +73,7 @@
 
 // readPlatform makes a Config of the platform's file and the variables.
 func readPlatform(data []byte, env Environment) (*Config, error) {
-	p := &Platform{Limits: defaultLimits, data: data}
+	p := &PlatformFile{Limits: defaultLimits, data: data}
 	if err := decodeJSON(data, p); err != nil {
 		return nil, err
 	}
@@ -87,7 +89,7 @@
 	if c.Settings, c.ProtocolLimits, err = wire.JSONSettings(p.Settings); err != nil {
 		return nil, err
 	}
-	// On sockets a list reaches only who subscribes, whether the settings say that it is pushed or polled.
+	// On sockets a list reaches only a subscriber, whether the settings say that it is pushed or polled.
 	c.ListPushed, c.Settings.Subscribe = !c.Settings.Subscribe, true
 	if err := p.Limits.check(); err != nil {
 		return nil, err
@@ -95,20 +97,20 @@
 	c.Limits = p.Limits
 	if fd := env(varListenerFD); fd != "" {
 		if c.ListenerFD, err = strconv.Atoi(fd); err != nil || c.ListenerFD < firstHandedDown {
-			return nil, &DescriptorError{fd}
+			return nil, &DescriptorValueError{fd}
 		}
-		c.Limits = c.Limits.half()
+		c.Limits = c.Limits.halved()
 	}
-	if c.KnownEndpoints, err = p.Known.CoreEndpoints(); err != nil {
+	if c.KnownEndpoints, err = p.KnownList.CoreEndpoints(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
 // override puts the variables that are set in the place of the file's fields.
-func (p *Platform) override(env Environment) {
+func (p *PlatformFile) override(env Environment) {
 	for name, field := range map[string]*string{varName: &p.Name, varListen: &p.Listen,
-		varDiscovery: &p.Discovery, varOperator: &p.Operator} {
+		varDiscovery: &p.Discovery, varOperator: &p.AdminAddress} {
 		if v := env(name); v != "" {
 			*field = v
 		}
@@ -116,12 +118,12 @@
 }
 
 // checkAddresses refuses addresses that are no host and port. Only the operators' one may be missing.
-func (p *Platform) checkAddresses() error {
+func (p *PlatformFile) checkAddresses() error {
 	for _, a := range []struct {
 		name, address string
 		optional      bool
 	}{
-		{"listen", p.Listen, false}, {"discovery", p.Discovery, false}, {"operator", p.Operator, true},
+		{"listen", p.Listen, false}, {"discovery", p.Discovery, false}, {"operator", p.AdminAddress, true},
 	} {
 		if a.address == "" && a.optional {
 			continue
