--- a/internal/test/scaletest/plan.go
+++ b/internal/test/scaletest/plan.go
@@ -22,12 +22,12 @@
 	Modules          int           `yaml:"modules"`       // hollow coordinators that also run the decision module
 	Hosts            int           `yaml:"hosts"`         // processes that run the hollow coordinators
 	Endpoints        int           `yaml:"entries"`       // entries of the endpoint list
-	RingSize         int           `yaml:"cells"`         // ring positions; 0 gives one to each endpoint that does not answer
+	RingSize         int           `yaml:"cells"`         // ring positions; 0 derives them, see ringSize
 	Replicas         int           `yaml:"nodes"`         // endpoints that answer; they are the first of the list
 	Clients          int           `yaml:"clients"`       // clients of each real coordinator
 	Relays           int           `yaml:"relays"`        // besides the authority; 0 plays the baseline alone
 	Heartbeat        time.Duration `yaml:"heartbeat"`     // how long a watch waits at most for a change
-	SnapshotRate     int           `yaml:"snapshot_rate"` // snapshot budget of a relay, in bytes a second; 0 for its default
+	SnapshotRate     int           `yaml:"snapshot_rate"` // snapshot budget of a relay, bytes a second; 0 for its default
 
 	Changes  Changes   `yaml:"changes"`
 	Links    Links     `yaml:"links"`
@@ -110,7 +110,8 @@
 	CostRatio    float64       `yaml:"ratio"`     // of CPU and of bytes, hollow to real or reverse; 0 compares nothing
 }
 
-// ringSize is how many ring positions there are. The replicas that answer have the first ones to themselves.
+// ringSize is how many ring positions there are: those of the replicas that answer, which have the first ones to
+// themselves, and one for each other endpoint, where the plan names no size.
 func (p *Plan) ringSize() int {
 	if p.RingSize > 0 {
 		return p.RingSize
