--- a/internal/test/scaletest/plan.go
+++ b/internal/test/scaletest/plan.go
@@ -27,7 +27,7 @@
 	Clients          int           `yaml:"clients"`       // clients of each real coordinator
 	Relays           int           `yaml:"relays"`        // besides the authority; 0 plays the baseline alone
 	Heartbeat        time.Duration `yaml:"heartbeat"`     // how long a watch waits at most for a change
-	SnapshotRate     int           `yaml:"snapshot_rate"` // snapshot budget of a relay, bytes a second; 0 for its default
+	SnapshotRate     int           `yaml:"snapshot_rate"` // snapshot budget of a relay, bytes a second; 0: its default
 
 	Changes  Changes   `yaml:"changes"`
 	Links    Links     `yaml:"links"`
