--- a/internal/test/coordinatorproc/meter.go
+++ b/internal/test/coordinatorproc/meter.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"sync"
 	"time"
 
@@ -11,13 +10,23 @@
 	"harepass/internal/core"
 	"harepass/internal/decide/overload"
 	"harepass/internal/loadshed"
-	"harepass/internal/logmsg"
 	"harepass/internal/test/loadgen"
 )
 
-// meter is the gate of a process, a guard's or one that admits all, and keeps its figures.
+const (
+	longestWait        = time.Minute           // that the histogram of waits can hold
+	significantDigits  = 3                     // of waits in the histogram
+	waitPercentile     = 99                    // Stats.WaitP99MS
+	pointsPerSecond    = 10                    // of Stats.MaxWaits
+	heapSampleInterval = 20 * time.Millisecond // between two looks at the live heap
+	bytesPerMB         = 1 << 20
+	usPerMS            = 1000
+)
+
+// meter is the core.Admitter of a process: it passes everything on to a shedder, where there is one, and measures. Its
+// methods may be called by any goroutine.
 type meter struct {
-	*loadshed.Shedder // nil admits all
+	*loadshed.Shedder // nil admits every query
 	began             time.Time
 
 	mu    sync.Mutex
@@ -25,20 +34,22 @@
 	stats Stats
 }
 
+// newMeter returns a meter that admits every query.
 func newMeter() *meter {
-	return &meter{began: time.Now(), waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	waits := hdrhistogram.New(1, longestWait.Microseconds(), significantDigits)
+	return &meter{began: time.Now(), waits: waits}
 }
 
-// sumUp is what has been measured until now.
-func (m *meter) sumUp() Stats {
+// summarize returns what has been measured so far.
+func (m *meter) summarize() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.stats.Wait99MS = float64(m.waits.ValueAtPercentile(99)) / 1000
-	m.stats.CPU = loadshed.ReadUsage().CPU.Seconds()
+	m.stats.WaitP99MS = float64(m.waits.ValueAtPercentile(waitPercentile)) / usPerMS
+	m.stats.CPUSeconds = loadshed.ReadUsage().CPU.Seconds()
 	return m.stats
 }
 
-// Admit implements core.Gate.
+// Admit implements core.Admitter.
 func (m *meter) Admit(a overload.Arrival) (ok bool, retryIn time.Duration) {
 	if ok = true; m.Shedder != nil {
 		ok, retryIn = m.Shedder.Admit(a)
@@ -48,19 +59,19 @@
 	if ok {
 		m.stats.Admitted++
 	} else {
-		m.stats.Refused++
+		m.stats.Rejected++
 	}
 	return ok, retryIn
 }
 
-// Done implements core.Gate.
+// QueryDone implements core.Admitter.
 func (m *meter) QueryDone(parts int) {
 	if m.Shedder != nil {
 		m.Shedder.QueryDone(parts)
 	}
 }
 
-// Turn implements core.Gate.
+// ObserveTick implements core.Admitter.
 func (m *meter) ObserveTick(t core.Tick) {
 	if m.Shedder != nil {
 		m.Shedder.ObserveTick(t)
@@ -72,48 +83,27 @@
 	defer m.mu.Unlock()
 	mean := (t.TotalWait / time.Duration(t.Count)).Microseconds()
 	m.waits.RecordValues(min(mean, m.waits.HighestTrackableValue()), int64(t.Count))
-	worst := float64(t.MaxWait) / float64(time.Millisecond)
-	m.stats.WaitMaxMS = max(m.stats.WaitMaxMS, worst)
-	at := float64(int(time.Since(m.began).Seconds()*10)) / 10
-	if n := len(m.stats.Waits); n == 0 || m.stats.Waits[n-1].At != at {
-		m.stats.Waits = append(m.stats.Waits, loadgen.Point{At: at, Value: worst})
-	} else {
-		m.stats.Waits[n-1].Value = max(m.stats.Waits[n-1].Value, worst)
+	m.recordMaxWait(float64(t.MaxWait) / float64(time.Millisecond))
+}
+
+// recordMaxWait takes in the longest wait of a tick, in milliseconds. It is to be called under the lock.
+func (m *meter) recordMaxWait(ms float64) {
+	m.stats.WaitMaxMS = max(m.stats.WaitMaxMS, ms)
+	at := float64(int(time.Since(m.began).Seconds()*pointsPerSecond)) / pointsPerSecond
+	if n := len(m.stats.MaxWaits); n > 0 && m.stats.MaxWaits[n-1].At == at {
+		m.stats.MaxWaits[n-1].Value = max(m.stats.MaxWaits[n-1].Value, ms)
+		return
 	}
+	m.stats.MaxWaits = append(m.stats.MaxWaits, loadgen.Point{At: at, Value: ms})
 }
 
-// watchHeap keeps the most that was live.
+// watchHeap records the largest live heap until ctx ends.
 func (m *meter) watchHeap(ctx context.Context) {
 	for ctx.Err() == nil {
-		live := float64(loadshed.ReadUsage().LiveBytes) / (1 << 20)
+		live := float64(loadshed.ReadUsage().LiveBytes) / bytesPerMB
 		m.mu.Lock()
-		m.stats.LiveMB = max(m.stats.LiveMB, live)
+		m.stats.LiveHeapMaxMB = max(m.stats.LiveHeapMaxMB, live)
 		m.mu.Unlock()
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(heapSampleInterval)
 	}
 }
-
-// levelLog is a log handler that keeps the changes of level.
-type levelLog struct{ m *meter }
-
-// Enabled implements slog.Handler.
-func (levelLog) Enabled(context.Context, slog.Level) bool { return true }
-
-// Handle implements slog.Handler.
-func (l levelLog) Handle(_ context.Context, r slog.Record) error {
-	r.Attrs(func(a slog.Attr) bool {
-		if a.Key == logmsg.KeyOverloadLevel {
-			l.m.mu.Lock()
-			l.m.stats.Levels = append(l.m.stats.Levels, loadgen.LevelChange{At: time.Since(l.m.began).Seconds(), Level: a.Value.String()})
-			l.m.mu.Unlock()
-		}
-		return a.Key != logmsg.KeyOverloadLevel
-	})
-	return nil
-}
-
-// WithAttrs implements slog.Handler.
-func (l levelLog) WithAttrs([]slog.Attr) slog.Handler { return l }
-
-// WithGroup implements slog.Handler.
-func (l levelLog) WithGroup(string) slog.Handler { return l }
--- a/internal/test/coordinatorproc/process.go
+++ b/internal/test/coordinatorproc/process.go
@@ -1,13 +1,14 @@
-// Package coordinatorproc runs a coordinator in a process of its own and measures its loop, heap and CPU from inside.
 package coordinatorproc
 
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
+	"strings"
 	"time"
 
 	"harepass/internal/core"
@@ -16,45 +17,51 @@
 	"harepass/internal/test/loadgen"
 )
 
-// Config is what a process is set up for. It does what the program does, before nodes on real sockets, and keeps figures of
-// its loop and heap that the program has no place for.
+// ErrNotStarted says that a process ended before it wrote the address of its front. Its standard error, which is this
+// process's, says why.
+var ErrNotStarted = errors.New("coordinatorproc: process not started")
+
+// ServeCommand is the command of this program that has to call Serve.
+const ServeCommand = "coordinator"
+
+// HeapLimitShare is the share of Config.MemoryMB that the garbage collector keeps the heap below, as in the program.
+const HeapLimitShare = 0.6
+
+// Config is what a process is started with. Serve checks it as the program checks its settings.
 type Config struct {
-	Settings scatter.Settings
-	Sections int
-	Indices  map[string]*opensearch.Index
-	Callers  map[string]string // tenants, by the user that a caller authenticates as
-	Nodes    []core.Endpoint
-	Cores    int
-	MemoryMB int
-	Target   time.Duration // of overload control; 0 has none: first come, first served
+	Settings      scatter.Settings
+	Shards        int                          // how many shards the ring has
+	Indices       map[string]*opensearch.Index // by name
+	TenantsByUser map[string]string            // tenants, by the user that a client authenticates as
+	Endpoints     []core.Endpoint              // the replicas, for the whole life of the process
+	Cores         int                          // how many processors the process uses at once
+	MemoryMB      int                          // memory of the process, of which HeapLimitShare is for the heap
+	WaitTarget    time.Duration                // of overload control; 0 has no overload control and admits every query
 }
 
-// Stats is what a process says of itself at its end.
+// Stats is what a process has measured of itself at its end.
 type Stats struct {
-	Wait99MS, WaitMaxMS float64 // of the loop, by message
-	LiveMB              float64 // the most that was live
-	CPU                 float64 // seconds
-	Levels              []loadgen.LevelChange
-	Waits               []loadgen.Point // the worst of each tenth of a second
-	Admitted, Refused   int
+	WaitP99MS     float64               // 99th percentile of the loop's waits, over all messages
+	WaitMaxMS     float64               // longest wait of the loop
+	LiveHeapMaxMB float64               // largest live heap
+	CPUSeconds    float64               // user and system time
+	Levels        []loadgen.LevelChange // changes of the overload level, oldest first
+	MaxWaits      []loadgen.Point       // longest wait of the loop in each tenth of a second, in milliseconds
+	Admitted      int                   // queries
+	Rejected      int                   // queries
 }
 
-// CollectorShare is the share of MemoryMB that the garbage collector may let the heap have, as in the program.
-const CollectorShare = 0.6
-
-// Process is a running one.
+// Process is a coordinator that Config.Start has started. One goroutine uses it.
 type Process struct {
 	Address string // of its front
 
-	cmd *exec.Cmd
-	in  io.WriteCloser
-	out *bufio.Reader
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser
+	stdout *bufio.Reader
 }
 
-// ServeCommand is the laboratory's command that calls Serve.
-const ServeCommand = "coordinator"
-
-// Start starts a process: this very program, by its ServeCommand.
+// Start starts a process and returns once its front accepts clients. The error wraps ErrNotStarted where the process
+// ended before that. The caller has to call Process.Stop.
 func (c Config) Start() (*Process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -62,36 +69,36 @@
 	}
 	p := &Process{cmd: exec.Command(self, ServeCommand)}
 	p.cmd.Stderr = os.Stderr
-	if p.in, err = p.cmd.StdinPipe(); err != nil {
+	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := p.cmd.StdoutPipe()
+	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	p.out = bufio.NewReader(out)
+	p.stdout = bufio.NewReader(stdout)
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
-	if err := json.NewEncoder(p.in).Encode(c); err != nil {
+	if err := json.NewEncoder(p.stdin).Encode(c); err != nil {
 		return nil, err
 	}
-	address, err := p.out.ReadString('\n')
+	line, err := p.stdout.ReadString('\n')
 	if err != nil {
 		p.cmd.Process.Kill()
-		return nil, fmt.Errorf("the coordinator did not start: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrNotStarted, err)
 	}
-	p.Address = address[:len(address)-1]
+	p.Address = strings.TrimSuffix(line, "\n")
 	return p, nil
 }
 
-// Stop ends the process and returns its stats.
+// Stop has the process drain, waits until it has exited and returns its stats. It is to be called once.
 func (p *Process) Stop() (*Stats, error) {
-	p.in.Close()
-	s := &Stats{}
-	err := json.NewDecoder(p.out).Decode(s)
-	if waited := p.cmd.Wait(); err == nil {
-		err = waited
+	p.stdin.Close()
+	stats := &Stats{}
+	err := json.NewDecoder(p.stdout).Decode(stats)
+	if waitErr := p.cmd.Wait(); err == nil {
+		err = waitErr
 	}
-	return s, err
+	return stats, err
 }
--- a/internal/test/coordinatorproc/serve.go
+++ b/internal/test/coordinatorproc/serve.go
@@ -20,14 +20,17 @@
 )
 
 const (
-	connectTimeout = 250 * time.Millisecond
-	keepAlive      = 30 * time.Second
-	maxRetry       = 30 * time.Second // that refused clients are told to wait, at most
-	listSource     = "lab"
+	connectTimeout = 250 * time.Millisecond // of connections to replicas
+	keepAlive      = 30 * time.Second       // how long an idle connection to a replica stays open
+	maxRetryAfter  = 30 * time.Second       // that rejected clients are told to wait at most
+	listSource     = "lab"                  // the name under which the endpoint list is passed on
+	seed           = 1                      // of the decision module's random draws
 )
 
-// Serve is the process: it reads its Config as a line of JSON, writes its address, and when its input ends it drains and writes
-// its Stats.
+// Serve is the process that Config.Start starts. It reads a Config as a line of JSON, writes the address of its front
+// as a line, and once its input ends it drains and writes its Stats as JSON. It is to be called once in a process,
+// which has to exit afterwards: it sets the runtime's limits, and overload control and the meter may outlast it by a
+// moment.
 func Serve(in io.Reader, out io.Writer) error {
 	input := bufio.NewReader(in)
 	line, err := input.ReadBytes('\n')
@@ -42,75 +45,87 @@
 	debug.SetMemoryLimit(c.memoryLimit())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r, err := c.run(ctx)
+	s, err := c.start(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(out, r.listener.Addr())
-	input.ReadBytes('\n') // until whoever started it is done
-	r.drain()
+	fmt.Fprintln(out, s.listener.Addr())
+	input.ReadBytes('\n') // returns when Process.Stop closes the input
+	s.drain()
 	cancel()
-	return json.NewEncoder(out).Encode(r.meter.sumUp())
+	return json.NewEncoder(out).Encode(s.meter.summarize())
 }
 
 // memoryLimit is what the garbage collector keeps the heap below, in bytes.
-func (c Config) memoryLimit() int64 { return int64(float64(c.MemoryMB) * CollectorShare * (1 << 20)) }
+func (c Config) memoryLimit() int64 { return int64(float64(c.MemoryMB) * HeapLimitShare * bytesPerMB) }
 
-// running is a coordinator that serves.
-type running struct {
-	meter    *meter
-	owner    *core.Coordinator
-	nodes    *opensearch.Caller
-	server   *http1.Server
-	listener net.Listener
+// server is a coordinator that accepts clients.
+type server struct {
+	meter       *meter
+	coordinator *core.Coordinator
+	caller      *opensearch.Caller
+	http        *http1.Server
+	listener    net.Listener
 }
 
-// run starts a coordinator; the meter and the guard end with ctx.
-func (c Config) run(ctx context.Context) (*running, error) {
+// start starts a coordinator. Overload control and the meter end with ctx, everything else with drain.
+func (c Config) start(ctx context.Context) (*server, error) {
 	clock := core.SystemClock()
-	r := &running{meter: newMeter()}
-	front := &opensearch.Config{Listen: "memory", SectionField: "section", Indices: c.Indices, ClientTenants: c.Callers}
-	if err := front.Check(c.Settings, c.Sections); err != nil {
+	s := &server{meter: newMeter()}
+	front := &opensearch.Config{
+		Listen: "memory", SectionField: "section", Indices: c.Indices, ClientTenants: c.TenantsByUser,
+	}
+	if err := front.Check(c.Settings, c.Shards); err != nil {
 		return nil, err
 	}
-	r.nodes = &opensearch.Caller{Config: front, ConnectTimeout: connectTimeout, KeepAlive: keepAlive}
-	if c.Target > 0 {
-		r.meter.Shedder = c.guard(clock)
-		r.meter.Shedder.Log = slog.New(levelLog{r.meter})
+	s.caller = &opensearch.Caller{Config: front, ConnectTimeout: connectTimeout, KeepAlive: keepAlive}
+	if c.WaitTarget > 0 {
+		s.meter.Shedder = c.newShedder(clock)
+		s.meter.Shedder.Log = slog.New(levelLog{s.meter})
 	}
 	var err error
-	if r.owner, err = core.New(core.Config{Seed: 1, Settings: c.Settings, Limits: core.Limits{Shards: c.Sections}, Clock: clock,
-		Callers: map[string]core.Caller{opensearch.Scheme: r.nodes}, Subscribe: func() {}, PolledSource: listSource, Admitter: r.meter}); err != nil {
+	s.coordinator, err = core.New(core.Config{
+		Seed: seed, Settings: c.Settings, Limits: core.Limits{Shards: c.Shards}, Clock: clock,
+		Callers:   map[string]core.Caller{opensearch.Scheme: s.caller},
+		Subscribe: func() {}, PolledSource: listSource, Admitter: s.meter,
+	})
+	if err != nil {
 		return nil, err
 	}
-	r.nodes.Reporter = r.owner
-	go r.owner.Run()
-	if g := r.meter.Shedder; g != nil {
-		g.RelieveMemory, g.TickElapsed = r.owner.RelieveMemory, r.owner.TickElapsed
-		go g.Run(ctx)
+	s.caller.Reporter = s.coordinator
+	go s.coordinator.Run()
+	if shedder := s.meter.Shedder; shedder != nil {
+		shedder.RelieveMemory, shedder.TickElapsed = s.coordinator.RelieveMemory, s.coordinator.TickElapsed
+		go shedder.Run(ctx)
 	}
-	go r.meter.watchHeap(ctx)
-	r.owner.UpdateEndpoints(listSource, scatter.FullUpdate, c.Nodes)
-	<-r.owner.Started()
-	if r.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return nil, err
+	go s.meter.watchHeap(ctx)
+	s.coordinator.UpdateEndpoints(listSource, scatter.FullUpdate, c.Endpoints)
+	<-s.coordinator.Started()
+	return s, s.listen(&opensearch.Front{Config: front, Coordinator: s.coordinator, Clock: clock})
+}
+
+// listen accepts clients on loopback until drain.
+func (s *server) listen(front *opensearch.Front) (err error) {
+	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		return err
 	}
-	r.server = &http1.Server{Handler: (&opensearch.Front{Config: front, Coordinator: r.owner, Clock: clock}).Handle, ErrorAnswer: opensearch.ErrorResponse, Limits: http1.DefaultLimits}
-	go r.server.Serve(r.listener)
-	return r, nil
+	s.http = &http1.Server{Handler: front.Handle, ErrorAnswer: opensearch.ErrorResponse, Limits: http1.DefaultLimits}
+	go s.http.Serve(s.listener)
+	return nil
 }
 
-// guard is overload control for the process's own limits.
-func (c Config) guard(clock core.Clock) *loadshed.Shedder {
+// newShedder returns overload control for the process's own limits.
+func (c Config) newShedder(clock core.Clock) *loadshed.Shedder {
 	limits := loadshed.ControllerConfig(c.Settings)
-	limits.WaitTarget, limits.Cores, limits.MemoryBytes, limits.MaxRetryAfter = c.Target, float64(c.Cores), c.memoryLimit(), maxRetry
+	limits.WaitTarget, limits.MaxRetryAfter = c.WaitTarget, maxRetryAfter
+	limits.Cores, limits.MemoryBytes = float64(c.Cores), c.memoryLimit()
 	return loadshed.New(limits, clock)
 }
 
-// drain answers what has been taken and ends the rest.
-func (r *running) drain() {
-	r.listener.Close()
-	r.server.Shutdown()
-	r.owner.Stop()
-	r.nodes.Close()
+// drain answers the queries that were admitted and ends everything else.
+func (s *server) drain() {
+	s.listener.Close()
+	s.http.Shutdown()
+	s.coordinator.Stop()
+	s.caller.Close()
 }
--- a/internal/test/experiments/overload/aims.go
+++ b/internal/test/experiments/overload/aims.go
@@ -49,7 +49,7 @@
 
 func (e results) checkWorth(r *experiment.Report) {
 	controlled, firstCome := e.normalTraffic(), e.outcomes[variant{1, false}]
-	r.Aim(e.rush().Wait99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted", e.rush().Wait99MS, maxLoopWaitMS)
+	r.Aim(e.rush().WaitP99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted", e.rush().WaitP99MS, maxLoopWaitMS)
 	r.Aim(e.gain() >= minGain, "worth at three times is %.2f of first come's, %.1f wanted", e.gain(), minGain)
 	r.Aim(controlled.Worth >= minNormalWorth*firstCome.Worth, "worth at one time is %.3f, first come's %.3f", controlled.Worth/controlled.Most, firstCome.Worth/firstCome.Most)
 	r.Aim(e.hazardsServed() >= minHazards, "%.3f of the hazard reports within their share served, %.2f wanted", e.hazardsServed(), minHazards)
@@ -88,8 +88,8 @@
 	r.Key("normal", "%.0f/s", e.normal)
 	r.Key("gain_at_3", "%.2f", e.gain())
 	r.Key("worth_at_1", "%.3f", e.normalTraffic().Worth/e.normalTraffic().Most)
-	r.Key("loop_p99_ms", "%.1f", e.rush().Wait99MS)
-	r.Key("first_come_p99_ms", "%.1f", e.rushFirstCome().Wait99MS)
+	r.Key("loop_p99_ms", "%.1f", e.rush().WaitP99MS)
+	r.Key("first_come_p99_ms", "%.1f", e.rushFirstCome().WaitP99MS)
 	r.Key("hazards", "%.3f", e.hazardsServed())
 	r.Key("tries_after", "%.2f", float64(tries)/e.normal)
 	r.Key("refused_after", "%d", refused)
--- a/internal/test/experiments/overload/overload.go
+++ b/internal/test/experiments/overload/overload.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return min(maxNormal, normalShare*cores/(probe.CPU/float64(probe.Admitted))), nil
+	return min(maxNormal, normalShare*cores/(probe.CPUSeconds/float64(probe.Admitted))), nil
 }
 
 // playVariant plays a variant. What is beyond normal traffic comes of the flooder; the rush ends before the play does.
@@ -122,8 +122,8 @@
 func addRow(r *experiment.Report, v variant, normal float64, o *outcome) {
 	sum, hazards := total(o.Result), o.Classes[hazardReport]
 	r.Row(fmt.Sprintf("%.0f x %.0f/s", v.factor, normal), v.controlled, sum.Asked, sum.Served, sum.Refused, sum.Late, fmt.Sprintf("%.3f", o.Worth/o.Most),
-		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
-		fmt.Sprintf("%.1f", o.CPU), normalSince(o.Stats.Levels))
+		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.WaitP99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
+		fmt.Sprintf("%.1f", o.CPUSeconds), normalSince(o.Stats.Levels))
 }
 
 // normalSince words when the level came back to normal; it is empty where it never left it.
--- a/internal/test/experiments/overload/site.go
+++ b/internal/test/experiments/overload/site.go
@@ -69,7 +69,7 @@
 func config(normal float64, memoryMB int, controlled bool) coordinatorproc.Config {
 	c := coordinatorproc.Config{Settings: settings(normal), Cores: cores, MemoryMB: memoryMB}
 	if controlled {
-		c.Target = target
+		c.WaitTarget = target
 	}
 	return c
 }
@@ -91,11 +91,11 @@
 
 // play plays a plan, made for the address of the front, against a coordinator before its nodes.
 func play(c coordinatorproc.Config, makePlan func(address string) *loadgen.Plan, n nodes) (*outcome, error) {
-	c.Sections = sections
+	c.Shards = sections
 	c.Indices = map[string]*opensearch.Index{"trails": {Class: routeLookup}, "hazards": {Class: hazardReport, TakesDocuments: true}, "conditions": {Class: conditionsSummary}}
-	c.Callers = map[string]string{}
+	c.TenantsByUser = map[string]string{}
 	for _, name := range tenantNames() {
-		c.Callers[name] = name
+		c.TenantsByUser[name] = name
 	}
 	for i := range nodeCount {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +105,7 @@
 		defer l.Close()
 		go (&fake.Replicas{Script: n.script, Data: n.data}).ServeAPI(l)
 		id := fmt.Sprint("node", i)
-		c.Nodes = append(c.Nodes, core.Endpoint{Replica: scatter.Replica{ID: id, RingPosition: i}, Address: l.Addr().String(), Scheme: opensearch.Scheme})
+		c.Endpoints = append(c.Endpoints, core.Endpoint{Replica: scatter.Replica{ID: id, RingPosition: i}, Address: l.Addr().String(), Scheme: opensearch.Scheme})
 	}
 	process, err := c.Start()
 	if err != nil {
@@ -116,7 +116,7 @@
 	if err = errors.Join(err, stopped); err != nil {
 		return nil, err
 	}
-	res.Levels, res.Waits = stats.Levels, stats.Waits
+	res.Levels, res.Waits = stats.Levels, stats.MaxWaits
 	return &outcome{res, stats}, nil
 }
 
--- a/internal/test/experiments/overload/slownodes.go
+++ b/internal/test/experiments/overload/slownodes.go
@@ -48,7 +48,7 @@
 // playSlowNodes has memory climb from slow nodes rather than from more arrivals: every answer of every section is held until
 // the last one's time is over.
 func playSlowNodes(r *experiment.Report) error {
-	const limitMB = slowMemoryMB * coordinatorproc.CollectorShare
+	const limitMB = slowMemoryMB * coordinatorproc.HeapLimitShare
 	slow := slowNodes()
 	firstCome, err := play(config(10*slowRate, slowMemoryMB, false), summariesAndReports, slow)
 	if err != nil {
@@ -61,16 +61,16 @@
 	}
 	addSlowRow(r, true, controlled)
 	r.Aim(controlled.Lost == 0, "slow nodes: %d tries without a timely answer", controlled.Lost)
-	r.Aim(controlled.LiveMB <= limitMB, "slow nodes: %.0f MB live, the limit is %.0f", controlled.LiveMB, limitMB)
-	r.Aim(firstCome.LiveMB > limitMB, "slow nodes: first come has %.0f MB live only: the case is too easy", firstCome.LiveMB)
-	r.Key("slow_live_mb", "%.0f", controlled.LiveMB)
-	r.Key("slow_first_come_mb", "%.0f", firstCome.LiveMB)
+	r.Aim(controlled.LiveHeapMaxMB <= limitMB, "slow nodes: %.0f MB live, the limit is %.0f", controlled.LiveHeapMaxMB, limitMB)
+	r.Aim(firstCome.LiveHeapMaxMB > limitMB, "slow nodes: first come has %.0f MB live only: the case is too easy", firstCome.LiveHeapMaxMB)
+	r.Key("slow_live_mb", "%.0f", controlled.LiveHeapMaxMB)
+	r.Key("slow_first_come_mb", "%.0f", firstCome.LiveHeapMaxMB)
 	return nil
 }
 
 func addSlowRow(r *experiment.Report, controlled bool, o *outcome) {
 	sum, hazards := total(o.Result), o.Classes[hazardReport]
 	r.Row("slow nodes", controlled, sum.Asked, sum.Served, sum.Refused, o.Lost, fmt.Sprintf("%.3f", o.Worth/o.Most),
-		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
-		fmt.Sprintf("%.1f", o.CPU), fmt.Sprintf("%.0f MB live", o.LiveMB))
+		fmt.Sprintf("%.0f/%.0f", hazards.WithinServed, hazards.Within), fmt.Sprintf("%.1f", o.WaitP99MS), fmt.Sprintf("%.1f", o.WaitMaxMS),
+		fmt.Sprintf("%.1f", o.CPUSeconds), fmt.Sprintf("%.0f MB live", o.LiveHeapMaxMB))
 }
