--- a/internal/decide/scatter/admission_test.go
+++ b/internal/decide/scatter/admission_test.go
@@ -178,11 +178,11 @@
 		s.Classes[0].MinFraction = 0.6
 		h := start(t, s, names("a", "b")...)
 		h.m.classes.list[0].meanLatency = tc.base
-		evs := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Expires: h.now + 6*sec}}
+		events := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Expires: h.now + 6*sec}}
 		for i, w := range tc.weights {
-			evs = append(evs, PartArrived{ID: fmt.Sprint("q.", i), Number: 1, Weight: w})
+			events = append(events, PartArrived{ID: fmt.Sprint("q.", i), Number: 1, Weight: w})
 		}
-		if got := len(of[Send](h.step(0, evs...))); got != tc.sent {
+		if got := len(of[Send](h.step(0, events...))); got != tc.sent {
 			t.Errorf("%s: %d parts sent, want %d", tc.name, got, tc.sent)
 		}
 	}
--- a/internal/decide/scatter/benchmark_test.go
+++ b/internal/decide/scatter/benchmark_test.go
@@ -20,13 +20,14 @@
 	now := 100 * sec
 	m.Step(now, []Event{list})
 	for i := range int64(b.N) {
-		evs := []Event{QueryArrived{ID: fmt.Sprint(i), Number: i, Class: "c", Parts: 40, Expires: now + 6*sec}}
+		events := []Event{QueryArrived{ID: fmt.Sprint(i), Number: i, Class: "c", Parts: 40, Expires: now + 6*sec}}
 		for k := range 40 {
-			evs = append(evs, PartArrived{ID: fmt.Sprint(i, ".", k), Number: i, Shard: (int(i)*7 + k) % 300, Weight: 0.025})
+			shard := (int(i)*7 + k) % 300
+			events = append(events, PartArrived{ID: fmt.Sprint(i, ".", k), Number: i, Shard: shard, Weight: 0.025})
 		}
 		now += 300 * ms
 		var done []Event
-		for _, x := range of[Send](m.Step(now, evs)) {
+		for _, x := range of[Send](m.Step(now, events)) {
 			done = append(done, ended(x.Part, 0, x.Replica, Succeeded, 100*ms))
 		}
 		now += 100 * ms
--- a/internal/decide/scatter/coordinators_test.go
+++ b/internal/decide/scatter/coordinators_test.go
@@ -12,8 +12,8 @@
 type coordinators struct {
 	now      time.Duration
 	all      []*coordinator
-	service  func(node string) (Outcome, time.Duration) // negative where nothing is answered
-	onSend   func(node string)
+	service  func(replica string) (Outcome, time.Duration) // negative where nothing is answered
+	onSend   func(replica string)
 	onEnd    func(query string, took time.Duration) // for those served
 	due      fleetEvents
 	queries  int64
@@ -21,8 +21,8 @@
 }
 
 type coordinator struct {
-	machine *Machine
-	tries   map[string]int
+	machine  *Machine
+	attempts map[string]int
 }
 
 type fleetEvent struct {
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.all = append(f.all, &coordinator{machine: m, tries: map[string]int{}})
+		f.all = append(f.all, &coordinator{machine: m, attempts: map[string]int{}})
 	}
 	return f
 }
@@ -83,8 +83,8 @@
 			if took < 0 || took > x.Timeout {
 				end, took = TimedOut, x.Timeout
 			}
-			no := r.tries[x.Part]
-			r.tries[x.Part]++
+			no := r.attempts[x.Part]
+			r.attempts[x.Part]++
 			ended := AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: end, Latency: took}
 			heap.Push(&f.due, fleetEvent{f.now + took, ended, r})
 		}
@@ -106,13 +106,13 @@
 		r := f.all[int(f.queries*7)%len(f.all)]
 		id := fmt.Sprint("q", f.queries)
 		f.arrivals[id] = f.now
-		evs := []Event{QueryArrived{ID: id, Number: f.queries, Class: "c", Expires: f.now + sec, Parts: shards}}
+		events := []Event{QueryArrived{ID: id, Number: f.queries, Class: "c", Expires: f.now + sec, Parts: shards}}
 		for i := range shards {
 			shard := (int(f.queries)*11 + i) % ringSize
 			part := fmt.Sprint(id, ".", i)
-			evs = append(evs, PartArrived{ID: part, Number: f.queries, Shard: shard, Weight: 1 / float64(shards)})
+			events = append(events, PartArrived{ID: part, Number: f.queries, Shard: shard, Weight: 1 / float64(shards)})
 		}
-		f.step(r, evs...)
+		f.step(r, events...)
 	}
 }
 
@@ -122,31 +122,31 @@
 func TestFleetUsesReplicaInSlowStart(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
-		coordinators, fresh, nodes int
-		gap                        time.Duration // between queries, a part for each node
-		capacity                   float64       // parts a second of a warm node, which has more than one core
+		coordinators, fresh, replicas int
+		gap                           time.Duration // between queries, a part for each replica
+		capacity                      float64       // parts a second of a warmed-up replica, which has more than one core
 	}{
 		{80, 0, 6, 10 * ms, 150},
 		{300, 0, 30, 25 * ms, 90},
 		{300, 210, 30, 25 * ms, 90},
 	} {
-		s := Settings{RingSize: tc.nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms,
+		s := Settings{RingSize: tc.replicas, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms,
 			MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3,
 				CompleteFraction: 1, MinFraction: 0.7}},
 			SlowStart: SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}}
 		f := newCoordinators(t, tc.coordinators, s)
 		var list []Replica
-		for i := range tc.nodes {
+		for i := range tc.replicas {
 			list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 		}
 		f.service = func(string) (Outcome, time.Duration) { return Succeeded, 40 * ms }
 		f.updateAll(FullUpdate, list...)
-		f.run(6*sec, tc.gap, tc.nodes, tc.nodes)
+		f.run(6*sec, tc.gap, tc.replicas, tc.replicas)
 		list[0].StartedAt = f.now
 		var sent []time.Duration
-		f.onSend = func(node string) {
-			if node == list[0].ID {
+		f.onSend = func(replica string) {
+			if replica == list[0].ID {
 				sent = append(sent, f.now)
 			}
 		}
@@ -155,7 +155,7 @@
 			f.all[i].machine = fresh.all[i].machine // what is out of the old one ends as unknown to the new
 		}
 		f.updateAll(FullUpdate, list...)
-		f.run(8*sec, tc.gap, tc.nodes, tc.nodes)
+		f.run(8*sec, tc.gap, tc.replicas, tc.replicas)
 		ramp := func(at time.Duration) float64 { return 0.2 + 0.8*(at-list[0].StartedAt).Seconds()/18 }
 		worst, from := 0.0, 0
 		for i, at := range sent {
@@ -186,45 +186,45 @@
 func TestLastHolderIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	const (
-		nodes, shards = 30, 5
-		service       = time.Second / 80 // of a part, one at a time
-		queue         = 450 * ms         // of work, and full beyond it
+		replicas, shards = 30, 5
+		service          = time.Second / 80 // of a part, one at a time
+		queue            = 450 * ms         // of work, and full beyond it
 	)
 	f := newCoordinators(t, 300, Settings{
-		RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms,
+		RingSize: replicas, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms,
 		MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 		Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3,
 			CompleteFraction: 1, MinFraction: 1}},
 	})
 	var list []Replica
-	for i := range nodes {
+	for i := range replicas {
 		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 	}
 	free, silent := map[string]time.Duration{}, map[string]bool{}
-	f.service = func(node string) (Outcome, time.Duration) {
-		if free[node] = max(free[node], f.now); free[node]-f.now > queue {
+	f.service = func(replica string) (Outcome, time.Duration) {
+		if free[replica] = max(free[replica], f.now); free[replica]-f.now > queue {
 			return Rejected, 2 * ms
 		}
-		free[node] += service
-		if silent[node] {
+		free[replica] += service
+		if silent[replica] {
 			return Succeeded, -1
 		}
-		return Succeeded, free[node] - f.now
+		return Succeeded, free[replica] - f.now
 	}
 	f.updateAll(FullUpdate, list...)
-	f.run(4*sec, 3*ms, shards, nodes) // 55 parts a second for each node
+	f.run(4*sec, 3*ms, shards, replicas) // 55 parts a second for each replica
 	silent["r1"], silent["r2"] = true, true
-	f.run(4*sec, 3*ms, shards, nodes)
+	f.run(4*sec, 3*ms, shards, replicas)
 	begun, served := f.queries, map[bool]int{}
 	f.onEnd = func(query string, took time.Duration) {
 		var n int64
 		if fmt.Sscanf(query, "q%d", &n); n > begun && took <= 380*ms {
-			first := int(n) * 11 % nodes
-			served[first >= nodes-shards+1 || first <= 1]++ // it needs shard 0 or 1, whose last holders are r0 and r3
+			first := int(n) * 11 % replicas
+			served[first >= replicas-shards+1 || first <= 1]++ // it needs shard 0 or 1, whose last holders are r0 and r3
 		}
 	}
-	f.run(8*sec, 3*ms, shards, nodes)
-	asked := 8 * 333 / nodes // from each shard
+	f.run(8*sec, 3*ms, shards, replicas)
+	asked := 8 * 333 / replicas // from each shard
 	hard, easy := float64(served[true])/float64(6*asked), float64(served[false])/float64(24*asked)
 	t.Logf("served: %.2f of those that need a last holder, %.2f of the others", hard, easy)
 	if hard < 0.35 || easy < 0.95 {
@@ -237,53 +237,53 @@
 // its ordinal keeps all.
 func TestKeepsItsSubset(t *testing.T) {
 	t.Parallel()
-	const nodes = 30
-	play := func(me int) (a *coordinators, used func(bad string) map[string]bool) {
+	const replicas = 30
+	play := func(ordinal int) (a *coordinators, used func(bad string) map[string]bool) {
 		f := newCoordinators(t, 1, Settings{
-			RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
+			RingSize: replicas, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
 			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3,
 				CompleteFraction: 1, MinFraction: 1}},
 		})
 		s := f.all[0].machine.settings
-		s.Coordinators, s.Ordinal = 300, me
+		s.Coordinators, s.Ordinal = 300, ordinal
 		if err := f.all[0].machine.Configure(s); err != nil {
 			t.Fatal(err)
 		}
 		var list []Replica
-		for i := range nodes {
+		for i := range replicas {
 			list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 		}
 		f.updateAll(FullUpdate, list...)
 		return f, func(bad string) map[string]bool {
-			f.service = func(node string) (Outcome, time.Duration) {
-				if node == bad {
+			f.service = func(replica string) (Outcome, time.Duration) {
+				if replica == bad {
 					return ConnectFailed, ms
 				}
 				return Succeeded, 30 * ms
 			}
-			f.run(2*sec, 50*ms, 3, nodes) // by then it has met the bad one
+			f.run(2*sec, 50*ms, 3, replicas) // by then it has met the bad one
 			seen := map[string]bool{}
-			f.onSend = func(node string) { seen[node] = true }
-			f.run(20*sec, 50*ms, 3, nodes)
+			f.onSend = func(replica string) { seen[replica] = true }
+			f.run(20*sec, 50*ms, 3, replicas)
 			f.onSend = func(string) {}
 			return seen
 		}
 	}
-	if _, used := play(0); len(used("")) != nodes {
+	if _, used := play(0); len(used("")) != replicas {
 		t.Error("one that does not know its number keeps a subset")
 	}
 	_, used := play(150)
 	before := used("")
-	if len(before) != nodes*2/3 {
-		t.Errorf("%d of %d nodes used", len(before), nodes)
+	if len(before) != replicas*2/3 {
+		t.Errorf("%d of %d nodes used", len(before), replicas)
 	}
-	for s := range nodes {
-		if n := count3(before, s, nodes); n != 2 {
+	for s := range replicas {
+		if n := count3(before, s, replicas); n != 2 {
 			t.Errorf("shard %d: %d holders used", s, n)
 		}
 	}
 	bad := ""
-	for i := range nodes {
+	for i := range replicas {
 		if id := fmt.Sprint("r", i); before[id] {
 			bad = id
 			break
@@ -304,9 +304,9 @@
 }
 
 // count3 is how many of a shard's three holders were used.
-func count3(used map[string]bool, section, nodes int) (n int) {
+func count3(used map[string]bool, shard, replicas int) (n int) {
 	for j := range 3 {
-		if used[fmt.Sprint("r", (section+j)%nodes)] {
+		if used[fmt.Sprint("r", (shard+j)%replicas)] {
 			n++
 		}
 	}
--- a/internal/decide/scatter/endpoint_cost_test.go
+++ b/internal/decide/scatter/endpoint_cost_test.go
@@ -17,8 +17,8 @@
 
 // fleetMember is one of 1,500 coordinators with a list of so many replicas. Where it is in use, every shard has had a
 // part and every part its outcome.
-func fleetMember(t testing.TB, nodes int, inUse bool) *recordedLoad {
-	s := newRecordedLoad(t, 5, nodes, false)
+func fleetMember(t testing.TB, replicas int, inUse bool) *recordedLoad {
+	s := newRecordedLoad(t, 5, replicas, false)
 	set := s.machine.settings
 	set.Coordinators, set.Ordinal = 1500, 700
 	set.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}
@@ -27,10 +27,10 @@
 	}
 	queries := 1
 	if inUse {
-		queries = nodes
+		queries = replicas
 	}
 	for range queries {
-		s.query(nodes, false)
+		s.query(replicas, false)
 	}
 	for len(s.out) > 0 {
 		d := heap.Pop(&s.out).(delivery)
@@ -41,9 +41,9 @@
 }
 
 // change tells the module that one node drains, and in the next call that it is back as a new process.
-func (s *recordedLoad) change(no, nodes int) {
-	node := no / 2 * 7 % nodes
-	entry := Replica{ID: fmt.Sprint("r", node), RingPosition: node}
+func (s *recordedLoad) change(no, replicas int) {
+	position := no / 2 * 7 % replicas
+	entry := Replica{ID: fmt.Sprint("r", position), RingPosition: position}
 	if no%2 == 0 {
 		entry.State = Draining
 	} else {
@@ -86,16 +86,16 @@
 	list []Replica
 }
 
-func newChurn(nodes, layers int) *churn {
+func newChurn(positions, layers int) *churn {
 	c := &churn{rng: rand.New(rand.NewPCG(3, 9))}
-	for i := range nodes * layers {
-		c.list = append(c.list, Replica{ID: fmt.Sprint("r", i), RingPosition: i % nodes})
+	for i := range positions * layers {
+		c.list = append(c.list, Replica{ID: fmt.Sprint("r", i), RingPosition: i % positions})
 	}
 	return c
 }
 
 // next is the next update at a time.
-func (c *churn) next(now time.Duration, cells int) EndpointUpdate {
+func (c *churn) next(now time.Duration, ringSize int) EndpointUpdate {
 	var changed []Replica
 	for range 1 + c.rng.IntN(4) {
 		e := &c.list[c.rng.IntN(len(c.list))]
@@ -105,9 +105,10 @@
 		case 3:
 			e.State = Removed
 		case 4:
-			e.RingPosition = c.rng.IntN(cells + 3)
+			e.RingPosition = c.rng.IntN(ringSize + 3)
 		case 5:
-			c.list = append(c.list, Replica{ID: fmt.Sprint("n", len(c.list)), RingPosition: c.rng.IntN(cells), StartedAt: now})
+			added := Replica{ID: fmt.Sprint("n", len(c.list)), RingPosition: c.rng.IntN(ringSize), StartedAt: now}
+			c.list = append(c.list, added)
 			e = &c.list[len(c.list)-1]
 		case 6, 7, 8:
 			e.State, e.StartedAt = Ready, now-time.Duration(c.rng.IntN(30))*sec
@@ -193,8 +194,8 @@
 // New settings and a checkpoint that is restored right after them, with no step between, go together.
 func TestCheckpointAfterNewSettings(t *testing.T) {
 	t.Parallel()
-	const nodes = 12
-	s := fleetMember(t, nodes, true)
+	const replicas = 12
+	s := fleetMember(t, replicas, true)
 	draining := Replica{ID: "r3", RingPosition: 3, State: Draining}
 	s.step(false, EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{draining}})
 	set := s.machine.settings
@@ -209,7 +210,7 @@
 	if fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
 		t.Errorf("the memory changed from %v to %v", before, after)
 	}
-	s.query(nodes, false)
+	s.query(replicas, false)
 }
 
 // A changed entry has as many replicas and shards looked at in a list of 700 as in one of 70, however many shards are
@@ -218,17 +219,17 @@
 	t.Parallel()
 	for _, inUse := range []bool{false, true} {
 		var least examined
-		for _, nodes := range []int{70, 700} {
-			s := fleetMember(t, nodes, inUse)
+		for _, replicas := range []int{70, 700} {
+			s := fleetMember(t, replicas, inUse)
 			s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate}}) // all that was due before
 			s.machine.examined = examined{}
 			for i := range 20 {
-				s.change(i, nodes)
+				s.change(i, replicas)
 			}
-			if nodes == 70 {
+			if replicas == 70 {
 				least = s.machine.examined
 			} else if s.machine.examined != least {
-				t.Errorf("in use %t: %+v looked at among %d nodes, %+v among 70", inUse, s.machine.examined, nodes, least)
+				t.Errorf("in use %t: %+v looked at among %d nodes, %+v among 70", inUse, s.machine.examined, replicas, least)
 			}
 		}
 		if least.replicas == 0 || least.replicas > 20*20 {
@@ -241,9 +242,9 @@
 // after 20 ms, and each outcome is a step of its own.
 func BenchmarkWideQuery(b *testing.B) {
 	const parts = 120
-	for _, nodes := range []int{600, 1800, 7000} {
-		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
-			s := fleetMember(b, nodes, true)
+	for _, replicas := range []int{600, 1800, 7000} {
+		b.Run(fmt.Sprint("nodes=", replicas), func(b *testing.B) {
+			s := fleetMember(b, replicas, true)
 			ask := func() {
 				next := s.now + time.Second/180
 				for len(s.out) > 0 && s.out[0].at <= next {
@@ -256,12 +257,12 @@
 				id := fmt.Sprint("w", s.n)
 				events := []Event{QueryArrived{ID: id, Number: s.n, Class: "c", Expires: s.now + 5*sec, Parts: parts}}
 				for i := range parts {
-					shard := (int(s.n)*7 + i) % nodes
+					shard := (int(s.n)*7 + i) % replicas
 					events = append(events, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: shard, Weight: 1.0 / parts})
 				}
 				s.served(events...)
 			}
-			for range 2 * nodes / parts {
+			for range 2 * replicas / parts {
 				ask()
 			}
 			began := processTime(b)
--- a/internal/decide/scatter/endpoints_test.go
+++ b/internal/decide/scatter/endpoints_test.go
@@ -45,15 +45,15 @@
 	for _, late := range []bool{false, true} {
 		h := start(t, base(), names("a", "b")...)
 		h.m.eject(h.m.replicas.byID["b"], nil)
-		news := EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: Draining}}}
-		evs := []Event{QueryArrived{ID: "q", Number: 9, Class: "c", Expires: h.now + 6*sec},
+		update := EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{{ID: "a", State: Draining}}}
+		events := []Event{QueryArrived{ID: "q", Number: 9, Class: "c", Expires: h.now + 6*sec},
 			PartArrived{ID: "p", Number: 9, Weight: 1}}
 		if late {
-			evs = append(evs, news)
+			events = append(events, update)
 		} else {
-			evs = append([]Event{news, EndpointUpdate{Kind: FailedUpdate}}, evs...)
+			events = append([]Event{update, EndpointUpdate{Kind: FailedUpdate}}, events...)
 		}
-		acts := h.step(ms, evs...)
+		acts := h.step(ms, events...)
 		for range 100 {
 			for _, x := range of[Send](acts) {
 				if x.Replica == "a" {
--- a/internal/decide/scatter/harness_test.go
+++ b/internal/decide/scatter/harness_test.go
@@ -66,12 +66,12 @@
 func (h *harness) query(class string, shards ...int) []Action {
 	h.n++
 	id := fmt.Sprintf("q%d", h.n)
-	evs := []Event{QueryArrived{ID: id, Number: h.n, Class: class, Parts: len(shards), Expires: h.now + 6*sec}}
+	events := []Event{QueryArrived{ID: id, Number: h.n, Class: class, Parts: len(shards), Expires: h.now + 6*sec}}
 	for i, s := range shards {
-		evs = append(evs, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: h.n, Shard: s,
+		events = append(events, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: h.n, Shard: s,
 			Weight: 1 / float64(len(shards))})
 	}
-	return h.step(0, evs...)
+	return h.step(0, events...)
 }
 
 func of[T Action](acts []Action) (list []T) {
--- a/internal/decide/scatter/random_test.go
+++ b/internal/decide/scatter/random_test.go
@@ -26,7 +26,7 @@
 	ids := []string{"a", "b", "c", "d", "e", "f"}
 	state := map[string]ReplicaState{}
 	var out []flying
-	tries, served := map[string]int{}, map[string]bool{}
+	attempts, served := map[string]int{}, map[string]bool{}
 	partQuery, weight := map[string]string{}, map[string]float64{}
 	live, ends := map[string]time.Duration{}, map[string]int{}
 	type tried struct {
@@ -61,7 +61,7 @@
 				if !s.Hedging && slices.ContainsFunc(out, func(f flying) bool { return f.Part == x.Part }) {
 					t.Fatalf("two attempts of %s are out", x.Part)
 				}
-				if b := s.RetryBudget; b != nil && tries[x.Part] > 0 {
+				if b := s.RetryBudget; b != nil && attempts[x.Part] > 0 {
 					extras = append(extras, now)
 					used, took := 0, 0
 					for _, at := range extras {
@@ -80,10 +80,10 @@
 					}
 				}
 				runs[x.Part] = append(runs[x.Part], &tried{sent: now})
-				if tries[x.Part]++; tries[x.Part] > s.MaxAttempts {
-					t.Fatalf("%s tried %d times", x.Part, tries[x.Part])
+				if attempts[x.Part]++; attempts[x.Part] > s.MaxAttempts {
+					t.Fatalf("%s tried %d times", x.Part, attempts[x.Part])
 				}
-				out = append(out, flying{x, tries[x.Part] - 1, now})
+				out = append(out, flying{x, attempts[x.Part] - 1, now})
 			case Answer:
 				sum := 0.0
 				for p, q := range partQuery {
--- a/internal/decide/scatter/reconfigure_test.go
+++ b/internal/decide/scatter/reconfigure_test.go
@@ -86,11 +86,11 @@
 // is the one that it was. A replica that has moved to another ring position gets its new siblings with the next
 // settings all the same.
 func TestConfigureCostsWhatItChanges(t *testing.T) {
-	const cells, nodes = 10, 600
-	s := newRecordedLoad(t, 5, cells, false)
+	const ringSize, replicas = 10, 600
+	s := newRecordedLoad(t, 5, ringSize, false)
 	var list []Replica
-	for i := range nodes {
-		list = append(list, Replica{ID: fmt.Sprint("more", i), RingPosition: i % cells})
+	for i := range replicas {
+		list = append(list, Replica{ID: fmt.Sprint("more", i), RingPosition: i % ringSize})
 	}
 	s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: list}})
 	set := s.machine.settings
@@ -112,7 +112,7 @@
 	configure()
 	want := s.machine.replicas.ring.siblings(moved)
 	if !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.machine.replicas.byID["more7"]) {
-		t.Errorf("of %d nodes one that moved has %d siblings, want %d", nodes, len(moved.siblings), len(want))
+		t.Errorf("of %d nodes one that moved has %d siblings, want %d", replicas, len(moved.siblings), len(want))
 	}
 }
 
--- a/internal/decide/scatter/recorded_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -44,9 +44,9 @@
 // WireForm gives actions as lines on the wire.
 var WireForm func([]Action) []byte
 
-func newRecordedLoad(t testing.TB, open, nodes int, trouble bool) *recordedLoad {
+func newRecordedLoad(t testing.TB, open, replicas int, withFaults bool) *recordedLoad {
 	s := Settings{
-		Coordinators: 1, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: 5 * ms,
+		Coordinators: 1, RingSize: replicas, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: 5 * ms,
 		MaxAttempts: 4, Cancellation: true, RetryAfter: sec,
 		Classes: []Class{
 			{Name: "c", LatencyObjective: 1500 * ms, Deadline: 5 * sec, PriorityWeight: 1, LateWeight: 0.3,
@@ -61,14 +61,14 @@
 	}
 	st := &recordedLoad{machine: m, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{}}
 	var list []Replica
-	for i := range nodes {
+	for i := range replicas {
 		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
 	}
-	st.step(trouble, EndpointUpdate{Kind: FullUpdate, Replicas: list})
+	st.step(withFaults, EndpointUpdate{Kind: FullUpdate, Replicas: list})
 	return st
 }
 
-func (s *recordedLoad) step(trouble bool, events ...Event) {
+func (s *recordedLoad) step(withFaults bool, events ...Event) {
 	h := fnv.New64a()
 	actions := s.machine.Step(s.now, events)
 	h.Write(WireForm(actions))
@@ -78,9 +78,9 @@
 			no := s.sent[x.Part]
 			s.sent[x.Part]++
 			o, after := Succeeded, 100*ms
-			if k := len(s.sent) + int(x.Replica[1])*7; trouble && k%11 == 0 {
+			if k := len(s.sent) + int(x.Replica[1])*7; withFaults && k%11 == 0 {
 				o, after = Errored, 20*ms
-			} else if trouble && k%13 == 0 {
+			} else if withFaults && k%13 == 0 {
 				o, after = TimedOut, x.Timeout
 			}
 			ended := AttemptEnded{Part: x.Part, Attempt: no, Replica: x.Replica, Outcome: o, Latency: after}
@@ -91,12 +91,12 @@
 }
 
 // query opens the next query and plays all that is due before it.
-func (s *recordedLoad) query(nodes int, trouble bool) {
+func (s *recordedLoad) query(replicas int, withFaults bool) {
 	next := s.now + s.every
 	for len(s.out) > 0 && s.out[0].at <= next {
 		d := heap.Pop(&s.out).(delivery)
 		s.now = max(s.now, d.at)
-		s.step(trouble, d.ev)
+		s.step(withFaults, d.ev)
 		if len(s.sent) > 1<<16 {
 			clear(s.sent)
 		}
@@ -108,12 +108,13 @@
 		class, parts = "once", 1
 	}
 	id := fmt.Sprint("q", s.n)
-	evs := []Event{QueryArrived{ID: id, Number: s.n, Class: class, Expires: s.now + 5*sec, Parts: parts}}
+	events := []Event{QueryArrived{ID: id, Number: s.n, Class: class, Expires: s.now + 5*sec, Parts: parts}}
 	for i := range parts {
-		shard := (int(s.n)*7 + i) % nodes
-		evs = append(evs, PartArrived{ID: fmt.Sprint(id, ".", i), Number: s.n, Shard: shard, Weight: 1 / float64(parts)})
+		shard := (int(s.n)*7 + i) % replicas
+		part := fmt.Sprint(id, ".", i)
+		events = append(events, PartArrived{ID: part, Number: s.n, Shard: shard, Weight: 1 / float64(parts)})
 	}
-	s.step(trouble, evs...)
+	s.step(withFaults, events...)
 }
 
 // The actions on recorded events are those of the machine before its steps were made cheaper. Other processors round
--- a/internal/decide/scatter/replica_fleet_test.go
+++ b/internal/decide/scatter/replica_fleet_test.go
@@ -66,23 +66,23 @@
 func (f *replicaFleet) run(span, gap time.Duration) {
 	next := f.now
 	for until := f.now + span; f.now < until; {
-		var evs []Event
+		var events []Event
 		rest := f.out[:0]
 		for _, o := range f.out {
 			age, takes := f.now-o.sent, f.service[o.Replica]
 			switch {
 			case o.Timeout == 0:
-				evs = append(evs, ended(o.Part, o.no, o.Replica, Cancelled, age))
+				events = append(events, ended(o.Part, o.no, o.Replica, Cancelled, age))
 			case takes >= 0 && age >= takes:
-				evs = append(evs, ended(o.Part, o.no, o.Replica, f.failures[o.Replica], age))
+				events = append(events, ended(o.Part, o.no, o.Replica, f.failures[o.Replica], age))
 			case age >= o.Timeout:
-				evs = append(evs, ended(o.Part, o.no, o.Replica, TimedOut, age))
+				events = append(events, ended(o.Part, o.no, o.Replica, TimedOut, age))
 			default:
 				rest = append(rest, o)
 			}
 		}
 		f.out = rest
-		f.take(f.step(0, append(evs, TimerFired{})...))
+		f.take(f.step(0, append(events, TimerFired{})...))
 		if f.now >= next {
 			next += gap
 			f.take(f.query("c", 0))
