--- a/internal/platform/agent_test.go
+++ b/internal/platform/agent_test.go
@@ -23,7 +23,7 @@
 type agent struct {
 	changed atomic.Bool // it holds the news that the node drains
 	down    atomic.Bool
-	holds   bool // watches, until there is something newer
+	watches bool // a call waits until there is something newer
 	calls   atomic.Int32
 }
 
@@ -33,7 +33,7 @@
 	}
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	end := time.Now().Add(time.Duration(hold) * time.Millisecond)
-	for a.holds && !a.changed.Load() && !a.down.Load() && time.Now().Before(end) {
+	for a.watches && !a.changed.Load() && !a.down.Load() && time.Now().Before(end) {
 		time.Sleep(time.Millisecond)
 	}
 	if a.down.Load() {
@@ -52,20 +52,20 @@
 // answered.
 func TestAgentIsHeardInTime(t *testing.T) {
 	for _, down := range []time.Duration{0, 5 * time.Millisecond, 3 * time.Second} {
-		for _, holds := range []bool{true, false} {
+		for _, watches := range []bool{true, false} {
 			for i := range 20 {
 				synctest.Test(t, func(t *testing.T) {
 					var memory fake.Network
-					a := &agent{holds: holds}
+					a := &agent{watches: watches}
 					served := &http.Server{Handler: a}
 					go served.Serve(memory.Listen("d"))
 					d := NewDiscovery("d", List{Index: 7, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Status: "in_service"}}})
 					d.Dial = memory.Dial
 					d.Schedule = &backoff.Schedule{FleetSize: 3, UsesAgent: true, Rand: rand.New(rand.NewPCG(1, 1))}
-					told := make(chan time.Time, 1)
+					notified := make(chan time.Time, 1)
 					d.Listed = func(_ scatter.UpdateKind, nodes []core.Endpoint) {
 						if len(nodes) == 1 && nodes[0].State == scatter.Draining {
-							told <- time.Now()
+							notified <- time.Now()
 						}
 					}
 					ctx, cancel := context.WithCancel(context.Background())
@@ -82,9 +82,9 @@
 					}
 					a.changed.Store(true)
 					a.down.Store(false)
-					held := time.Now()
-					if took := (<-told).Sub(held); took > backoff.AgentNotifiedAfter {
-						t.Errorf("down for %v, holds watches: %t, %d: the drain was heard of after %v", down, holds, i, took)
+					changed := time.Now()
+					if took := (<-notified).Sub(changed); took > backoff.AgentNotifiedAfter {
+						t.Errorf("down for %v, holds watches: %t, %d: the drain was heard of after %v", down, watches, i, took)
 					}
 					cancel()
 					<-done
--- a/internal/platform/cost_test.go
+++ b/internal/platform/cost_test.go
@@ -15,13 +15,13 @@
 // A query over every section of 60 nodes, as a coordinator of a large fleet gets one every few seconds: what it costs
 // there moves the answer, for the machine has a quarter of a core. Most of what is counted here is the nodes' own part.
 func BenchmarkWideQuery(b *testing.B) {
-	const nodes, sections = 60, 120
+	const replicas, shards = 60, 120
 	clock := core.SystemClock()
 	caller := &Caller{
 		CallsPerConn: 32, ConnectTimeout: time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
 	}
 	settings := scatter.Settings{
-		Coordinators: 80, RingSize: nodes, ReplicationFactor: 3, PartsPerCall: 1,
+		Coordinators: 80, RingSize: replicas, ReplicationFactor: 3, PartsPerCall: 1,
 		TickInterval: time.Millisecond, MaxAttempts: 4, Cancellation: true, Subscribe: true,
 		Classes: []scatter.Class{{Name: "summary", LatencyObjective: 380 * time.Millisecond, Deadline: 2 * time.Second,
 			PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}},
@@ -33,7 +33,7 @@
 	}
 	caller.Reporter = owner
 	var list []core.Endpoint
-	for i := range nodes {
+	for i := range replicas {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
@@ -49,8 +49,8 @@
 	defer caller.Close()
 	owner.UpdateEndpoints(Source, scatter.FullUpdate, list)
 	var parts []core.Part
-	for i := range sections {
-		parts = append(parts, core.Part{Shard: i, Weight: 1.0 / sections})
+	for i := range shards {
+		parts = append(parts, core.Part{Shard: i, Weight: 1.0 / shards})
 	}
 	var before, after syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -15,33 +15,33 @@
 	"harepass/internal/test/fake"
 )
 
-// toldSlack is by how much the deadline that a node is told may be over what its client has left.
-const toldSlack = 150 * time.Millisecond
+// deadlineSlack is by how much the deadline that a node is told may be over what its client has left.
+const deadlineSlack = 150 * time.Millisecond
 
 // A node is told the time that its client has left when the frame is written, not when the attempt was decided: it
 // may have waited for its connection since.
 func TestDeadlineToldIsWhatIsLeft(t *testing.T) {
 	const budget, late = 1400 * time.Millisecond, 400 * time.Millisecond
-	type heard struct {
+	type received struct {
 		list string
 		at   time.Time
 	}
-	parts := make(chan heard, 8)
-	fleet := &fake.Replicas{OnPart: func(p fake.Part, _ fake.Kind) { parts <- heard{p.List, time.Now()} }}
+	parts := make(chan received, 8)
+	fleet := &fake.Replicas{OnPart: func(p fake.Part, _ fake.Kind) { parts <- received{p.List, time.Now()} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	go fleet.ServeFrames(l)
-	nodes := &Caller{
+	caller := &Caller{
 		CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			time.Sleep(late)
 			return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		},
 	}
-	defer nodes.Close()
+	defer caller.Close()
 	clock := core.SystemClock()
 	settings := scatter.Settings{
 		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond,
@@ -50,11 +50,11 @@
 			PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}},
 	}
 	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
-		PolledSource: "test", Callers: map[string]core.Caller{Scheme: nodes}})
+		PolledSource: "test", Callers: map[string]core.Caller{Scheme: caller}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes.Reporter = owner
+	caller.Reporter = owner
 	go owner.Run()
 	defer owner.Stop()
 	replica := scatter.Replica{ID: "n0", State: scatter.Ready}
@@ -67,8 +67,8 @@
 		t.Fatalf("the answer is %+v", a)
 	}
 	part := <-parts
-	told, err := strconv.Atoi(strings.TrimPrefix(part.list, "d="))
-	if left := until.Sub(part.at); err != nil || time.Duration(told)*time.Millisecond > left+toldSlack {
+	deadline, err := strconv.Atoi(strings.TrimPrefix(part.list, "d="))
+	if left := until.Sub(part.at); err != nil || time.Duration(deadline)*time.Millisecond > left+deadlineSlack {
 		t.Errorf("the node was told %q, %v, when its client had %v left", part.list, err, left)
 	}
 }
@@ -96,20 +96,20 @@
 	<-parts
 	second := <-parts
 	left := time.Until(until)
-	told, err := strconv.Atoi(strings.TrimPrefix(second.List, "d="))
-	if err != nil || second.ID != "q1.1" || time.Duration(told)*time.Millisecond > left+toldSlack {
+	deadline, err := strconv.Atoi(strings.TrimPrefix(second.List, "d="))
+	if err != nil || second.ID != "q1.1" || time.Duration(deadline)*time.Millisecond > left+deadlineSlack {
 		t.Errorf("the node was told %q for %s, %v, when its client had %v left", second.List, second.ID, err, left)
 	}
 }
 
 // serveBehindOwner serves the platform's protocol before one node, and returns the address.
 func serveBehindOwner(t *testing.T, fleet *fake.Replicas) string {
-	node, clients := listenLocal(t), listenLocal(t)
-	go fleet.ServeFrames(node)
-	nodes := &Caller{
+	replicaListener, clients := listenLocal(t), listenLocal(t)
+	go fleet.ServeFrames(replicaListener)
+	caller := &Caller{
 		CallsPerConn: 32, ConnectTimeout: 5 * time.Second, ResponseTimeout: time.Second, KeepAlive: 30 * time.Second,
 	}
-	t.Cleanup(nodes.Close)
+	t.Cleanup(caller.Close)
 	clock := core.SystemClock()
 	settings := scatter.Settings{
 		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: time.Millisecond,
@@ -118,13 +118,13 @@
 			PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}},
 	}
 	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
-		PolledSource: "test", Callers: map[string]core.Caller{Scheme: nodes}})
+		PolledSource: "test", Callers: map[string]core.Caller{Scheme: caller}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes.Reporter = owner
+	caller.Reporter = owner
 	replica := scatter.Replica{ID: "n0", State: scatter.Ready}
-	endpoint := core.Endpoint{Replica: replica, Address: node.Addr().String(), Scheme: Scheme}
+	endpoint := core.Endpoint{Replica: replica, Address: replicaListener.Addr().String(), Scheme: Scheme}
 	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{endpoint})
 	go owner.Run()
 	t.Cleanup(owner.Stop)
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -72,11 +72,11 @@
 				tc.req.Method, tc.req.Target, tc.req.Body, tc.req.Header, m.Status, m.Body, tc.status, tc.want)
 		}
 	}
-	whole := request("POST", "/api", good,
+	complete := request("POST", "/api", good,
 		"X-Call-Id", "a", "X-Budget", "250000u", "X-Again", "1", "X-Caller", "acme", "X-Call-Class", "c")
-	q, err := f.parseHead(whole)
+	q, err := f.parseHead(complete)
 	if err == nil {
-		err = parseBody(q, whole.Body)
+		err = parseBody(q, complete.Body)
 	}
 	left := q.Deadline - f.Clock()
 	if err != nil || left <= 0 || left > 250*time.Millisecond || !q.IsRetry || q.Tenant != "acme" ||
@@ -87,10 +87,10 @@
 
 func TestListEntries(t *testing.T) {
 	l := List{Endpoints: []Endpoint{{Name: "a", Address: "h:1", Group: 2, Status: "terminating", SinceMS: 5}}}
-	nodes, err := l.CoreEndpoints()
-	if err != nil || len(nodes) != 1 || nodes[0].State != scatter.Draining || nodes[0].StartedAt != 5*time.Millisecond ||
-		nodes[0].RingPosition != 2 || nodes[0].Address != "h:1" {
-		t.Errorf("%+v, %v", nodes, err)
+	endpoints, err := l.CoreEndpoints()
+	if err != nil || len(endpoints) != 1 || endpoints[0].State != scatter.Draining ||
+		endpoints[0].StartedAt != 5*time.Millisecond || endpoints[0].RingPosition != 2 || endpoints[0].Address != "h:1" {
+		t.Errorf("%+v, %v", endpoints, err)
 	}
 	l.Endpoints[0].Status = "asleep"
 	if _, err := l.CoreEndpoints(); err == nil {
--- a/internal/platform/one_change_test.go
+++ b/internal/platform/one_change_test.go
@@ -19,20 +19,21 @@
 	index int64
 }
 
-func newReader(tb testing.TB, nodes int) *reader {
+func newReader(tb testing.TB, replicas int) *reader {
 	r := &reader{list: NewRelayedList(List{}), index: 10_000} // of as many digits for each list
 	r.list.KeepCopy(func() {})
 	r.list.Listed = func(scatter.UpdateKind, []core.Endpoint) {}
-	whole := versionlog.Slice{Version: versionlog.Version{Epoch: 1, Index: r.index}, NewestIndex: r.index, Snapshot: true}
-	for i := range nodes {
-		whole.Entries = append(whole.Entries, oneEntry(i, int64(i+1)))
+	version := versionlog.Version{Epoch: 1, Index: r.index}
+	snapshot := versionlog.Slice{Version: version, NewestIndex: r.index, Snapshot: true}
+	for i := range replicas {
+		snapshot.Entries = append(snapshot.Entries, oneEntry(i, int64(i+1)))
 	}
-	r.take(tb, whole)
+	r.take(tb, snapshot)
 	return r
 }
 
-func oneEntry(node int, index int64) versionlog.Entry {
-	name := fmt.Sprintf("n%04d", node)
+func oneEntry(replica int, index int64) versionlog.Entry {
+	name := fmt.Sprintf("n%04d", replica)
 	return versionlog.Entry{Name: name, Index: index, Body: fmt.Appendf(nil,
 		`{"version":%d,"name":%q,"address":"127.0.0.1:9","zone":"z","type":"m","group":1,"status":"in_service","weight":1,"since_ms":0}`,
 		index, name)}
--- a/internal/platform/rejection_test.go
+++ b/internal/platform/rejection_test.go
@@ -56,8 +56,7 @@
 }
 
 func handle(f *Front, i int) int {
-	body := `{"slices":[{"slice":1,"mass":0.25},{"slice":2,"mass":0.25},` +
-		`{"slice":3,"mass":0.25},{"slice":4,"mass":0.25}],"filter":"c41e77d0"}`
+	body := `{"slices":[{"slice":1,"mass":0.25},{"slice":2,"mass":0.25},{"slice":3,"mass":0.25},{"slice":4,"mass":0.25}],"filter":"c41e77d0"}`
 	message := request("POST", "/api", body, "X-Call-Id", fmt.Sprint("q", i), "X-Call-Class", "c", "X-Budget", "3000m")
 	return f.Handle(message, nil).Status
 }
--- a/internal/platform/relayed_list_bench_test.go
+++ b/internal/platform/relayed_list_bench_test.go
@@ -11,9 +11,9 @@
 )
 
 // snapshotBodies is a whole list of so many nodes in the answers of a relay.
-func snapshotBodies(b *testing.B, nodes int) (bodies [][]byte) {
-	log := versionlog.New(1, nodes)
-	changes := make([]versionlog.Change, nodes)
+func snapshotBodies(b *testing.B, replicas int) (bodies [][]byte) {
+	log := versionlog.New(1, replicas)
+	changes := make([]versionlog.Change, replicas)
 	for i := range changes {
 		name := fmt.Sprintf("s-%08x", i)
 		changes[i] = versionlog.Change{Name: name, Object: fmt.Appendf(nil,
--- a/internal/platform/relayed_list_test.go
+++ b/internal/platform/relayed_list_test.go
@@ -27,24 +27,26 @@
 		t.Errorf("known %v", got)
 	}
 	changes := 0
-	kept := d.KeepCopy(func() { changes++ })
-	var told []string
-	tell := func(what string) func([]core.Endpoint) {
-		return func(nodes []core.Endpoint) {
-			for _, n := range nodes {
+	listCopy := d.KeepCopy(func() { changes++ })
+	var updates []string
+	record := func(what string) func([]core.Endpoint) {
+		return func(endpoints []core.Endpoint) {
+			for _, n := range endpoints {
 				what += fmt.Sprintf(" %s:%d", n.ID, n.State)
 			}
-			told = append(told, what)
+			updates = append(updates, what)
 		}
 	}
-	d.Part = func(nodes []core.Endpoint) { tell("part")(nodes) }
-	d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) { tell(fmt.Sprint("list ", scope))(nodes) }
+	d.Part = func(endpoints []core.Endpoint) { record("part")(endpoints) }
+	d.Listed = func(scope scatter.UpdateKind, endpoints []core.Endpoint) {
+		record(fmt.Sprint("list ", scope))(endpoints)
+	}
 	update := func(u distribution.Update, entries ...versionlog.Entry) {
 		if err := d.Check(entries); err != nil {
 			t.Fatal(err)
 		}
 		u.Entries = entries
-		u.Slice.Version.Index = int64(10 + len(told))
+		u.Slice.Version.Index = int64(10 + len(updates))
 		d.Apply(u)
 	}
 	update(distribution.Update{}, distributedEntry("known", "terminating"), distributedEntry("a", "in_service"))
@@ -57,18 +59,18 @@
 		scatter.IncrementalUpdate, scatter.Ready, scatter.Removed,
 		scatter.IncrementalUpdate, scatter.Removed,
 		scatter.IncrementalUpdate, scatter.Ready)
-	if got := strings.Join(told, ", "); got != want {
+	if got := strings.Join(updates, ", "); got != want {
 		t.Errorf("told %s\nwant %s", got, want)
 	}
-	address, whole := kept.Snapshot()
+	address, list := listCopy.Snapshot()
 	var names []string
-	for _, e := range whole.Endpoints {
+	for _, e := range list.Endpoints {
 		names = append(names, e.Name+" "+e.Status)
 	}
 	got := strings.Join(names, ", ")
 	if got != "b in_service, c in_service, known terminating" || address != DistributedSource ||
-		whole.Index != 13 || changes != 4 {
-		t.Errorf("kept %s of %s, version %d, after %d changes", got, address, whole.Index, changes)
+		list.Index != 13 || changes != 4 {
+		t.Errorf("kept %s of %s, version %d, after %d changes", got, address, list.Index, changes)
 	}
 }
 
