--- a/cmd/harepass/serve_test.go
+++ b/cmd/harepass/serve_test.go
@@ -78,7 +78,8 @@
 	b.drainWithOpenQuery(current)
 }
 
-// reloadInventory checks that a bad file keeps the list, and that a good one without the API replica drains that.
+// reloadInventory checks that a bad file leaves the list in force, and that a good one without the API replica drains
+// that replica.
 func (b *bothFronts) reloadInventory() {
 	b.write("nodes.csv", "name,address,port,cell\na0,127.0.0.1,none,0\n")
 	b.Process.Signal(syscall.SIGHUP)
