--- a/cmd/harepass/crowded_discovery_test.go
+++ b/cmd/harepass/crowded_discovery_test.go
@@ -47,9 +47,9 @@
 	l.lateFrom = time.Now().Add(backoff.NotifiedAfter + drainGrace + notifySlack)
 }
 
-// Replicas begin to drain while discovery is crowded: watches fall silent, and polls wait and are reset. The coordinator
-// cannot learn of the drain, but is bound by it: 6 s and the grace later nothing new goes to those replicas. Once
-// discovery answers, the coordinator serves again by the new list.
+// Replicas begin to drain while discovery is crowded: watches fall silent, and polls wait and are reset. The
+// coordinator cannot learn of the drain, but is bound by it: 6 s and the grace later nothing new goes to those
+// replicas. Once discovery answers, the coordinator serves again by the new list.
 func TestDrainBehindCrowdedDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, fleet := range []int{3, 35, 300} {
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Scripts read the decoders' messages, in which the library names the Go type. A type that is renamed would change them,
-// so a message has a name that is independent of the type's, and the caller can still reach the cause.
+// Scripts read the decoders' messages, in which the library names the Go type, so a renamed type would change them. A
+// message has a name that is independent of the type's, and the caller can still reach the cause.
 func TestDecodeErrorsKeepTypeNames(t *testing.T) {
 	for want, decode := range map[string]func() error{
 		"d: yaml: unmarshal errors: line 1: field x not found in type main.distributionFile": func() error {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -23,7 +23,7 @@
 // firstHandedDown is the lowest descriptor that can be handed down: those below are the standard streams.
 const firstHandedDown = 3
 
-// Platform is the file in which the platform configures one coordinator.
+// PlatformFile is the file in which the platform configures one coordinator.
 type PlatformFile struct {
 	Name         string          `json:"name"`
 	Listen       string          `json:"listen"`    // address for clients
