--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -20,7 +20,7 @@
 
 // A node is told the time that its client has left when the frame is written, not when the attempt was decided: it
 // may have waited for its connection since.
-func TestDeadlineToldIsWhatIsLeft(t *testing.T) {
+func TestReplicaGetsTheTimeThatIsLeft(t *testing.T) {
 	const budget, late = 1400 * time.Millisecond, 400 * time.Millisecond
 	type received struct {
 		list string
