--- a/internal/decide/scatter/admission_test.go
+++ b/internal/decide/scatter/admission_test.go
@@ -121,7 +121,8 @@
 		for range 20 {
 			s := base()
 			s.Classes[0].MinFraction, s.RingSize = minFraction, 4
-			h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
+			h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1},
+				Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
 			h.m.replicas.byID["d"].latencyRatio = 10 // its mean is twice the objective
 			rejected += len(of[Reject](h.query("c", 0, 1, 2, 3)))
 		}
@@ -143,7 +144,8 @@
 	} {
 		s := base()
 		s.Classes[0].MinFraction, s.RingSize = tc.minFraction, 4
-		h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1}, Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
+		h := start(t, s, Replica{ID: "a"}, Replica{ID: "b", RingPosition: 1},
+			Replica{ID: "c", RingPosition: 2}, Replica{ID: "d", RingPosition: 3})
 		sent := 0
 		for range 40 {
 			h.m.replicas.byID["d"].latencyRatio = tc.ratio // at 10 its mean is twice the objective
@@ -176,11 +178,11 @@
 		s.Classes[0].MinFraction = 0.6
 		h := start(t, s, names("a", "b")...)
 		h.m.classes.list[0].meanLatency = tc.base
-		evs := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Expires: h.now + 6*sec}}
+		events := []Event{QueryArrived{ID: "q", Number: 1, Class: "c", Expires: h.now + 6*sec}}
 		for i, w := range tc.weights {
-			evs = append(evs, PartArrived{ID: fmt.Sprint("q.", i), Number: 1, Weight: w})
+			events = append(events, PartArrived{ID: fmt.Sprint("q.", i), Number: 1, Weight: w})
 		}
-		if got := len(of[Send](h.step(0, evs...))); got != tc.sent {
+		if got := len(of[Send](h.step(0, events...))); got != tc.sent {
 			t.Errorf("%s: %d parts sent, want %d", tc.name, got, tc.sent)
 		}
 	}
@@ -209,8 +211,9 @@
 			r.health.ejected, r.latencyRatio, r.health.failsFast, r.health.nextProbe = true, tc.ratio, tc.failing, now+sec
 			now += sec / 10
 			q := fmt.Sprint("q", i)
-			for _, act := range m.Step(now, []Event{QueryArrived{ID: q, Number: int64(i), Class: "c", Parts: 1, Expires: now + 5*sec},
-				PartArrived{ID: q + ".0", Number: int64(i), Weight: 1}}) {
+			events := []Event{QueryArrived{ID: q, Number: int64(i), Class: "c", Parts: 1, Expires: now + 5*sec},
+				PartArrived{ID: q + ".0", Number: int64(i), Weight: 1}}
+			for _, act := range m.Step(now, events) {
 				if s, ok := act.(Send); ok {
 					sent++
 					m.Step(now, []Event{AttemptEnded{Part: s.Part, Replica: "r", Outcome: Cancelled}, QueryCancelled{ID: q}})
--- a/internal/decide/scatter/harness_test.go
+++ b/internal/decide/scatter/harness_test.go
@@ -13,9 +13,12 @@
 
 // base is the settings of a small fleet: one ring position, so that every replica holds every shard.
 func base() Settings {
-	return Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3,
+	return Settings{
+		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3,
 		Hedging: true, Cancellation: true,
-		Classes: []Class{{Name: "c", LatencyObjective: 2 * sec, Deadline: 6 * sec, PriorityWeight: 1, LateWeight: 0.1, CompleteFraction: 1, MinFraction: 1}}}
+		Classes: []Class{{Name: "c", LatencyObjective: 2 * sec, Deadline: 6 * sec, PriorityWeight: 1, LateWeight: 0.1,
+			CompleteFraction: 1, MinFraction: 1}},
+	}
 }
 
 // harness drives one Machine by hand.
@@ -63,12 +66,12 @@
 func (h *harness) query(class string, shards ...int) []Action {
 	h.n++
 	id := fmt.Sprintf("q%d", h.n)
-	evs := []Event{QueryArrived{ID: id, Number: h.n, Class: class, Parts: len(shards), Expires: h.now + 6*sec}}
+	events := []Event{QueryArrived{ID: id, Number: h.n, Class: class, Parts: len(shards), Expires: h.now + 6*sec}}
 	for i, s := range shards {
-		evs = append(evs, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: h.n, Shard: s,
+		events = append(events, PartArrived{ID: fmt.Sprintf("%s.%d", id, i), Number: h.n, Shard: s,
 			Weight: 1 / float64(len(shards))})
 	}
-	return h.step(0, evs...)
+	return h.step(0, events...)
 }
 
 func of[T Action](acts []Action) (list []T) {
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -24,7 +24,7 @@
 // discovery. Either begins with the list that is known.
 func (p *process) newEndpointSource(cfg *core.Config) {
 	p.openStore()
-	known, from := p.takeOverList()
+	known, listDiscovery := p.initialList()
 	cfg.PolledSource = platform.Source
 	if p.store != nil {
 		cfg.OnCheckpoint = p.store.SetCheckpoint
@@ -33,7 +33,7 @@
 		p.relayedList = platform.NewRelayedList(known)
 		return
 	}
-	if from != p.Platform.Discovery {
+	if listDiscovery != p.Platform.Discovery {
 		known = platform.List{} // its version counts at another service, so all of the list is polled
 	}
 	p.discovery = platform.NewDiscovery(p.Platform.Discovery, known)
@@ -90,8 +90,8 @@
 
 // logInForce writes from when on a version of a resource is in force in this process.
 func logInForce(path distribution.Path, v versionlog.Version) {
-	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, path.ResourceName(), "epoch", v.Epoch, "index", v.Index,
-		"at_unix_ms", time.Now().UnixMilli())
+	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, path.ResourceName(),
+		logmsg.KeyEpoch, v.Epoch, logmsg.KeyIndex, v.Index, logmsg.KeyInForceAt, time.Now().UnixMilli())
 }
 
 // versionText is a version for logs: epoch and index.
--- a/internal/platform/relayed_list_test.go
+++ b/internal/platform/relayed_list_test.go
@@ -20,55 +20,69 @@
 // A drain in an early slice of the first snapshot reaches the owner with that slice. Names are gone with the last
 // one, and only that brings the list as such; the copy for a process that takes over has all of it.
 func TestDistributedList(t *testing.T) {
-	d := NewRelayedList(List{Endpoints: []Endpoint{{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"}}})
+	d := NewRelayedList(List{Endpoints: []Endpoint{
+		{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"},
+	}})
 	if got := d.Known(); !slices.Equal(got, []string{"known", "old"}) {
 		t.Errorf("known %v", got)
 	}
 	changes := 0
-	kept := d.KeepCopy(func() { changes++ })
-	var told []string
-	tell := func(what string) func([]core.Endpoint) {
-		return func(nodes []core.Endpoint) {
-			for _, n := range nodes {
+	listCopy := d.KeepCopy(func() { changes++ })
+	var updates []string
+	record := func(what string) func([]core.Endpoint) {
+		return func(endpoints []core.Endpoint) {
+			for _, n := range endpoints {
 				what += fmt.Sprintf(" %s:%d", n.ID, n.State)
 			}
-			told = append(told, what)
+			updates = append(updates, what)
 		}
 	}
-	d.Part = func(nodes []core.Endpoint) { tell("part")(nodes) }
-	d.Listed = func(scope scatter.UpdateKind, nodes []core.Endpoint) { tell(fmt.Sprint("list ", scope))(nodes) }
+	d.Part = func(endpoints []core.Endpoint) { record("part")(endpoints) }
+	d.Listed = func(scope scatter.UpdateKind, endpoints []core.Endpoint) {
+		record(fmt.Sprint("list ", scope))(endpoints)
+	}
 	update := func(u distribution.Update, entries ...versionlog.Entry) {
 		if err := d.Check(entries); err != nil {
 			t.Fatal(err)
 		}
 		u.Entries = entries
-		u.Slice.Version.Index = int64(10 + len(told))
+		u.Slice.Version.Index = int64(10 + len(updates))
 		d.Apply(u)
 	}
 	update(distribution.Update{}, distributedEntry("known", "terminating"), distributedEntry("a", "in_service"))
-	update(distribution.Update{SnapshotCompleted: true, MissingFromSnapshot: []string{"old"}}, distributedEntry("b", "in_service"))
+	update(distribution.Update{SnapshotCompleted: true, MissingFromSnapshot: []string{"old"}},
+		distributedEntry("b", "in_service"))
 	update(distribution.Update{Complete: true}, distributedEntry("a", "terminated"))
 	update(distribution.Update{}, distributedEntry("c", "in_service")) // a later snapshot's first slice
-	want := fmt.Sprintf("part known:%d a:%d, list %d b:%d old:%d, list %d a:%d, list %d c:%d", scatter.Draining, scatter.Ready,
-		scatter.IncrementalUpdate, scatter.Ready, scatter.Removed, scatter.IncrementalUpdate, scatter.Removed, scatter.IncrementalUpdate, scatter.Ready)
-	if got := strings.Join(told, ", "); got != want {
+	want := fmt.Sprintf("part known:%d a:%d, list %d b:%d old:%d, list %d a:%d, list %d c:%d",
+		scatter.Draining, scatter.Ready,
+		scatter.IncrementalUpdate, scatter.Ready, scatter.Removed,
+		scatter.IncrementalUpdate, scatter.Removed,
+		scatter.IncrementalUpdate, scatter.Ready)
+	if got := strings.Join(updates, ", "); got != want {
 		t.Errorf("told %s\nwant %s", got, want)
 	}
-	address, whole := kept.Snapshot()
+	address, list := listCopy.Snapshot()
 	var names []string
-	for _, e := range whole.Endpoints {
+	for _, e := range list.Endpoints {
 		names = append(names, e.Name+" "+e.Status)
 	}
-	if got := strings.Join(names, ", "); got != "b in_service, c in_service, known terminating" || address != DistributedSource || whole.Index != 13 || changes != 4 {
-		t.Errorf("kept %s of %s, version %d, after %d changes", got, address, whole.Index, changes)
+	got := strings.Join(names, ", ")
+	if got != "b in_service, c in_service, known terminating" || address != DistributedSource ||
+		list.Index != 13 || changes != 4 {
+		t.Errorf("kept %s of %s, version %d, after %d changes", got, address, list.Index, changes)
 	}
 }
 
 // Entries that are no nodes are found before any of their answer counts.
 func TestDistributedCheck(t *testing.T) {
 	d := NewRelayedList(List{})
-	for _, bad := range []string{`{"name":"a","status":"confused"}`, `{"name":"a","status":"in_service","group":"x"}`, `{"status":"in_service"}`, `7`} {
-		if err := d.Check([]versionlog.Entry{distributedEntry("b", "in_service"), {Name: "a", Body: []byte(bad)}}); err == nil {
+	for _, bad := range []string{
+		`{"name":"a","status":"confused"}`, `{"name":"a","status":"in_service","group":"x"}`,
+		`{"status":"in_service"}`, `7`,
+	} {
+		entries := []versionlog.Entry{distributedEntry("b", "in_service"), {Name: "a", Body: []byte(bad)}}
+		if err := d.Check(entries); err == nil {
 			t.Errorf("%s passes", bad)
 		}
 	}
--- a/internal/test/experiments/overload/overload.go
+++ b/internal/test/experiments/overload/overload.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("overload: cost of a query: %w", err)
 	}
-	return min(maxNormalRate, normalCPUShare*cores/(probe.CPU/float64(probe.Admitted))), nil
+	return min(maxNormalRate, normalCPUShare*cores/(probe.CPUSeconds/float64(probe.Admitted))), nil
 }
 
 // playVariant plays a variant. What is beyond normal traffic comes from the flooding tenant.
@@ -127,7 +127,7 @@
 	r.Row(traffic, controlled, total.Arrived, total.Served, total.Rejected, late,
 		fmt.Sprintf("%.3f", o.EarnedWeight/o.OfferedWeight),
 		fmt.Sprintf("%.0f/%.0f", hazards.ServedWithinQuota, hazards.WithinQuota),
-		fmt.Sprintf("%.1f", o.Wait99MS), fmt.Sprintf("%.1f", o.WaitMaxMS), fmt.Sprintf("%.1f", o.CPU), remark)
+		fmt.Sprintf("%.1f", o.WaitP99MS), fmt.Sprintf("%.1f", o.WaitMaxMS), fmt.Sprintf("%.1f", o.CPUSeconds), remark)
 }
 
 // normalSince words when the level came back to normal. It is empty if the level never left normal.
--- a/internal/test/experiments/overload/play.go
+++ b/internal/test/experiments/overload/play.go
@@ -55,7 +55,7 @@
 func config(normalRate float64, memoryMB int, controlled bool) coordinatorproc.Config {
 	c := coordinatorproc.Config{Settings: settings(normalRate), Cores: cores, MemoryMB: memoryMB}
 	if controlled {
-		c.Target = targetWait
+		c.WaitTarget = targetWait
 	}
 	return c
 }
@@ -63,11 +63,11 @@
 // play plays a plan, made for the address of the front, against a coordinator before its replicas. It ends the
 // coordinator's process and closes the replicas.
 func play(c coordinatorproc.Config, makePlan func(address string) *loadgen.Plan, n replicas) (*outcome, error) {
-	c.Sections = shards
+	c.Shards = shards
 	c.Indices = indices()
-	c.Callers = map[string]string{}
+	c.TenantsByUser = map[string]string{}
 	for _, name := range tenantNames() {
-		c.Callers[name] = name
+		c.TenantsByUser[name] = name
 	}
 	for i := range replicaCount {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,7 +76,7 @@
 		}
 		defer l.Close()
 		go (&fake.Replicas{Script: n.script, Data: n.data}).ServeAPI(l)
-		c.Nodes = append(c.Nodes, core.Endpoint{
+		c.Endpoints = append(c.Endpoints, core.Endpoint{
 			Replica: scatter.Replica{ID: fmt.Sprint("node", i), RingPosition: i},
 			Address: l.Addr().String(), Scheme: opensearch.Scheme,
 		})
@@ -90,6 +90,6 @@
 	if err = errors.Join(err, stopErr); err != nil {
 		return nil, err
 	}
-	res.Levels, res.Waits = stats.Levels, stats.Waits
+	res.Levels, res.Waits = stats.Levels, stats.MaxWaits
 	return &outcome{res, stats}, nil
 }
--- a/internal/test/experiments/overload/slow_replicas.go
+++ b/internal/test/experiments/overload/slow_replicas.go
@@ -62,7 +62,7 @@
 // memory fills although no more queries arrive than before: the answers of all shards are held until the slow shard's
 // deadline is over.
 func playSlowReplicas(r *experiment.Report) error {
-	const limitMB = slowMemoryMB * coordinatorproc.CollectorShare
+	const limitMB = slowMemoryMB * coordinatorproc.HeapLimitShare
 	slow := slowReplicas()
 	firstCome, err := play(config(10*slowRate, slowMemoryMB, false), summariesAndReports, slow)
 	if err != nil {
@@ -75,14 +75,15 @@
 	}
 	addSlowRow(r, true, controlled)
 	r.Expect(controlled.Lost == 0, "slow nodes: %d tries without a timely answer", controlled.Lost)
-	r.Expect(controlled.LiveMB <= limitMB, "slow nodes: %.0f MB live, the limit is %.0f", controlled.LiveMB, limitMB)
-	r.Expect(firstCome.LiveMB > limitMB, "slow nodes: first come has %.0f MB live only: the case is too easy",
-		firstCome.LiveMB)
-	r.Figure("slow_live_mb", "%.0f", controlled.LiveMB)
-	r.Figure("slow_first_come_mb", "%.0f", firstCome.LiveMB)
+	r.Expect(controlled.LiveHeapMaxMB <= limitMB, "slow nodes: %.0f MB live, the limit is %.0f",
+		controlled.LiveHeapMaxMB, limitMB)
+	r.Expect(firstCome.LiveHeapMaxMB > limitMB, "slow nodes: first come has %.0f MB live only: the case is too easy",
+		firstCome.LiveHeapMaxMB)
+	r.Figure("slow_live_mb", "%.0f", controlled.LiveHeapMaxMB)
+	r.Figure("slow_first_come_mb", "%.0f", firstCome.LiveHeapMaxMB)
 	return nil
 }
 
 func addSlowRow(r *experiment.Report, controlled bool, o *outcome) {
-	o.addRow(r, "slow nodes", controlled, o.Lost, fmt.Sprintf("%.0f MB live", o.LiveMB))
+	o.addRow(r, "slow nodes", controlled, o.Lost, fmt.Sprintf("%.0f MB live", o.LiveHeapMaxMB))
 }
--- a/internal/test/experiments/overload/targets.go
+++ b/internal/test/experiments/overload/targets.go
@@ -75,8 +75,8 @@
 // judgeWeight judges the weight that is earned, the waits, and what is lost.
 func (e results) judgeWeight(r *experiment.Report) {
 	normal, firstCome := e.normalTraffic(), e.normalFirstCome()
-	r.Expect(e.rush().Wait99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted",
-		e.rush().Wait99MS, maxLoopWaitMS)
+	r.Expect(e.rush().WaitP99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted",
+		e.rush().WaitP99MS, maxLoopWaitMS)
 	r.Expect(e.rushGain() >= minRushGain, "worth at three times is %.2f of first come's, %.1f wanted",
 		e.rushGain(), minRushGain)
 	r.Expect(normal.EarnedWeight >= minNormalGain*firstCome.EarnedWeight,
@@ -122,8 +122,8 @@
 	r.Figure("normal", "%.0f/s", e.normalRate)
 	r.Figure("gain_at_3", "%.2f", e.rushGain())
 	r.Figure("worth_at_1", "%.3f", e.normalTraffic().EarnedWeight/e.normalTraffic().OfferedWeight)
-	r.Figure("loop_p99_ms", "%.1f", e.rush().Wait99MS)
-	r.Figure("first_come_p99_ms", "%.1f", e.rushFirstCome().Wait99MS)
+	r.Figure("loop_p99_ms", "%.1f", e.rush().WaitP99MS)
+	r.Figure("first_come_p99_ms", "%.1f", e.rushFirstCome().WaitP99MS)
 	r.Figure("hazards", "%.3f", e.hazardsServed())
 	r.Figure("tries_after", "%.2f", float64(attempts)/e.normalRate)
 	r.Figure("refused_after", "%d", rejected)
--- a/internal/test/scaletest/registry.go
+++ b/internal/test/scaletest/registry.go
@@ -27,8 +27,8 @@
 	changed      chan struct{} // closed and replaced at each change
 	snapshot     []byte        // the complete list in its latest version; nil where it has to be made
 	idleAt       time.Time     // when the calls that were accepted are served
-	answers      int
-	failed       int
+	servedCalls  int
+	failedCalls  int
 }
 
 // NewRegistry returns a registry that lists some endpoints.
@@ -65,7 +65,7 @@
 func (r *Registry) CallCounts() (served, failed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.answers, r.failed
+	return r.servedCalls, r.failedCalls
 }
 
 // Serve answers calls until the listener is closed, which gives the error.
@@ -77,7 +77,7 @@
 	if !r.await(req.Context(), poll.From, poll.Wait) {
 		return
 	}
-	if r.hasChanges(poll.From) && !r.serveInTurn(req.Context()) {
+	if r.hasChanges(poll.From) && !r.awaitService(req.Context()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -113,9 +113,9 @@
 	return from < r.index()
 }
 
-// serveInTurn waits until the call is served, after those before it. It reports false where the call would have had to
+// awaitService waits until the call is served, after those before it. It reports false where the call would have had to
 // wait for more than MaxWait before that; it has then waited for MaxWait.
-func (r *Registry) serveInTurn(ctx context.Context) bool {
+func (r *Registry) awaitService(ctx context.Context) bool {
 	wait, accepted := r.schedule()
 	if wait > 0 {
 		select {
@@ -136,10 +136,10 @@
 		begin = r.idleAt
 	}
 	if r.MaxWait > 0 && begin.Sub(now) > r.MaxWait {
-		r.failed++
+		r.failedCalls++
 		return r.MaxWait, false
 	}
-	r.answers++
+	r.servedCalls++
 	r.idleAt = begin.Add(r.CallDuration)
 	return r.idleAt.Sub(now), true
 }
