--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,7 +37,7 @@
 	Limits         Limits        // of this process; half of the platform's, but for the cores, where PROXY_FD is set
 	Settings       scatter.Settings
 	ProtocolLimits wire.Limits // what the settings bound outside of the decisions
-	ListPushed     bool        // lists are pushed to an agent, which is polled as discovery is; as at the start
+	ListPushed     bool        // the settings say that lists are pushed; an agent is then polled as discovery is
 
 	KnownEndpoints []core.Endpoint // of the platform's file, or of stored state in their place
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -28,9 +28,9 @@
 	// the descriptors is for replicas.
 	descriptorsPerReplicaConn = 4
 	// descriptorsPerIdleConn is how many descriptors there have to be for each idle connection of a client: a sixth of
-	// the descriptors may be idle. Where memory does not bound them, clients have a third of 58 descriptors or more, so
-	// at least half of the clients' share is for connections with a request. Of 48 to 57 descriptors clients have a
-	// quarter at least; limits that were halved can be lower still.
+	// the descriptors may be idle. Where memory does not bound them, clients have at least a third of the descriptors
+	// if there are 58 or more, so that at least half of the clients' connections can have a request. With 48 to 57
+	// descriptors clients have at least a quarter; limits that were halved can be lower still.
 	descriptorsPerIdleConn = 6
 )
 
--- a/internal/config/upstream.go
+++ b/internal/config/upstream.go
@@ -25,7 +25,7 @@
 	Region  string `yaml:"region"`
 }
 
-// Bounds of the heartbeat and of its allowance.
+// Bounds of the heartbeat, and of the silence tolerance beyond it.
 const (
 	minHeartbeat = 50 * time.Millisecond
 	maxHeartbeat = 20 * time.Second
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -53,8 +53,8 @@
 // subscribe asks the polled source for its list. The cached list may come to do from then on.
 func (c *Coordinator) subscribe() {
 	c.cfg.Subscribe()
-	c.initialList.mayPresume = true
-	c.presumeInitialList()
+	c.listReadiness.mayPresume = true
+	c.presumeCachedList()
 }
 
 // setWake has the module stepped after a time, in the place of any earlier timer of the module.
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -16,7 +16,7 @@
 		return
 	}
 	queriesUnanswered.Inc()
-	c.notify(scatter.QueryCancelled{ID: q.id})
+	c.notify(scatter.QueryCancelled{ID: q.moduleID})
 	c.finish(q, Answer{Status: Failed})
 }
 
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -61,6 +61,6 @@
 	}
 	queriesClientLeft.Inc()
 	c.logClientLeft(q)
-	c.notify(scatter.QueryCancelled{ID: q.id})
+	c.notify(scatter.QueryCancelled{ID: q.moduleID})
 	c.close(q)
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -12,7 +12,7 @@
 type Limits struct {
 	MaxOpen      int           // queries and parts that may be open, sent or not; 0 for no limit
 	Shards       int           // number of shards; 0 if it is unknown, and any shard may be asked for
-	DrainTimeout time.Duration // from Drain until the last query has its answer; 0 for no limit
+	DrainTimeout time.Duration // from Drain until the time of every query is over; 0 for no limit
 }
 
 // Clock reads the time as a duration since the Unix epoch; it never goes back. Any goroutine may call it.
@@ -33,8 +33,8 @@
 	Limits       Limits            // in force until Configure
 	Clock        Clock             // of all instants
 	Callers      map[string]Caller // by Endpoint.Scheme; attempts at endpoints of other schemes are not sent
-	Subscribe    func()            // asks PolledSource for its list; must not block
-	PolledSource string            // the source that Subscribe asks; other sources send their lists unasked
+	Subscribe    func()            // asks PolledSource for its list, if that has to be asked; must not block
+	PolledSource string            // the source whose list makes the coordinator Ready and has a lease
 
 	Planner         *twophase.Planner // plans the queries that have an Index; nil asks all parts in one phase
 	TwoPhaseClasses []string          // classes whose queries may have a first phase
--- a/internal/core/coordinator.go
+++ b/internal/core/coordinator.go
@@ -29,11 +29,11 @@
 	open        openQueries
 	reservedIDs reservedIDs
 
-	endpoints   endpointTable
-	updates     pendingUpdates
-	initialList initialList
-	lease       listLease
-	maintenance maintenanceInForce
+	endpoints     endpointTable
+	updates       pendingUpdates
+	listReadiness listReadiness
+	lease         listLease
+	maintenance   maintenanceInForce
 
 	logLimit logLimit
 }
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -39,7 +39,7 @@
 //	endpoint_updates.go  how the sources' lists are merged
 //	pending_updates.go   how a long list is taken in over several ticks
 //	effective_list.go    the endpoint list as the module is to hear it
-//	initial_list.go      from when on the endpoint list counts as known
+//	list_readiness.go    from when on the endpoint list counts as known
 //	list_lease.go        for how long an unconfirmed list is used
 //	maintenance.go       replicas that operators have taken out
 //	admitter.go          the check before a query is queued
--- a/internal/core/endpoint_updates.go
+++ b/internal/core/endpoint_updates.go
@@ -78,7 +78,7 @@
 	if len(c.maintenance.register) > 0 {
 		c.warnUncoveredShards()
 	}
-	c.noteInitialList(u)
+	c.noteListReadiness(u)
 }
 
 // eventKind is how the module hears of an update. The module takes a full list, a change or a failure for the answer to
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -27,7 +27,7 @@
 	mu                sync.RWMutex
 	byID              map[string]listedEndpoint
 	ring              ringIndex    // of byID
-	firstPhaseSupport map[int]bool // supportsFirstPhase's answers by ring position of the shard; see forgetFirstPhases
+	firstPhaseSupport map[int]bool // of supportsFirstPhase, by the shard's ring position
 }
 
 func newEndpointTable(ringSize, replicationFactor int) endpointTable {
@@ -63,7 +63,7 @@
 	t.ring.forShards(e.RingPosition, func(shard int) { delete(t.firstPhaseSupport, shard) })
 }
 
-// forgetFirstPhases drops what is remembered of all shards: endpoints may count otherwise than before.
+// forgetFirstPhaseSupport drops what is remembered of all shards: endpoints may count otherwise than before.
 func (t *endpointTable) forgetFirstPhaseSupport() { clear(t.firstPhaseSupport) }
 
 // resizeRing indexes the endpoints anew, if the ring has changed.
--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -58,7 +58,7 @@
 		}
 	}
 	if len(deferred) > 0 {
-		f := &firstPhase{query: q, id: q.id + firstPhaseSuffix}
+		f := &firstPhase{query: q, id: q.moduleID + firstPhaseSuffix}
 		f.releaseTimer = c.timers.add(c.now+plan.MaxDeferral, func() { c.releaseDeferred(f) })
 		q.firstPhase = f
 	}
--- a/internal/core/open_queries.go
+++ b/internal/core/open_queries.go
@@ -42,7 +42,7 @@
 // add counts a query that is accepted; its parts follow.
 func (o *openQueries) add(q *query) {
 	o.count += openSize(len(q.Parts))
-	o.byID[q.id], o.byQuery[q.Query] = q, q
+	o.byID[q.moduleID], o.byQuery[q.Query] = q, q
 	o.addBytes(q, int64(queryOverheadBytes+len(q.Body)+partOverheadBytes*len(q.Parts)))
 }
 
@@ -75,7 +75,7 @@
 
 // remove ends a query; its parts stay until removePart.
 func (o *openQueries) remove(q *query) {
-	delete(o.byID, q.id)
+	delete(o.byID, q.moduleID)
 	delete(o.byQuery, q.Query)
 	o.count -= openSize(len(q.parts))
 	o.bytes -= q.bytes
@@ -95,7 +95,7 @@
 }
 
 // isOpen reports whether a query has no final answer yet and its client has not left.
-func (o *openQueries) isOpen(q *query) bool { return o.byID[q.id] != nil }
+func (o *openQueries) isOpen(q *query) bool { return o.byID[q.moduleID] != nil }
 
 // SetLimitsShared sets whether another process of the same coordinator serves beside this one: what may be open is
 // for both. Any goroutine may call it.
--- a/internal/core/pending_updates_test.go
+++ b/internal/core/pending_updates_test.go
@@ -80,7 +80,7 @@
 	h := newHarness(t, func(c *Config) {
 		c.Settings.RingSize, c.Settings.ReplicationFactor, c.Limits.Shards = endpoints, 3, endpoints
 	})
-	h.initialList.known = false
+	h.listReadiness.known = false
 	h.UpdateEndpoints("test", scatter.FullUpdate, fleetList(endpoints))
 	for i := range 100 {
 		e := fleetEndpoint(i)
@@ -95,9 +95,9 @@
 			want = endpoints - 10 // a is removed, and so are those of ten updates, up to a tick's share
 		}
 		known := tick == ticks
-		if len(h.endpoints.byID) != want || h.initialList.known != known || h.HasEndpoint("a") == known {
+		if len(h.endpoints.byID) != want || h.listReadiness.known != known || h.HasEndpoint("a") == known {
 			t.Errorf("after %d ticks %d endpoints, want %d; known %t, the one not listed %t", tick,
-				len(h.endpoints.byID), want, h.initialList.known, h.HasEndpoint("a"))
+				len(h.endpoints.byID), want, h.listReadiness.known, h.HasEndpoint("a"))
 		}
 	}
 	h.pass(2 * ms)
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -120,7 +120,7 @@
 
 // updatePhase moves on at the end of a tick, where the time for it has come.
 func (c *Coordinator) updatePhase() {
-	if c.initialList.known {
+	if c.listReadiness.known {
 		c.phaseState.moveTo(Ready)
 	}
 	if c.phaseState.stopping && len(c.open.byID) == 0 {
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -63,7 +63,7 @@
 // query is a Query that was accepted.
 type query struct {
 	*Query
-	id             string        // the module's id of the query
+	moduleID       string        // names the query in the module's events and actions
 	number         int64         // the module's number of the query; queries that were accepted later have higher ones
 	retryPolicy    retry.Policy  // policy of the query's class when it was accepted
 	idempotencyKey string        // key that all attempts carry; empty in a class that was not keyed
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -101,15 +101,15 @@
 	}
 	queriesAccepted.Inc()
 	number := c.open.nextNumber()
-	q := &query{Query: submitted, id: strconv.FormatInt(number, 10), number: number, retryPolicy: policy,
+	q := &query{Query: submitted, moduleID: strconv.FormatInt(number, 10), number: number, retryPolicy: policy,
 		idempotencyKey: key, acceptedAt: c.now}
 	c.open.add(q)
 	q.giveUpTimer = c.timers.add(q.Deadline+answerGrace, func() { c.giveUp(q) })
 	c.reserveID(q)
-	c.notify(scatter.QueryArrived{ID: q.id, Number: number, Class: q.Class, Tenant: q.Tenant, Expires: q.Deadline,
+	c.notify(scatter.QueryArrived{ID: q.moduleID, Number: number, Class: q.Class, Tenant: q.Tenant, Expires: q.Deadline,
 		Parts: len(q.Parts), IsRetry: q.IsRetry, RequireComplete: q.RequireComplete})
 	for i, p := range q.Parts {
-		c.open.addPart(&part{id: q.id + "." + strconv.Itoa(i), index: i, shard: p.Shard, query: q})
+		c.open.addPart(&part{id: q.moduleID + "." + strconv.Itoa(i), index: i, shard: p.Shard, query: q})
 	}
 	deferred := c.planFirstPhase(q)
 	for i, p := range q.parts {
--- a/internal/decide/scatter/admission.go
+++ b/internal/decide/scatter/admission.go
@@ -81,7 +81,7 @@
 		m.giveUp(q)
 		return
 	}
-	m.traffic.admitted(len(q.parts), min(m.replicas.ready, m.settings.RingSize))
+	m.traffic.admitted(len(q.parts), min(m.replicas.usable, m.settings.RingSize))
 	m.skipParts(q, pressure)
 }
 
@@ -124,7 +124,7 @@
 		switch {
 		case unavailable && rest >= q.minWeight-weightSlack,
 			rest > halfWay && (hasLowWeight || m.sparesOverloadedShard(p)):
-			p.skipped, sum = true, rest
+			p.leftOut, sum = true, rest
 		case unavailable:
 			m.giveUp(q)
 			return
@@ -143,5 +143,5 @@
 // overload and wait there in vain. A coordinator of a small fleet always tries.
 func (m *Machine) shardUnavailable(p *part) bool {
 	open := func(r *replica) bool { return m.now >= r.health.avoidUntil }
-	return m.placement.fleetFactor > 1 && !slices.ContainsFunc(m.shardOf(p.Shard).holders, open)
+	return m.placement.fleetFactor > 1 && !slices.ContainsFunc(m.shardOf(p.Shard).readyHolders, open)
 }
--- a/internal/decide/scatter/completeness.go
+++ b/internal/decide/scatter/completeness.go
@@ -65,7 +65,7 @@
 	sum := q.servedWeight
 	var unselected []*part
 	for _, p := range q.parts {
-		if !p.selected && !p.skipped {
+		if !p.selected && !p.leftOut {
 			unselected = append(unselected, p)
 		} else if p.selected && !p.served && m.canStillCome(p) {
 			sum += p.Weight
@@ -96,7 +96,7 @@
 func (m *Machine) sendMissingAttempts(q *query) (reachable float64) {
 	reachable = q.servedWeight
 	for _, p := range q.parts {
-		if !p.served && !p.skipped && m.canStillCome(p) {
+		if !p.served && !p.leftOut && m.canStillCome(p) {
 			reachable += p.Weight
 		}
 		if m.needsAttempt(p) {
--- a/internal/decide/scatter/doc.go
+++ b/internal/decide/scatter/doc.go
@@ -8,8 +8,9 @@
 // returned actions in order. The same seed, settings and events give the same actions. A Machine is for one
 // goroutine at a time. Time never goes back from one Step to the next.
 //
-// For every query the caller gets exactly one Answer, Reject or Fail (two answers for a class with a second round),
-// as long as it feeds Step by the time that the last SetTimer asked for.
+// For every query the caller gets exactly one Answer, Reject or Fail, as long as it feeds Step by the time that the
+// last SetTimer asked for, and unless it cancels the query with QueryCancelled. A class with a second round gets two
+// answers; only cmd/adapter has such classes, and core refuses them.
 //
 // # Terms
 //
@@ -36,8 +37,8 @@
 //	slow_start.go          what a replica that has just started may be sent
 //	hedging.go             what an overdue part calls for
 //	latency.go             what is usual of a class, and when a part is late
-//	outliers.go            what an outcome says of its replica
-//	unresponsive.go        which replicas leave attempts unanswered, or are far slower than others
+//	outcomes.go            what an outcome says of its replica
+//	outlier_detection.go   which replicas leave attempts unanswered, or are far slower than others
 //	ejection.go            ejection, faults of one class, reinstatement
 //	probes.go              which ejected replica gets a probe
 //	idle_connections.go    how long an unused connection is trusted
@@ -49,9 +50,10 @@
 //
 // # Why a replica gets no traffic
 //
-// It is not listed as Ready; it is not in this coordinator's subset (placement.go); it is ejected, and probed only
+// It is not listed as Ready: core also reports a replica as Draining while it is in maintenance, or its list's lease
+// has expired; it is not in this coordinator's subset (placement.go); it is ejected, and probed only
 // (ejection.go, probes.go); it has rejected parts a moment ago, or is avoided after that in a large fleet
-// (outliers.go, ejection.go); its class is excluded there, or not trusted after an error or a silence (picker.go);
+// (outcomes.go, ejection.go); its class is excluded there, or not trusted after an error or a silence (picker.go);
 // it is in slow start (slow_start.go); other holders have fewer calls out (picker.go).
 //
 // docs/design.md says where each rule comes from.
--- a/internal/decide/scatter/hedging.go
+++ b/internal/decide/scatter/hedging.go
@@ -16,10 +16,12 @@
 	minLostShare = 0.5
 )
 
-// relieveOverdue does what an overdue part calls for. Without hedged requests a lost attempt is cancelled, and the
-// retry goes out when it has ended. Else another part of the query is sent where not all are needed, or a hedged
-// request of the same part. All of this is bounded by an allowance, but for a query's last parts; a hedged request
-// is bounded by the retry budget too. Each attempt is relieved once at most.
+// relieveOverdue does what an overdue part calls for. Without hedged requests an attempt that may be cancelled for a
+// retry is cancelled, and the retry goes out when it has ended. Else another part of the query is sent where not all
+// are needed, or a hedged request of the same part. An allowance of tokens bounds all of this. No token is needed for a
+// query's last parts, for cancelling an attempt at an ejected replica, and for what is sent beside an attempt that
+// could be cancelled, but whose part may not be retried. A hedged request is bounded by the retry budget too. Each
+// attempt is relieved once at most.
 func (m *Machine) relieveOverdue(p *part) {
 	c := p.query.class
 	if p.outstandingCount != 1 || m.now >= p.query.endBy {
@@ -29,24 +31,24 @@
 	if m.now-at.sentAt < c.overdueAfter { // isLate is never sooner, and costs more
 		return
 	}
-	lost := m.isLost(at)
-	unbounded := lost || p.query.servedWeight >= lastPartsWeight
-	if at.ended || at.cancelled || at.relieved || m.hedges.empty() && !unbounded || !m.isLate(at, overduePart) {
+	mayCancel := m.mayCancelForRetry(at)
+	needsNoToken := mayCancel || p.query.servedWeight >= lastPartsWeight
+	if at.ended || at.cancelled || at.relieved || m.hedges.empty() && !needsNoToken || !m.isLate(at, overduePart) {
 		return
 	}
-	if lost && m.mayAttempt(p) {
+	if mayCancel && m.mayAttempt(p) {
 		if !at.toEjected {
 			m.hedges.take()
 		}
 		m.cancel(at)
 		return
 	}
-	m.sendRelief(p, at, unbounded)
+	m.sendRelief(p, at, needsNoToken)
 }
 
 // sendRelief sends, beside an overdue attempt, another part of its query, or where all have been sent a hedged
 // request of its own part.
-func (m *Machine) sendRelief(p *part, overdue *attempt, unbounded bool) {
+func (m *Machine) sendRelief(p *part, overdue *attempt, needsNoToken bool) {
 	target := p.query.unselectedPart()
 	if target == nil {
 		if !m.settings.Hedging || !m.mayAttempt(p) {
@@ -59,16 +61,16 @@
 		return
 	}
 	target.selected, overdue.relieved = true, true
-	if !unbounded {
+	if !needsNoToken {
 		m.hedges.take()
 	}
 	m.send(target, r)
 }
 
-// isLost reports whether an overdue attempt is to be cancelled for a retry, where hedged requests are not allowed:
-// one at an ejected replica, or one that has taken so long that it will not be answered. A part that may not run
-// twice is waited for.
-func (m *Machine) isLost(at *attempt) bool {
+// mayCancelForRetry reports whether an overdue attempt may be cancelled for a retry, where hedged requests are not
+// allowed: one at an ejected replica, or, while the allowance lasts, one that has taken so long that it will not be
+// answered. A part that may not run twice is waited for.
+func (m *Machine) mayCancelForRetry(at *attempt) bool {
 	if m.settings.Hedging || !m.settings.Cancellation {
 		return false
 	}
@@ -82,7 +84,7 @@
 
 // unselectedPart is a part of the query that has not been asked for and could be; nil where there is none.
 func (q *query) unselectedPart() *part {
-	i := slices.IndexFunc(q.parts, func(p *part) bool { return !p.selected && !p.skipped && !p.Deferred })
+	i := slices.IndexFunc(q.parts, func(p *part) bool { return !p.selected && !p.leftOut && !p.Deferred })
 	if i < 0 {
 		return nil
 	}
--- a/internal/decide/scatter/latency.go
+++ b/internal/decide/scatter/latency.go
@@ -128,7 +128,7 @@
 // readyRatios lists the latency ratios of the ready ones of some replicas in ascending order, in the space of a list.
 func readyRatios(some []*replica, list []float64) []float64 {
 	for _, r := range some {
-		if r.ready() {
+		if r.usable() {
 			list = append(list, r.latencyRatio)
 		}
 	}
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -9,6 +9,8 @@
 const (
 	// pollTicks is how many ticks lie between two looks at open queries.
 	pollTicks = 4
+	// minPollInterval is the least time between two such looks, also where ticks are shorter or not known.
+	minPollInterval = time.Millisecond
 	// stalledShare is the share of the tightest latency objective by which a timer may fire late before the
 	// coordinator itself counts as stalled.
 	stalledShare = 0.1
@@ -195,7 +197,7 @@
 	}
 	tick := m.settings.TickInterval
 	for _, q := range m.queries.open {
-		sooner(q.endBy, m.answerBy(q), q.answerDue-tick, m.now+max(pollTicks*tick, time.Millisecond))
+		sooner(q.endBy, m.answerBy(q), q.answerDue-tick, m.now+max(pollTicks*tick, minPollInterval))
 	}
 	if m.settings.Subscribe && !m.endpoints.subscribed {
 		sooner(m.endpoints.nextSubscribe)
--- a/internal/decide/scatter/unresponsive.go
+++ b/internal/decide/scatter/outlier_detection.go
@@ -2,25 +2,29 @@
 
 import "time"
 
-// slowRatio is how many times its siblings' median latency ratio makes a replica an outlier.
-const slowRatio = 3.0
+const (
+	// slowRatio is how many times its siblings' median latency ratio makes a replica an outlier.
+	slowRatio = 3.0
+	// noLookDue is how long no look is due where no attempt is outstanding: longer than any attempt takes.
+	noLookDue = 24 * time.Hour
+)
 
 // responseWatch says when outstanding attempts are to be looked at next.
 type responseWatch struct {
-	nextLook   time.Duration // before then no attempt that is out makes a silent replica
+	nextLook   time.Duration // before then no outstanding attempt can show its replica to be unresponsive
 	rebalances int           // the rebalance that this is of
 }
 
 // watch takes a new attempt into account.
 func (w *responseWatch) watch(at *attempt) { w.nextLook = min(w.nextLook, at.unresponsiveFrom()) }
 
-// unresponsiveFrom is until when an attempt makes no silent replica, whatever else is known.
+// unresponsiveFrom is from when on an attempt can show its replica to be unresponsive.
 func (at *attempt) unresponsiveFrom() time.Duration {
 	return at.sentAt + scale(at.part.query.class.overdueAfter, unresponsivePart.overdueTimes)
 }
 
-// detectOutliers ejects the silent replicas, with a part out for long and nothing answered since it was sent though
-// others did answer, and at each periodic rebalance the slow ones.
+// detectOutliers ejects the unresponsive replicas, and at each periodic rebalance the slow ones. An unresponsive
+// replica has had a part for long, and has answered nothing since that was sent, though others have.
 func (m *Machine) detectOutliers() {
 	for _, r := range m.replicasToWatch() {
 		for _, at := range r.attempts {
@@ -29,18 +33,18 @@
 				m.eject(r, at)
 			}
 		}
-		if m.shares.due(m.now) && r.ready() && m.capacityFraction(r, m.now) == 1 &&
+		if m.shares.due(m.now) && r.usable() && m.capacityFraction(r, m.now) == 1 &&
 			r.latencyRatio > slowRatio*medianRatio(r.siblings) {
 			m.eject(r, nil)
 		}
 	}
 }
 
-// isUnresponsive reports whether an attempt shows a ready replica to be silent.
+// isUnresponsive reports whether an attempt shows a usable replica to be unresponsive.
 func (m *Machine) isUnresponsive(r *replica, at *attempt) bool {
 	out, c := m.now-at.sentAt, at.part.query.class
 	return out > scale(c.overdueAfter, unresponsivePart.overdueTimes) && // lateAfter is no sooner
-		r.ready() && !at.cancelled && !at.excused &&
+		r.usable() && !at.cancelled && !at.excused &&
 		r.health.lastSuccess < at.sentAt && m.lastSuccess > at.sentAt &&
 		out > m.lateAfter(r, c, unresponsivePart)
 }
@@ -53,7 +57,7 @@
 		return nil
 	}
 	m.replicas.dropIdle()
-	w.rebalances, w.nextLook = m.shares.rebalances, maxIdleTrust+m.now
+	w.rebalances, w.nextLook = m.shares.rebalances, m.now+noLookDue
 	for _, r := range m.replicas.busy {
 		for _, at := range r.attempts {
 			w.watch(at)
--- a/internal/decide/scatter/outliers_test.go
+++ b/internal/decide/scatter/outliers_test.go
@@ -214,7 +214,7 @@
 			acts = h.step(20*ms, TimerFired{})
 		}
 		r := h.m.replicas.byID["a"]
-		if well := r.ready() && h.m.capacityFraction(r, h.m.now) == 1; well != (lasts == 0) {
+		if well := r.usable() && h.m.capacityFraction(r, h.m.now) == 1; well != (lasts == 0) {
 			t.Errorf("%s: taken for well and warmed up: %v", name, well)
 		}
 		h.now += 3 * sec
@@ -243,7 +243,7 @@
 	h.step(5*ms, events...)
 	a := h.m.replicas.byID["a"]
 	acts := h.query("c", 4, 5)
-	if !a.ready() || len(of[Send](acts)) != 2 {
+	if !a.usable() || len(of[Send](acts)) != 2 {
 		t.Error("one broken connection ejects a replica, or holds other queries up")
 	}
 	resets := 0 // in a row
@@ -256,7 +256,7 @@
 			}
 			h.step(5*ms, ended(x.Part, 0, x.Replica, o, 5*ms))
 		}
-		if resets == 0 && (!a.ready() || h.m.capacityFraction(a, h.m.now) != 1 || a.health.mayHaveRestarted) {
+		if resets == 0 && (!a.usable() || h.m.capacityFraction(a, h.m.now) != 1 || a.health.mayHaveRestarted) {
 			t.Error("one broken connection ejects a replica or starts its slow start")
 		}
 		if resets = max(resets, 1); resets == 3 {
@@ -264,7 +264,7 @@
 		}
 		acts = h.query("c", 0)
 	}
-	if a.ready() {
+	if a.usable() {
 		t.Error("two in a row do not eject the replica")
 	}
 }
--- a/internal/decide/scatter/picker.go
+++ b/internal/decide/scatter/picker.go
@@ -14,11 +14,11 @@
 
 // pickReplica picks a replica for a part's next attempt; nil where there is none. It tries, in this order: ready
 // replicas that have not been tried with the part; ready ones; then, since ejection may never empty the choice, any
-// that are slow or silent; last those that fail at once, after a backoff. A hedged request goes to the first kind
-// only.
-func (m *Machine) pickReplica(p *part, hedged bool) *replica {
+// that are slow or unresponsive; last those that fail at once, after a backoff. With firstChoicesOnly, for what is sent
+// beside an overdue attempt, it tries the first kind only.
+func (m *Machine) pickReplica(p *part, firstChoicesOnly bool) *replica {
 	s, c := m.shardOf(p.Shard), p.query.class
-	unavoided := func(r *replica) bool { return r.ready() && m.now >= r.health.avoidUntil }
+	unavoided := func(r *replica) bool { return r.usable() && m.now >= r.health.avoidUntil }
 	fresh := func(r *replica) bool {
 		return unavoided(r) && m.now >= r.classHealth[c.index].excludedUntil && !p.triedAt(r)
 	}
@@ -27,7 +27,7 @@
 			return r
 		}
 	}
-	if r := m.drawReplica(p, s, fresh); r != nil || hedged {
+	if r := m.drawReplica(p, s, fresh); r != nil || firstChoicesOnly {
 		return r
 	}
 	for _, ok := range []eligible{
@@ -78,7 +78,7 @@
 	shares := s.shares[p.query.class.index]
 	best, least := (*replica)(nil), math.Inf(1)
 	for _, i := range candidates {
-		r := s.holders[i]
+		r := s.readyHolders[i]
 		if m.callsAt(r) > minCalls {
 			continue
 		}
@@ -94,7 +94,7 @@
 // that any of them has out.
 func (m *Machine) candidates(p *part, s *shard, ok eligible) (list []int, minCalls int) {
 	minCalls = math.MaxInt
-	for i, r := range s.holders {
+	for i, r := range s.readyHolders {
 		mayStandIn := i < s.subsetSize || len(list) == 0
 		if mayStandIn && ok(r) && m.now >= r.health.rejectingUntil && m.admitInSlowStart(p, r) {
 			list = append(list, i)
--- a/internal/decide/scatter/picker_test.go
+++ b/internal/decide/scatter/picker_test.go
@@ -17,10 +17,10 @@
 	got := map[string]float64{}
 	for range 4000 {
 		q := &query{class: h.m.classes.list[0], draws: map[*replica]float64{}}
-		r := h.m.drawReplica(&part{query: q}, sh, (*replica).ready)
+		r := h.m.drawReplica(&part{query: q}, sh, (*replica).usable)
 		got[r.ID] += 1.0 / 4000
 	}
-	for i, r := range sh.holders {
+	for i, r := range sh.readyHolders {
 		if want := sh.shares[0][i]; math.Abs(got[r.ID]-want) > 0.03 {
 			t.Errorf("%s drawn %.3f of the time, share %.3f", r.ID, got[r.ID], want)
 		}
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// minSubsetHolders is how many holders of each shard a coordinator of a large fleet keeps: one, and another
+	// minSubsetHolders is how many holders of each shard a coordinator of a large fleet sends to: one, and another
 	// beside it.
 	minSubsetHolders = 2
 	// smallFleet is the number of coordinators up to which each meets a replica often. In larger fleets backoffs grow
@@ -31,7 +31,8 @@
 	place  subsetting.Member
 }
 
-// place is this coordinator's; the zero value where it would change nothing.
+// place is this coordinator's ordinal together with the size of the fleet. It is the zero value in a fleet that is too
+// small for its coordinators to divide the replicas among them.
 func (m *Machine) place() subsetting.Member {
 	if m.placement.fleetFactor <= 1 {
 		return subsetting.Member{}
@@ -46,18 +47,18 @@
 
 // sendsTo reports whether a replica takes part in the routing shares and this coordinator sends to it.
 func (m *Machine) sendsTo(r *replica) bool {
-	return r.ready() && m.placement.subset.Contains(r.subsetKey)
+	return r.usable() && m.placement.subset.Contains(r.subsetKey)
 }
 
-// updatePlacement finds this coordinator's subset of the replicas that are listed as running, and the key of each.
+// updatePlacement finds this coordinator's subset of the replicas that are listed as Ready, and the key of each.
 func (m *Machine) updatePlacement() {
 	p, g := &m.placement, &m.replicas.ring
-	nodes := subsetting.Ring{
+	ring := subsetting.Ring{
 		Size:              m.settings.RingSize,
 		ReplicationFactor: m.settings.ReplicationFactor,
 		Replicas:          m.replicas.listedReady,
 	}
-	p.subset = subsetting.NewSubset(m.settingsPlace(), nodes, minSubsetHolders)
+	p.subset = subsetting.NewSubset(m.settingsPlace(), ring, minSubsetHolders)
 	p.fleetFactor = max(1, p.subset.Fraction*float64(m.settings.Coordinators)/smallFleet)
 	basis := placementBasis{p.subset, m.place()}
 	if basis != p.basis {
@@ -107,19 +108,19 @@
 
 // updateHolders lists a shard's holders in the order of their keys, and how many of them this coordinator sends to.
 func (m *Machine) updateHolders(s *shard) {
-	s.holders = s.holders[:0]
+	s.readyHolders = s.readyHolders[:0]
 	m.replicas.ring.holders(s.number, func(r *replica) {
 		m.examined.replicas++
 		if r.State == Ready {
-			s.holders = append(s.holders, r)
+			s.readyHolders = append(s.readyHolders, r)
 		}
 	})
-	slices.SortFunc(s.holders, func(x, y *replica) int {
+	slices.SortFunc(s.readyHolders, func(x, y *replica) int {
 		return cmp.Or(cmp.Compare(x.subsetKey, y.subsetKey), byListing(x, y))
 	})
 	keys, ready := m.scratch.keys[:0], m.scratch.ready[:0]
-	for _, r := range s.holders {
-		keys, ready = append(keys, r.subsetKey), append(ready, r.ready())
+	for _, r := range s.readyHolders {
+		keys, ready = append(keys, r.subsetKey), append(ready, r.usable())
 	}
 	s.subsetSize = m.placement.subset.HolderCount(keys, ready, minSubsetHolders)
 	m.scratch.keys, m.scratch.ready = keys, ready
--- a/internal/decide/scatter/prediction.go
+++ b/internal/decide/scatter/prediction.go
@@ -33,8 +33,8 @@
 	return max(c.LatencyObjective.Seconds()*noHolderPressure, s.lowestRatio()*c.meanLatency*m.loadFactor)
 }
 
-// lowestRatio is the lowest latency ratio of the kept holders that do not fail at once; 0 where there is none. A silent
-// one keeps the ratio that it had, an overloaded one shows its load.
+// lowestRatio is the lowest latency ratio of the subset's holders that do not fail at once; 0 where there is none. An
+// unresponsive one keeps the ratio that it had, an overloaded one shows its load.
 func (s *shard) lowestRatio() (low float64) {
 	for _, r := range s.subsetHolders() {
 		if !r.health.failsFast && (low == 0 || r.latencyRatio < low) {
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -25,8 +25,9 @@
 }
 
 // dueProbe is an ejected replica that is to be probed with a first attempt of a part; nil where there is none. Classes
-// that may not run twice do not probe. Without hedged requests a probe takes the place of the part's own attempt: so
-// an equal share of the parts probes at most, of classes that may be answered without a part, if there are any.
+// that may not run twice do not probe. Without hedged requests a probe takes the place of the part's own attempt. At
+// most one part in as many as its shard has holders is a probe then, and only parts of classes that allow partial
+// answers, if some class does.
 func (m *Machine) dueProbe(p *part) *replica {
 	c, holders := p.query.class, m.shardOf(p.Shard).subsetHolders()
 	if m.probes.empty() || len(p.attempts) > 0 || c.Idempotency == NonIdempotent {
--- a/internal/decide/scatter/query.go
+++ b/internal/decide/scatter/query.go
@@ -78,7 +78,7 @@
 	attempts         []*attempt
 	outstandingCount int           // attempts that have not ended
 	selected         bool          // it is asked for
-	skipped          bool          // it is not asked for: an answer without it will do
+	leftOut          bool          // it is not asked for: an answer without it will do
 	served           bool          // its value is in
 	mayHaveRun       bool          // some attempt may have run, or may run yet
 	firstSent        time.Duration // when the first attempt that may have run was sent
--- a/internal/decide/scatter/reconfigure.go
+++ b/internal/decide/scatter/reconfigure.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// reconfigureRing makes the ring and all siblings those of the settings. A replica that has moved on the ring keeps
-// its old siblings until then.
+// reconfigureRing makes the ring and all siblings those of the settings. A replica that moves on the ring between
+// two calls keeps its old siblings until the next one.
 func (m *Machine) reconfigureRing() {
 	t, s := &m.replicas, m.settings
 	if t.ring.size != s.RingSize || t.ring.replicationFactor != s.ReplicationFactor {
--- a/internal/decide/scatter/replica.go
+++ b/internal/decide/scatter/replica.go
@@ -36,8 +36,8 @@
 	removalPending bool          // it is among those that may be forgotten in time
 }
 
-// ready reports whether a replica takes part in the routing shares: the list has it as Ready, and it is not ejected.
-func (r *replica) ready() bool { return r.State == Ready && !r.health.ejected }
+// usable reports whether a replica takes part in the routing shares: the list has it as Ready, and it is not ejected.
+func (r *replica) usable() bool { return r.State == Ready && !r.health.ejected }
 
 // byListing orders replicas by when they were first listed.
 func byListing(x, y *replica) int { return cmp.Compare(x.number, y.number) }
@@ -48,9 +48,9 @@
 	byID          map[string]*replica
 	ring          ring
 	lastNumber    int
-	listedReady   int        // in the state Ready
-	ready         int        // of these, not ejected
-	busy          []*replica // with attempts outstanding, and some that had, in order of first listing
+	listedReady   int        // listed as Ready, ejected or not
+	usable        int        // listed as Ready and not ejected
+	busy          []*replica // with attempts outstanding now or since the last dropIdle; in order of first listing
 	removed       []*replica // that may be forgotten in time
 	siblingsStale bool       // some replica's siblings are not those by the ring
 }
@@ -137,14 +137,14 @@
 	t.change(r, func() { r.health.ejected = ejected })
 }
 
-// change applies a change of what makes a replica ready, and keeps the count of those that are.
+// change applies a change of what makes a replica usable, and keeps the count of those that are.
 func (t *replicaTable) change(r *replica, change func()) {
-	if r.ready() {
-		t.ready--
+	if r.usable() {
+		t.usable--
 	}
 	change()
-	if r.ready() {
-		t.ready++
+	if r.usable() {
+		t.usable++
 	}
 }
 
--- a/internal/decide/scatter/ring.go
+++ b/internal/decide/scatter/ring.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// holders calls f with each replica that may hold a shard, whatever its state.
+// holders calls f with each replica that may hold a shard, whatever its state; those listed as Ready are the shard's
+// readyHolders.
 func (g *ring) holders(shard int, f func(*replica)) {
 	for offset := range g.replicationFactor {
 		c := g.slots[mod(shard+offset, g.size)]
--- a/internal/decide/scatter/settings.go
+++ b/internal/decide/scatter/settings.go
@@ -29,7 +29,7 @@
 	RetryAfter   time.Duration // how long rejected clients are asked to wait; 0 if they are asked for nothing
 
 	// OverQuotaWeight is the priority weight of traffic beyond a tenant's quota, as a share of the usual one; 1 where
-	// quotas do not matter.
+	// quotas do not matter. The machine asks only whether it is below 1.
 	OverQuotaWeight float64
 
 	Subscribe  bool          // the endpoint list has to be asked for
--- a/internal/decide/scatter/shares.go
+++ b/internal/decide/scatter/shares.go
@@ -22,10 +22,12 @@
 
 // shard is what the machine knows of one shard in use.
 type shard struct {
-	number      int
-	holders     []*replica // listed as ready, in the order of their keys in this coordinator's subset
-	subsetSize  int        // how many of them, from the first on, are sent to while that will do
-	medianRatio memo       // median latency ratio of these
+	number int
+	// readyHolders are the holders listed as Ready, ejected or not, in the order of their keys in this coordinator's
+	// subset.
+	readyHolders []*replica
+	subsetSize   int  // how many readyHolders, from the first on, are sent to while that will do
+	medianRatio  memo // median latency ratio of readyHolders
 
 	arrived     []float64   // parts by class since the last periodic rebalance
 	rates       []float64   // parts by class and rebalance interval, decayed
@@ -34,8 +36,8 @@
 	rebalancing int         // the rebalance that the shares are of
 }
 
-// subsetHolders are the holders that this coordinator sends to.
-func (s *shard) subsetHolders() []*replica { return s.holders[:s.subsetSize] }
+// subsetHolders are the ready holders that this coordinator sends to.
+func (s *shard) subsetHolders() []*replica { return s.readyHolders[:s.subsetSize] }
 
 // shardTable holds the shards in use.
 type shardTable struct {
@@ -182,7 +184,7 @@
 
 // meanLatency is the expected latency of a class at a shard by its shares, given the class's own mean; in seconds.
 func (s *shard) meanLatency(c *class, mean float64) (sum float64) {
-	for i, r := range s.holders {
+	for i, r := range s.readyHolders {
 		sum += s.shares[c.index][i] * r.latencyRatio * mean
 	}
 	return sum
@@ -196,12 +198,12 @@
 	for _, v := range s.rates {
 		rate += max(v, weightSlack)
 	}
-	capacity := resize(&m.scratch.capacity, len(s.holders)) // parts that each holder may be given beyond its floors
+	capacity := resize(&m.scratch.capacity, len(s.readyHolders)) // parts that each holder may get beyond its floors
 	for i := range equal {
 		capacity[i] = (capShares - floorShares) * equal[i] * rate
 	}
 	for _, c := range order {
-		shares := resize(&s.shares[c.index], len(s.holders))
+		shares := resize(&s.shares[c.index], len(s.readyHolders))
 		for i := range shares {
 			shares[i] = floorShares * equal[i]
 		}
@@ -211,10 +213,10 @@
 
 // equalShares are equal shares of a shard's ready holders, those in slow start in proportion to their capacity.
 func (m *Machine) equalShares(s *shard, at time.Duration) []float64 {
-	equal, total := resize(&m.scratch.equal, len(s.holders)), 0.0
-	for i, r := range s.holders {
+	equal, total := resize(&m.scratch.equal, len(s.readyHolders)), 0.0
+	for i, r := range s.readyHolders {
 		equal[i] = 0
-		if i < s.subsetSize && r.ready() {
+		if i < s.subsetSize && r.usable() {
 			equal[i] = m.capacityFraction(r, at)
 			total += equal[i]
 		}
@@ -251,12 +253,12 @@
 // leastLatency lists the holders with capacity whose latency ratio ties with the lowest, and their capacity together.
 func (s *shard) leastLatency(capacity []float64, tied []int) (_ []int, width float64) {
 	low := math.Inf(1)
-	for i, r := range s.holders {
+	for i, r := range s.readyHolders {
 		if capacity[i] > 0 {
 			low = min(low, r.latencyRatio)
 		}
 	}
-	for i, r := range s.holders {
+	for i, r := range s.readyHolders {
 		if capacity[i] > 0 && r.latencyRatio <= low*(1+tieBand) {
 			tied = append(tied, i)
 			width += capacity[i]
--- a/internal/decide/scatter/slow_start.go
+++ b/internal/decide/scatter/slow_start.go
@@ -34,11 +34,11 @@
 	return c.InitialCapacity + (1-c.InitialCapacity)*max(0, age.Seconds())/c.Duration.Seconds()
 }
 
-// admitInSlowStart decides whether a replica may be sent a part, as far as slow start goes; a replica that has
-// warmed up always may. Only coordinators that have the replica in their subset send to it, and no part twice.
-// Where a coordinator's share of what the replica bears is one part or more within the settings' window, it is a
-// token bucket; where it is less, a draw decides once for each query and replica, so that the fractions that each
-// coordinator would save do not lie idle.
+// admitInSlowStart decides whether a replica may be sent a part, as far as slow start goes; a replica that has warmed
+// up always may. It refills the replica's tokens, and notes for the query's later attempts what was drawn. Only
+// coordinators that have the replica in their subset send to it, and no part twice. Where a coordinator's share of what
+// the replica bears is one part or more within the settings' window, it is a token bucket; where it is less, a draw
+// decides once for each query and replica, so that the fractions that each coordinator would save do not lie idle.
 func (m *Machine) admitInSlowStart(p *part, r *replica) bool {
 	capacity := m.capacityFraction(r, m.now)
 	if capacity >= 1 {
@@ -51,7 +51,7 @@
 	saved := rate * m.settings.SlowStart.Window.Seconds()
 	r.slowStart.refill(rate, max(1, saved), m.now)
 	if m.traffic.observed() <= m.settings.SlowStart.Window { // too young to know its own traffic
-		p.query.slowStartDraws[r] = 1 // nor later by a draw: the budget was for this query too
+		p.query.slowStartDraws[r] = 1 // above every limit: later attempts of this query get no draw either
 		return r.slowStart.tokens >= 1
 	}
 	if saved >= 1 {
--- a/internal/decide/scatter/traffic.go
+++ b/internal/decide/scatter/traffic.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// trafficRates are what this coordinator sends to one replica, in the mean. Each moving mean gains with its first
+// trafficRates are what this coordinator sends to one replica, in the mean. They are in parts a rebalanceInterval,
+// which is one second. Each moving mean gains with its first
 // intervals: what a young coordinator has seen counts in full.
 type trafficRates struct {
 	served       float64 // parts that warmed up replicas have served in this interval
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -24,7 +24,7 @@
 // discovery. Either begins with the list that is known.
 func (p *process) newEndpointSource(cfg *core.Config) {
 	p.openStore()
-	known, listDiscovery := p.initialList()
+	known, listDiscovery := p.chooseFirstList()
 	cfg.PolledSource = platform.Source
 	if p.store != nil {
 		cfg.OnCheckpoint = p.store.SetCheckpoint
--- a/internal/lifecycle/inherited_list.go
+++ b/internal/lifecycle/inherited_list.go
@@ -10,12 +10,12 @@
 	"harepass/internal/platform"
 )
 
-// initialList returns the endpoint list to begin with, and the address of the discovery that it came from. It is the
-// list that another process has stored: that can hold changes which came after the platform's file was written. The
-// configuration's list is taken where both are of one discovery and the configuration's version is the later one;
+// chooseFirstList returns the endpoint list to begin with, and the address of the discovery that it came from. It is
+// the list that another process has stored: that can hold changes which came after the platform's file was written.
+// The configuration's list is taken where both are of one discovery and the configuration's version is the later one;
 // versions of two discoveries cannot be compared. It is also taken where no list is stored, or the stored one cannot
-// be read.
-func (p *process) initialList() (list platform.List, discovery string) {
+// be read. A stored list also replaces KnownEndpoints.
+func (p *process) chooseFirstList() (list platform.List, discovery string) {
 	configured := p.Platform.KnownList
 	if p.store == nil {
 		return configured, p.Platform.Discovery
--- a/internal/lifecycle/replicas.go
+++ b/internal/lifecycle/replicas.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// responseTimeoutShare divides the tightest latency objective: one part in so many is the response time-out, so
-	// that another replica can still be asked within the objective.
+	// responseTimeoutsPerObjective is how many response time-outs fit into the tightest latency objective, so that
+	// another replica can still be asked within it.
 	responseTimeoutsPerObjective = 5
 	// maxResponseTimeout bounds the response time-out whatever the objectives are.
 	maxResponseTimeout = time.Second
--- a/internal/lifecycle/stored_state.go
+++ b/internal/lifecycle/stored_state.go
@@ -17,8 +17,9 @@
 //     checkpoint of what the coordinator has learned. Each process writes a file of its own.
 //  2. The new process reads the files of all others before its coordinator exists (openStore). It begins with the
 //     stored endpoint list, or with its configuration's where that is a later version of one discovery; it need not
-//     wait for discovery, and sends nothing to a replica that this list has as draining (initialList). It takes over
-//     the latest checkpoint, if that is recent (restoreKnown), and all maintenance entries (openAdminEndpoint).
+//     wait for discovery, and sends nothing to a replica that this list has as draining (chooseFirstList). It
+//     takes over the latest checkpoint, if that is recent (restoreKnown), and all maintenance entries
+//     (openAdminEndpoint).
 //  3. Where the platform holds the clients' listener (PROXY_FD), the new process accepts from it once its coordinator
 //     has left the phase Starting (serveFronts). Until then the old process accepts. While both run, each reads the
 //     other's file, so that an operator's call at either one holds for both.
