--- a/internal/decide/scatter/recorded_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -39,10 +39,12 @@
 	sent    map[string]int
 	actions int
 	digest  uint64
+	// wireForm gives actions as lines on the wire.
+	wireForm func([]Action) []byte
 }
 
-// WireForm gives actions as lines on the wire.
-var WireForm func([]Action) []byte
+// NewWireForm returns a function that gives actions as lines on the wire. It is for one goroutine.
+var NewWireForm func() func([]Action) []byte
 
 func newRecordedLoad(t testing.TB, open, replicas int, withFaults bool) *recordedLoad {
 	s := Settings{
@@ -59,7 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	st := &recordedLoad{machine: m, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{}}
+	st := &recordedLoad{machine: m, now: 100 * sec, every: 100 * ms / time.Duration(open), sent: map[string]int{},
+		wireForm: NewWireForm()}
 	var list []Replica
 	for i := range replicas {
 		list = append(list, Replica{ID: fmt.Sprint("r", i), RingPosition: i})
@@ -71,7 +74,7 @@
 func (s *recordedLoad) step(withFaults bool, events ...Event) {
 	h := fnv.New64a()
 	actions := s.machine.Step(s.now, events)
-	h.Write(WireForm(actions))
+	h.Write(s.wireForm(actions))
 	for _, act := range actions {
 		s.actions++
 		if x, ok := act.(Send); ok {
--- a/internal/decide/scatter/wire_form_test.go
+++ b/internal/decide/scatter/wire_form_test.go
@@ -10,10 +10,16 @@
 
 // The digests of recorded actions go by their lines on the wire, which no Go name is part of. Tests inside the package
 // cannot import the wire's encoder, which imports the package.
-func init() {
-	scatter.WireForm = func(actions []scatter.Action) []byte {
-		var lines bytes.Buffer
-		encoder := wire.NewEncoder(&lines)
+//
+// Benchmarks encode their actions too, so one buffer and one encoder serve all calls of a recorded load. The lines hold
+// until the next call.
+func init() { scatter.NewWireForm = newWireForm }
+
+func newWireForm() func([]scatter.Action) []byte {
+	var lines bytes.Buffer
+	encoder := wire.NewEncoder(&lines)
+	return func(actions []scatter.Action) []byte {
+		lines.Reset()
 		encoder.Actions("n0", actions)
 		if err := encoder.End(); err != nil {
 			panic(err)
