--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -6,7 +6,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// callBatch collects the attempts of one step by replica, so that those to one replica leave together.
+// callBatch groups the attempts of one step by replica, so that attempts to the same replica are sent in the same call.
 type callBatch struct {
 	replicas []string              // in order of their first attempt
 	attempts map[string][]*Attempt // by replica, in the module's order
@@ -22,7 +22,7 @@
 	b.attempts[at.ReplicaID] = append(b.attempts[at.ReplicaID], at)
 }
 
-// perform carries out what the module asks for, in order. Attempts leave last, as calls.
+// perform carries out the decision module's actions in order. Attempts are sent last, grouped into calls.
 func (c *Coordinator) perform(actions []scatter.Action) {
 	var batch callBatch
 	for _, action := range actions {
@@ -50,28 +50,29 @@
 	c.sendCalls(batch)
 }
 
-// subscribe asks the polled source for its list. The cached list may come to do from then on.
+// subscribe asks the polled source for its list. From then on, a cached list may make the coordinator Ready; see
+// startCachedListDelay.
 func (c *Coordinator) subscribe() {
 	c.cfg.Subscribe()
-	c.listReadiness.mayPresume = true
-	c.presumeCachedList()
+	c.listReadiness.mayStartDelay = true
+	c.startCachedListDelay()
 }
 
-// setWake has the module stepped after a time, in the place of any earlier timer of the module.
+// setWake schedules the module's next step after a duration and replaces any earlier timer of the module.
 func (c *Coordinator) setWake(after time.Duration) {
 	c.timers.remove(c.wake)
 	c.wake = c.timers.add(c.now+after, func() { c.notify(scatter.TimerFired{}) })
 }
 
-// cancelAttempt stops waiting for an attempt that is out.
+// cancelAttempt stops waiting for an outstanding attempt.
 func (c *Coordinator) cancelAttempt(a scatter.CancelAttempt) {
 	if p := c.open.parts[a.Part]; p != nil && a.Attempt < len(p.attempts) {
 		c.cancel(p.attempts[a.Attempt], scatter.Cancelled)
 	}
 }
 
-// answerQuery answers a query with the values that are in. Where the module's id is that of a first phase, the module
-// has ended the first phase instead, and the parts that are still deferred are released.
+// answerQuery answers a query with the values received so far. If the id is that of a first phase, the module has ended
+// the first phase instead, and the parts that are still deferred are released.
 func (c *Coordinator) answerQuery(a scatter.Answer) {
 	if q := c.open.byID[a.Query]; q != nil {
 		answer := Answer{Complete: a.Complete, Values: make([][]byte, len(q.parts)), Pruned: make([]bool, len(q.parts)),
@@ -84,8 +85,7 @@
 	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
-// rejectQuery gives a query's client a rejection with the module's Retry-After, or ends a first phase as answerQuery
-// does.
+// rejectQuery rejects a query with the module's Retry-After, or ends a first phase as answerQuery does.
 func (c *Coordinator) rejectQuery(a scatter.Reject) {
 	if q := c.open.byID[a.Query]; q != nil {
 		rejectedByModule.Inc()
@@ -102,14 +102,14 @@
 	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
-// closeIdleConnections closes the idle connections to a replica, if a Caller speaks its scheme.
+// closeIdleConnections closes the idle connections to a replica if a Caller supports its scheme.
 func (c *Coordinator) closeIdleConnections(scheme, id string) {
 	if caller := c.cfg.Callers[scheme]; caller != nil {
 		caller.CloseIdleConnections(id)
 	}
 }
 
-// sendCalls hands attempts to their callers, at most PartsPerCall in a call.
+// sendCalls passes attempts to their Callers, at most PartsPerCall in each call.
 func (c *Coordinator) sendCalls(batch callBatch) {
 	for _, id := range batch.replicas {
 		endpoint, attempts := c.endpoints.byID[id], batch.attempts[id]
--- a/internal/core/coordinator.go
+++ b/internal/core/coordinator.go
@@ -10,21 +10,21 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Coordinator is one coordinator: the module, and all that is open. Use New, then Run in a goroutine of its own. Fields
-// belong to that goroutine, unless the type of one says otherwise.
+// Coordinator runs the decision module and owns all open queries. Create it with New, then call Run in a goroutine of
+// its own. The fields belong to that goroutine unless their type's documentation says otherwise.
 type Coordinator struct {
 	cfg      Config
-	settings atomic.Pointer[settingsInForce] // those in force; see inForce
+	settings atomic.Pointer[settingsInForce] // settings in force; see inForce
 
-	queue      chan posted   // messages that wait for the next tick
-	submitting sync.RWMutex  // read-held by Submit between its look at the phase and its place in the queue
+	queue      chan posted   // messages waiting for the next tick
+	submitting sync.RWMutex  // read-locked by Submit from its check of the phase until the query is queued
 	stopped    chan struct{} // closed once Run has returned
 
 	machine *scatter.Machine
-	now     time.Duration   // instant of the present tick, or of the last one
+	now     time.Duration   // instant of the current tick, or of the last one between ticks
 	events  []scatter.Event // for the module's next step, in order
 	timers  timers
-	wake    *timer // when the module wants to be stepped; nil before it has asked
+	wake    *timer // when to run the module's next step; nil before the module has asked for one
 
 	phaseState  phaseState
 	load        tickLoad
@@ -40,8 +40,8 @@
 	logLimit logLimit
 }
 
-// New returns a Coordinator in the phase Starting. It returns a *scatter.SettingError for settings that the module does
-// not take, and ErrSecondRound for classes that this program does not serve.
+// New returns a Coordinator in the phase Starting. It returns a *scatter.SettingError if the module rejects the
+// settings, and ErrSecondRound if a class has a second round, which this program does not support.
 func New(cfg Config) (*Coordinator, error) {
 	machine, err := scatter.New(cfg.Seed, withFirstPhases(cfg.Settings, cfg.TwoPhaseClasses))
 	if err != nil {
--- a/internal/core/list_readiness.go
+++ b/internal/core/list_readiness.go
@@ -6,17 +6,17 @@
 	"harepass/internal/decide/scatter"
 )
 
-// cachedListDelay is for how long a new list is waited for after a start with a cached one. A watch that brings nothing
-// is silent, and discovery may be overloaded; clients are served by the cached list then.
+// cachedListDelay is how long a coordinator that starts with a cached list waits for a new one. A watch without changes
+// sends nothing, and discovery may be overloaded; clients are then served by the cached list.
 const cachedListDelay = 200 * time.Millisecond
 
-// listReadiness is whether the endpoint list counts as known, which makes the coordinator Ready.
+// listReadiness tells whether the endpoint list counts as known, which makes the coordinator Ready.
 type listReadiness struct {
-	known      bool // the polled source has answered, if only by a failure, or the cached list has to do
-	mayPresume bool // the polled source was asked, and the wait of cachedListDelay has not begun
+	known         bool // the polled source has answered, possibly with a failure, or cachedListDelay is over
+	mayStartDelay bool // the polled source has been asked, and cachedListDelay has not started
 }
 
-// noteListReadiness takes in that an update was merged.
+// noteListReadiness updates listReadiness after an update is merged.
 func (c *Coordinator) noteListReadiness(u endpointUpdate) {
 	if u.partial {
 		return
@@ -24,16 +24,16 @@
 	if u.kind != scatter.CachedUpdate && u.source == c.cfg.PolledSource {
 		c.listReadiness.known = true
 	}
-	c.presumeCachedList()
+	c.startCachedListDelay()
 }
 
-// presumeCachedList lets the cached list do after cachedListDelay, once it is there and a new one was asked for,
-// whichever came first. If it had to be there first, a coordinator whose cached list came a moment after the request
-// would not be ready for as long as the watch is silent.
-func (c *Coordinator) presumeCachedList() {
+// startCachedListDelay starts cachedListDelay, after which the cached list counts as known. It does so once the cached
+// list is present and a new one was requested, in either order: if the cached list had to come first, a coordinator
+// that receives it shortly after the request would not be Ready for as long as the watch is silent.
+func (c *Coordinator) startCachedListDelay() {
 	l := &c.listReadiness
-	if l.mayPresume && !l.known && len(c.endpoints.byID) > 0 {
-		l.mayPresume = false
+	if l.mayStartDelay && !l.known && len(c.endpoints.byID) > 0 {
+		l.mayStartDelay = false
 		c.timers.add(c.now+cachedListDelay, func() { l.known = true })
 	}
 }
--- a/internal/core/maintenance.go
+++ b/internal/core/maintenance.go
@@ -9,23 +9,24 @@
 	"harepass/internal/logmsg"
 )
 
-// maintenanceInForce is the register of replicas that operators have taken out. It comes past the queue, so that a call
-// does not wait behind queries; several calls between two ticks are as the last of them.
+// maintenanceInForce holds the register of replicas that operators have taken out. A new register bypasses the queue,
+// so that a maintenance call does not wait behind queries. If several arrive between two ticks, only the last one
+// counts.
 type maintenanceInForce struct {
-	latest  atomic.Pointer[maintenance.Register] // set by any goroutine; nil before the first
-	changed chan struct{}                        // has a token while latest may not have been applied
+	latest  atomic.Pointer[maintenance.Register] // set by any goroutine; nil before the first register
+	changed chan struct{}                        // holds a token while latest may not have been applied
 
-	applied   *maintenance.Register // the value of latest that the module knows
+	applied   *maintenance.Register // the value of latest that was last reported to the module
 	register  maintenance.Register  // the contents of applied
-	uncovered []int                 // shards that the last warning named
+	uncovered []int                 // shards named in the last warning
 }
 
 func newMaintenanceInForce() maintenanceInForce {
 	return maintenanceInForce{changed: make(chan struct{}, 1)}
 }
 
-// SetMaintenance replaces the register from the next tick on. It does not wait, and any goroutine may call it; the
-// register must not be changed after that.
+// SetMaintenance replaces the register from the next tick on. It does not wait, and any goroutine may call it. The
+// caller must not change the register afterwards.
 func (c *Coordinator) SetMaintenance(register maintenance.Register) {
 	c.maintenance.latest.Store(&register)
 	select {
@@ -34,8 +35,8 @@
 	}
 }
 
-// applyMaintenance takes over the latest register, if there is a new one. It comes before all else in a tick, so
-// nothing that the tick decides is sent to a replica that was taken out before.
+// applyMaintenance applies the latest register if it is new. It runs first in a tick, so nothing that the tick decides
+// is sent to a replica that was already taken out.
 func (c *Coordinator) applyMaintenance() {
 	latest := c.maintenance.latest.Load()
 	if latest == nil || latest == c.maintenance.applied {
@@ -47,8 +48,8 @@
 	c.warnUncoveredShards()
 }
 
-// warnUncoveredShards logs, when that changes, the shards of which all holders were taken out. The coordinator does not
-// send to them all the same: operators alone may call a replica back.
+// warnUncoveredShards logs the shards whose ready holders have all been taken out, whenever this set changes. The
+// coordinator still sends nothing to these holders: only operators may end their maintenance.
 func (c *Coordinator) warnUncoveredShards() {
 	m := &c.maintenance
 	var positions []int
@@ -58,7 +59,7 @@
 		}
 	}
 	var replicas []scatter.Replica
-	for _, id := range c.endpoints.ring.near(positions) {
+	for _, id := range c.endpoints.ring.sharingShards(positions) {
 		replicas = append(replicas, c.endpoints.byID[id].Replica)
 	}
 	s := c.inForce()
--- a/internal/core/ring_index.go
+++ b/internal/core/ring_index.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// ringIndex finds the endpoints that hold a shard: those at the ring positions from the shard's number on, as many
-// positions as the replication factor, modulo the ring's size.
+// ringIndex finds the endpoints that hold a shard. These are the endpoints at the ring positions that start at the
+// shard's number, as many positions as the replication factor, modulo the ring size.
 type ringIndex struct {
 	size              int
 	replicationFactor int
 	ids               map[int][]string // by ring position, in no particular order
 }
 
-// newRingIndex indexes the endpoints of a table.
+// newRingIndex builds the index of the given endpoints.
 func newRingIndex(size, replicationFactor int, endpoints map[string]listedEndpoint) ringIndex {
 	x := ringIndex{size: size, replicationFactor: replicationFactor, ids: map[int][]string{}}
 	for _, e := range endpoints {
@@ -19,7 +19,8 @@
 	return x
 }
 
-// position is where a number lies on the ring, be it an endpoint's or a shard's; it may be negative.
+// position maps the number of an endpoint or a shard, which may be negative or beyond the ring size, to a ring
+// position.
 func (x *ringIndex) position(number int) int { return (number%x.size + x.size) % x.size }
 
 func (x *ringIndex) add(e listedEndpoint) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// holders lists the endpoints that hold a shard, whatever their state.
+// holders returns the ids of the endpoints that hold a shard, in any state.
 func (x *ringIndex) holders(shard int) (ids []string) {
 	for j := range x.replicationFactor {
 		ids = append(ids, x.ids[x.position(shard+j)]...)
@@ -43,15 +44,16 @@
 	return ids
 }
 
-// forShards calls f with the position of each shard that endpoints at a ring position hold.
+// forShards calls f with the ring position of each shard that endpoints at the given position hold.
 func (x *ringIndex) forShards(ringPosition int, f func(shard int)) {
 	for j := range x.replicationFactor {
 		f(x.position(ringPosition - j))
 	}
 }
 
-// near lists the endpoints that hold a shard in common with those at some ring positions, which are among them.
-func (x *ringIndex) near(ringPositions []int) (ids []string) {
+// sharingShards returns the ids of the endpoints that share at least one shard with endpoints at the given ring
+// positions. These include the endpoints at those positions.
+func (x *ringIndex) sharingShards(ringPositions []int) (ids []string) {
 	seen := map[int]bool{}
 	for _, endpointPosition := range ringPositions {
 		for distance := 1 - x.replicationFactor; distance < x.replicationFactor; distance++ {
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -6,20 +6,21 @@
 	"harepass/internal/decide/scatter"
 )
 
-// queueCapacity is how many messages may wait for a tick. Queries beyond it are refused; all other messages wait.
+// queueCapacity is how many messages may wait for a tick. While the queue is full, queries are rejected, and the
+// senders of all other messages wait.
 const queueCapacity = 1024
 
-// message is what another goroutine posts to the coordinator. Its apply runs in the coordinator's goroutine.
+// message is what other goroutines post to the coordinator. Its apply runs in the coordinator's goroutine.
 type message interface{ apply(*Coordinator) }
 
-// posted is a message with the instant at which it was sent.
+// posted is a message and the instant at which it was sent.
 type posted struct {
 	message
 	sentAt time.Duration
 }
 
-// post sends a message and waits while the queue is full; once Run has returned it drops the message. The coordinator's
-// own goroutine must not call it: it would wait for itself.
+// post sends a message and waits while the queue is full. After Run has returned, the message is dropped. The
+// coordinator's own goroutine must not call post, because it would deadlock on a full queue.
 func (c *Coordinator) post(m message) {
 	select {
 	case c.queue <- posted{m, c.cfg.Clock()}:
@@ -27,8 +28,8 @@
 	}
 }
 
-// Run is the coordinator's goroutine. It returns when the phase is Stopped; Stop waits for that. It is to be called
-// once.
+// Run is the coordinator's main loop. Call it once, in a goroutine of its own. It returns when the phase is Stopped;
+// Stop waits for that.
 func (c *Coordinator) Run() {
 	defer close(c.stopped)
 	sleep := time.NewTimer(0)
@@ -47,8 +48,8 @@
 	c.rejectSubmitted()
 }
 
-// tick applies what has arrived, runs the timers that are due, and lets the module decide. Messages that arrive
-// while it applies others wait for the next tick, so a tick ends.
+// tick applies the queued messages, runs the timers that are due, and steps the module. Messages that arrive while it
+// applies others wait for the next tick, so that every tick ends.
 func (c *Coordinator) tick(received ...posted) {
 	c.now = max(c.now, c.cfg.Clock())
 	c.load.begin(c.now)
@@ -71,10 +72,10 @@
 	m.apply(c)
 }
 
-// step runs the module until carrying out what it asks for brings no further event at once. The first round runs
-// without events too, for the module's own timer may be due or time has passed since. A further round needs an event
-// that carrying out has brought at once: an attempt that was not sent, or a first phase that has begun or ended. The
-// loop ends because the module asks for finitely many of these.
+// step runs the module and performs its actions until these add no more events. The first round runs even without
+// events, because the module's timer may be due or time has passed since its last step. A further round needs an event
+// that an action has caused immediately: an attempt was not sent, or a first phase has begun or ended. The loop
+// terminates because the module requests finitely many such actions.
 func (c *Coordinator) step() {
 	for first := true; first || len(c.events) > 0; first = false {
 		events := c.events
@@ -83,5 +84,5 @@
 	}
 }
 
-// notify adds an event to the module's next step.
+// notify adds an event for the module's next step.
 func (c *Coordinator) notify(e scatter.Event) { c.events = append(c.events, e) }
--- a/internal/core/tick_load.go
+++ b/internal/core/tick_load.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Tick tells an Admitter how far the coordinator is behind: of one tick, or of several together.
+// Tick reports to an Admitter how far the coordinator is behind, for one tick or for several combined.
 type Tick struct {
-	TotalWait    time.Duration // of all messages and timers, each from when it was due to the tick's begin
+	TotalWait    time.Duration // sum over all messages and timers, each from its due time to the tick's start
 	MaxWait      time.Duration // longest wait of one message or timer
-	Count        int           // messages and timers
-	Duration     time.Duration // from the tick's begin to its end
-	OpenFraction float64       // open queries and parts, as a share of the limit; 0 where there is no limit
-	QueryBytes   int64         // bytes that open queries take, as far as they are counted
+	Count        int           // messages and timers processed
+	Duration     time.Duration // from the start of the tick to its end
+	OpenFraction float64       // open queries and parts as a fraction of the limit; 0 if there is no limit
+	QueryBytes   int64         // estimated bytes of open queries
 }
 
-// tickLoad measures the present tick.
+// tickLoad measures the current tick.
 type tickLoad struct {
-	startedAt atomic.Int64 // instant at which the present tick began; 0 between ticks. For any goroutine
-	waits     Tick         // waits since the last report
+	startedAt atomic.Int64 // instant at which the current tick began; 0 between ticks. Any goroutine may read it
+	waits     Tick         // wait statistics since the last report; only the wait fields and Count are set
 }
 
 func (l *tickLoad) begin(now time.Duration) { l.startedAt.Store(int64(now)) }
 func (l *tickLoad) end()                    { l.startedAt.Store(0) }
 
-// addWait counts a message or timer, and how long it has waited since it was due.
+// addWait adds a message or timer that has waited for the given time since it was due.
 func (l *tickLoad) addWait(wait time.Duration) {
 	wait = max(0, wait)
 	l.waits.TotalWait += wait
@@ -32,15 +32,15 @@
 	l.waits.Count++
 }
 
-// takeWaits returns the waits since it was called last.
+// takeWaits returns the wait statistics since the last call and resets them.
 func (l *tickLoad) takeWaits() Tick {
 	t := l.waits
 	l.waits = Tick{}
 	return t
 }
 
-// TickElapsed is how long the present tick has taken so far, 0 between ticks. Any goroutine may call it: a tick that
-// does not end reports nothing by itself.
+// TickElapsed returns how long the current tick has taken so far, or 0 between ticks. Any goroutine may call it: a tick
+// that hangs cannot report its own duration.
 func (c *Coordinator) TickElapsed() time.Duration {
 	if startedAt := c.load.startedAt.Load(); startedAt > 0 {
 		return max(0, c.cfg.Clock()-time.Duration(startedAt))
@@ -48,7 +48,7 @@
 	return 0
 }
 
-// reportTick tells the Admitter of the tick that ends.
+// reportTick reports the tick that is ending to the Admitter.
 func (c *Coordinator) reportTick() {
 	if c.cfg.Admitter == nil {
 		return
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,30 +6,30 @@
 	"github.com/google/btree"
 )
 
-// maxSleep is the longest time that the coordinator's goroutine sleeps while no timer is set.
+// maxSleep is the longest sleep of the coordinator's goroutine, also when no timer is set.
 const maxSleep = time.Minute
 
-// timers holds everything that is to happen at an instant, sorted by it.
+// timers holds the pending timers, sorted by due time.
 type timers struct {
-	tree       *btree.BTreeG[*timer] // by instant, then by number
-	lastNumber uint64                // number of the timer that was added last
+	tree       *btree.BTreeG[*timer] // sorted by due time, then by number
+	lastNumber uint64                // number of the most recently added timer
 }
 
-// timer is something to be done at an instant. A client's deadline is an instant; one of these timers watches it.
+// timer is a function to run at an instant. For example, the coordinator sets one for the deadline of each query.
 type timer struct {
 	due    time.Duration // instant at which run is due
-	number uint64        // order of adding, which is the order among timers of one instant
+	number uint64        // order of addition; timers that are due at the same instant run in this order
 	run    func()        // called once, by the coordinator's goroutine
 }
 
 func newTimers() timers {
-	const degree = 16 // children of a node of the tree
+	const degree = 16 // of the tree's nodes
 	return timers{tree: btree.NewG(degree, func(x, y *timer) bool {
 		return x.due < y.due || x.due == y.due && x.number < y.number
 	})}
 }
 
-// add has the coordinator call run at an instant, or in the present tick where that is over.
+// add schedules run at an instant, or in the current tick if that instant has passed.
 func (ts *timers) add(due time.Duration, run func()) *timer {
 	ts.lastNumber++
 	t := &timer{due: due, number: ts.lastNumber, run: run}
@@ -37,14 +37,14 @@
 	return t
 }
 
-// remove cancels a timer. It does nothing to one that has run, and to nil.
+// remove cancels a timer. It does nothing if the timer has run or is nil.
 func (ts *timers) remove(t *timer) {
 	if t != nil {
 		ts.tree.Delete(t)
 	}
 }
 
-// takeDue removes and returns the first timer, if it is due at now; nil if it is not.
+// takeDue removes and returns the first timer if it is due at now; otherwise it returns nil.
 func (ts *timers) takeDue(now time.Duration) *timer {
 	t, ok := ts.tree.Min()
 	if !ok || t.due > now {
@@ -54,7 +54,7 @@
 	return t
 }
 
-// untilNext is the time from now until the first timer is due, 0 where one is due already, and maxSleep at most.
+// untilNext returns the time from now until the first timer is due: 0 if one is already due, and at most maxSleep.
 func (ts *timers) untilNext(now time.Duration) time.Duration {
 	t, ok := ts.tree.Min()
 	if !ok {
@@ -63,7 +63,7 @@
 	return min(maxSleep, max(0, t.due-now))
 }
 
-// runDueTimers runs all timers that are due, in order of time. A timer that they add for now or before runs too.
+// runDueTimers runs all timers that are due, in order. This includes due timers that they add while they run.
 func (c *Coordinator) runDueTimers() {
 	for t := c.timers.takeDue(c.now); t != nil; t = c.timers.takeDue(c.now) {
 		c.load.addWait(c.now - t.due)
@@ -71,5 +71,5 @@
 	}
 }
 
-// untilNextTimer is for how long the coordinator's goroutine may sleep.
+// untilNextTimer returns how long the coordinator's goroutine may sleep.
 func (c *Coordinator) untilNextTimer() time.Duration { return c.timers.untilNext(c.cfg.Clock()) }
