--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -6,11 +6,11 @@
 	"harepass/internal/decide/scatter"
 )
 
-// answerGrace is how long past a query's deadline, the instant at which its client gives up, the module's answer is
-// waited for.
+// answerGrace is how long after a query's deadline, when its client gives up, the coordinator still waits for the
+// module's answer.
 const answerGrace = 10 * time.Millisecond
 
-// giveUp fails a query that the module has not answered in its client's time.
+// giveUp fails a query that the module has not answered by its deadline plus answerGrace.
 func (c *Coordinator) giveUp(q *query) {
 	if !c.open.isOpen(q) {
 		return
@@ -20,7 +20,7 @@
 	c.finish(q, Answer{Status: Failed})
 }
 
-// finish gives a query its one final answer.
+// finish sends the one final answer to a query.
 func (c *Coordinator) finish(q *query, a Answer) {
 	countAnswer(a.Status)
 	c.logAnswer(q, a)
@@ -28,7 +28,7 @@
 	q.Done(a)
 }
 
-// close forgets a query, answered or not. Outcomes of its attempts still reach the module.
+// close removes a query, answered or not, from the open queries. The module still hears the outcomes of its attempts.
 func (c *Coordinator) close(q *query) {
 	c.timers.remove(q.giveUpTimer)
 	c.open.remove(q)
@@ -39,7 +39,7 @@
 	c.closeParts(q.parts)
 }
 
-// closeParts withholds the attempts that have not begun of parts whose query is over.
+// closeParts withholds the attempts that have not begun, for parts whose query is over.
 func (c *Coordinator) closeParts(parts []*part) {
 	for _, p := range parts {
 		for _, at := range p.attempts {
--- a/internal/core/client.go
+++ b/internal/core/client.go
@@ -7,19 +7,19 @@
 	"harepass/internal/decide/scatter"
 )
 
-// clientPollInterval is the shortest time between two questions to the system whether a client has left. That has to be
-// known 100 ms after the event, and a query of many parts begins them all at once.
+// clientPollInterval is the minimum time between two calls of Query.ClientLeft. A departure must be known within 100
+// ms, but a query with many parts begins all of them at once and must not ask the system for each.
 const clientPollInterval = 20 * time.Millisecond
 
-// clientWatch is what is known of the client of a query. Any goroutine may use it once the query is submitted.
+// clientWatch holds what is known about a query's client. Any goroutine may use it once the query is submitted.
 type clientWatch struct {
-	closed   <-chan struct{} // closed when whoever reads the client's connection finds that it has left; nil for nobody
-	polledAt atomic.Int64    // instant at which Query.ClientLeft was called last; 0 for never
+	closed   <-chan struct{} // closed when the reader of the client's connection finds that it has left; may be nil
+	polledAt atomic.Int64    // instant of the last call of Query.ClientLeft; 0 before the first
 	left     atomic.Bool     // Query.ClientLeft has returned true
 }
 
-// clientHasLeft reports whether the query's client has left, by whoever reads its connection or by the system. It does
-// not block, and any goroutine may call it.
+// clientHasLeft reports whether the query's client has left, according to the reader of its connection or to the
+// system. It does not block, and any goroutine may call it.
 func (q *Query) clientHasLeft(now time.Duration) bool {
 	if isClosed(q.client.closed) || q.client.left.Load() {
 		return true
@@ -38,7 +38,7 @@
 	return false
 }
 
-// isClosed reports whether a channel that is never sent to is closed; nil is not.
+// isClosed reports whether a channel on which nothing is ever sent is closed; a nil channel is not.
 func isClosed(ch <-chan struct{}) bool {
 	select {
 	case <-ch:
@@ -48,8 +48,8 @@
 	}
 }
 
-// CancelQuery reports that a query's client has left: nothing further is sent for it, and it gets no answer. It waits
-// while the queue is full. A query that is over is left alone.
+// CancelQuery reports that a query's client has left: nothing more is sent for the query, and it gets no answer. A
+// query that is over is not affected. CancelQuery waits while the queue is full.
 func (c *Coordinator) CancelQuery(q *Query) { c.post(clientLeft{q}) }
 
 type clientLeft struct{ query *Query }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -8,9 +8,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Execute submits a query and waits for its answer, or until clientLeft is closed; the answer is Failed then. It
-// validates the query, asks the Admitter unless the query is Admitted, and sets Done. Any goroutine may call it, but
-// for the coordinator's own. A nil clientLeft never closes.
+// Execute submits a query and waits for its answer or until clientLeft is closed, when the answer is Failed. It
+// validates the query, asks the Admitter unless the query is already Admitted, and sets Done. Any goroutine except the
+// coordinator's own may call it. A nil clientLeft counts as a channel that is never closed.
 func (c *Coordinator) Execute(q *Query, clientLeft <-chan struct{}) Answer {
 	if err := c.validate(q); err != nil {
 		return Answer{Status: Invalid, Reason: err.Error()}
@@ -38,9 +38,9 @@
 	}
 }
 
-// Submit hands over a query, which has to be valid and to have its Done. It does not wait, and any goroutine may call
-// it. False means that the queue is full or that the coordinator has stopped: nothing was accepted, and Done is not
-// called. True means that the query is queued. Done is then called once, unless the client leaves.
+// Submit queues a query, which must be valid and have Done set. It does not wait, and any goroutine may call it. False
+// means that the queue is full or the coordinator has stopped: the query was not accepted, and Done is not called. True
+// means that the query is queued. Done is then called once, unless the client leaves.
 func (c *Coordinator) Submit(q *Query) bool {
 	c.submitting.RLock()
 	defer c.submitting.RUnlock()
@@ -56,13 +56,13 @@
 	}
 }
 
-// submission brings a query that Submit has queued.
+// submission is the message for a query that Submit has queued.
 type submission struct{ query *Query }
 
-// apply accepts a query, or answers it at once.
+// apply accepts a query or answers it immediately.
 func (m submission) apply(c *Coordinator) {
 	q := m.query
-	policy := c.inForce().retryPolicy(q.Class) // the front's check may have gone by older settings
+	policy := c.inForce().retryPolicy(q.Class) // the front may have validated against older settings
 	key, keyErr := policy.Key(q.IdempotencyKeys)
 	if answer, over := c.immediateAnswer(q, keyErr); over {
 		q.Done(answer)
@@ -72,9 +72,9 @@
 }
 
 // rejectSubmitted rejects the queries that were queued after the last tick began. It is called once the phase is
-// Stopped: Submit accepts none any more.
+// Stopped, when Submit accepts no more queries.
 func (c *Coordinator) rejectSubmitted() {
-	c.submitting.Lock() // a Submit that saw an earlier phase has queued its query once the lock is had
+	c.submitting.Lock() // waits for each Submit that saw an earlier phase to queue its query
 	n := len(c.queue)
 	c.submitting.Unlock()
 	for ; n > 0; n-- {
@@ -85,11 +85,11 @@
 	}
 }
 
-// immediateAnswer returns the final answer to a query that is not to be opened at all; over is false for any other.
-// keyErr is what is wrong with its idempotency key. The first obstacle in this order decides: the client has left, the
+// immediateAnswer returns the final answer to a query that is not opened; over is false if the query should be opened.
+// keyErr is the error of its idempotency key, if any. The first reason in this order decides: the client has left, the
 // list has expired, the id is taken, the open limit is reached, the key is invalid.
 func (c *Coordinator) immediateAnswer(q *Query, keyErr error) (answer Answer, over bool) {
-	if q.clientHasLeft(c.cfg.Clock()) { // while the query was in the queue
+	if q.clientHasLeft(c.cfg.Clock()) { // the client may have left while the query was queued
 		return Answer{Status: Failed}, true
 	}
 	if c.onlyListExpired() {
@@ -109,7 +109,7 @@
 	return Answer{}, false
 }
 
-// accept opens a query and notifies the module of it and its parts, then of its first phase.
+// accept opens a query. It notifies the module of the query and its parts, and then of its first phase.
 func (c *Coordinator) accept(submitted *Query, policy retry.Policy, key string) {
 	if end := c.phaseState.drainEnd; end > 0 {
 		submitted.Deadline = min(submitted.Deadline, end)
--- a/internal/core/validate.go
+++ b/internal/core/validate.go
@@ -12,8 +12,8 @@
 
 const maxIDLength = 128 // bytes of a query's id
 
-// Errors of a query that cannot be served as it is. The client is told their texts; those of retry.Policy.Key and
-// InvalidPartError are further ones.
+// Errors of a query that cannot be served as it is. Their texts are sent to the client, as are those of
+// InvalidPartError and of the errors of retry.Policy.Key.
 var (
 	ErrInvalidID     = errors.New("bad id")
 	ErrDuplicateID   = errors.New("the id is taken")
@@ -23,25 +23,25 @@
 	ErrNoParts       = errors.New("no parts")
 )
 
-// InvalidPartError tells what is wrong with the parts of a query. The client is told its text.
+// InvalidPartError reports what is wrong with the parts of a query. Its text is sent to the client.
 type InvalidPartError struct {
 	Problem PartProblem
 	Shard   int     // UnknownShard, RepeatedShard
-	Weight  float64 // InvalidWeight: of the part; InvalidWeightSum: of all parts
+	Weight  float64 // InvalidWeight: weight of the part; InvalidWeightSum: sum over all parts
 }
 
-// PartProblem is what may be wrong with the parts of a query.
+// PartProblem is a way in which the parts of a query can be invalid.
 type PartProblem int
 
 // The problems.
 const (
-	UnknownShard     PartProblem = iota // the shard is negative, or there are fewer
+	UnknownShard     PartProblem = iota // the shard is negative or not below the number of shards
 	RepeatedShard                       // two parts have the same shard
-	InvalidWeight                       // a weight is not above 0 and up to 1
-	InvalidWeightSum                    // the weights do not sum to 1
+	InvalidWeight                       // a weight is not above 0 and at most 1, within tolerance
+	InvalidWeightSum                    // the weights do not sum to 1, within tolerance
 )
 
-// Error is the text that the client is told.
+// Error returns the text that is sent to the client.
 func (e *InvalidPartError) Error() string {
 	switch e.Problem {
 	case UnknownShard:
@@ -55,8 +55,8 @@
 	}
 }
 
-// validate returns why a query cannot be served, as far as the settings in force tell. It cuts the query's deadline to
-// what its class allows. Any goroutine may call it.
+// validate returns why a query cannot be served under the settings in force. It shortens the query's deadline to the
+// limit of its class. Any goroutine may call it.
 func (c *Coordinator) validate(q *Query) error {
 	settings := c.inForce()
 	class := settings.class(q.Class)
@@ -80,7 +80,7 @@
 	return validateParts(q.Parts, settings.limits.Shards)
 }
 
-// validateParts returns an *InvalidPartError for parts that are none of a query; shards is 0 where their number is
+// validateParts returns an *InvalidPartError if the parts cannot form a query; shards is 0 if the number of shards is
 // unknown.
 func validateParts(parts []Part, shards int) error {
 	sum, seen := 0.0, map[int]bool{}
@@ -102,12 +102,13 @@
 	return nil
 }
 
-// invalidInID reports whether a character could not stand in an id on some wire. A dot separates the id from the shard.
+// invalidInID reports whether a character is not allowed in a query id, because some wire format could not carry it
+// there. A dot separates the id from the shard.
 func invalidInID(r rune) bool {
 	return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '-' && r != '_'
 }
 
-// servesTenant reports whether queries of a tenant are served; where the settings name none, any is.
+// servesTenant reports whether queries of a tenant are served. If the settings name no tenants, all are.
 func (s *settingsInForce) servesTenant(name string) bool {
 	return name == "" || len(s.Tenants) == 0 ||
 		slices.ContainsFunc(s.Tenants, func(t scatter.Tenant) bool { return t.Name == name })
