--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,59 +7,60 @@
 	"harepass/internal/decide/twophase"
 )
 
-// cancelGrace is for how long a Caller may take to send a cancellation, should its connection be blocked.
+// cancelGrace is how long a Caller may take to send a cancellation, for example while its connection is blocked.
 const cancelGrace = 20 * time.Millisecond
 
-// Attempt is one send of a part to a replica. Callers read the exported fields and hand it back to AttemptEnded.
+// Attempt is one send of a part to a replica. Callers read the exported fields and pass the Attempt to AttemptEnded.
 type Attempt struct {
 	QueryID        string        // Query.ID
 	Class          string        // Query.Class
 	Shard          int           // the shard that the part is of
 	Body           []byte        // Query.Body
-	IdempotencyKey string        // one for all attempts of a query; empty in a class that is not keyed
+	IdempotencyKey string        // the same for all attempts of a query; empty in a class that is not keyed
 	Origin         any           // Query.Origin
-	Timeout        time.Duration // from when the module decided the attempt; Remaining is what is left of it
+	Timeout        time.Duration // counted from when the module decided the attempt; Remaining returns what is left
 	ReplicaID      string        // replica that the attempt is sent to
-	FirstPhase     bool          // asks what the shard could add, rather than for its value
-	WithVersion    bool          // the value is wanted with its version
+	FirstPhase     bool          // asks for evidence about the shard's value instead of the value
+	WithVersion    bool          // asks for the value together with its version
 
-	// Evidence is set by the Caller before AttemptEnded, where FirstPhase or WithVersion asked for it.
+	// Evidence is set by the Caller before AttemptEnded if FirstPhase or WithVersion asked for it.
 	Evidence twophase.Evidence
-	// FaultStatus is set by the Caller before AttemptEnded, where the replica has found a fault in the request itself: the
-	// HTTP status of its answer, which is the attempt's value. 0 for any other value.
+	// FaultStatus is set by the Caller before AttemptEnded if the replica found a fault in the request itself. It is
+	// the HTTP status of the replica's answer, which is then the attempt's value. It is 0 for any other value.
 	FaultStatus int
 
 	part         *part
-	number       int             // place among the part's attempts, from 0; it equals the module's index of the attempt
+	number       int             // position among the part's attempts, from 0; equals the module's index of the attempt
 	sentAt       time.Duration   // instant of the tick in which the module decided the attempt
-	caller       Caller          // nil where no Caller speaks the endpoint's scheme
-	cancelled    bool            // by the coordinator; a Caller may end an attempt as Cancelled by itself
-	cancelReason scatter.Outcome // with cancelled: the outcome that the module hears in the place of Cancelled
-	timer        *timer          // cancels the attempt when Timeout is over; with cancelled, ends it after cancelGrace
-	ended        bool            // the module knows the outcome
-	neverRan     bool            // with ended: no replica has run it, so a retry needs no deduplication
+	caller       Caller          // nil if no Caller supports the endpoint's scheme
+	cancelled    bool            // cancelled by the coordinator; a Caller may also end an attempt as Cancelled itself
+	cancelReason scatter.Outcome // if cancelled: the outcome reported to the module instead of Cancelled
+	timer        *timer          // cancels the attempt at its timeout; if cancelled, ends it after cancelGrace
+	ended        bool            // the module has been notified of the outcome
+	neverRan     bool            // if ended: no replica has run the attempt, so a retry needs no deduplication
 	permit       permit          // whether the attempt may still begin
 }
 
-// Caller speaks to replicas. The coordinator's goroutine calls its methods; none may block, or call the Coordinator
-// from within.
+// Caller sends attempts to replicas. The coordinator's goroutine calls its methods, so they must neither block nor call
+// the Coordinator.
 type Caller interface {
-	// Call sends the attempts as one call: those whose Begin returns true right before their first byte is written.
-	// Each attempt ends in one Coordinator.AttemptEnded.
+	// Call sends the attempts as one call. It calls Begin right before it writes an attempt's first byte and sends only
+	// the attempts for which Begin returns true. Each attempt ends in one Coordinator.AttemptEnded.
 	Call(endpoint Endpoint, attempts []*Attempt)
-	// Cancel tells the replica that an attempt is given up, and then ends the attempt as Cancelled, unless it has ended
-	// otherwise. A second Cancel of an attempt closes the attempt's connection before it returns.
+	// Cancel sends the attempt's cancellation to the replica and then ends the attempt as Cancelled, unless it has
+	// already ended with another outcome. A second Cancel of an attempt closes the attempt's connection before it
+	// returns.
 	Cancel(*Attempt)
-	// CloseIdleConnections closes the idle connections to a replica, given by its id.
+	// CloseIdleConnections closes the idle connections to the replica with the given id.
 	CloseIdleConnections(replica string)
 }
 
-// AttemptReporter takes the outcomes of attempts. It is a Coordinator, except in tests of Callers.
+// AttemptReporter receives the outcomes of attempts. It is a Coordinator, except in tests of Callers.
 type AttemptReporter interface {
 	AttemptEnded(at *Attempt, outcome scatter.Outcome, value []byte)
 }
 
-// AttemptEnded brings an attempt's outcome and, if it succeeded, the value that the replica returned. Callers call it
+// AttemptEnded reports an attempt's outcome and, if it succeeded, the value that the replica returned. Callers call it
 // from their own goroutines; it waits while the queue is full. Only the first outcome of an attempt counts.
 func (c *Coordinator) AttemptEnded(at *Attempt, outcome scatter.Outcome, value []byte) {
 	c.post(attemptEnded{at, outcome, value, c.cfg.Clock()})
@@ -69,14 +70,14 @@
 	attempt *Attempt
 	outcome scatter.Outcome
 	value   []byte
-	endedAt time.Duration // instant at which the Caller reported it
+	endedAt time.Duration // instant at which the Caller reported the outcome
 }
 
 func (m attemptEnded) apply(c *Coordinator) { c.endAttempt(m.attempt, m.outcome, m.value, m.endedAt) }
 
-// newAttempt begins an attempt that the module has decided. It returns nil where the attempt is not to be sent: it has
-// ended as NotSent then, or its part is over and the module hears nothing. An attempt is appended to its part's list in
-// every other case, also when it is not sent, so that its place there stays the module's index.
+// newAttempt creates an attempt that the module has decided. It returns nil if the attempt must not be sent: either the
+// attempt has ended as NotSent, or its part is over and the module is not notified. Unless the part is over, the
+// attempt is appended to the part's list even if it is not sent, so that its position there stays the module's index.
 func (c *Coordinator) newAttempt(send scatter.Send) *Attempt {
 	p := c.open.parts[send.Part]
 	if p == nil {
@@ -100,7 +101,7 @@
 	return at
 }
 
-// canSend reports whether an attempt is still of use and its endpoint's Caller can send it.
+// canSend reports whether an attempt is still needed and the Caller of its endpoint can send it.
 func (c *Coordinator) canSend(at *Attempt, scheme string) bool {
 	if !c.open.isOpen(at.part.query) || at.caller == nil {
 		return false
@@ -108,8 +109,9 @@
 	return !at.FirstPhase || at.part.full.firstPhasePart == at.part && c.cfg.TwoPhaseSchemes[scheme]
 }
 
-// cancel stops waiting for an attempt; reason is the outcome that the module is to hear. It hears that only when the
-// Caller has sent the cancellation or cancelGrace is over, so no other attempt of the part reaches a replica before.
+// cancel stops waiting for an attempt; reason is the outcome to report to the module. The module is notified only after
+// the Caller has sent the cancellation or cancelGrace is over, so no other attempt of the part reaches a replica
+// earlier.
 func (c *Coordinator) cancel(at *Attempt, reason scatter.Outcome) {
 	if at.ended || at.cancelled {
 		return
@@ -148,7 +150,7 @@
 	c.open.removePart(at.part)
 }
 
-// recordValue records the first value of a part, with the status of a fault that it tells; later ones are dropped.
+// recordValue records the first value of a part and the fault status that belongs to it; later values are dropped.
 func (c *Coordinator) recordValue(p *part, value []byte, faultStatus int) {
 	if p.value != nil {
 		return
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -6,14 +6,14 @@
 	"harepass/internal/logmsg"
 )
 
-// Counters of queries. Names of all counters are wire: they keep older words.
+// Counters of queries. The names of all counters are part of the external interface, so they keep older terms.
 var (
 	queriesAccepted   = counters.New("queries", "taken")       // opened
-	queriesClientLeft = counters.New("queries", "client_left") // opened, and their client left
-	queriesUnanswered = counters.New("queries", "overdue")     // opened, and not answered by the module in time
+	queriesClientLeft = counters.New("queries", "client_left") // opened, then the client left
+	queriesUnanswered = counters.New("queries", "overdue")     // opened, but the module did not answer in time
 )
 
-// Counters of rejected queries, by what rejected them.
+// Counters of rejected queries, by the reason for the rejection.
 var (
 	rejectedQueueFull   = counters.New("queries_refused", "queue_full")
 	rejectedOverload    = counters.New("queries_refused", "overload")
@@ -29,9 +29,9 @@
 // attemptsBegun counts the attempts that Begin has permitted.
 var attemptsBegun = counters.New("attempts", "begun")
 
-// attemptsWithheld counts the attempts that never began. withheldCancelled counts only those whose Caller called Begin
-// after the coordinator had cancelled them: where a Caller drops a cancelled attempt without calling Begin, nothing is
-// counted.
+// attemptsWithheld counts the attempts that never began, by reason. withheldCancelled counts only attempts whose Caller
+// called Begin after the coordinator had cancelled them: a Caller that drops a cancelled attempt without calling Begin
+// adds nothing to the count.
 var attemptsWithheld = [...]*counters.Counter{
 	withheldClientLeft:   counters.New("attempts_withheld", "client_left"),
 	withheldDeadline:     counters.New("attempts_withheld", "time_over"),
@@ -58,8 +58,8 @@
 )
 
 var (
-	// queriesEnded counts the final answers to opened queries, by Status. What is answered before a query is opened
-	// (invalid, not admitted, over the open limit) is not among them, so its counter of Invalid stays 0.
+	// queriesEnded counts the final answers to opened queries, by Status. Queries answered before they are opened
+	// (invalid, not admitted, over the open limit) are not included, so the counter for Invalid stays 0.
 	queriesEnded = countersByName("queries_ended", statusNames[:])
 	// attemptsEnded counts the attempts that have ended, by scatter.Outcome.
 	attemptsEnded = countersByName("attempts_ended", outcomeNames[:])
--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -9,27 +9,27 @@
 	"harepass/internal/decide/twophase"
 )
 
-// The module sees a query of two phases as one query with all its parts, which is admitted, counted and answered like
-// any other. The parts that the Planner wants asked cheaply first are deferred. Their first phase is a second query of
-// the module, of no tenant, and of a class of its own so that its quick parts do not pass for quick replicas. A
-// part is pruned where its first phase proves its value: the module hears it as resolved, and it is not sent in full.
-// Where the first phase proves nothing, the part is released.
+// The module sees a query of two phases as one query with all its parts, and admits, counts and answers it like any
+// other. The parts that the Planner wants asked cheaply first are deferred. Their first phase is a second query in the
+// module. It belongs to no tenant, and has a class of its own so that its fast parts do not make replicas look fast. If
+// the first phase proves a part's value, the part is pruned: it is reported to the module as resolved and not sent as a
+// full query. Otherwise the part is released.
 
 // firstPhase is the first phase of a query.
 type firstPhase struct {
-	query        *query  // query whose parts are asked first
+	query        *query  // query whose deferred parts the first phase asks
 	id           string  // the module's id of the first phase
-	parts        []*part // one for each deferred part of the query
-	releaseTimer *timer  // when the parts that are still deferred are released
+	parts        []*part // first-phase parts, one for each deferred part of the query
+	releaseTimer *timer  // releases the parts that are still deferred when it is due
 	ended        bool    // the query is over
 }
 
-// firstPhaseSuffix makes a class's name that of its first phases. Clients cannot name such a class: validate goes by
-// the settings, which lack it.
+// firstPhaseSuffix is appended to a class's name to name the class of its first phases. Clients cannot use that class:
+// validate checks against the settings, which do not contain it.
 const firstPhaseSuffix = "/first"
 
-// withFirstPhases adds the classes of first phases to the settings. They have their class's latency objective, so no
-// figure that the module derives from the tightest one changes.
+// withFirstPhases adds the classes of first phases to the settings. Each has the latency objective of its original
+// class, so values that the module derives from the tightest objective stay the same.
 func withFirstPhases(s scatter.Settings, classes []string) scatter.Settings {
 	s.Classes = slices.Clone(s.Classes)
 	for _, name := range classes {
@@ -44,7 +44,8 @@
 	return s
 }
 
-// planFirstPhase asks the Planner how a query's parts are asked, and defers and returns those with a first phase.
+// planFirstPhase lets the Planner decide how a query's parts are asked. It defers and returns the parts that get a
+// first phase.
 func (c *Coordinator) planFirstPhase(q *query) (deferred []*part) {
 	if c.cfg.Planner == nil || q.Index == "" || !slices.Contains(c.cfg.TwoPhaseClasses, q.Class) {
 		return nil
@@ -65,7 +66,7 @@
 	return deferred
 }
 
-// planRequest describes a query to the Planner.
+// planRequest describes a query for the Planner.
 func (c *Coordinator) planRequest(q *query) twophase.Request {
 	request := twophase.Request{Topic: q.topic(), Body: string(q.Body), Capable: c.supportsFirstPhase, Now: c.now}
 	if class := c.inForce().class(q.Class); class != nil {
@@ -74,15 +75,15 @@
 	for _, p := range q.parts {
 		request.Shards = append(request.Shards, p.shard)
 	}
-	if c.exceedsOpenLimit(len(q.parts)) { // a first phase of all parts would
+	if c.exceedsOpenLimit(len(q.parts)) { // a first phase of all parts would exceed the limit
 		request.Capable = func(int) bool { return false }
 	}
 	return request
 }
 
-// supportsFirstPhase reports whether a shard has holders that are ready by the list and by maintenance, and a first
-// phase can be sent to each. The lease on the list is not asked: with an expired one nothing is sent anyway. The
-// endpoint table remembers the answer until one of the holders changes.
+// supportsFirstPhase reports whether a shard has holders that are ready according to the list and to maintenance, and
+// all of them support a first phase. It ignores the lease on the list, because nothing is sent while that has expired.
+// The endpoint table caches the result until one of the holders changes.
 func (c *Coordinator) supportsFirstPhase(shard int) bool {
 	shard = c.endpoints.ring.position(shard)
 	supported, known := c.endpoints.firstPhaseSupport[shard]
@@ -102,7 +103,7 @@
 	return supported
 }
 
-// beginFirstPhase opens the first phase of a query's deferred parts with the module.
+// beginFirstPhase opens the first phase of a query's deferred parts in the module.
 func (c *Coordinator) beginFirstPhase(q *query, deferred []*part) {
 	if len(deferred) == 0 {
 		return
@@ -120,8 +121,8 @@
 	c.open.addFirstPhase(f)
 }
 
-// releaseDeferred releases all parts that are still deferred: the first phase has had its time, or the module has ended
-// it. Its outcomes may still come and prove something. A nil first phase has no parts.
+// releaseDeferred releases all parts that are still deferred, because the first phase has used up its time or the
+// module has ended it. Outcomes that arrive later may still prove a value. It does nothing for a nil first phase.
 func (c *Coordinator) releaseDeferred(f *firstPhase) {
 	if f == nil || !c.open.isOpen(f.query) {
 		return
@@ -131,7 +132,7 @@
 	}
 }
 
-// release has the module send a deferred part in full.
+// release lets the module send a deferred part as a full query.
 func (c *Coordinator) release(p *part) {
 	if p.deferred {
 		p.deferred = false
@@ -139,7 +140,7 @@
 	}
 }
 
-// endPartFirstPhase ends the first phase of a part in full. The module cancels an attempt of it that is still out.
+// endPartFirstPhase ends the first phase of a part. The module cancels an outstanding attempt of that first phase.
 func (c *Coordinator) endPartFirstPhase(full *part) {
 	if full.firstPhasePart != nil {
 		c.notify(scatter.PartReleased{ID: full.firstPhasePart.id, Resolved: true})
@@ -147,7 +148,7 @@
 	}
 }
 
-// endFirstPhase ends the first phase of a query that is over; nil where it had none.
+// endFirstPhase ends the first phase of a query that is over; f is nil if the query had none.
 func (c *Coordinator) endFirstPhase(f *firstPhase) {
 	if f == nil || f.ended {
 		return
@@ -159,7 +160,7 @@
 	c.closeParts(f.parts)
 }
 
-// learn reports to the Planner what an attempt shows: its latency, what a first phase proves, and a value to retain.
+// learn reports an attempt's result to the Planner: its latency, what a first phase proves, and a value to retain.
 func (c *Coordinator) learn(at *Attempt, succeeded bool, value []byte, latency time.Duration) {
 	p := at.part
 	if p.query.Index == "" || c.cfg.Planner == nil {
@@ -176,7 +177,8 @@
 	}
 }
 
-// learnFull takes in the value of a part in full.
+// learnFull handles the value of a full query: it passes a versioned value to the Planner and ends the part's first
+// phase.
 func (c *Coordinator) learnFull(at *Attempt, value []byte) {
 	p := at.part
 	if at.WithVersion {
@@ -185,10 +187,11 @@
 	c.endPartFirstPhase(p)
 }
 
-// learnFirstPhase takes in the outcome of a part's first phase: the part in full gets its value by it, or is released.
+// learnFirstPhase handles the outcome of a part's first phase: the full part either gets its value from it or is
+// released.
 func (c *Coordinator) learnFirstPhase(at *Attempt, succeeded bool) {
 	p, q, full := at.part, at.part.query, at.part.full
-	if full.firstPhasePart != p || !c.open.isOpen(q) { // the part in full has ended without it
+	if full.firstPhasePart != p || !c.open.isOpen(q) { // the full part no longer needs it
 		return
 	}
 	evidence := at.Evidence
--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -12,48 +12,49 @@
 	"harepass/internal/logmsg"
 )
 
-// An attempt that was decided may wait at its Caller: for a connection that is slow to come up, or behind a write that
-// is blocked. Meanwhile its client may leave, its query may end, the deduplication window may close, and its replica
-// may be announced as draining. So a Caller asks Begin right before it writes. What may not begin has never run.
+// An attempt that was decided may wait at its Caller, for a slow connection setup or behind a blocked write. While it
+// waits, its client may leave, its query may end, the deduplication window may close, or its replica may be announced
+// as draining. A Caller therefore calls Begin right before it writes. An attempt that did not begin has never run.
 
-// stage is how far an attempt has come, for the coordinator and its Caller alike. It changes once.
+// stage is an attempt's progress as seen by both the coordinator and its Caller. It changes once, from waiting.
 type stage = int32
 
 const (
 	waiting  stage = iota
-	begun          // its first byte is out, or will be at once: it may run
-	withheld       // it never begins
+	begun          // its first byte has been written or is about to be, so the replica may run it
+	withheld       // the attempt will never begin
 )
 
-// withheldReason is why an attempt never begins. It indexes attemptsWithheld.
+// withheldReason is why an attempt never begins. It is an index into attemptsWithheld.
 type withheldReason int
 
 const (
 	notWithheld          withheldReason = iota - 1 // none: the attempt may begin
 	withheldClientLeft                             // the query's client has left
-	withheldDeadline                               // the client's deadline is over
+	withheldDeadline                               // the client's deadline has passed
 	withheldWindowClosed                           // the deduplication window of an earlier attempt has closed
-	withheldUnsendable                             // nothing may be sent to the replica any more
+	withheldUnsendable                             // new attempts may no longer be sent to the replica
 	withheldCancelled                              // the attempt was cancelled, or its query is over
 )
 
-// count counts an attempt that is withheld.
+// count adds a withheld attempt to the reason's counter.
 func (r withheldReason) count() { attemptsWithheld[r].Inc() }
 
-// String is the reason's name in log lines, which is that of its counter.
+// String returns the reason's name in log lines, which is the name of its counter.
 func (r withheldReason) String() string { return attemptsWithheld[r].Name() }
 
-// permit tells whether an attempt may begin. The zero value forbids nothing.
+// permit decides whether an attempt may begin. The zero value allows it.
 type permit struct {
 	stage          atomic.Int32  // a stage
 	clock          Clock         // nil in the zero value
-	beginBefore    time.Duration // instant of the client's deadline: no first byte from then on
-	retryableUntil time.Duration // last instant of the deduplication windows of earlier attempts that may have run
+	beginBefore    time.Duration // the client's deadline: the first byte must be written before this instant
+	retryableUntil time.Duration // last instant within the deduplication windows of earlier attempts that may have run
 	query          *Query        // the query whose client may have left
 }
 
-// Begin reports whether an attempt may begin, to a Caller that is about to write its first byte. The Caller calls it
-// once, from any goroutine, also under a lock: it does not block. An attempt that may not begin ends as NotSent.
+// Begin reports whether an attempt may begin. The Caller calls it once, right before it writes the attempt's first
+// byte, from any goroutine and possibly while it holds a lock: Begin does not block. An attempt that may not begin ends
+// as NotSent.
 func (at *Attempt) Begin() bool {
 	reason := at.permit.withheldReason()
 	if reason == notWithheld && !at.permit.stage.CompareAndSwap(waiting, begun) {
@@ -69,7 +70,7 @@
 	return false
 }
 
-// withheldReason is why an attempt may not begin, its stage aside.
+// withheldReason returns why an attempt may not begin, regardless of its stage.
 func (p *permit) withheldReason() withheldReason {
 	if p.clock == nil {
 		return notWithheld
@@ -85,8 +86,9 @@
 	return notWithheld
 }
 
-// Remaining is the time that a replica is told: until the attempt's timeout, and no more than its client has left. A
-// Caller calls it when it writes the attempt's message, for the attempt may have waited since it was decided.
+// Remaining returns the time budget to send to the replica: the time until the attempt's timeout or its client's
+// deadline, whichever is earlier. A Caller calls it when it writes the attempt's message, because the attempt may have
+// waited since it was decided.
 func (at *Attempt) Remaining() time.Duration {
 	p := &at.permit
 	if p.clock == nil {
@@ -95,11 +97,11 @@
 	return min(at.sentAt+at.Timeout, p.beginBefore) - p.clock()
 }
 
-// withhold keeps an attempt from beginning. False means that the attempt has begun, or was withheld before.
+// withhold prevents an attempt from beginning. It returns false if the attempt has begun or was withheld before.
 func (at *Attempt) withhold() bool { return at.permit.stage.CompareAndSwap(waiting, withheld) }
 
-// setPermit sets until when an attempt may begin: while its client waits, and inside the deduplication window of each
-// earlier attempt of the part that may have run.
+// setPermit sets until when an attempt may begin: before its client's deadline, and inside the deduplication windows of
+// all earlier attempts of the part that may have run.
 func (c *Coordinator) setPermit(at *Attempt) {
 	p := at.part
 	at.permit.clock, at.permit.query = c.cfg.Clock, p.query.Query
@@ -112,8 +114,8 @@
 	}
 }
 
-// withholdUnsendable withholds the attempts that have not begun at replicas that nothing may be sent to any more. The
-// module hears that they have never run, and may send their parts elsewhere at once.
+// withholdUnsendable withholds the attempts that have not begun at replicas that are no longer sendable. The module is
+// notified that they never ran, so it can send their parts to other replicas at once.
 func (c *Coordinator) withholdUnsendable() {
 	var list []*Attempt
 	for _, p := range c.open.parts {
@@ -123,7 +125,7 @@
 			}
 		}
 	}
-	slices.SortFunc(list, func(x, y *Attempt) int { // the order of a map is random, the module's events must not be
+	slices.SortFunc(list, func(x, y *Attempt) int { // map order is random; the module's events must not be
 		return cmp.Or(cmp.Compare(x.part.query.number, y.part.query.number), cmp.Compare(x.part.id, y.part.id),
 			cmp.Compare(x.number, y.number))
 	})
--- a/internal/core/query_log.go
+++ b/internal/core/query_log.go
@@ -9,24 +9,24 @@
 	"harepass/internal/logmsg"
 )
 
-// Queries that fail, or whose clients wait beyond the latency objective, are logged at most so often: in an outage,
-// logging must not become a load of its own.
+// The rate of log lines about queries that fail or exceed their latency objective is limited: in an outage, logging
+// must not add load of its own.
 const (
-	maxLogBurst = 5               // lines that may be written at once
-	logInterval = 2 * time.Second // time that allows one further line
+	maxLogBurst = 5               // lines that may be written in a burst
+	logInterval = 2 * time.Second // time after which one more line may be written
 )
 
-// stateNames are the names of replica states in log lines, in the order of their constants.
+// stateNames are the names of replica states in log lines, indexed by state.
 var stateNames = [...]string{logmsg.StateReady, "draining", "gone"}
 
-// logLimit is a token bucket for lines about queries that ended badly. The zero value is full.
+// logLimit is a token bucket for log lines about queries that failed or were late. The zero value is full.
 type logLimit struct {
 	tokens     float64       // lines that may be written
-	updatedAt  time.Duration // instant at which tokens was right; 0 before the first line
-	suppressed int           // lines that were not written since the last one that was
+	updatedAt  time.Duration // instant of the last update of tokens; 0 before the first line
+	suppressed int           // lines suppressed since the last written line
 }
 
-// take reports whether a line may be written now, and how many were suppressed since the last one.
+// take reports whether a line may be written now, and how many lines were suppressed since the last written one.
 func (l *logLimit) take(now time.Duration) (suppressed int, ok bool) {
 	if l.updatedAt == 0 {
 		l.tokens = maxLogBurst
@@ -41,10 +41,10 @@
 	return suppressed, true
 }
 
-// tracing reports whether every query, attempt and endpoint update is to be logged.
+// tracing reports whether every query, attempt and endpoint update is logged.
 func (c *Coordinator) tracing() bool { return c.cfg.Log.Enabled(context.Background(), slog.LevelDebug) }
 
-// logEndpointUpdated logs an entry of the endpoint list; its age is 0 for a replica that started long ago.
+// logEndpointUpdated logs an entry of the endpoint list. The age is 0 if the replica has no start time.
 func (c *Coordinator) logEndpointUpdated(e Endpoint) {
 	if !c.tracing() {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// logClientLeft logs that a query's client has left, and how long after the query was accepted.
+// logClientLeft logs that a query's client has left, with the time since the query was accepted.
 func (c *Coordinator) logClientLeft(q *query) {
 	if c.tracing() {
 		c.cfg.Log.Debug(logmsg.ClientLeft, logmsg.KeyQuery, q.ID, logmsg.KeyClass, q.Class,
@@ -74,7 +74,8 @@
 	}
 }
 
-// logAnswer logs a query's end: at debug level each, else those that failed or were late, as logLimit allows.
+// logAnswer logs a query's end. Queries that failed or were late are logged at info level, as logLimit allows, and all
+// others at debug level; at debug level no line is suppressed.
 func (c *Coordinator) logAnswer(q *query, a Answer) {
 	latency, level := c.now-q.acceptedAt, slog.LevelDebug
 	if a.Status == Failed || c.pastObjective(q, latency) {
@@ -103,7 +104,7 @@
 		logmsg.KeyPartsServed, served, logmsg.KeyAttempts, attempts, logmsg.KeyLinesSuppressed, suppressed)
 }
 
-// pastObjective reports whether a latency is beyond the objective of the query's class.
+// pastObjective reports whether a latency exceeds the objective of the query's class.
 func (c *Coordinator) pastObjective(q *query, latency time.Duration) bool {
 	class := c.inForce().class(q.Class)
 	return class != nil && latency > class.LatencyObjective
