--- a/internal/core/effective_list.go
+++ b/internal/core/effective_list.go
@@ -2,8 +2,9 @@
 
 import "harepass/internal/decide/scatter"
 
-// effective is an endpoint as the module is to hear of it: as its source lists it, unless the source's lease has
-// expired or operators have taken the replica out.
+// effective returns an endpoint as the decision module should see it: as its source lists it, with two exceptions. A
+// Ready endpoint of the polled source is Draining while the lease on that source's list has expired, and operators'
+// maintenance is applied on top.
 func (c *Coordinator) effective(e listedEndpoint) scatter.Replica {
 	if c.lease.expired && e.source == c.cfg.PolledSource && e.State == scatter.Ready {
 		e.State = scatter.Draining
@@ -11,7 +12,7 @@
 	return c.maintenance.register.Effective(e.Replica)
 }
 
-// effectiveList is the endpoint list as the module is to hear it, in the order of ids.
+// effectiveList returns the endpoint list as the module should see it, sorted by id.
 func (c *Coordinator) effectiveList() (list []scatter.Replica) {
 	for _, id := range c.endpoints.ids() {
 		list = append(list, c.effective(c.endpoints.byID[id]))
@@ -19,13 +20,13 @@
 	return list
 }
 
-// sendable reports whether new attempts may be sent to an endpoint: it is listed, and effectively ready.
+// sendable reports whether new attempts may be sent to an endpoint: it is listed, and its effective state is Ready.
 func (c *Coordinator) sendable(id string) bool {
 	e, listed := c.endpoints.byID[id]
 	return listed && c.effective(e).State == scatter.Ready
 }
 
-// notifyEffectiveList notifies the module of the endpoint list anew, after lease or maintenance have changed it.
+// notifyEffectiveList sends the module the whole endpoint list after a change of the lease or of maintenance.
 func (c *Coordinator) notifyEffectiveList() {
 	c.endpoints.forgetFirstPhaseSupport()
 	c.notify(scatter.EndpointUpdate{Kind: scatter.CachedUpdate, Replicas: c.effectiveList()})
--- a/internal/core/endpoint_updates.go
+++ b/internal/core/endpoint_updates.go
@@ -6,14 +6,14 @@
 	"harepass/internal/decide/scatter"
 )
 
-// endpointUpdate is an update of a source's list, or a piece of one.
+// endpointUpdate is an update of a source's list, or one piece of a list that is split.
 type endpointUpdate struct {
 	source    string
 	kind      scatter.UpdateKind
 	endpoints []Endpoint
-	partial   bool // further pieces of the same list follow
+	partial   bool // more pieces of the same list follow
 
-	// listed has all ids of the source's list, in the last of several pieces; nil where the list came in one.
+	// listed contains all ids of the source's list. It is set only in the last piece of a list that is split.
 	listed map[string]struct{}
 }
 
@@ -22,30 +22,31 @@
 	return u.kind == scatter.FullUpdate || u.kind == scatter.CachedUpdate
 }
 
-// UpdateEndpoints brings a source's list of endpoints, changes of it, or the notice that it could not be had. A full
-// list takes away only what the same source had listed. It waits while the queue is full.
+// UpdateEndpoints delivers a source's full list of endpoints, changes to it, or the notice that the list is
+// unavailable. A full list removes only endpoints that the same source had listed. UpdateEndpoints waits while the
+// queue is full.
 func (c *Coordinator) UpdateEndpoints(source string, kind scatter.UpdateKind, endpoints []Endpoint) {
 	c.post(endpointUpdate{source: source, kind: kind, endpoints: endpoints})
 }
 
-// UpdateEndpointsPartially brings entries of a source's first list, of which further ones follow. They count at once,
-// but the coordinator does not become Ready by them: UpdateEndpoints with the last entries makes it so. It waits while
-// the queue is full.
+// UpdateEndpointsPartially delivers some entries of a source's first list, with more to follow. The entries take effect
+// at once, but do not make the coordinator Ready: the caller delivers the last entries by UpdateEndpoints, which does.
+// UpdateEndpointsPartially waits while the queue is full.
 func (c *Coordinator) UpdateEndpointsPartially(source string, endpoints []Endpoint) {
 	c.post(endpointUpdate{source: source, kind: scatter.IncrementalUpdate, endpoints: endpoints, partial: true})
 }
 
-// merge takes an update into the endpoint table, notifies the module, and carries out what follows from the new table.
+// merge applies an update to the endpoint table, notifies the module, and handles the consequences of the new table.
 func (c *Coordinator) merge(u endpointUpdate) {
 	event, mayWithhold := c.mergeTable(u)
 	c.notify(event)
 	c.afterMerge(u, mayWithhold)
 }
 
-// mergeTable takes an update into the endpoint table, and closes the idle connections to endpoints that it removes. It
-// returns what the module is to hear. mayWithhold is true where the update may have made an endpoint unsendable.
+// mergeTable applies an update to the endpoint table and closes the idle connections to endpoints that it removes. It
+// returns the event for the module. mayWithhold is true if the update may have made an endpoint unsendable.
 func (c *Coordinator) mergeTable(u endpointUpdate) (event scatter.EndpointUpdate, mayWithhold bool) {
-	before := map[string]listedEndpoint{} // those that the update may remove
+	before := map[string]listedEndpoint{} // endpoints that the update may remove
 	if u.isFull() {
 		c.removeListed(u.source, before)
 	}
@@ -69,8 +70,8 @@
 	return event, mayWithhold
 }
 
-// afterMerge carries out what follows from an update in the table, in this order: attempts are withheld, uncovered
-// shards are warned of, and the list may come to count as known.
+// afterMerge handles the consequences of a merged update, in this order: it withholds attempts, logs uncovered shards,
+// and checks whether the list now counts as known.
 func (c *Coordinator) afterMerge(u endpointUpdate, mayWithhold bool) {
 	if mayWithhold {
 		c.withholdUnsendable()
@@ -81,9 +82,9 @@
 	c.noteListReadiness(u)
 }
 
-// eventKind is how the module hears of an update. The module takes a full list, a change or a failure for the answer to
-// its own Subscribe, and would never subscribe if a source that it did not ask gave it one. So what comes from such a
-// source is a cached list to it.
+// eventKind returns the update kind to report to the module. The module treats a full list, a change or a failure as
+// the answer to its own Subscribe, so such an update from a source that it did not ask would keep it from ever
+// subscribing. Updates from those sources are therefore reported as cached lists.
 func (c *Coordinator) eventKind(u endpointUpdate) scatter.UpdateKind {
 	if u.source != c.cfg.PolledSource {
 		return scatter.CachedUpdate
@@ -91,7 +92,7 @@
 	return u.kind
 }
 
-// removeListed removes all that a source has listed and adds it to removed.
+// removeListed removes all endpoints that a source has listed and adds them to removed.
 func (c *Coordinator) removeListed(source string, removed map[string]listedEndpoint) {
 	for id, e := range c.endpoints.byID {
 		if e.source == source {
@@ -101,7 +102,8 @@
 	}
 }
 
-// unlisted lists the endpoints that the source of a list in pieces does not list any more, as removed.
+// unlisted returns, as removed, the endpoints that are missing from a source's list that came in pieces. It returns nil
+// unless the update is the last of these pieces.
 func (c *Coordinator) unlisted(u endpointUpdate) (removed []Endpoint) {
 	if u.listed == nil {
 		return nil
@@ -116,8 +118,8 @@
 	return removed
 }
 
-// disconnectRemoved closes the idle connections to those endpoints that are not listed any more. One with an attempt
-// out keeps its connection, which ends when it has been idle.
+// disconnectRemoved closes the idle connections to endpoints that are no longer listed. A connection with an
+// outstanding attempt stays open until it has been idle.
 func (c *Coordinator) disconnectRemoved(before map[string]listedEndpoint) {
 	for id, e := range before {
 		if _, listed := c.endpoints.byID[id]; !listed {
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -8,26 +8,26 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Endpoint is a replica with the way to reach it.
+// Endpoint is a replica and how to reach it.
 type Endpoint struct {
 	scatter.Replica
 	Address string
-	Scheme  string // names the Caller that speaks to it
+	Scheme  string // selects the Caller that sends to the endpoint
 }
 
-// listedEndpoint is an endpoint with the source that listed it last.
+// listedEndpoint is an endpoint and the source that listed it last.
 type listedEndpoint struct {
 	Endpoint
 	source string
 }
 
-// endpointTable holds the endpoints that the sources list. The coordinator's goroutine alone writes to it, and reads it
-// without the lock; other goroutines may call contains.
+// endpointTable holds the endpoints that the sources list. Only the coordinator's goroutine writes to it, and that
+// goroutine reads it without the lock; other goroutines may call contains.
 type endpointTable struct {
 	mu                sync.RWMutex
 	byID              map[string]listedEndpoint
-	ring              ringIndex    // of byID
-	firstPhaseSupport map[int]bool // of supportsFirstPhase, by the shard's ring position
+	ring              ringIndex    // index of byID by ring position
+	firstPhaseSupport map[int]bool // cached results of supportsFirstPhase, by the shard's ring position
 }
 
 func newEndpointTable(ringSize, replicationFactor int) endpointTable {
@@ -35,7 +35,7 @@
 		firstPhaseSupport: map[int]bool{}}
 }
 
-// put enters an endpoint, in the place of what was listed under its id.
+// put adds an endpoint and replaces any entry with the same id.
 func (t *endpointTable) put(e listedEndpoint) {
 	t.remove(e.ID)
 	t.mu.Lock()
@@ -45,7 +45,7 @@
 	t.forgetShardsOf(e)
 }
 
-// remove takes an endpoint off the table, if it is there.
+// remove deletes an endpoint from the table if it is listed.
 func (t *endpointTable) remove(id string) {
 	e, listed := t.byID[id]
 	if !listed {
@@ -58,25 +58,26 @@
 	t.forgetShardsOf(e)
 }
 
-// forgetShardsOf drops what is remembered of the shards that an endpoint holds.
+// forgetShardsOf invalidates the cached first-phase support of the shards that an endpoint holds.
 func (t *endpointTable) forgetShardsOf(e listedEndpoint) {
 	t.ring.forShards(e.RingPosition, func(shard int) { delete(t.firstPhaseSupport, shard) })
 }
 
-// forgetFirstPhaseSupport drops what is remembered of all shards: endpoints may count otherwise than before.
+// forgetFirstPhaseSupport invalidates the cached first-phase support of all shards, after endpoints may have changed
+// their effective state or the ring may have changed.
 func (t *endpointTable) forgetFirstPhaseSupport() { clear(t.firstPhaseSupport) }
 
-// resizeRing indexes the endpoints anew, if the ring has changed.
+// resizeRing rebuilds the ring index if the ring size or the replication factor has changed.
 func (t *endpointTable) resizeRing(ringSize, replicationFactor int) {
 	if ringSize != t.ring.size || replicationFactor != t.ring.replicationFactor {
 		t.ring = newRingIndex(ringSize, replicationFactor, t.byID)
 	}
 }
 
-// ids lists the ids of all endpoints in order.
+// ids returns the ids of all endpoints, sorted.
 func (t *endpointTable) ids() []string { return slices.Sorted(maps.Keys(t.byID)) }
 
-// contains reports whether some source lists an endpoint. Any goroutine may call it.
+// contains reports whether any source lists an endpoint. Any goroutine may call it.
 func (t *endpointTable) contains(id string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -84,5 +85,5 @@
 	return listed
 }
 
-// HasEndpoint reports whether some source lists an endpoint. Any goroutine may call it.
+// HasEndpoint reports whether any source lists an endpoint. Any goroutine may call it.
 func (c *Coordinator) HasEndpoint(id string) bool { return c.endpoints.contains(id) }
--- a/internal/core/list_lease.go
+++ b/internal/core/list_lease.go
@@ -6,17 +6,17 @@
 	"harepass/internal/logmsg"
 )
 
-// listLease is the lease on the polled source's list. Once it is over, nothing new is sent by that list: replicas may
-// be draining without this coordinator knowing.
+// listLease is the lease on the polled source's list. After it expires, nothing new is sent to that list's endpoints:
+// replicas may be draining without this coordinator knowing.
 type listLease struct {
-	endTimer      *timer // when the lease is over; nil where the source has set no end, or it has been reached
+	endTimer      *timer // ends the lease; nil if the source has set no expiry, or once it is reached
 	expired       bool   // the lease is over, and the list has not been confirmed since
-	wasOnlySource bool   // when the lease expired, no other source listed an endpoint; false while it is not expired
+	wasOnlySource bool   // while expired: no other source listed an endpoint at the expiry; otherwise false
 }
 
-// SetListExpiry sets until when a source's list may be used, as an instant on the coordinator's clock. A list for which
-// it is never called may be used for good; sources other than the polled one have no lease. It waits while the queue is
-// full; a tick that hangs can make that long.
+// SetListExpiry sets the instant, on the coordinator's clock, until which a source's list may be used. A list without
+// an expiry may be used indefinitely; only the polled source has a lease, so calls for other sources have no effect.
+// SetListExpiry waits while the queue is full, which can take long if a tick hangs.
 func (c *Coordinator) SetListExpiry(source string, expires time.Duration) {
 	c.post(leaseRenewed{source, expires})
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// endLease ends the lease: the module hears that the list's replicas drain, until the list is confirmed.
+// endLease ends the lease: the list's replicas are reported to the module as draining until the list is confirmed.
 func (c *Coordinator) endLease() {
 	c.lease.endTimer = nil
 	if c.lease.expired {
@@ -55,7 +55,7 @@
 	c.withholdUnsendable()
 }
 
-// onlyListExpired reports whether new queries are to be rejected because the only list has expired. Which sources list
-// endpoints is read once, when the lease ends: one that begins to list some later does not end the rejections; a
-// confirmed list does.
+// onlyListExpired reports whether to reject new queries because the only list has expired. Which sources list endpoints
+// is checked once, when the lease ends: a source that lists its first endpoints later does not end the rejections, but
+// a confirmed list does.
 func (c *Coordinator) onlyListExpired() bool { return c.lease.expired && c.lease.wasOnlySource }
--- a/internal/core/pending_updates.go
+++ b/internal/core/pending_updates.go
@@ -7,36 +7,36 @@
 	"harepass/internal/decide/scatter"
 )
 
-// maxEntriesPerTick is how many entries of endpoint lists are taken in by one tick, so that no query waits for a long
-// list.
+// maxEntriesPerTick is how many entries of endpoint lists one tick merges, so that a long list does not delay queries.
 const maxEntriesPerTick = 256
 
-// pendingUpdates are the endpoint updates that wait for a tick of their own, in order.
+// pendingUpdates queues, in order, the endpoint updates that later ticks will merge.
 type pendingUpdates struct{ queue []endpointUpdate }
 
-// add queues the pieces of an update and reports whether they are the first.
+// add queues the pieces of an update and reports whether the queue was empty before.
 func (p *pendingUpdates) add(pieces []endpointUpdate) (first bool) {
 	first = len(p.queue) == 0
 	p.queue = append(p.queue, pieces...)
 	return first
 }
 
-// takeNext removes and returns the update that is next.
+// takeNext removes and returns the next update.
 func (p *pendingUpdates) takeNext() endpointUpdate {
 	u := p.queue[0]
 	p.queue = p.queue[1:]
 	return u
 }
 
-// apply takes an update in at once, or its first piece. What comes while pieces are pending waits behind them.
+// apply merges the update, or the first piece of a split list. An update that arrives while pieces are pending waits
+// behind them.
 func (u endpointUpdate) apply(c *Coordinator) {
 	if c.updates.add(c.split(u)) {
 		c.mergePending()
 	}
 }
 
-// mergePending takes in what is pending, up to a tick's share, and has the rest taken in by ticks of its own. A piece
-// that is longer than the share is taken in alone.
+// mergePending merges pending updates, up to maxEntriesPerTick entries, and schedules another tick for the rest. An
+// update with more entries than that is merged in a tick without others.
 func (c *Coordinator) mergePending() {
 	pending := &c.updates
 	for left := maxEntriesPerTick; len(pending.queue) > 0; {
@@ -48,11 +48,11 @@
 		left -= max(1, len(u.endpoints))
 	}
 	if len(pending.queue) > 0 {
-		c.timers.add(c.now+1, c.mergePending) // a timer for now would run in this tick
+		c.timers.add(c.now+1, c.mergePending) // a timer for c.now would run in this tick
 	}
 }
 
-// mergeAllPending takes in all that is pending.
+// mergeAllPending merges all pending updates.
 func (c *Coordinator) mergeAllPending() {
 	for _, u := range c.updates.queue {
 		c.merge(u)
@@ -60,9 +60,9 @@
 	c.updates.queue = nil
 }
 
-// split cuts a long full list of the polled source into changes; all else stays in one piece. The entries come in the
-// order of their ids, as in a full list that the module hears. Only the last piece removes what the list does not name,
-// and only with it the list is known.
+// split divides a long full list of the polled source into incremental updates; any other update stays in one piece.
+// The entries are sorted by id, as in a full list that the module gets. Only the last piece removes endpoints that are
+// missing from the list, and only with it does the list count as known.
 func (c *Coordinator) split(u endpointUpdate) []endpointUpdate {
 	if u.kind != scatter.FullUpdate || u.source != c.cfg.PolledSource || len(u.endpoints) <= maxEntriesPerTick {
 		return []endpointUpdate{u}
