--- a/internal/core/checkpoint.go
+++ b/internal/core/checkpoint.go
@@ -6,23 +6,24 @@
 	"harepass/internal/decide/scatter"
 )
 
-// checkpointInterval is how often Config.OnCheckpoint is called; the module renews its own rates as often.
+// checkpointInterval is the time between calls of Config.OnCheckpoint; the module updates its own rates at the same
+// interval.
 const checkpointInterval = time.Second
 
-// Restore gives the module what another process had learned. The endpoint list has to have been given before. It waits
-// while the queue is full.
+// Restore passes what another process has learned to the module. The endpoint list must have been given before. It
+// waits while the queue is full.
 func (c *Coordinator) Restore(learned scatter.Checkpoint) { c.post(restoreRequest{learned}) }
 
 type restoreRequest struct{ learned scatter.Checkpoint }
 
 func (m restoreRequest) apply(c *Coordinator) {
 	c.mergeAllPending()
-	c.step() // the module has to know the endpoint list before
+	c.step() // the module must know the endpoint list first
 	c.machine.Restore(m.learned)
 }
 
-// checkpoint gives out what the module has learned, until the coordinator drains: queries are not spread as usual then,
-// and what is learned from them misleads.
+// checkpoint passes what the module has learned to Config.OnCheckpoint until the coordinator drains. Queries are not
+// spread as usual during a drain, so what the module learns from them is misleading.
 func (c *Coordinator) checkpoint() {
 	if c.Phase() <= Ready {
 		c.cfg.OnCheckpoint(c.machine.Checkpoint())
--- a/internal/core/memory_relief.go
+++ b/internal/core/memory_relief.go
@@ -9,9 +9,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// RelieveMemory reports how short memory runs, or that it does no more. Values that the Planner retains go first; then
-// queries are ended that take excess bytes together. It waits while the queue is full; a tick that hangs can make
-// that long.
+// RelieveMemory applies a memory level, which may also mean that memory is no longer short. The Planner's retained
+// values are dropped first; at a higher level, queries are ended that together take excess bytes. RelieveMemory waits
+// while the queue is full, which can take long if a tick hangs.
 func (c *Coordinator) RelieveMemory(level overload.MemoryLevel, excess int64) {
 	c.post(memoryRelief{level, excess})
 }
@@ -32,7 +32,7 @@
 	if m.level < overload.EndQueries || m.excess <= 0 {
 		return
 	}
-	ids := slices.Sorted(maps.Keys(c.open.byID)) // the choice is the same for the same queries
+	ids := slices.Sorted(maps.Keys(c.open.byID)) // sorted, so the same queries give the same choice
 	var list []overload.OpenQuery
 	for _, id := range ids {
 		list = append(list, c.describeOpen(c.open.byID[id]))
@@ -42,9 +42,9 @@
 	}
 }
 
-// describeOpen is a query as it is chosen among. Where a part that must not run twice was sent, it may have run, and
-// the client would not know whether it did. A class that the settings have dropped counts as one that must not run
-// twice.
+// describeOpen describes an open query for SelectQueriesToEnd. If a part that must not run twice was sent, it may have
+// run, and the client would not know whether it did. A query whose class is no longer in the settings counts as one
+// that must not run twice.
 func (c *Coordinator) describeOpen(q *query) overload.OpenQuery {
 	o := overload.OpenQuery{Bytes: q.bytes, PriorityWeight: math.SmallestNonzeroFloat64}
 	mustNotRunTwice := true
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -9,31 +9,31 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Phase is where a coordinator stands between start and exit.
+// Phase is a stage in a coordinator's life, from start to exit.
 type Phase int32
 
-// The phases, in order; none is gone back to.
+// The phases, in order. A coordinator never returns to an earlier one.
 const (
-	Starting Phase = iota // the endpoint list is not known yet: not ready for clients, though queries are accepted
+	Starting Phase = iota // the endpoint list is not known yet: not ready for clients, but queries are accepted
 	Ready                 // serving
-	Draining              // not ready for clients; open queries are answered, and those that still come are accepted
-	Stopped               // nothing is open, and nothing more is accepted
+	Draining              // not ready for clients; open queries are answered, and new ones are still accepted
+	Stopped               // no query is open, and none is accepted
 )
 
-// String is the phase's name, for readiness replies and logs.
+// String returns the phase's name, for readiness replies and logs.
 func (p Phase) String() string { return [...]string{"starting", "ready", "draining", "stopped"}[p] }
 
-// phaseState is a coordinator's way from start to exit.
+// phaseState holds the phase and what moves it on.
 type phaseState struct {
 	phase    atomic.Int32  // a Phase; any goroutine may read it
 	started  chan struct{} // closed once the phase has left Starting
-	stopping bool          // to become Stopped when nothing is open
-	drainEnd time.Duration // instant by which all queries have to be answered; 0 while there is none
+	stopping bool          // Stop was called: the phase becomes Stopped once no query is open
+	drainEnd time.Duration // instant at which open queries are ended; 0 without a bound
 }
 
 func newPhaseState() phaseState { return phaseState{started: make(chan struct{})} }
 
-// moveTo sets a later phase; it does nothing for an earlier one.
+// moveTo sets the phase to p unless the present phase is p or later.
 func (l *phaseState) moveTo(p Phase) {
 	present := Phase(l.phase.Load())
 	if p <= present {
@@ -45,16 +45,16 @@
 	l.phase.Store(int32(p))
 }
 
-// Phase returns the present phase. Any goroutine may call it.
+// Phase returns the current phase. Any goroutine may call it.
 func (c *Coordinator) Phase() Phase { return Phase(c.phaseState.phase.Load()) }
 
 // Started returns a channel that is closed once the phase has left Starting.
 func (c *Coordinator) Started() <-chan struct{} { return c.phaseState.started }
 
-// NotReadyError tells in which phase a coordinator is not ready for clients. Its text is the phase's name.
+// NotReadyError reports that a coordinator is not ready for clients, and its phase. Its text is the phase's name.
 type NotReadyError struct{ Phase Phase }
 
-// Error is the phase's name.
+// Error returns the phase's name.
 func (e NotReadyError) Error() string { return e.Phase.String() }
 
 // CheckReady returns a NotReadyError unless the phase is Ready. Any goroutine may call it.
@@ -65,17 +65,18 @@
 	return nil
 }
 
-// Drain makes the phase Draining. It ends the calls of Config.OnCheckpoint, and bounds all queries, open ones and those
-// that are accepted from now on: each has its answer Limits.DrainTimeout later, plus answerGrace. A second Drain does
-// not move that bound. Drain waits while the queue is full; any goroutine but the coordinator's own may call it.
+// Drain sets the phase to Draining and ends the calls of Config.OnCheckpoint. It also bounds the time of all queries,
+// both open ones and those accepted later: each is answered within Limits.DrainTimeout plus answerGrace of the first
+// Drain. A second Drain does not move that bound. Drain waits while the queue is full; any goroutine except the
+// coordinator's own may call it.
 func (c *Coordinator) Drain() { c.post(drainRequest{}) }
 
-// Stop makes the phase Draining, and Stopped once no query is open; it returns when Run has. It bounds no query's time:
-// Drain has to be called before where that is wanted. All fronts should have shut down before Stop is called: queries
-// that still wait in the queue after the last tick are rejected.
+// Stop sets the phase to Draining, then to Stopped once no query is open, and returns when Run has returned. It does
+// not bound the time of queries; call Drain first for that. All fronts should have shut down before Stop is called:
+// queries that are still in the queue after the last tick are rejected.
 //
-// The order of a program's end is Drain, the fronts' shutdown, Stop. Any goroutine but the coordinator's own may call
-// it.
+// A program ends in this order: Drain, shutdown of the fronts, Stop. Any goroutine except the coordinator's own may
+// call Stop.
 func (c *Coordinator) Stop() {
 	c.post(stopRequest{})
 	<-c.stopped
@@ -86,8 +87,8 @@
 	stopRequest  struct{}
 )
 
-// apply also bounds the time of open queries, and of those that are accepted from now on: the platform kills the
-// process some time after it has asked for its end.
+// apply also bounds the time of open queries and of those accepted later, because the platform kills the process some
+// time after it has requested the shutdown.
 func (drainRequest) apply(c *Coordinator) {
 	c.phaseState.moveTo(Draining)
 	timeout := c.inForce().limits.DrainTimeout
@@ -105,20 +106,21 @@
 	}
 }
 
-// endOpenQueries has the module end the open queries with what has come in: the platform is about to kill this process.
+// endOpenQueries makes the module end the open queries with the values received so far, because the platform is about
+// to kill this process.
 func (c *Coordinator) endOpenQueries() {
 	for _, id := range slices.Sorted(maps.Keys(c.open.byID)) {
 		c.notify(scatter.QueryExpired{ID: id})
 	}
 }
 
-// apply has updatePhase stop the coordinator once the last query has its answer.
+// apply makes updatePhase stop the coordinator once the last query is answered.
 func (stopRequest) apply(c *Coordinator) {
 	c.phaseState.moveTo(Draining)
 	c.phaseState.stopping = true
 }
 
-// updatePhase moves on at the end of a tick, where the time for it has come.
+// updatePhase moves to the next phase at the end of a tick if its condition is met.
 func (c *Coordinator) updatePhase() {
 	if c.listReadiness.known {
 		c.phaseState.moveTo(Ready)
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -9,13 +9,14 @@
 )
 
 var (
-	// ErrSecondRound is returned for settings with a class of two rounds, which no front of this program serves.
+	// ErrSecondRound is returned for settings that contain a class with a second round, which no front of this program
+	// supports.
 	ErrSecondRound = errors.New("core: classes with a second step are not served")
 	// ErrStopped is returned by calls to a Coordinator whose Run has returned.
 	ErrStopped = errors.New("core: stopped")
 )
 
-// settingsInForce holds settings and limits that are in force together. It is never changed, so any goroutine may read
+// settingsInForce holds the settings and limits that are in force together. It is immutable, so any goroutine may read
 // it.
 type settingsInForce struct {
 	scatter.Settings
@@ -25,7 +26,7 @@
 // inForce returns the settings in force. Any goroutine may call it.
 func (c *Coordinator) inForce() *settingsInForce { return c.settings.Load() }
 
-// class returns the class of a name, nil if there is none.
+// class returns the class with the given name, or nil if there is none.
 func (s *settingsInForce) class(name string) *scatter.Class {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// retryPolicy returns the policy of the class of a name, the zero policy if there is none.
+// retryPolicy returns the policy of the class with the given name, or the zero policy if there is none.
 func (s *settingsInForce) retryPolicy(class string) retry.Policy {
 	if c := s.class(class); c != nil {
 		return c.RetryPolicy()
@@ -43,7 +44,7 @@
 	return retry.Policy{}
 }
 
-// checkSupported returns ErrSecondRound, with the class's name, for settings that this program does not serve.
+// checkSupported returns ErrSecondRound, with the class's name, for settings that this program does not support.
 func checkSupported(s scatter.Settings) error {
 	for _, class := range s.Classes {
 		if class.SecondRoundParts > 0 {
@@ -53,9 +54,10 @@
 	return nil
 }
 
-// Configure puts settings and limits in force, all of them or, with an error, none: ErrSecondRound, a
-// *scatter.SettingError, or ErrStopped. Queries that were submitted before keep their class. It waits while the queue
-// is full and for the tick that does it, without a limit, so the coordinator's own goroutine must not call it.
+// Configure puts settings and limits in force, either all of them or, if it returns an error, none. The error is
+// ErrSecondRound, a *scatter.SettingError, or ErrStopped. Queries that were submitted before keep their class.
+// Configure waits without a limit, while the queue is full and until a tick has applied the settings, so the
+// coordinator's own goroutine must not call it.
 func (c *Coordinator) Configure(s scatter.Settings, l Limits) error {
 	if err := checkSupported(s); err != nil {
 		return err
@@ -72,11 +74,11 @@
 
 type configureRequest struct {
 	settings *settingsInForce
-	result   chan error // takes one without waiting
+	result   chan error // has a buffer of one, so the coordinator does not block
 }
 
 func (m configureRequest) apply(c *Coordinator) {
-	c.step() // events that came before belong to the old settings
+	c.step() // earlier events are handled under the old settings
 	err := c.machine.Configure(withFirstPhases(m.settings.Settings, c.cfg.TwoPhaseClasses))
 	if err == nil {
 		c.settings.Store(m.settings)
