--- a/internal/core/attempt_test.go
+++ b/internal/core/attempt_test.go
@@ -7,8 +7,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// An attempt times out at a replica that may still run it. The next attempt of the part must not reach a replica before
-// the cancellation has: the attempt ends when its caller has sent that, or by closing the connection after cancelGrace.
+// An attempt times out at a replica that may still run it. The part's next attempt must not reach a replica before the
+// cancellation does: the attempt ends when its Caller has sent the cancellation or, after cancelGrace, closes the
+// connection.
 func TestNoRetryBeforeCancellationIsSent(t *testing.T) {
 	for _, confirmed := range []bool{true, false} {
 		h := newHarness(t, nil)
@@ -26,7 +27,7 @@
 			h.pass(cancelGrace)
 		}
 		if !first.ended {
-			t.Error("the attempt has not ended")
+			t.Error("the cancelled attempt has not ended")
 		}
 		if closed := len(h.caller.cancelled) == 2; closed == confirmed {
 			t.Errorf("cancellation sent: %t, connection closed: %t", confirmed, closed)
@@ -34,19 +35,19 @@
 	}
 }
 
-// A replica's spoilt answer to one attempt ends the connection that another attempt shares. The caller cancels the
-// other by itself: that is no answer, and its part is retried.
+// An unusable answer to one attempt closes the connection that another attempt shares. The Caller then cancels the
+// other attempt itself. That is not an answer, so its part is retried.
 func TestPartIsRetriedAfterCallerCancels(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submit(h.query("free", 0))
 	h.AttemptEnded(h.caller.last(), scatter.Cancelled, nil)
 	h.pass(0)
 	if h.want(t); len(h.caller.calls) != 2 {
-		t.Errorf("%d calls, want 2", len(h.caller.calls))
+		t.Errorf("%d calls after the Caller cancelled, want 2", len(h.caller.calls))
 	}
 }
 
-// An attempt times out, and its value arrives while its cancellation is on the way: the value counts.
+// An attempt times out, and its value arrives while the cancellation is being sent: the value counts.
 func TestValueDuringCancellationCounts(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submit(h.query("once", 0))
@@ -56,11 +57,12 @@
 	h.AttemptEnded(at, scatter.Succeeded, []byte("v"))
 	h.pass(time.Second)
 	if len(h.answers) != 1 || len(h.caller.calls) != 1 {
-		t.Errorf("answers %q, %d calls", h.answers, len(h.caller.calls))
+		t.Errorf("answers %q and %d calls, want one of each", h.answers, len(h.caller.calls))
 	}
 }
 
-// A hedged request is sent while the first attempt still runs. Both carry the query's key, so that replicas drop one.
+// A hedged request is sent while the first attempt still runs. Both carry the query's idempotency key, so that replicas
+// drop one of them.
 func TestHedgedRequestHasTheIdempotencyKey(t *testing.T) {
 	h := newTwoEndpointHarness(t, func(c *Config) {
 		c.Settings.Hedging = true
@@ -71,7 +73,7 @@
 		q.IdempotencyKeys = []string{key}
 		h.submit(q)
 	}
-	for range 50 { // parts that allow a hedged request
+	for range 50 { // these parts earn the allowance for a hedged request
 		submit("earlier")
 		h.caller.last().Begin()
 		h.AttemptEnded(h.caller.last(), scatter.Succeeded, []byte("v"))
--- a/internal/core/first_phase_test.go
+++ b/internal/core/first_phase_test.go
@@ -10,11 +10,11 @@
 	"harepass/internal/decide/twophase"
 )
 
-// searchTopic is the topic of search's queries.
+// searchTopic is the topic of the queries that search submits.
 var searchTopic = twophase.Topic{Index: "ix", Class: "free"}
 
-// newTwoPhaseHarness has a class that may be answered from 70%, with first phases, over shards 0 to 3. If retained, the
-// Planner has the values known0 to known3 of search's query under state 1.
+// newTwoPhaseHarness returns a harness with first phases over shards 0 to 3, whose class has a minimum fraction of 70%.
+// If retained is set, the Planner retains the values known0 to known3 for search's query, as of state 1.
 func newTwoPhaseHarness(t *testing.T, retained bool, change func(*Config)) *harness {
 	h := newHarness(t, func(c *Config) {
 		c.Settings.Classes[0].MinFraction = 0.7
@@ -32,13 +32,13 @@
 	return h
 }
 
-// state is the evidence of a shard with a hit whose data is at a version; higher ones are newer.
+// state is the evidence of a shard with one hit and data at the given version; higher versions are newer.
 func state(version float64) twophase.Evidence {
 	return twophase.Evidence{Readable: true, Matches: 1, Versioned: true,
 		Version: twophase.Version{Docs: 1, Max: version, Min: version, Sum: version}}
 }
 
-// search submits a query of shards 0 to 3 that may have a first phase.
+// search submits a query over shards 0 to 3 that may have a first phase.
 func (h *harness) search() *Query {
 	q := h.query("free", 0, 1, 2, 3)
 	q.Index, q.Body, q.EmptyValue = "ix", []byte("text"), []byte("none")
@@ -49,7 +49,7 @@
 	return q
 }
 
-// outstanding lists the attempts that have neither ended nor been cancelled, of first phases or in full.
+// outstanding returns the attempts that have neither ended nor been cancelled, of first phases or of full queries.
 func (h *harness) outstanding(firstPhase bool) (list []*Attempt) {
 	for _, call := range h.caller.calls {
 		for _, at := range call {
@@ -61,15 +61,15 @@
 	return list
 }
 
-// end ends an attempt with an outcome and what it has found; its value is v with the shard's number.
+// end ends an attempt with an outcome and evidence; its value is v and the shard's number.
 func (h *harness) end(at *Attempt, o scatter.Outcome, found twophase.Evidence) {
 	at.Evidence = found
 	h.AttemptEnded(at, o, fmt.Appendf(nil, "v%d", at.Shard))
 	h.pass(0)
 }
 
-// A first phase proves all values, some, or none. What it proves is not sent in full; the rest is, and its values are
-// wanted with their version so that they can be retained.
+// A first phase proves all values, some, or none. Parts with a proven value are not sent in full. The others are, and
+// ask for versioned values so that these can be retained.
 func TestFirstPhaseOutcomes(t *testing.T) {
 	always := func(e twophase.Evidence) func(int) twophase.Evidence { return func(int) twophase.Evidence { return e } }
 	empty := twophase.Evidence{Readable: true, Versioned: true, Version: state(1).Version}
@@ -107,21 +107,21 @@
 			h.search()
 			firsts := h.outstanding(true)
 			if n := len(h.outstanding(false)); len(firsts) != 4 || n != 0 {
-				t.Fatalf("%d first phases, %d parts in full, want 4 and 0", len(firsts), n)
+				t.Fatalf("%d first phases and %d full parts outstanding, want 4 and 0", len(firsts), n)
 			}
 			for _, at := range firsts {
 				h.end(at, tc.outcome, tc.found(at.Shard))
 			}
-			if tc.outcome != scatter.Succeeded { // the one replica is ejected for a while
+			if tc.outcome != scatter.Succeeded { // the only replica is ejected for a while
 				h.pass(450 * ms)
 			}
 			full := h.outstanding(false)
 			if n := len(h.outstanding(true)); len(full) != tc.full || n != 0 {
-				t.Fatalf("%d parts in full and %d first phases after it, want %d and 0", len(full), n, tc.full)
+				t.Fatalf("%d full parts and %d first phases after it, want %d and 0", len(full), n, tc.full)
 			}
 			for _, at := range full {
 				if at.WithVersion != tc.withVersion {
-					t.Errorf("shard %d asked with its version: %t", at.Shard, at.WithVersion)
+					t.Errorf("shard %d: full part asks for the version: %t", at.Shard, at.WithVersion)
 				}
 				h.end(at, scatter.Succeeded, state(3))
 			}
@@ -132,32 +132,32 @@
 	}
 }
 
-// A first phase is slow. When it has had its time, all parts are sent in full; what it proves after that still
-// resolves a part, whose attempt in full is cancelled. A part whose value is in cancels its first phase.
+// A first phase is slow. When its time is used up, all parts are sent in full. Later evidence can still resolve a part,
+// whose full attempt is then cancelled. A part that receives its value cancels its first phase.
 func TestSlowFirstPhaseReleasesItsParts(t *testing.T) {
 	h := newTwoPhaseHarness(t, true, nil)
-	for range 10 { // first phases of 50 ms, which allow one of 100 ms
+	for range 10 { // first phases of 50 ms, after which one may take 100 ms
 		h.cfg.Planner.ObserveLatency(searchTopic, 0, true, 50*ms)
 	}
 	h.search()
 	firsts := h.outstanding(true)
 	h.pass(100*ms - 1)
 	if n := len(h.outstanding(false)); n != 0 {
-		t.Fatalf("%d parts in full before the first phase's time is over", n)
+		t.Fatalf("%d full parts sent before the first phase's time is used up", n)
 	}
 	h.pass(1)
 	full := h.outstanding(false)
 	if n := len(h.outstanding(true)); len(full) != 4 || n != 4 {
-		t.Fatalf("%d parts in full and %d first phases, want 4 and 4", len(full), n)
+		t.Fatalf("%d full parts and %d first phases outstanding, want 4 and 4", len(full), n)
 	}
 	h.end(firsts[0], scatter.Succeeded, state(1))
 	if !slices.Contains(h.caller.cancelled, full[0]) {
-		t.Error("a part in full goes on whose value is proven")
+		t.Error("a full part was not cancelled although its value is proven")
 	}
 	h.AttemptEnded(full[0], scatter.Succeeded, []byte("late"))
 	h.end(full[1], scatter.Succeeded, state(1))
 	if !slices.Contains(h.caller.cancelled, firsts[1]) {
-		t.Error("a first phase goes on whose part has its value")
+		t.Error("a first phase was not cancelled although its part has a value")
 	}
 	h.end(firsts[1], scatter.Succeeded, state(1))
 	h.end(full[2], scatter.Succeeded, state(1))
@@ -166,8 +166,8 @@
 	h.want(t, `served true ["known0" "v1" "v2" "v3"] [true false false false]`)
 }
 
-// A first phase and the parts in full after it use up the client's time. The query is answered in part where the
-// weight of what was proven suffices, and rejected where not; in time, and once.
+// A first phase and the full parts after it use up the client's time. The query is answered incompletely if the weight
+// of the proven parts suffices, and rejected otherwise: by the deadline, and once.
 func TestFirstPhaseUsesUpTheTime(t *testing.T) {
 	const rejected = `refused false [] []`
 	for proven, want := range []string{rejected, rejected, rejected,
@@ -182,7 +182,8 @@
 		h.pass(5 * time.Second)
 		h.want(t, want)
 		if h.open.count != 0 || len(h.open.byID) != 0 {
-			t.Errorf("%d queries and parts count as open, %d queries remain", h.open.count, len(h.open.byID))
+			t.Errorf("after the answer: %d queries and parts count as open, %d queries remain",
+				h.open.count, len(h.open.byID))
 		}
 	}
 }
@@ -192,7 +193,7 @@
 	h.CancelQuery(h.search())
 	h.pass(0)
 	if n := len(h.outstanding(true)); n != 0 || h.open.count != 0 || len(h.open.firstPhases) != 0 {
-		t.Errorf("after its client left: %d first phases outstanding, %d queries and parts open", n, h.open.count)
+		t.Errorf("after the client left: %d first phases outstanding, %d queries and parts open", n, h.open.count)
 	}
 }
 
@@ -200,7 +201,7 @@
 	h := newTwoPhaseHarness(t, true, func(c *Config) { c.Limits.MaxOpen = 9 })
 	h.search()
 	if firsts, full := len(h.outstanding(true)), len(h.outstanding(false)); firsts != 0 || full != 4 {
-		t.Errorf("%d first phases, %d parts in full where one query may be open only", firsts, full)
+		t.Errorf("%d first phases and %d full parts under the open limit, want 0 and 4", firsts, full)
 	}
 }
 
@@ -211,12 +212,12 @@
 	h.update(scatter.IncrementalUpdate, b)
 	h.search()
 	if firsts, full := len(h.outstanding(true)), len(h.outstanding(false)); firsts != 0 || full != 4 {
-		t.Errorf("%d first phases, %d parts in full with a holder that speaks frames", firsts, full)
+		t.Errorf("%d first phases and %d full parts with a holder that lacks support, want 0 and 4", firsts, full)
 	}
 }
 
-// A tenant sends twelve queries at once under load. As many are admitted in two phases as in one, for the module counts
-// a first phase to no tenant's quota.
+// A tenant sends twelve queries at once under load. As many are admitted with a first phase as without one, because the
+// module counts a first phase toward no tenant's quota.
 func TestFirstPhaseIsNotCountedInQuota(t *testing.T) {
 	admitted := func(twoPhase bool) int {
 		h := newTwoPhaseHarness(t, true, func(c *Config) {
@@ -226,7 +227,7 @@
 				c.TwoPhaseClasses = nil
 			}
 		})
-		for range 20 { // slow parts in full make a load at which queries over the quota are rejected
+		for range 20 { // slow full parts create a load at which queries over the quota are rejected
 			h.submit(h.query("free", 0))
 			h.pass(350 * ms)
 			h.end(h.outstanding(false)[0], scatter.Succeeded, state(1))
--- a/internal/core/memory_relief_test.go
+++ b/internal/core/memory_relief_test.go
@@ -9,9 +9,9 @@
 	"harepass/internal/decide/twophase"
 )
 
-// Memory runs short. Values that the Planner retains go first; then queries end that take most for the least priority:
-// with an incomplete answer where their class allows one, rejected where not. A query stays of which a part may have
-// run that must not run twice. Once there is memory again, values are retained as before.
+// Memory runs short. The Planner's retained values are dropped first; then the queries that take the most bytes for the
+// least priority are ended, with an incomplete answer if their class allows one and rejected otherwise. A query is kept
+// if a part that must not run twice may have run. Once memory is no longer short, values are retained again.
 func TestMemoryReliefDropsValuesThenQueries(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Admitter, c.Planner, c.CacheBytes = &fakeAdmitter{}, twophase.New(1<<20), 1<<20
@@ -37,22 +37,22 @@
 		}
 		h.submit(q)
 	}
-	h.AttemptEnded(h.caller.calls[0][0], scatter.Succeeded, make([]byte, 100<<10)) // one of the first query's two parts
+	h.AttemptEnded(h.caller.calls[0][0], scatter.Succeeded, make([]byte, 100<<10)) // one of q1's two parts
 	h.pass(0)
 	relieve(overload.DropCached, 0)
 	if n, _ := h.cfg.Planner.Cached(); n != 0 || len(h.answers) != 0 {
-		t.Errorf("%d values retained, answers %q", n, h.answers)
+		t.Errorf("%d values retained, answers %q; want none of either", n, h.answers)
 	}
 	relieve(overload.EndQueries, 1)
 	h.want(t, "q1: served complete=false")
 	relieve(overload.EndQueries, 1<<30)
 	h.want(t, "q1: served complete=false", "q2: refused complete=false")
 	if h.open.byQuery[once] == nil {
-		t.Error("a non-idempotent query was ended that may have run")
+		t.Error("a non-idempotent query that may have run was ended")
 	}
 	relieve(overload.MemoryNormal, 0)
 	retain()
 	if n, _ := h.cfg.Planner.Cached(); n != 1 {
-		t.Error("nothing is retained after memory came back")
+		t.Error("no value is retained after memory is back to normal")
 	}
 }
--- a/internal/core/permit_test.go
+++ b/internal/core/permit_test.go
@@ -9,9 +9,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// An attempt waits at its caller while its replica leaves or its client does. It must not begin any more. Where the
-// replica alone is the reason, the part goes to the other replica at once, for the attempt has never run; an attempt
-// that has begun may have run, and its part stays where it is.
+// An attempt waits at its Caller while its replica or its client leaves. It must no longer begin. If only the replica
+// left, the part is sent to the other replica at once, because the attempt has never run. An attempt that has begun may
+// have run, so its part is not sent elsewhere.
 func TestBeginAfterReplicaOrClientLeft(t *testing.T) {
 	other := map[string]string{"a": "b", "b": "a"}
 	for name, tc := range map[string]struct {
@@ -32,8 +32,8 @@
 			register.Apply(at.ReplicaID, maintenance.Entry{Out: true, At: h.clock})
 			h.SetMaintenance(register)
 		}, true},
-		"its client has left":      {func(h *harness, q *Query, _ *Attempt) { h.CancelQuery(q) }, false},
-		"its client's time passes": {func(h *harness, _ *Query, _ *Attempt) { h.pass(4 * time.Second) }, false},
+		"its client has left":          {func(h *harness, q *Query, _ *Attempt) { h.CancelQuery(q) }, false},
+		"its client's deadline passes": {func(h *harness, _ *Query, _ *Attempt) { h.pass(4 * time.Second) }, false},
 	} {
 		for _, began := range []bool{false, true} {
 			h := newTwoEndpointHarness(t, nil)
@@ -41,12 +41,12 @@
 			h.submit(q)
 			at := h.caller.last()
 			if began && !at.Begin() {
-				t.Fatalf("%s: an attempt may not begin though nothing has happened", name)
+				t.Fatalf("%s: the attempt may not begin before the event", name)
 			}
 			tc.happen(h, q, at)
 			h.pass(0)
 			if at.Begin() {
-				t.Errorf("%s, begun before: %t: the attempt may begin", name, began)
+				t.Errorf("%s, begun before: %t: the attempt may still begin", name, began)
 			}
 			next := h.caller.last()
 			moved := len(h.caller.calls) == 2 && next.ReplicaID == other[at.ReplicaID]
@@ -57,14 +57,14 @@
 	}
 }
 
-// A retry waits at its caller until the deduplication window of an attempt that may have run is over: replicas would
-// run the part again, so the retry must not begin. After an attempt that never ran there is no window.
+// A retry waits at its Caller while the deduplication window of an earlier attempt that may have run passes. After the
+// window, replicas would run the part again, so the retry must not begin. An attempt that never ran sets no window.
 func TestRetryBeginsInsideDedupWindow(t *testing.T) {
 	const window = 300 * ms
 	for outcome, bound := range map[scatter.Outcome]bool{
 		scatter.Errored: true, scatter.ConnectionReset: true, scatter.ConnectFailed: false,
 	} {
-		for _, past := range []time.Duration{-ms, 0, ms} { // the window's end
+		for _, past := range []time.Duration{-ms, 0, ms} { // relative to the window's end
 			h := newTwoEndpointHarness(t, func(c *Config) {
 				c.Settings.Classes[0].Idempotency, c.Settings.Classes[0].DedupWindow = scatter.Keyed, window
 			})
@@ -77,7 +77,7 @@
 			h.AttemptEnded(first, outcome, nil)
 			h.pass(0)
 			if len(h.caller.calls) != 2 {
-				t.Fatalf("after outcome %d there are %d calls, want a retry at once", outcome, len(h.caller.calls))
+				t.Fatalf("after outcome %d there are %d calls, want an immediate retry", outcome, len(h.caller.calls))
 			}
 			h.pass(window - 50*ms + past)
 			retry := h.caller.last()
@@ -85,14 +85,15 @@
 				t.Errorf("after outcome %d, %v past the window's end: the retry may begin: %t", outcome, past, got)
 			}
 			if first.IdempotencyKey != "key" || retry.IdempotencyKey != "key" {
-				t.Errorf("after outcome %d the keys are %q and %q", outcome, first.IdempotencyKey, retry.IdempotencyKey)
+				t.Errorf("after outcome %d the attempts' keys are %q and %q",
+					outcome, first.IdempotencyKey, retry.IdempotencyKey)
 			}
 		}
 	}
 }
 
-// A client leaves while its query is queued, before Execute, or while an attempt waits at its caller and nobody has
-// told the coordinator. In each case nothing begins for it.
+// A client leaves while its query is queued, before Execute, or while an attempt waits at its Caller without a notice
+// to the coordinator. In each case no attempt begins for it.
 func TestNothingBeginsForClientThatLeft(t *testing.T) {
 	h := newTwoEndpointHarness(t, nil)
 	left := make(chan struct{})
@@ -102,7 +103,7 @@
 	close(left)
 	h.pass(0)
 	if a := h.Execute(h.query("free", 0), left); a.Status != Failed {
-		t.Errorf("the answer is %+v", a)
+		t.Errorf("Execute after the client left: answer %+v, want Failed", a)
 	}
 	if h.pass(time.Second); len(h.caller.calls) > 0 || h.open.count > 0 {
 		t.Errorf("%d calls, %d queries and parts open for clients that have left", len(h.caller.calls), h.open.count)
@@ -112,12 +113,13 @@
 	q.client.closed = left
 	h.submit(q)
 	if close(left); h.caller.last().Begin() {
-		t.Error("an attempt begins after its client has left")
+		t.Error("an attempt may begin after its client has left")
 	}
 }
 
-// The settings change the class of open queries: a class that is keyed from now on finds a queued query without a key,
-// and one that is not keyed any more must not free the retries of a query that was accepted under the rule.
+// The settings change the class of existing queries. If the class becomes keyed, a queued query without a key is
+// invalid. If it stops being keyed, a query accepted before keeps its key, and its retries keep to the deduplication
+// window.
 func TestRetryPolicyIsThatOfTheArrival(t *testing.T) {
 	const window = 300 * ms
 	h := newTwoEndpointHarness(t, nil)
@@ -133,9 +135,9 @@
 		}
 	}
 	configure(scatter.Keyed)
-	h.submit(h.query("free", 0)) // valid when its front checked it
+	h.submit(h.query("free", 0)) // valid under the settings that its front checked
 	if len(h.caller.calls) > 0 {
-		t.Error("a query without a key is sent in a keyed class")
+		t.Error("a query without a key was sent in a keyed class")
 	}
 	h.want(t, fmt.Sprintf("%s complete=false []", statusNames[Invalid]))
 	q := h.query("free", 0)
@@ -148,12 +150,12 @@
 	h.AttemptEnded(first, scatter.ConnectionReset, nil)
 	h.pass(window - 49*ms)
 	if retry := h.caller.last(); retry == first || retry.IdempotencyKey != "key" || retry.Begin() {
-		t.Error("the retry is not bound to its window any more, or has lost its key")
+		t.Error("the retry may begin after the deduplication window, or has lost its key")
 	}
 }
 
-// Several parts have two attempts out when their replicas drain. The module hears of the attempts in the order of their
-// queries, parts and numbers in every run: the same events have to give the same actions.
+// Several parts have two outstanding attempts when their replicas drain. The module is notified of the attempts in the
+// order of queries, parts and attempt numbers in every run, because equal events must give equal actions.
 func TestWithheldAttemptsEndInOneOrder(t *testing.T) {
 	for range 20 {
 		h := newTwoEndpointHarness(t, nil)
@@ -167,7 +169,7 @@
 		for i, e := range h.events {
 			ended := e.(scatter.AttemptEnded)
 			if i%2 != ended.Attempt {
-				t.Fatalf("outcome %d is that of attempt %d of part %s", i, ended.Attempt, ended.Part)
+				t.Fatalf("outcome %d belongs to attempt %d of part %s, out of order", i, ended.Attempt, ended.Part)
 			}
 		}
 		if len(h.events) != 32 {
--- a/internal/core/reserved_ids_test.go
+++ b/internal/core/reserved_ids_test.go
@@ -7,9 +7,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Two clients give their queries one id. Replicas know parts by it, and would take one query's parts for the other's.
-// So the second query is refused, also right after the first has its answer, when a replica may still be at it. Once
-// the time of the first query's client is over, nothing of it remains.
+// Two clients give their queries the same id. Replicas identify parts by it and would confuse the two queries, so the
+// second is refused. It is also refused right after the first is answered, when a replica may still work on that. Once
+// the first query's deadline has passed, nothing of it remains.
 func TestClientIDIsReserved(t *testing.T) {
 	h := newHarness(t, nil)
 	first, second := h.query("free", 0), h.query("free", 0)
@@ -24,6 +24,6 @@
 	h.want(t, "invalid complete=false []", `served complete=true ["v"]`, "invalid complete=false []")
 	h.pass(2 * time.Minute)
 	if n := h.timers.tree.Len(); len(h.reservedIDs) > 0 || n > 1 {
-		t.Errorf("%d ids and %d timers remain", len(h.reservedIDs), n)
+		t.Errorf("%d reserved ids and %d timers remain after the deadline", len(h.reservedIDs), n)
 	}
 }
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -8,9 +8,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// The settings change while a query is open: its class must not be retried any more, and another class vanishes. The
-// open query is retried as its class was when it arrived; a query that comes after goes by the new settings, and the
-// class that vanished is unknown.
+// The settings change while a query is open: its class becomes non-idempotent, and another class is removed. The open
+// query is retried under its class as of its arrival. A later query follows the new settings, and the removed class is
+// unknown.
 func TestOpenQueryKeepsItsClass(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submit(h.query("free", 0))
@@ -33,21 +33,21 @@
 	h.want(t, `failed complete=false []`) // the second query; the first is retried
 	third := h.caller.last()
 	if third == second || third.QueryID != first.QueryID {
-		t.Fatalf("sent %+v, want the first query again", third)
+		t.Fatalf("sent %+v, want a retry of the first query", third)
 	}
 	h.AttemptEnded(third, scatter.Errored, nil)
 	h.pass(4 * time.Second)
 	if n := len(h.caller.calls); n != 3 || len(h.answers) != 2 {
-		t.Errorf("%d calls and %d answers, want 3 and 2: the lower MaxAttempts binds open queries too", n, len(h.answers))
+		t.Errorf("%d calls and %d answers, want 3 and 2: MaxAttempts also applies to open queries", n, len(h.answers))
 	}
 	for class, want := range map[string]error{"once": ErrUnknownClass, "new": nil, "free": nil} {
 		if got := h.validate(h.query(class, 0)); !errors.Is(got, want) {
-			t.Errorf("%s: %v, want %v", class, got, want)
+			t.Errorf("class %s: error %v, want %v", class, got, want)
 		}
 	}
 }
 
-// Settings that are impossible, or that this program does not serve, change nothing.
+// Settings that are invalid, or that this program does not support, change nothing.
 func TestInvalidSettingsChangeNothing(t *testing.T) {
 	h := newHarness(t, nil)
 	before := h.inForce()
@@ -62,16 +62,16 @@
 		change(&s)
 		var setting *scatter.SettingError
 		if err := h.configure(s); !errors.As(err, &setting) || h.inForce() != before {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("settings with %s: error %v, or settings changed", name, err)
 		}
 	}
 	s := before.Settings
 	s.Classes = []scatter.Class{{Name: "c", LatencyObjective: 1, Deadline: 1, CompleteFraction: 1, SecondRoundParts: 1}}
 	if err := h.Configure(s, before.limits); !errors.Is(err, ErrSecondRound) {
-		t.Errorf("a second round: %v", err)
+		t.Errorf("settings with a second round: %v, want ErrSecondRound", err)
 	}
 	if h.sentTo(t, "once") != "a" {
-		t.Error("not served by the old settings")
+		t.Error("the old settings no longer serve queries")
 	}
 }
 
@@ -79,6 +79,6 @@
 	s := newHarness(t, nil).cfg.Settings
 	s.Classes[0].SecondRoundParts = 2
 	if _, err := New(Config{Settings: s}); !errors.Is(err, ErrSecondRound) {
-		t.Errorf("a class with a second round: %v", err)
+		t.Errorf("a class with a second round: %v, want ErrSecondRound", err)
 	}
 }
--- a/internal/core/submit_test.go
+++ b/internal/core/submit_test.go
@@ -8,14 +8,14 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Replicas answer every part and report some attempts twice, as a connection that breaks right after its answer does.
-// The module hears one outcome of each attempt, and the client gets one answer.
+// Replicas answer every part, and some attempts are reported twice, as happens if a connection breaks right after its
+// answer. The module is notified of one outcome of each attempt, and the client gets one answer.
 func TestOneAnswerPerQueryAndOneOutcomePerAttempt(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submit(h.query("free", 0, 1, 2))
 	calls := h.caller.calls
 	if len(calls) != 2 || len(calls[0]) != 2 || len(calls[1]) != 1 {
-		t.Fatalf("calls %v, want the three sends of one step in calls of two and one", calls)
+		t.Fatalf("calls %v, want the three attempts of one step in calls of two and one", calls)
 	}
 	for _, call := range calls {
 		for _, at := range call {
@@ -27,7 +27,7 @@
 		(<-h.queue).apply(h.Coordinator)
 	}
 	if len(h.events) != 3 {
-		t.Errorf("the module hears %d outcomes, want 3", len(h.events))
+		t.Errorf("the module is notified of %d outcomes, want 3", len(h.events))
 	}
 	h.pass(5 * time.Second)
 	h.want(t, `served complete=true ["v0" "v1" "v2"]`)
@@ -47,8 +47,8 @@
 	}
 }
 
-// Two processes of one coordinator serve side by side during an upgrade. Each opens half as much, for the limit is that
-// of the machine.
+// Two processes of one coordinator serve in parallel during an upgrade. Each may open half as much, because the limit
+// is for the machine.
 func TestOpenLimitIsHalvedWhileShared(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Limits.MaxOpen = 8 })
 	for _, tc := range []struct {
@@ -61,7 +61,7 @@
 		}
 		h.pass(0)
 		if len(h.open.byID) != tc.opened {
-			t.Errorf("shared %t: %d open, want %d", tc.shared, len(h.open.byID), tc.opened)
+			t.Errorf("limits shared: %t; %d queries open, want %d", tc.shared, len(h.open.byID), tc.opened)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// A client leaves while its query is under way: its attempts are cancelled and nobody gets an answer.
+// A client leaves while its query is open: the query's attempts are cancelled, and it gets no answer.
 func TestQueryOfClientThatLeftIsCancelled(t *testing.T) {
 	h := newHarness(t, nil)
 	q := h.query("free", 0)
@@ -91,10 +91,9 @@
 	h.wantNothingOpen(t)
 }
 
-// The module leaves a query unanswered past its deadline, as it would if it were faulty: the client gets its answer all
-// the same. The test plays that by running the timers without the module: a tick would step it, and it would answer.
-// The first run is at the instant of the tick, when the query's time is not over; the second is when its give-up timer
-// is due.
+// A faulty module leaves a query unanswered past its deadline: the client still gets an answer. The test simulates that
+// by running the timers without the module, which would answer in a tick. The first run is at the instant of the tick,
+// before the query's deadline; the second is when its give-up timer is due.
 func TestUnansweredQueryFailsAtItsDeadline(t *testing.T) {
 	h := newHarness(t, nil)
 	q := h.query("free", 0)
@@ -107,14 +106,14 @@
 	h.want(t, "failed complete=false []")
 }
 
-// A query comes in while the coordinator's last tick applies what came before it. Submit has accepted it, so it has to be
-// answered, although no tick follows: nothing was sent for it, so it is rejected.
+// A query is submitted while the coordinator's last tick applies earlier messages. Submit has accepted it, so it must
+// be answered although no tick follows. Nothing was sent for it, so it is rejected.
 func TestQuerySubmittedDuringLastTickIsAnswered(t *testing.T) {
 	h := newHarness(t, nil)
 	left := make(chan struct{})
 	close(left)
 	answered := h.query("free", 0)
-	answered.client.closed = left // its answer comes in the tick that takes it from the queue
+	answered.client.closed = left // answered in the tick that takes it from the queue
 	late := h.query("free", 0)
 	answers, accepted := make(chan Answer, 1), false
 	late.Done = func(a Answer) { answers <- a }
@@ -126,14 +125,14 @@
 	h.Submit(answered)
 	h.Run()
 	if !accepted {
-		t.Fatal("the query was not accepted, so the test shows nothing")
+		t.Fatal("the late query was not accepted, so the test is inconclusive")
 	}
 	select {
 	case a := <-answers:
 		if a.Status != Rejected || a.RetryAfter != time.Second {
-			t.Errorf("answer %+v", a)
+			t.Errorf("answer %+v, want a rejection with Retry-After 1s", a)
 		}
 	default:
-		t.Error("no answer")
+		t.Error("the late query got no answer")
 	}
 }
--- a/internal/core/validate_test.go
+++ b/internal/core/validate_test.go
@@ -10,7 +10,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A query that no replica could serve is refused at once and never queued. The client is told why.
+// An invalid query is refused immediately and never queued. The client is told the reason.
 func TestInvalidQueriesAreRefused(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Limits.Shards = 24
@@ -44,21 +44,21 @@
 		err := h.validate(q)
 		var part *InvalidPartError
 		if tc.err != nil && !errors.Is(err, tc.err) || tc.err == nil && !errors.As(err, &part) {
-			t.Errorf("%s: %v of type %T", name, err, err)
+			t.Errorf("%s: unexpected error %v of type %T", name, err, err)
 		}
 		if a := h.Execute(q, nil); a.Status != Invalid || a.Reason != tc.reason || len(h.queue) > 0 {
-			t.Errorf("%s: %+v, want %q", name, a, tc.reason)
+			t.Errorf("%s: answer %+v, want the reason %q", name, a, tc.reason)
 		}
 	}
 	q := h.query("free", 0)
 	q.Tenant, q.Deadline = "kitakaze", q.Deadline+time.Minute
 	if err := h.validate(q); err != nil {
-		t.Errorf("a valid query: %v", err)
+		t.Errorf("a valid query is refused: %v", err)
 	}
 }
 
-// A client's rounded weights miss 1 by just less than may be. The query is valid, so with all parts in its answer is
-// complete, also for a client that takes no other.
+// A client's rounded weights miss a sum of 1 by just less than the tolerance. The query is valid, so its answer with
+// all parts is complete, even for a client that requires a complete answer.
 func TestValidWeightsMakeCompleteAnswer(t *testing.T) {
 	for _, weight := range []float64{0.1999, 0.19981, 0.2001, 0.20019} {
 		for _, requireComplete := range []bool{false, true} {
@@ -69,7 +69,7 @@
 			}
 			q.RequireComplete = requireComplete
 			if err := h.validate(q); err != nil {
-				t.Errorf("weight %g: %v", weight, err)
+				t.Errorf("weight %g is refused: %v", weight, err)
 			}
 			h.submit(q)
 			for _, call := range h.caller.calls {
