--- a/internal/core/endpoint_updates_test.go
+++ b/internal/core/endpoint_updates_test.go
@@ -8,17 +8,17 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A source that was not asked, such as an inventory file, sends a list. The module must not take it for the answer to
-// its subscription: it still wants one.
+// A source that the module did not ask, such as an inventory file, sends a list. The module must not take it as the
+// answer to its subscription: it still needs one from the polled source.
 func TestListOfUnaskedSourceIsNoSubscription(t *testing.T) {
 	subscribed := 0
 	h := newHarness(t, func(c *Config) {
 		c.Settings.Subscribe, c.Settings.ListMaxAge = true, time.Second
 		c.PolledSource, c.Subscribe = "discovery", func() { subscribed++ }
-	}) // the harness's list is of the source "test"
+	}) // the harness's list comes from the source "test"
 	h.pass(10 * time.Second)
 	if subscribed < 2 {
-		t.Errorf("%d subscriptions, want one after the other", subscribed)
+		t.Errorf("%d subscriptions, want at least 2", subscribed)
 	}
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// Replicas come and go under ever-new ids. Those that are removed are forgotten, and their connections closed.
+// Replicas come and go, each under a new id. Removed endpoints are forgotten, and their idle connections are closed.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := range 50 {
@@ -45,7 +45,8 @@
 	}
 	h.pass(0)
 	if len(h.endpoints.byID) != 1 || len(h.caller.disconnected) < 50 {
-		t.Errorf("%d endpoints remain, %d were disconnected", len(h.endpoints.byID), len(h.caller.disconnected))
+		t.Errorf("%d endpoints remain, %d were disconnected; want 1 and at least 50",
+			len(h.endpoints.byID), len(h.caller.disconnected))
 	}
 	h.update(scatter.FullUpdate, fakeEndpoint("n99", scatter.Ready))
 	listed, disconnected := h.endpoints.byID, h.caller.disconnected
--- a/internal/core/initial_list_test.go
+++ b/internal/core/initial_list_test.go
@@ -7,7 +7,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// starting is a Coordinator in the phase Starting, which subscribes to the source "test" in its first tick.
+// starting is a Coordinator in the phase Starting that subscribes to the source "test" in its first tick.
 type starting struct {
 	*Coordinator
 	clock time.Duration
@@ -27,7 +27,8 @@
 	return s
 }
 
-// A cached list does not make the coordinator ready at once; the polled source's answer does, if only a failure.
+// A cached list does not make the coordinator Ready immediately. The polled source's answer does, even if it is a
+// failure.
 func TestStartingUntilTheListIsKnown(t *testing.T) {
 	c, err := New(Config{Settings: newHarness(t, nil).cfg.Settings, Clock: func() time.Duration { return time.Hour },
 		Subscribe: func() {}, PolledSource: "test"})
@@ -46,8 +47,8 @@
 	}
 }
 
-// Discovery accepts the watch and stays silent for 10 s. The coordinator serves by its cached list after
-// cachedListDelay, whether that list came before the first tick or a moment after.
+// Discovery accepts the watch and stays silent for 10 s. The coordinator serves with its cached list after
+// cachedListDelay, whether that list arrived before the first tick or after it.
 func TestCachedListIsPresumed(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		s := newStarting(t)
@@ -59,31 +60,32 @@
 		for _, want := range []Phase{Starting, Ready} {
 			s.clock += cachedListDelay - ms
 			if s.tick(); s.Phase() != want {
-				t.Errorf("list before the first tick: %t; %v, want %v", before, s.Phase(), want)
+				t.Errorf("cached list before the first tick: %t; phase %v, want %v", before, s.Phase(), want)
 			}
 		}
 	}
 }
 
-// A source sends its first list in several pieces, slowly. The entries count at once, but only the last ones make the
-// coordinator ready, however long they take: no part of a list is presumed to be all of it.
+// A source sends its first list slowly, in several pieces. The entries take effect at once, but only the last piece
+// makes the coordinator Ready, however long that takes: part of a list never counts as the whole list.
 func TestPartialListDoesNotMakeReady(t *testing.T) {
 	s := newStarting(t)
 	s.tick()
 	s.UpdateEndpointsPartially("test", []Endpoint{fakeEndpoint("a", scatter.Ready), fakeEndpoint("b", scatter.Ready)})
-	s.UpdateEndpointsPartially("test", []Endpoint{fakeEndpoint("a", scatter.Draining), fakeEndpoint("b", scatter.Removed)})
+	s.UpdateEndpointsPartially("test", []Endpoint{fakeEndpoint("a", scatter.Draining),
+		fakeEndpoint("b", scatter.Removed)})
 	for range 3 {
 		s.clock += 2 * cachedListDelay
 		if s.tick(); s.Phase() != Starting {
-			t.Fatalf("half a list: %v", s.Phase())
+			t.Fatalf("phase with half a list: %v, want starting", s.Phase())
 		}
 	}
 	listed := s.endpoints.byID
 	if _, found := listed["b"]; found || listed["a"].State != scatter.Draining {
-		t.Errorf("the pieces do not count: %v", listed)
+		t.Errorf("endpoints after two pieces: %v, want a draining, no b", listed)
 	}
 	s.UpdateEndpoints("test", scatter.IncrementalUpdate, []Endpoint{fakeEndpoint("c", scatter.Ready)})
 	if s.tick(); s.Phase() != Ready || len(s.endpoints.byID) != 2 {
-		t.Errorf("the complete list: %v, %v", s.Phase(), s.endpoints.byID)
+		t.Errorf("after the complete list: phase %v, endpoints %v", s.Phase(), s.endpoints.byID)
 	}
 }
--- a/internal/core/maintenance_test.go
+++ b/internal/core/maintenance_test.go
@@ -13,9 +13,10 @@
 	"harepass/internal/logmsg"
 )
 
-// An operator takes a replica out. From the next tick on nothing is sent to it, whatever its source lists meanwhile:
-// that it runs, that it was removed, that it is back, in a change or a full list. After the operator has called it
-// back, what its source lists counts again; it is in slow start then, so it is sent few parts at first.
+// An operator takes a replica out of service. From the next tick on nothing is sent to it, no matter what its source
+// lists: the replica as ready, as removed, or as present again, in a change or a full list. After the operator has
+// ended the maintenance, the source's list applies again. The replica is then in slow start and gets few parts at
+// first.
 func TestReplicaInMaintenanceIsNotSentTo(t *testing.T) {
 	h := newTwoEndpointHarness(t, nil)
 	register := maintenance.Register{}
@@ -31,12 +32,12 @@
 			seen[h.sentTo(t, "free")] = true
 		}
 		if got := fmt.Sprint(seen); got != want {
-			t.Errorf("%s: sent to %s, want %s", name, got, want)
+			t.Errorf("%s: parts sent to %s, want %s", name, got, want)
 		}
 	}
 	wantSentTo("before", "map[a:true b:true]")
 	if !h.HasEndpoint("a") || h.HasEndpoint("c") {
-		t.Error("the ids that are listed are not known")
+		t.Error("HasEndpoint does not match the list, which has a but not c")
 	}
 	setOut(true)
 	wantSentTo("out", "map[b:true]")
@@ -54,11 +55,11 @@
 		}
 		h.pass(100 * ms)
 	}
-	t.Error("called back and never sent to")
+	t.Error("nothing is sent to the replica after its maintenance ended")
 }
 
-// An operator takes the only replica out while the queue is full of queries. The register is applied first in the very
-// next tick, so none of them is sent.
+// An operator takes out the only replica while the queue is full of queries. The next tick applies the register first,
+// so it sends none of them.
 func TestMaintenanceIsAppliedBeforeQueuedQueries(t *testing.T) {
 	h := newHarness(t, nil)
 	for h.Submit(h.query("free", 0)) {
@@ -66,12 +67,12 @@
 	h.SetMaintenance(maintenance.Register{"a": {Out: true, At: h.clock}})
 	h.tick()
 	if len(h.caller.calls) != 0 {
-		t.Errorf("%d calls to a replica that was out before the tick", len(h.caller.calls))
+		t.Errorf("%d calls to a replica that was taken out before the tick", len(h.caller.calls))
 	}
 }
 
-// Operators take out the last holder of a shard. Queries that need the shard are rejected in time, and one line in the
-// log says why.
+// Operators take out the last holder of a shard. Queries that need the shard are rejected by their deadline, and one
+// log line gives the reason.
 func TestShardUncoveredByMaintenance(t *testing.T) {
 	var log bytes.Buffer
 	h := newHarness(t, func(c *Config) {
@@ -85,9 +86,9 @@
 	h.pass(4 * time.Second)
 	h.want(t, `refused complete=false []`)
 	if len(h.caller.calls) != 0 {
-		t.Error("sent to a replica that is out")
+		t.Error("a part was sent to a replica in maintenance")
 	}
 	if n := strings.Count(log.String(), logmsg.ShardsUncovered); n != 1 {
-		t.Errorf("%d lines on it: %s", n, &log)
+		t.Errorf("%d log lines about uncovered shards, want 1: %s", n, &log)
 	}
 }
--- a/internal/core/pending_updates_test.go
+++ b/internal/core/pending_updates_test.go
@@ -10,7 +10,8 @@
 	"harepass/internal/decide/scatter"
 )
 
-// newFleetHarness has a list of so many endpoints, one to a ring position, of which one is in maintenance.
+// newFleetHarness returns a harness with the given number of endpoints, one at each ring position, one of them in
+// maintenance.
 func newFleetHarness(t testing.TB, endpoints int) *harness {
 	h := newHarness(t, func(c *Config) {
 		s := &c.Settings
@@ -25,7 +26,7 @@
 	return h
 }
 
-// fleetEndpoint is the endpoint at a ring position.
+// fleetEndpoint returns the endpoint at a ring position.
 func fleetEndpoint(position int) Endpoint {
 	return Endpoint{Replica: scatter.Replica{ID: fmt.Sprint("n", position), RingPosition: position}, Address: "a",
 		Scheme: "fake"}
@@ -38,7 +39,8 @@
 	return list
 }
 
-// changeEntry has one tick in which an endpoint drains, and in the next call one in which it is back as a new process.
+// changeEntry runs one tick with one changed endpoint: with an even number it drains, and with the next odd number it
+// is back as a new process.
 func (h *harness) changeEntry(number, endpoints int) {
 	e := fleetEndpoint(number / 2 * 7 % endpoints)
 	if number%2 == 0 {
@@ -51,14 +53,14 @@
 	h.tick(posted{u, h.clock})
 }
 
-// A changed entry takes about as many allocations in a list of 700 as in one of 70, for nothing is made anew that is as
-// long as the list. The allowance of 10 is for maps that happen to grow.
+// A changed entry takes about as many allocations in a list of 700 endpoints as in one of 70, because nothing as long
+// as the list is rebuilt. The allowance of 10 covers maps that happen to grow.
 func TestChangedEntryCostIsIndependentOfListLength(t *testing.T) {
 	var allocations []float64
 	for _, endpoints := range []int{70, 700} {
 		h := newFleetHarness(t, endpoints)
 		number := 0
-		for ; number < 2*endpoints; number++ { // until the index has space for each position
+		for ; number < 2*endpoints; number++ { // let the index allocate space for each position
 			h.changeEntry(number, endpoints)
 		}
 		allocations = append(allocations, testing.AllocsPerRun(20, func() {
@@ -68,13 +70,13 @@
 		}))
 	}
 	if allocations[1] > allocations[0]+10 {
-		t.Errorf("an endpoint that drains and is back takes %v allocations among 70, %v among 700",
+		t.Errorf("an endpoint that drains and returns takes %v allocations among 70 and %v among 700",
 			allocations[0], allocations[1])
 	}
 }
 
-// A long list is merged over several ticks, so that queries between them are served. It counts as known, and removes
-// endpoints, only with its last piece; updates that come meanwhile are merged after it.
+// A long list is merged over several ticks, so that queries between them are served. Only the last piece makes the list
+// count as known and removes endpoints. Updates that arrive before it are merged after it.
 func TestLongListIsMergedOverSeveralTicks(t *testing.T) {
 	const endpoints, ticks = 3*maxEntriesPerTick - 10, 3
 	h := newHarness(t, func(c *Config) {
@@ -90,38 +92,38 @@
 	for tick := 1; tick <= ticks; tick++ {
 		h.clock += ms
 		h.tick()
-		want := 1 + tick*maxEntriesPerTick // and the endpoint a, of the list before
+		want := 1 + tick*maxEntriesPerTick // including the endpoint a of the previous list
 		if tick == ticks {
-			want = endpoints - 10 // a is removed, and so are those of ten updates, up to a tick's share
+			want = endpoints - 10 // a and the endpoints of ten updates are removed, which fills the tick
 		}
 		known := tick == ticks
 		if len(h.endpoints.byID) != want || h.listReadiness.known != known || h.HasEndpoint("a") == known {
-			t.Errorf("after %d ticks %d endpoints, want %d; known %t, the one not listed %t", tick,
+			t.Errorf("after %d ticks %d endpoints, want %d; list known %t, unlisted endpoint present %t", tick,
 				len(h.endpoints.byID), want, h.listReadiness.known, h.HasEndpoint("a"))
 		}
 	}
 	h.pass(2 * ms)
 	if len(h.endpoints.byID) != endpoints-100 || h.HasEndpoint("n99") || h.caller.disconnected[0] != "a" {
-		t.Errorf("%d endpoints in the end, disconnected %v", len(h.endpoints.byID), h.caller.disconnected)
+		t.Errorf("%d endpoints after all updates, disconnected %v", len(h.endpoints.byID), h.caller.disconnected)
 	}
 }
 
-// A list of maxEntriesPerTick entries is merged at once. A checkpoint is restored after the whole of a longer list, for
-// the module drops what it says of endpoints that it does not know.
+// A list of maxEntriesPerTick entries is merged in one tick. Restore first merges the whole of a longer list, because
+// the module drops checkpoint data about endpoints that it does not know.
 func TestRestoreFollowsTheWholeList(t *testing.T) {
 	h := newFleetHarness(t, maxEntriesPerTick)
 	if len(h.endpoints.byID) != maxEntriesPerTick || len(h.updates.queue) != 0 {
-		t.Errorf("%d endpoints after one tick, %d pieces left", len(h.endpoints.byID), len(h.updates.queue))
+		t.Errorf("%d endpoints after one tick, %d pieces pending", len(h.endpoints.byID), len(h.updates.queue))
 	}
 	h.UpdateEndpoints("test", scatter.FullUpdate, fleetList(2*maxEntriesPerTick))
 	h.Restore(scatter.Checkpoint{})
 	h.tick()
 	if len(h.endpoints.byID) != 2*maxEntriesPerTick || len(h.updates.queue) != 0 {
-		t.Errorf("%d endpoints when restored, %d pieces left", len(h.endpoints.byID), len(h.updates.queue))
+		t.Errorf("%d endpoints after Restore, %d pieces pending", len(h.endpoints.byID), len(h.updates.queue))
 	}
 }
 
-// BenchmarkChange is one tick with one changed entry.
+// BenchmarkChange measures one tick with one changed entry.
 func BenchmarkChange(b *testing.B) {
 	for _, endpoints := range []int{70, 700, 2100, 7000} {
 		b.Run(fmt.Sprint("nodes=", endpoints), func(b *testing.B) {
@@ -136,7 +138,7 @@
 	}
 }
 
-// BenchmarkWholeList is the ticks in which a list is merged for the first time.
+// BenchmarkWholeList measures the ticks in which a list is merged for the first time.
 func BenchmarkWholeList(b *testing.B) {
 	for _, endpoints := range []int{70, 700, 2100, 7000} {
 		b.Run(fmt.Sprint("nodes=", endpoints), func(b *testing.B) {
@@ -149,7 +151,7 @@
 	}
 }
 
-// processTime is the processor time that this process has used.
+// processTime returns the CPU time that this process has used.
 func processTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/core/ring_index_test.go
+++ b/internal/core/ring_index_test.go
@@ -7,8 +7,8 @@
 	"harepass/internal/decide/scatter"
 )
 
-// The index finds the holders of a shard whatever was listed before: endpoints that move, are removed, or are dropped
-// by a full list, ring positions beyond the ring's size, and settings that change the ring.
+// The index finds the holders of a shard after any earlier updates: endpoints that move, are removed, or are dropped by
+// a full list, ring positions beyond the ring size, and settings that change the ring.
 func TestRingIndexFindsHolders(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Settings.RingSize, c.Settings.ReplicationFactor = 5, 2 })
 	update := func(kind scatter.UpdateKind, positions map[string]int, state scatter.ReplicaState) {
@@ -40,7 +40,7 @@
 	want(1, "b", "f")
 	want(3)
 	if h.HasEndpoint("a") || !h.HasEndpoint("f") {
-		t.Error("what is known is not what is listed")
+		t.Error("HasEndpoint does not match the list, which has f but not a")
 	}
 	s := h.inForce().Settings
 	s.RingSize, s.ReplicationFactor = 2, 1
