--- a/internal/core/admitter_test.go
+++ b/internal/core/admitter_test.go
@@ -8,11 +8,11 @@
 	"harepass/internal/decide/overload"
 )
 
-// fakeAdmitter admits as the test wants, and records what it is called with.
+// fakeAdmitter admits or rejects as the test sets it, and records its calls.
 type fakeAdmitter struct {
 	reject   bool
 	arrivals []overload.Arrival
-	done     []int // parts of queries
+	done     []int // number of parts of each query that ended
 	ticks    []Tick
 }
 
@@ -25,33 +25,33 @@
 
 func (f *fakeAdmitter) lastTick() Tick { return f.ticks[len(f.ticks)-1] }
 
-// What the Admitter rejects is never queued. It is not asked again about what it admitted by a query's head, and where
-// clients may not be told when to retry they are not.
+// A query that the Admitter rejects is never queued. The Admitter is not asked about a query that a front has already
+// admitted. If the settings have no Retry-After, the client gets none.
 func TestQueryThatIsNotAdmittedIsNotQueued(t *testing.T) {
 	f := &fakeAdmitter{reject: true}
 	h := newHarness(t, func(c *Config) { c.Admitter = f })
 	a := h.Execute(h.query("free", 0, 1), nil)
 	if a.Status != Rejected || a.RetryAfter != 3*time.Second || len(h.queue) != 0 {
-		t.Errorf("%+v, %d messages queued", a, len(h.queue))
+		t.Errorf("answer %+v and %d queued messages, want a rejection with Retry-After 3s and 0", a, len(h.queue))
 	}
 	if len(f.arrivals) != 1 || f.arrivals[0].Parts != 2 || f.arrivals[0].Class != "free" {
-		t.Errorf("called with %+v", f.arrivals)
+		t.Errorf("Admitter called with %+v, want one arrival of 2 parts", f.arrivals)
 	}
 	q := h.query("free", 0)
 	q.Admitted = true
 	left := make(chan struct{})
 	close(left)
 	if a := h.Execute(q, left); a.Status != Failed || len(f.arrivals) != 1 {
-		t.Errorf("%+v, called %d times", a, len(f.arrivals))
+		t.Errorf("answer %+v, Admitter called %d times; want Failed and 1", a, len(f.arrivals))
 	}
 	h = newHarness(t, func(c *Config) { c.Admitter, c.Settings.RetryAfter = f, 0 })
 	if a := h.Execute(h.query("free", 0), nil); a.RetryAfter != 0 {
-		t.Errorf("told to retry after %v", a.RetryAfter)
+		t.Errorf("Retry-After %v, want 0", a.RetryAfter)
 	}
 }
 
-// The Admitter hears how late each tick was, what is open, and of each query's end once. When all queries are over,
-// nothing counts as open.
+// The Admitter is notified of each tick's delay and open queries, and once of each query's end. When all queries are
+// over, nothing counts as open.
 func TestAdmitterObservesTicks(t *testing.T) {
 	f := &fakeAdmitter{}
 	h := newHarness(t, func(c *Config) { c.Admitter, c.Limits.MaxOpen = f, 100 })
@@ -61,17 +61,17 @@
 	tick := f.lastTick()
 	if tick.Count != 1 || tick.TotalWait != 30*ms || tick.MaxWait != 30*ms || tick.OpenFraction != 0.03 ||
 		tick.QueryBytes != queryOverheadBytes+2*partOverheadBytes {
-		t.Errorf("%+v", tick)
+		t.Errorf("reported tick %+v", tick)
 	}
 	h.succeed(make([]byte, 100))
 	tick = f.lastTick()
 	if tick.QueryBytes != 0 || tick.OpenFraction != 0 || !slices.Equal(f.done, []int{2}) || h.open.bytes != 0 {
-		t.Errorf("%+v, ended %v, %d bytes", tick, f.done, h.open.bytes)
+		t.Errorf("after the answer: tick %+v, parts of ended queries %v, %d bytes open", tick, f.done, h.open.bytes)
 	}
 }
 
-// A tick hangs, here in a call to the system that asks for the query's client: the Admitter's side has to see for how
-// long. Within the tick TickElapsed grows with the clock; between ticks it is 0.
+// A tick hangs, here in ClientLeft's call to the system. The load shedder must see for how long: within the tick
+// TickElapsed grows with the clock; between ticks it is 0.
 func TestTickElapsed(t *testing.T) {
 	h := newHarness(t, nil)
 	var within time.Duration
@@ -85,6 +85,6 @@
 	h.Submit(q)
 	h.tick()
 	if within != 40*ms || h.TickElapsed() != 0 {
-		t.Errorf("%v within the tick, %v after it", within, h.TickElapsed())
+		t.Errorf("TickElapsed is %v within the tick and %v after it, want 40ms and 0", within, h.TickElapsed())
 	}
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// fakeCaller is a Caller that records what it is asked for; the test ends the attempts.
+// fakeCaller is a Caller that records its calls; the test ends the attempts.
 type fakeCaller struct {
 	calls        [][]*Attempt
 	cancelled    []*Attempt
@@ -24,10 +24,10 @@
 	f.disconnected = append(f.disconnected, replica)
 }
 
-// last returns the attempt that was sent last.
+// last returns the most recently sent attempt.
 func (f *fakeCaller) last() *Attempt { c := f.calls[len(f.calls)-1]; return c[len(c)-1] }
 
-// harness is a Coordinator whose ticks and clock the test moves.
+// harness is a Coordinator whose ticks and clock are driven by the test.
 type harness struct {
 	*Coordinator
 	caller     *fakeCaller
@@ -36,7 +36,7 @@
 	queryCount int
 }
 
-// newHarness returns a harness whose source "test" lists the endpoint a, of a ring of one position.
+// newHarness returns a harness whose source "test" lists the endpoint a, on a ring of one position.
 func newHarness(t testing.TB, change func(*Config)) *harness {
 	t.Helper()
 	h := &harness{caller: &fakeCaller{}, clock: time.Hour}
@@ -63,25 +63,25 @@
 	return h
 }
 
-// newTwoEndpointHarness returns a harness with two endpoints, a and b, that hold all shards.
+// newTwoEndpointHarness returns a harness with two endpoints, a and b, each of which holds all shards.
 func newTwoEndpointHarness(t *testing.T, change func(*Config)) *harness {
 	h := newHarness(t, change)
 	h.update(scatter.FullUpdate, fakeEndpoint("a", scatter.Ready), fakeEndpoint("b", scatter.Ready))
 	return h
 }
 
-// fakeEndpoint is an endpoint at ring position 0 that the fakeCaller speaks to.
+// fakeEndpoint returns an endpoint at ring position 0 that the fakeCaller serves.
 func fakeEndpoint(id string, state scatter.ReplicaState) Endpoint {
 	return Endpoint{Replica: scatter.Replica{ID: id, State: state}, Address: id, Scheme: "fake"}
 }
 
-// update has the polled source send a list or a change of it.
+// update delivers a list or a change from the polled source.
 func (h *harness) update(kind scatter.UpdateKind, endpoints ...Endpoint) {
 	h.UpdateEndpoints("test", kind, endpoints)
 	h.pass(0)
 }
 
-// pass lets time pass in ticks, as Run would begin them.
+// pass advances the clock by d, with the ticks that Run would make.
 func (h *harness) pass(d time.Duration) {
 	end := h.clock + d
 	h.tick()
@@ -91,7 +91,7 @@
 	}
 }
 
-// query returns a query of equally weighted parts that has 3 s.
+// query returns a query of equally weighted parts whose deadline is in 3 s.
 func (h *harness) query(class string, shards ...int) *Query {
 	h.queryCount++
 	q := &Query{ID: fmt.Sprint("q", h.queryCount), Class: class, Deadline: h.clock + 3*time.Second}
@@ -110,7 +110,7 @@
 	h.pass(0)
 }
 
-// succeed ends all attempts that were sent with a value.
+// succeed ends all attempts sent so far with a value.
 func (h *harness) succeed(value []byte) {
 	for _, call := range h.caller.calls {
 		for _, at := range call {
@@ -120,7 +120,7 @@
 	h.pass(0)
 }
 
-// want checks the answers that were given so far.
+// want checks all answers given so far.
 func (h *harness) want(t *testing.T, answers ...string) {
 	t.Helper()
 	if len(answers)+len(h.answers) > 0 && !reflect.DeepEqual(h.answers, answers) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// wantNothingOpen checks that queries which are over have left nothing behind.
+// wantNothingOpen checks that finished queries have left no state behind.
 func (h *harness) wantNothingOpen(t *testing.T) {
 	t.Helper()
 	o := &h.open
@@ -139,7 +139,7 @@
 	}
 }
 
-// configure puts settings in force in the next tick, with the present limits.
+// configure puts settings in force in the next tick, with the current limits.
 func (h *harness) configure(s scatter.Settings) error {
 	result := make(chan error, 1)
 	h.post(configureRequest{&settingsInForce{s, h.inForce().limits}, result})
@@ -147,7 +147,8 @@
 	return <-result
 }
 
-// sentTo submits a query of one part, returns the replica that it is sent to, and has the part served.
+// sentTo submits a query of one part, returns the replica that it is sent to, and answers the part. It returns none if
+// nothing is sent.
 func (h *harness) sentTo(t *testing.T, class string) string {
 	t.Helper()
 	n := len(h.caller.calls)
--- a/internal/core/panic_test.go
+++ b/internal/core/panic_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// panicInCoordinator has the test binary panic in the coordinator's goroutine.
+// panicInCoordinator is the environment variable that makes the test binary panic in the coordinator's goroutine.
 const panicInCoordinator = "HAREPASS_TEST_PANIC_IN_COORDINATOR"
 
-// A panic in the coordinator's goroutine ends the process: what it owns may be half changed, and all queries go by it.
+// A panic in the coordinator's goroutine ends the process, because the goroutine's state may be half changed and all
+// queries depend on it.
 func TestPanicInCoordinatorEndsProcess(t *testing.T) {
 	if os.Getenv(panicInCoordinator) != "" {
 		h := newHarness(t, nil)
@@ -25,6 +26,6 @@
 	process.Env = append(os.Environ(), panicInCoordinator+"=1")
 	output, err := process.CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "panic: in the coordinator's goroutine") {
-		t.Errorf("the process ended with %v:\n%s", err, output)
+		t.Errorf("the process ended with error %v, want the panic in its output:\n%s", err, output)
 	}
 }
--- a/internal/core/phase_test.go
+++ b/internal/core/phase_test.go
@@ -8,8 +8,8 @@
 	"harepass/internal/decide/scatter"
 )
 
-// The platform kills a process some time after it has asked for its end. A query that is accepted while the coordinator
-// drains has its answer before that, whatever deadline its client gives.
+// The platform kills a process some time after it has requested the shutdown. A query accepted during the drain is
+// answered before that, however late its client's deadline is.
 func TestDrainTimeoutBoundsQueries(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Limits.DrainTimeout = time.Second })
 	h.Drain()
@@ -21,7 +21,8 @@
 	h.want(t, "refused complete=false []")
 }
 
-// The phases go one way. A draining coordinator accepts queries, and stops when the last one has its answer.
+// A coordinator never returns to an earlier phase. A draining coordinator accepts queries, and stops when the last one
+// is answered.
 func TestPhasesGoOneWay(t *testing.T) {
 	h := newHarness(t, nil)
 	var seen []string
@@ -45,18 +46,18 @@
 	}
 	h.want(t, `served complete=true ["v"]`, `served complete=true ["v"]`)
 	if h.Submit(h.query("free", 0)) {
-		t.Error("a stopped coordinator accepts a query")
+		t.Error("a stopped coordinator accepted a query")
 	}
 }
 
 func TestCheckReadyNamesThePhase(t *testing.T) {
 	h := newHarness(t, nil)
 	if err := h.CheckReady(); err != nil {
-		t.Errorf("ready: %v", err)
+		t.Errorf("CheckReady in phase Ready: %v", err)
 	}
 	h.Drain()
 	h.pass(0)
 	if err := h.CheckReady(); err != (NotReadyError{Draining}) || err.Error() != "draining" {
-		t.Errorf("draining: %v", err)
+		t.Errorf("CheckReady in phase Draining: %v", err)
 	}
 }
--- a/internal/core/query_log_test.go
+++ b/internal/core/query_log_test.go
@@ -11,7 +11,7 @@
 	"harepass/internal/logmsg"
 )
 
-// newLoggedHarness returns a harness and its log.
+// newLoggedHarness returns a harness and the buffer that its log is written to.
 func newLoggedHarness(t *testing.T, level slog.Level) (*harness, *bytes.Buffer) {
 	var out bytes.Buffer
 	return newHarness(t, func(c *Config) {
@@ -19,14 +19,14 @@
 	}), &out
 }
 
-// A query that fails is one line with its id, class, time left and attempts; one that is served in time is none.
+// A failed query gives one log line with its id, class, time left and attempts. A query served in time gives none.
 func TestFailedQueryIsOneLine(t *testing.T) {
 	h, out := newLoggedHarness(t, slog.LevelInfo)
 	h.submit(h.query("free", 0))
 	h.AttemptEnded(h.caller.last(), scatter.Succeeded, []byte("v"))
 	h.pass(ms)
 	if out.Len() > 0 {
-		t.Errorf("a query that was served is logged: %s", out)
+		t.Errorf("a query served in time is logged: %s", out)
 	}
 	h.Submit(h.query("once", 0))
 	h.pass(100 * ms)
@@ -34,15 +34,15 @@
 	h.pass(ms)
 	for _, want := range []string{"query_id=q2", "class=once", "status=failed", "time_left=2.9s", "attempts=1"} {
 		if strings.Count(out.String(), want) != 1 {
-			t.Errorf("%q is not there once: %s", want, out)
+			t.Errorf("the log does not contain %q exactly once: %s", want, out)
 		}
 	}
 	if strings.Contains(out.String(), logmsg.AttemptEnded) {
-		t.Errorf("attempts are logged without a trace: %s", out)
+		t.Errorf("attempts are logged above debug level: %s", out)
 	}
 }
 
-// In an outage most queries fail. They are few lines, and the next line says how many were suppressed.
+// In an outage most queries fail. Only a few log lines are written, and the next line reports how many were suppressed.
 func TestLogLimitCountsSuppressedLines(t *testing.T) {
 	var limit logLimit
 	written := 0
@@ -52,24 +52,24 @@
 		}
 	}
 	if written != maxLogBurst {
-		t.Errorf("%d lines at once, want %d", written, maxLogBurst)
+		t.Errorf("%d lines in a burst, want %d", written, maxLogBurst)
 	}
 	if suppressed, ok := limit.take(time.Hour + 200*ms + logInterval); !ok || suppressed != 20-maxLogBurst {
-		t.Errorf("after a while: %d suppressed, %t", suppressed, ok)
+		t.Errorf("after the burst: %d lines suppressed, line allowed: %t", suppressed, ok)
 	}
 	if suppressed, ok := limit.take(2 * time.Hour); !ok || suppressed != 0 {
-		t.Errorf("an hour later: %d suppressed, %t", suppressed, ok)
+		t.Errorf("an hour later: %d lines suppressed, line allowed: %t", suppressed, ok)
 	}
 }
 
-// A trace has every attempt and every query, those that succeed too.
+// At debug level every attempt and every query is logged, including those that succeed.
 func TestTraceHasAllAttemptsAndQueries(t *testing.T) {
 	h, out := newLoggedHarness(t, slog.LevelDebug)
 	h.submit(h.query("free", 0, 1))
 	h.succeed([]byte("v"))
 	h.pass(time.Second)
 	if n := strings.Count(out.String(), `msg="`+logmsg.AttemptEnded+`" query_id=q1`); n != 2 {
-		t.Errorf("%d attempts logged, want 2: %s", n, out)
+		t.Errorf("%d attempt outcomes logged, want 2: %s", n, out)
 	}
 	if !strings.Contains(out.String(), "status=served complete=true") {
 		t.Errorf("the answer is not logged: %s", out)
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -17,6 +17,6 @@
 	h.pass(2 * ms)
 	h.pass(2 * ms)
 	if want := []int{1, 1, 2, 3}; !reflect.DeepEqual(ran, want) {
-		t.Errorf("ran %v, want %v", ran, want)
+		t.Errorf("timers ran in the order %v, want %v", ran, want)
 	}
 }
