--- a/internal/loadshed/controller_config.go
+++ b/internal/loadshed/controller_config.go
@@ -7,12 +7,12 @@
 	"harepass/internal/decide/scatter"
 )
 
-// typicalParts is how many parts a query is assumed to have until arrivals of its class have shown it.
+// typicalParts is the assumed number of parts of a query until arrivals of its class have shown it.
 const typicalParts = 4
 
-// ControllerConfig returns a controller's configuration as far as the settings give it: the classes, and the tenants
-// with this coordinator's share of their quotas. The wait target, cores, memory and longest Retry-After belong to the
-// installation and are left to the caller.
+// ControllerConfig returns the part of a controller's configuration that follows from the settings: the classes, and
+// the tenants with this coordinator's share of their quotas. The caller adds the wait target, cores, memory and longest
+// Retry-After, which depend on the installation.
 func ControllerConfig(s scatter.Settings) overload.Config {
 	cfg := overload.Config{Rand: rand.Float64}
 	for _, c := range s.Classes {
--- a/internal/loadshed/panic_test.go
+++ b/internal/loadshed/panic_test.go
@@ -10,11 +10,12 @@
 	"harepass/internal/decide/overload"
 )
 
-// panicUnderLock has the test binary panic in Admit, below a handler that recovers as servers do.
+// panicUnderLock is the environment variable that makes the test binary panic in Admit, below a recover as in a
+// server's handler.
 const panicUnderLock = "HAREPASS_TEST_PANIC_UNDER_LOCK"
 
-// A panic in the admission is one under a lock that all requests need. It ends the process, although the server recovers
-// from panics of its handlers.
+// A panic in Admit happens under a lock that all requests need. It ends the process, although servers recover from
+// panics of their handlers.
 func TestPanicUnderLockEndsProcess(t *testing.T) {
 	if os.Getenv(panicUnderLock) != "" {
 		defer func() { recover() }()
@@ -25,6 +26,6 @@
 	process.Env = append(os.Environ(), panicUnderLock+"=1")
 	output, err := process.CombinedOutput()
 	if err == nil || !strings.Contains(string(output), "under the shedder's lock") {
-		t.Errorf("the process ended with %v:\n%s", err, output)
+		t.Errorf("the process ended with error %v, want the panic in its output:\n%s", err, output)
 	}
 }
--- a/internal/loadshed/process_usage.go
+++ b/internal/loadshed/process_usage.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Usage is a reading of what a process uses. LiveBytes is a present amount; all else are totals since its start.
+// Usage is a reading of a process's resource usage. LiveBytes is a current amount; all other fields are totals since
+// the start of the process.
 type Usage struct {
-	CPU             time.Duration // CPU time, of the program and of the system for it
-	LiveBytes       int64         // live heap when the collector last looked
-	GoroutineStarts float64       // how often a ready goroutine was given a core
-	StartWait       float64       // seconds that ready goroutines waited for a core, in all
+	CPU             time.Duration // CPU time in user and system mode
+	LiveBytes       int64         // live heap at the last garbage collection
+	GoroutineStarts float64       // number of times that a ready goroutine got a core
+	StartWait       float64       // total seconds that ready goroutines waited for a core
 }
 
-// ReadUsage returns the usage of this process. A figure that the system does not give is 0. It may be called from any
-// goroutine.
+// ReadUsage returns the usage of this process. A value that the system does not provide is 0. Any goroutine may call
+// it.
 func ReadUsage() Usage {
 	var usage Usage
 	var ru syscall.Rusage
@@ -34,7 +35,8 @@
 	return usage
 }
 
-// addStarts adds a histogram of the waits for a core, in seconds. A wait counts as the middle of its bucket.
+// addStarts adds a histogram of the waits for a core, in seconds. Each wait counts as the middle of its bucket; in a
+// bucket without an upper bound, as the lower bound.
 func (u *Usage) addStarts(h *metrics.Float64Histogram) {
 	for i, n := range h.Counts {
 		low, high := max(0, h.Buckets[i]), h.Buckets[i+1]
@@ -46,7 +48,7 @@
 	}
 }
 
-// schedulingWait is how long a ready goroutine waited for a core on average, between two readings.
+// schedulingWait returns the mean time that a ready goroutine waited for a core between two readings.
 func schedulingWait(from, to Usage) time.Duration {
 	if to.GoroutineStarts <= from.GoroutineStarts {
 		return 0
@@ -55,7 +57,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// cpuUsed is the CPU time used between two readings that are elapsed apart, in CPU seconds a second.
+// cpuUsed returns the CPU seconds used per second between two readings that are elapsed apart.
 func cpuUsed(from, to Usage, elapsed time.Duration) float64 {
 	if elapsed <= 0 {
 		return 0
--- a/internal/loadshed/shedder.go
+++ b/internal/loadshed/shedder.go
@@ -16,37 +16,39 @@
 )
 
 const (
-	// earlyWaitWindows is the wait, in windows, from which the next observation comes before its window is over.
+	// earlyWaitWindows is the wait, in observation windows, above which a tick triggers an early observation.
 	earlyWaitWindows = 1
-	// maxObservationsPerWindow bounds how often the process is observed in one window, early observations included.
+	// maxObservationsPerWindow bounds the observations in one window, including early ones.
 	maxObservationsPerWindow = 4
 )
 
-// Shedder is a core.Admitter. Use New, set the exported fields, then start Run. Its methods other than Run may be
-// called from any goroutine at any time.
+// Shedder is a core.Admitter that sheds load. Use New, set the exported fields, then start Run. Any goroutine may call
+// its methods at any time, except Run.
 type Shedder struct {
 	Clock core.Clock
-	// Measure reads what the process has used; ReadUsage outside tests.
+	// Measure returns the resource usage of the process. It is ReadUsage except in tests.
 	Measure func() Usage
-	// DescriptorFraction returns the descriptors in use as a fraction of the limit; nil where that is not known.
+	// DescriptorFraction returns the file descriptors in use as a fraction of the limit. It is nil if that is not
+	// known.
 	DescriptorFraction func() float64
-	// TickElapsed returns how long the coordinator's present tick has taken; nil where that is not known.
+	// TickElapsed returns how long the coordinator's current tick has taken. It is nil if that is not known.
 	TickElapsed func() time.Duration
-	// RelieveMemory is called by Run when the memory level changes, and while bytes are in excess, with both. Run
-	// observes nothing while it blocks. core.Coordinator.RelieveMemory does so while the coordinator's queue is full:
-	// under a tick that hangs, no further window is observed until it ends. Nil where nobody relieves memory.
+	// RelieveMemory is called by Run when the memory level changes, and while there are excess bytes, with both values.
+	// Run makes no observation while RelieveMemory blocks. core.Coordinator.RelieveMemory blocks while the
+	// coordinator's queue is full, so a tick that hangs can delay the next observation until it ends. RelieveMemory is
+	// nil if memory is not relieved.
 	RelieveMemory func(level overload.MemoryLevel, excessBytes int64)
 	Log           *slog.Logger
 
-	early chan struct{} // asks Run for an observation before its window is over
+	early chan struct{} // requests an observation by Run before the window is over
 
 	mu         sync.Mutex
 	controller *overload.Controller
-	ticks      core.Tick // since the last observation; see addTick
+	ticks      core.Tick // ticks since the last observation, combined by addTick
 
-	// Only Run uses these.
-	usage       Usage         // at the last observation
-	observedAt  time.Duration // when the last observation was
+	// Only Run uses the following fields.
+	usage       Usage         // usage at the last observation
+	observedAt  time.Duration // instant of the last observation
 	memoryLevel overload.MemoryLevel
 }
 
@@ -58,7 +60,7 @@
 	}
 }
 
-// SetClasses takes over the classes and tenants of new settings.
+// SetClasses applies the classes and tenants of new settings.
 func (s *Shedder) SetClasses(settings scatter.Settings) {
 	cfg := ControllerConfig(settings)
 	s.mu.Lock()
@@ -75,12 +77,12 @@
 	return d.Admitted, d.RetryAfter
 }
 
-// unlock ends a locked section of a request's goroutine. Under the lock a panic ends the process, although servers recover
-// from those of their handlers: all requests go by the controller, and it may be half changed.
+// unlock ends a critical section in a request's goroutine. A panic under the lock ends the process, although servers
+// recover from panics of their handlers: all requests depend on the controller, whose state may be half changed.
 func (s *Shedder) unlock() {
 	if v := recover(); v != nil {
 		stack := debug.Stack()
-		go panic(fmt.Sprintf("%v under the shedder's lock\n%s", v, stack)) // nobody recovers in that goroutine
+		go panic(fmt.Sprintf("%v under the shedder's lock\n%s", v, stack)) // no recover applies to that goroutine
 		select {}
 	}
 	s.mu.Unlock()
@@ -93,7 +95,8 @@
 	s.controller.QueryDone(parts)
 }
 
-// ObserveTick implements core.Admitter. A tick in which something waited far too long has Run observe early.
+// ObserveTick implements core.Admitter. A tick in which a message or timer waited too long triggers an early
+// observation.
 func (s *Shedder) ObserveTick(t core.Tick) {
 	s.mu.Lock()
 	s.addTick(t)
@@ -107,8 +110,8 @@
 	}
 }
 
-// addTick takes in a tick: TotalWait and Count are summed up, of MaxWait and Duration the longest counts, and
-// OpenFraction and QueryBytes are those of the latest tick. It is called under the lock.
+// addTick combines a tick with those since the last observation: it sums TotalWait and Count, keeps the maximum of
+// MaxWait and Duration, and replaces OpenFraction and QueryBytes. The caller must hold the lock.
 func (s *Shedder) addTick(t core.Tick) {
 	s.ticks.TotalWait += t.TotalWait
 	s.ticks.MaxWait = max(s.ticks.MaxWait, t.MaxWait)
@@ -117,15 +120,15 @@
 	s.ticks.OpenFraction, s.ticks.QueryBytes = t.OpenFraction, t.QueryBytes
 }
 
-// Level returns the present level.
+// Level returns the current overload level.
 func (s *Shedder) Level() overload.Level {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.controller.Level()
 }
 
-// Run observes the process once a window until ctx is done. It is called once; its caller owns the goroutine. It
-// notices the end of ctx only between observations, so it returns late while RelieveMemory blocks.
+// Run observes the process once per window until ctx is done. It is called once, in a goroutine of the caller. It
+// checks ctx only between observations, so it returns late while RelieveMemory blocks.
 func (s *Shedder) Run(ctx context.Context) {
 	s.usage, s.observedAt = s.Measure(), s.Clock()
 	ticker := time.NewTicker(s.controller.Interval())
@@ -144,7 +147,7 @@
 	}
 }
 
-// observe hands a window's signals to the controller and passes on what it decides.
+// observe passes a window's signals to the controller and applies the controller's decisions.
 func (s *Shedder) observe() {
 	usage, now := s.Measure(), s.Clock()
 	sample := sample{cpuUsed: cpuUsed(s.usage, usage, now-s.observedAt), liveBytes: usage.LiveBytes,
@@ -154,7 +157,7 @@
 	}
 	s.mu.Lock()
 	sample.ticks = s.ticks
-	if s.TickElapsed != nil { // a tick that does not end reports nothing by itself
+	if s.TickElapsed != nil { // a tick that hangs is not reported by ObserveTick
 		sample.ticks.Duration = max(sample.ticks.Duration, s.TickElapsed())
 	}
 	s.ticks = core.Tick{OpenFraction: s.ticks.OpenFraction, QueryBytes: s.ticks.QueryBytes}
@@ -175,17 +178,16 @@
 	s.memoryLevel = v.memoryLevel
 }
 
-// verdict is what the controller says after an observation.
+// verdict is the controller's decision after an observation.
 type verdict struct {
 	level        overload.Level
 	reasons      []string
-	admittedRate float64 // cost that is admitted, in core seconds a second
+	admittedRate float64 // admitted cost, in core seconds per second
 	memoryLevel  overload.MemoryLevel
 	excessBytes  int64
 }
 
-// logLevel writes a line for a change of level. There is none for single queries: under overload there would be too
-// many.
+// logLevel logs a change of level. Single queries are not logged: under overload there would be too many lines.
 func (s *Shedder) logLevel(v verdict, signals overload.Signals, sample sample) {
 	s.Log.Warn(logmsg.OverloadLevelChanged,
 		logmsg.KeyOverloadLevel, v.level.String(),
--- a/internal/loadshed/shedder_test.go
+++ b/internal/loadshed/shedder_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// A coordinator hangs in one tick for a second, later its heap fills up, and both pass. Load is shed although the
-// tick that hangs has not been reported; each change of level writes one log line and no query writes any; the
-// coordinator is told of the memory level, and of its end.
+// A coordinator hangs in one tick for a second, later its heap fills up, and both recover. Load is shed although the
+// tick that hangs is not reported. Each change of level writes one log line, and queries write none. RelieveMemory is
+// called with each memory level, including the return to normal.
 func TestShedderLogsLevelsAndRelievesMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
@@ -37,7 +37,7 @@
 		s.RelieveMemory = func(m overload.MemoryLevel, _ int64) { memoryLevels = append(memoryLevels, m) }
 		ctx, cancel := context.WithCancel(t.Context())
 		go s.Run(ctx)
-		oneSecond := func() (rejected int) {
+		admitForOneSecond := func() (rejected int) {
 			for range 1000 {
 				if ok, _ := s.Admit(overload.Arrival{Class: "c"}); !ok {
 					rejected++
@@ -47,49 +47,49 @@
 			}
 			return rejected
 		}
-		if n := oneSecond(); n != 0 || log.Len() != 0 {
-			t.Errorf("%d rejected with nothing wrong: %s", n, log.String())
+		if n := admitForOneSecond(); n != 0 || log.Len() != 0 {
+			t.Errorf("%d queries rejected without overload, log: %s", n, log.String())
 		}
-		tickElapsed.Store(int64(time.Second)) // the tick does not end, so it is not reported
-		if n := oneSecond(); n == 0 || s.Level() == overload.Normal {
-			t.Errorf("%d rejected while the coordinator hangs, level %v", n, s.Level())
+		tickElapsed.Store(int64(time.Second)) // the tick hangs, so it is not reported
+		if n := admitForOneSecond(); n == 0 || s.Level() == overload.Normal {
+			t.Errorf("%d queries rejected while the coordinator hangs, level %v", n, s.Level())
 		}
 		tickElapsed.Store(0)
 		time.Sleep(3 * time.Second)
-		if oneSecond(); s.Level() != overload.Normal {
-			t.Errorf("level %v after all is well", s.Level())
+		if admitForOneSecond(); s.Level() != overload.Normal {
+			t.Errorf("level %v after the coordinator recovered", s.Level())
 		}
 		liveBytes.Store(900 << 20)
-		oneSecond()
+		admitForOneSecond()
 		liveBytes.Store(0)
-		oneSecond()
+		admitForOneSecond()
 		cancel()
 		synctest.Wait()
 		if n := len(memoryLevels); n < 2 || memoryLevels[0] != overload.EndQueries ||
 			memoryLevels[n-1] != overload.MemoryNormal {
-			t.Errorf("memory levels %v", memoryLevels)
+			t.Errorf("RelieveMemory called with levels %v, want EndQueries first and MemoryNormal last", memoryLevels)
 		}
 		lines := strings.Split(strings.TrimSpace(log.String()), "\n")
 		if len(lines) < 4 || len(lines) > 12 {
-			t.Errorf("%d lines for the changes of level:\n%s", len(lines), log.String())
+			t.Errorf("%d log lines about changes of level, want 4 to 12:\n%s", len(lines), log.String())
 		}
 		for _, l := range lines {
 			if !strings.Contains(l, " "+logmsg.KeyOverloadLevel+"=") ||
 				!strings.Contains(l, logmsg.KeyOverloadReasons+"=") || !strings.Contains(l, logmsg.KeyMeanWait+"=") {
-				t.Errorf("a line without level, reason and figures: %s", l)
+				t.Errorf("log line without level, reasons or mean wait: %s", l)
 			}
 		}
 	})
 }
 
-// A process that works shows CPU time, and goroutines that were given a core.
+// ReadUsage shows the CPU time of a process that works, and the count of goroutine starts does not decrease.
 func TestReadUsageOfWorkingProcess(t *testing.T) {
 	before := ReadUsage()
 	sum := 0
-	for before.CPU == ReadUsage().CPU { // until the system's CPU clock has moved
+	for before.CPU == ReadUsage().CPU { // until the system's CPU clock has advanced
 		sum++
 	}
 	if after := ReadUsage(); after.CPU <= before.CPU || after.GoroutineStarts < before.GoroutineStarts {
-		t.Errorf("%+v, then %+v", before, after)
+		t.Errorf("usage %+v before the work, %+v after it", before, after)
 	}
 }
