--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,5 @@
 // Package counters holds the running totals of a process. They are written to the log, where operators and dashboards
-// read them, so the names of counters are fixed. All functions and methods may be called from any goroutine.
+// read them, so the names of counters must not change. Any goroutine may call all functions and methods.
 package counters
 
 import (
@@ -10,13 +10,13 @@
 	"sync/atomic"
 )
 
-// Counter is one total since the start of the process. It only grows.
+// Counter is a total since the start of the process. It never decreases.
 type Counter struct {
 	name  string
 	total atomic.Int64
 }
 
-// Total is a counter's name and value at one time.
+// Total is a counter's name and its value at one time.
 type Total struct {
 	Name  string
 	Value int64
@@ -27,8 +27,9 @@
 	counters []*Counter
 }
 
-// New registers a counter for what is counted and the kind or reason that tells it from its siblings. It is meant for
-// package variables: a counter is never removed, and two with the same name are not told apart in the log.
+// New registers a counter named by what is counted and by a kind or reason that distinguishes it from related counters.
+// It is meant for package variables: a counter is never removed, and counters with the same name cannot be told apart
+// in the log.
 func New(counted, kind string) *Counter {
 	c := &Counter{name: counted + "." + kind}
 	registry.mu.Lock()
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Counters are raised by several goroutines at once. The totals are exact and sorted, and list no counter at zero.
+// Several goroutines increment a counter concurrently. The totals are exact and sorted, and omit counters at zero.
 func TestTotalsListCountersAboveZero(t *testing.T) {
 	closed, rejected := New("test_closed", "idle"), New("test_rejected", "full")
 	New("test_rejected", "never")
@@ -25,6 +25,6 @@
 		t.Errorf("totals %v, want %v", got, want)
 	}
 	if attrs := Attrs(Totals()); len(attrs) != len(want) {
-		t.Errorf("attributes %v", attrs)
+		t.Errorf("attributes %v, want one for each total", attrs)
 	}
 }
