--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -58,7 +58,7 @@
 	c.startCachedListDelay()
 }
 
-// setWake schedules the module's next step after a duration and replaces any earlier timer of the module.
+// setWake schedules the decision module's next step after a duration and replaces any earlier timer of the module.
 func (c *Coordinator) setWake(after time.Duration) {
 	c.timers.remove(c.wake)
 	c.wake = c.timers.add(c.now+after, func() { c.notify(scatter.TimerFired{}) })
@@ -71,8 +71,8 @@
 	}
 }
 
-// answerQuery answers a query with the values received so far. If the id is that of a first phase, the module has ended
-// the first phase instead, and the parts that are still deferred are released.
+// answerQuery answers a query with the values received so far. If the id is that of a first phase, the decision module
+// has ended the first phase instead, and the parts that are still deferred are released.
 func (c *Coordinator) answerQuery(a scatter.Answer) {
 	if q := c.open.byID[a.Query]; q != nil {
 		answer := Answer{Complete: a.Complete, Values: make([][]byte, len(q.parts)), Pruned: make([]bool, len(q.parts)),
@@ -85,7 +85,7 @@
 	c.releaseDeferred(c.open.firstPhases[a.Query])
 }
 
-// rejectQuery rejects a query with the module's Retry-After, or ends a first phase as answerQuery does.
+// rejectQuery rejects a query with the decision module's Retry-After, or ends a first phase as answerQuery does.
 func (c *Coordinator) rejectQuery(a scatter.Reject) {
 	if q := c.open.byID[a.Query]; q != nil {
 		rejectedByModule.Inc()
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -7,10 +7,10 @@
 )
 
 // answerGrace is how long after a query's deadline, when its client gives up, the coordinator still waits for the
-// module's answer.
+// decision module's answer.
 const answerGrace = 10 * time.Millisecond
 
-// giveUp fails a query that the module has not answered by its deadline plus answerGrace.
+// giveUp fails a query that the decision module has not answered by its deadline plus answerGrace.
 func (c *Coordinator) giveUp(q *query) {
 	if !c.open.isOpen(q) {
 		return
@@ -28,7 +28,8 @@
 	q.Done(a)
 }
 
-// close removes a query, answered or not, from the open queries. The module still hears the outcomes of its attempts.
+// close removes a query, answered or not, from the open queries. The decision module is still notified of the outcomes
+// of its attempts.
 func (c *Coordinator) close(q *query) {
 	c.timers.remove(q.giveUpTimer)
 	c.open.remove(q)
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -14,7 +14,7 @@
 type Attempt struct {
 	QueryID        string        // Query.ID
 	Class          string        // Query.Class
-	Shard          int           // the shard that the part is of
+	Shard          int           // number of the part's shard
 	Body           []byte        // Query.Body
 	IdempotencyKey string        // the same for all attempts of a query; empty in a class that is not keyed
 	Origin         any           // Query.Origin
@@ -75,9 +75,10 @@
 
 func (m attemptEnded) apply(c *Coordinator) { c.endAttempt(m.attempt, m.outcome, m.value, m.endedAt) }
 
-// newAttempt creates an attempt that the module has decided. It returns nil if the attempt must not be sent: either the
-// attempt has ended as NotSent, or its part is over and the module is not notified. Unless the part is over, the
-// attempt is appended to the part's list even if it is not sent, so that its position there stays the module's index.
+// newAttempt creates an attempt that the decision module has decided. It returns nil if the attempt must not be sent:
+// either the attempt has ended as NotSent, or its part is over and the module is not notified. Unless the part is over,
+// the attempt is appended to the part's list even if it is not sent, so that its position there stays the module's
+// index.
 func (c *Coordinator) newAttempt(send scatter.Send) *Attempt {
 	p := c.open.parts[send.Part]
 	if p == nil {
@@ -109,9 +110,9 @@
 	return !at.FirstPhase || at.part.full.firstPhasePart == at.part && c.cfg.TwoPhaseSchemes[scheme]
 }
 
-// cancel stops waiting for an attempt; reason is the outcome to report to the module. The module is notified only after
-// the Caller has sent the cancellation or cancelGrace is over, so no other attempt of the part reaches a replica
-// earlier.
+// cancel stops waiting for an attempt; reason is the outcome to report to the decision module. The module is notified
+// only after the Caller has sent the cancellation or cancelGrace is over, so no other attempt of the part reaches a
+// replica earlier.
 func (c *Coordinator) cancel(at *Attempt, reason scatter.Outcome) {
 	if at.ended || at.cancelled {
 		return
@@ -126,7 +127,7 @@
 	at.caller.Cancel(at)
 }
 
-// endAttempt notifies the module of the first outcome of an attempt; any later one is dropped.
+// endAttempt notifies the decision module of the first outcome of an attempt; any later one is dropped.
 func (c *Coordinator) endAttempt(at *Attempt, outcome scatter.Outcome, value []byte, when time.Duration) {
 	if at.ended {
 		return
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -29,8 +29,8 @@
 // scheme of every endpoint that attempts should be sent to.
 type Config struct {
 	Seed         uint64            // seed of the module's random choices
-	Settings     scatter.Settings  // in force until Configure
-	Limits       Limits            // in force until Configure
+	Settings     scatter.Settings  // in force until a call of Configure
+	Limits       Limits            // in force until a call of Configure
 	Clock        Clock             // source of all instants
 	Callers      map[string]Caller // by Endpoint.Scheme; attempts to endpoints of other schemes are not sent
 	Subscribe    func()            // asks PolledSource for its list, if that source must be asked; must not block
--- a/internal/core/coordinator.go
+++ b/internal/core/coordinator.go
@@ -40,8 +40,8 @@
 	logLimit logLimit
 }
 
-// New returns a Coordinator in the phase Starting. It returns a *scatter.SettingError if the module rejects the
-// settings, and ErrSecondRound if a class has a second round, which this program does not support.
+// New returns a Coordinator in the phase Starting. It returns a *scatter.SettingError if the decision module rejects
+// the settings, and ErrSecondRound if a class has a second round, which this program does not support.
 func New(cfg Config) (*Coordinator, error) {
 	machine, err := scatter.New(cfg.Seed, withFirstPhases(cfg.Settings, cfg.TwoPhaseClasses))
 	if err != nil {
--- a/internal/core/effective_list.go
+++ b/internal/core/effective_list.go
@@ -12,7 +12,7 @@
 	return c.maintenance.register.Effective(e.Replica)
 }
 
-// effectiveList returns the endpoint list as the module should see it, sorted by id.
+// effectiveList returns the endpoint list as the decision module should see it, sorted by id.
 func (c *Coordinator) effectiveList() (list []scatter.Replica) {
 	for _, id := range c.endpoints.ids() {
 		list = append(list, c.effective(c.endpoints.byID[id]))
@@ -26,7 +26,7 @@
 	return listed && c.effective(e).State == scatter.Ready
 }
 
-// notifyEffectiveList sends the module the whole endpoint list after a change of the lease or of maintenance.
+// notifyEffectiveList sends the decision module the whole endpoint list after a change of the lease or of maintenance.
 func (c *Coordinator) notifyEffectiveList() {
 	c.endpoints.forgetFirstPhaseSupport()
 	c.notify(scatter.EndpointUpdate{Kind: scatter.CachedUpdate, Replicas: c.effectiveList()})
--- a/internal/core/endpoint_updates.go
+++ b/internal/core/endpoint_updates.go
@@ -36,7 +36,8 @@
 	c.post(endpointUpdate{source: source, kind: scatter.IncrementalUpdate, endpoints: endpoints, partial: true})
 }
 
-// merge applies an update to the endpoint table, notifies the module, and handles the consequences of the new table.
+// merge applies an update to the endpoint table, notifies the decision module, and handles the consequences of the new
+// table.
 func (c *Coordinator) merge(u endpointUpdate) {
 	event, mayWithhold := c.mergeTable(u)
 	c.notify(event)
@@ -44,7 +45,7 @@
 }
 
 // mergeTable applies an update to the endpoint table and closes the idle connections to endpoints that it removes. It
-// returns the event for the module. mayWithhold is true if the update may have made an endpoint unsendable.
+// returns the event for the decision module. mayWithhold is true if the update may have made an endpoint unsendable.
 func (c *Coordinator) mergeTable(u endpointUpdate) (event scatter.EndpointUpdate, mayWithhold bool) {
 	before := map[string]listedEndpoint{} // endpoints that the update may remove
 	if u.isFull() {
@@ -82,9 +83,9 @@
 	c.noteListReadiness(u)
 }
 
-// eventKind returns the update kind to report to the module. The module treats a full list, a change or a failure as
-// the answer to its own Subscribe, so such an update from a source that it did not ask would keep it from ever
-// subscribing. Updates from those sources are therefore reported as cached lists.
+// eventKind returns the update kind to report to the decision module. The module treats a full list, a change or a
+// failure as the answer to its own Subscribe, so such an update from a source that it did not ask would keep it from
+// ever subscribing. Updates from those sources are therefore reported as cached lists.
 func (c *Coordinator) eventKind(u endpointUpdate) scatter.UpdateKind {
 	if u.source != c.cfg.PolledSource {
 		return scatter.CachedUpdate
--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -9,11 +9,11 @@
 	"harepass/internal/decide/twophase"
 )
 
-// The module sees a query of two phases as one query with all its parts, and admits, counts and answers it like any
-// other. The parts that the Planner wants asked cheaply first are deferred. Their first phase is a second query in the
-// module. It belongs to no tenant, and has a class of its own so that its fast parts do not make replicas look fast. If
-// the first phase proves a part's value, the part is pruned: it is reported to the module as resolved and not sent as a
-// full query. Otherwise the part is released.
+// The decision module sees a query of two phases as one query with all its parts, and admits, counts and answers it
+// like any other. The parts that the Planner wants asked cheaply first are deferred. Their first phase is a second
+// query in the module. It belongs to no tenant, and has a class of its own so that its fast parts do not make replicas
+// look fast. If the first phase proves a part's value, the part is pruned: it is reported to the module as resolved and
+// not sent as a full query. Otherwise the part is released.
 
 // firstPhase is the first phase of a query.
 type firstPhase struct {
@@ -29,7 +29,7 @@
 const firstPhaseSuffix = "/first"
 
 // withFirstPhases adds the classes of first phases to the settings. Each has the latency objective of its original
-// class, so values that the module derives from the tightest objective stay the same.
+// class, so values that the decision module derives from the tightest objective stay the same.
 func withFirstPhases(s scatter.Settings, classes []string) scatter.Settings {
 	s.Classes = slices.Clone(s.Classes)
 	for _, name := range classes {
@@ -103,7 +103,7 @@
 	return supported
 }
 
-// beginFirstPhase opens the first phase of a query's deferred parts in the module.
+// beginFirstPhase opens the first phase of a query's deferred parts in the decision module.
 func (c *Coordinator) beginFirstPhase(q *query, deferred []*part) {
 	if len(deferred) == 0 {
 		return
@@ -122,7 +122,8 @@
 }
 
 // releaseDeferred releases all parts that are still deferred, because the first phase has used up its time or the
-// module has ended it. Outcomes that arrive later may still prove a value. It does nothing for a nil first phase.
+// decision module has ended it. Outcomes that arrive later may still prove a value. It does nothing for a nil first
+// phase.
 func (c *Coordinator) releaseDeferred(f *firstPhase) {
 	if f == nil || !c.open.isOpen(f.query) {
 		return
@@ -132,7 +133,7 @@
 	}
 }
 
-// release lets the module send a deferred part as a full query.
+// release lets the decision module send a deferred part as a full query.
 func (c *Coordinator) release(p *part) {
 	if p.deferred {
 		p.deferred = false
@@ -140,7 +141,8 @@
 	}
 }
 
-// endPartFirstPhase ends the first phase of a part. The module cancels an outstanding attempt of that first phase.
+// endPartFirstPhase ends the first phase of a part. The decision module cancels an outstanding attempt of that first
+// phase.
 func (c *Coordinator) endPartFirstPhase(full *part) {
 	if full.firstPhasePart != nil {
 		c.notify(scatter.PartReleased{ID: full.firstPhasePart.id, Resolved: true})
--- a/internal/core/list_lease.go
+++ b/internal/core/list_lease.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// endLease ends the lease: the list's replicas are reported to the module as draining until the list is confirmed.
+// endLease ends the lease: the list's replicas are reported to the decision module as draining until the list is
+// confirmed.
 func (c *Coordinator) endLease() {
 	c.lease.endTimer = nil
 	if c.lease.expired {
--- a/internal/core/open_queries.go
+++ b/internal/core/open_queries.go
@@ -10,7 +10,7 @@
 )
 
 // openQueries holds the unanswered queries and the parts in progress. A part stays until its query is over and its last
-// attempt has ended, because outcomes of attempts must still reach the module.
+// attempt has ended, because outcomes of attempts must still reach the decision module.
 type openQueries struct {
 	byID        map[string]*query      // open queries by the module's id
 	byQuery     map[*Query]*query      // open queries by the Query that the front submitted
--- a/internal/core/pending_updates.go
+++ b/internal/core/pending_updates.go
@@ -61,8 +61,8 @@
 }
 
 // split divides a long full list of the polled source into incremental updates; any other update stays in one piece.
-// The entries are sorted by id, as in a full list that the module gets. Only the last piece removes endpoints that are
-// missing from the list, and only with it does the list count as known.
+// The entries are sorted by id, as in a full list that the decision module gets. Only the last piece removes endpoints
+// that are missing from the list, and only with it does the list count as known.
 func (c *Coordinator) split(u endpointUpdate) []endpointUpdate {
 	if u.kind != scatter.FullUpdate || u.source != c.cfg.PolledSource || len(u.endpoints) <= maxEntriesPerTick {
 		return []endpointUpdate{u}
--- a/internal/core/permit.go
+++ b/internal/core/permit.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// withholdUnsendable withholds the attempts that have not begun at replicas that are no longer sendable. The module is
-// notified that they never ran, so it can send their parts to other replicas at once.
+// withholdUnsendable withholds the attempts that have not begun at replicas that are no longer sendable. The decision
+// module is notified that they never ran, so it can send their parts to other replicas at once.
 func (c *Coordinator) withholdUnsendable() {
 	var list []*Attempt
 	for _, p := range c.open.parts {
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// endOpenQueries makes the module end the open queries with the values received so far, because the platform is about
-// to kill this process.
+// endOpenQueries makes the decision module end the open queries with the values received so far, because the platform
+// is about to kill this process.
 func (c *Coordinator) endOpenQueries() {
 	for _, id := range slices.Sorted(maps.Keys(c.open.byID)) {
 		c.notify(scatter.QueryExpired{ID: id})
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -79,7 +79,7 @@
 type part struct {
 	id       string     // the module's id of the part
 	index    int        // position in Query.Parts
-	shard    int        // shard that the part asks
+	shard    int        // number of the shard that the part asks
 	query    *query     // query that the part belongs to
 	value    []byte     // value received from the shard or proven by the first phase; nil until then
 	attempts []*Attempt // all attempts of the part, in the order of their numbers
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -109,7 +109,7 @@
 	return Answer{}, false
 }
 
-// accept opens a query. It notifies the module of the query and its parts, and then of its first phase.
+// accept opens a query. It notifies the decision module of the query and its parts, and then of its first phase.
 func (c *Coordinator) accept(submitted *Query, policy retry.Policy, key string) {
 	if end := c.phaseState.drainEnd; end > 0 {
 		submitted.Deadline = min(submitted.Deadline, end)
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -48,8 +48,8 @@
 	c.rejectSubmitted()
 }
 
-// tick applies the queued messages, runs the timers that are due, and steps the module. Messages that arrive while it
-// applies others wait for the next tick, so that every tick ends.
+// tick applies the queued messages, runs the timers that are due, and steps the decision module. Messages that arrive
+// while it applies others wait for the next tick, so that every tick ends.
 func (c *Coordinator) tick(received ...posted) {
 	c.now = max(c.now, c.cfg.Clock())
 	c.load.begin(c.now)
@@ -72,10 +72,10 @@
 	m.apply(c)
 }
 
-// step runs the module and performs its actions until these add no more events. The first round runs even without
-// events, because the module's timer may be due or time has passed since its last step. A further round needs an event
-// that an action has caused immediately: an attempt was not sent, or a first phase has begun or ended. The loop
-// terminates because the module requests finitely many such actions.
+// step runs the decision module and performs its actions until these add no more events. The first round runs even
+// without events, because the module's timer may be due or time has passed since its last step. A further round needs
+// an event that an action has caused immediately: an attempt was not sent, or a first phase has begun or ended. The
+// loop terminates because the module requests finitely many such actions.
 func (c *Coordinator) step() {
 	for first := true; first || len(c.events) > 0; first = false {
 		events := c.events
@@ -84,5 +84,5 @@
 	}
 }
 
-// notify adds an event for the module's next step.
+// notify adds an event for the decision module's next step.
 func (c *Coordinator) notify(e scatter.Event) { c.events = append(c.events, e) }
--- a/internal/core/validate.go
+++ b/internal/core/validate.go
@@ -33,7 +33,7 @@
 // PartProblem is a way in which the parts of a query can be invalid.
 type PartProblem int
 
-// The problems.
+// The ways in which parts can be invalid.
 const (
 	UnknownShard     PartProblem = iota // the shard is negative or not below the number of shards
 	RepeatedShard                       // two parts have the same shard
