--- a/internal/decide/twophase/cache.go
+++ b/internal/decide/twophase/cache.go
@@ -3,27 +3,28 @@
 import "container/list"
 
 const (
-	// entryOverhead is the memory of an entry besides its body and value, in bytes: maps, list, headers.
+	// entryOverhead is the memory that an entry uses besides its body and value, in bytes: maps, list, headers.
 	entryOverhead = 256
-	// maxEntryFraction is the largest entry that is cached, as a divisor of the limit: one value must not displace all.
+	// maxEntryFraction bounds the size of an entry to limit/maxEntryFraction, so that one value cannot displace all
+	// others.
 	maxEntryFraction = 8
 )
 
-// cache bounds the entries of all shards. Their bytes never pass the limit: the least recently used go.
+// cache is an LRU cache over the entries of all shards. Their total size never exceeds the limit.
 type cache struct {
-	limit   int        // bytes that may be cached
-	bytes   int        // bytes of all entries
-	values  int        // entries with a value
+	limit   int        // maximum total size, in bytes
+	bytes   int        // total size of all entries
+	values  int        // number of entries with a value
 	recency *list.List // of *entry, the most recently used first
 }
 
-// entry is a body that was asked for at a shard, with the shard's value for it where that is cached. The value holds
-// under the shard's newest version.
+// entry is a body that was requested from a shard, with the shard's value for it if that is cached. The value is valid
+// for the shard's newest version.
 type entry struct {
 	shard       *shardState
 	body        string
-	value       []byte // nil where none is cached
-	invalidated bool   // the value was outdated since the body was last asked for
+	value       []byte // nil if none is cached
+	invalidated bool   // a value was dropped as outdated since the body was last requested
 	element     *list.Element
 }
 
@@ -31,7 +32,7 @@
 
 func newCache(limit int) cache { return cache{limit: limit, recency: list.New()} }
 
-// recordRequest remembers that a body was asked for.
+// recordRequest records that a body was requested from a shard.
 func (c *cache) recordRequest(s *shardState, body string) {
 	e := s.entries[body]
 	if e == nil {
@@ -45,7 +46,7 @@
 	}
 }
 
-// get returns a cached value, and makes it the most recently used one.
+// get returns a cached value and marks its entry as the most recently used.
 func (c *cache) get(s *shardState, body string) (value []byte, ok bool) {
 	e := s.entries[body]
 	if e == nil || e.value == nil {
@@ -55,7 +56,7 @@
 	return e.value, true
 }
 
-// put caches a copy of a value, which may be part of something larger.
+// put caches a copy of a value. It copies because the value may be a slice of a larger buffer.
 func (c *cache) put(s *shardState, body string, value []byte) {
 	if e := s.entries[body]; e != nil {
 		c.remove(e)
@@ -76,7 +77,7 @@
 	c.trim()
 }
 
-// trim removes the least recently used entries until the rest is within the limit.
+// trim evicts the least recently used entries until the total size is within the limit.
 func (c *cache) trim() {
 	for c.bytes > c.limit {
 		c.remove(c.recency.Back().Value.(*entry))
@@ -92,7 +93,7 @@
 	delete(e.shard.entries, e.body)
 }
 
-// invalidate drops a shard's values. The bodies stay, for they may be asked for again.
+// invalidate drops a shard's values. The entries stay because their bodies may be requested again.
 func (c *cache) invalidate(s *shardState) {
 	for _, e := range s.entries {
 		if e.value != nil {
--- a/internal/decide/twophase/cache_test.go
+++ b/internal/decide/twophase/cache_test.go
@@ -9,24 +9,25 @@
 	"pgregory.net/rapid"
 )
 
-// cachedValue is the value of each entry in a cache of these tests.
+// cachedValue is the value of most cache entries in these tests.
 var cachedValue = []byte(strings.Repeat("x", 1000))
 
-// entrySize is the size of an entry with cachedValue and a body of two letters.
+// entrySize is the size of an entry with cachedValue and a two-letter body.
 var entrySize = entryOverhead + len("t0") + len(cachedValue)
 
-// cacheValue has a Planner cache a value of shard 0.
+// cacheValue makes a Planner cache a value of shard 0.
 func cacheValue(p *Planner, body string, value []byte) {
 	p.ObserveFullWithVersion(testTopic, 0, body, versioned(version(0), 1), value, 0)
 }
 
-// isCached reports whether a Planner has a value of shard 0, and makes it the most recently used one.
+// isCached reports whether a Planner has cached a value of shard 0. If so, it marks that value as the most recently
+// used.
 func isCached(p *Planner, body string) bool {
 	v, _ := p.ObserveFirstPhase(testTopic, 0, body, versioned(version(0), 1), true, 0)
 	return v == Unchanged
 }
 
-// fullCache returns a Planner whose cache is full with the values of the bodies t0 to t9, the last one used last.
+// fullCache returns a Planner whose cache is filled with the values of the bodies t0 to t9, t9 the most recently used.
 func fullCache() *Planner {
 	p := New(10 * entrySize)
 	for i := range 10 {
@@ -35,43 +36,43 @@
 	return p
 }
 
-// Ten values that just fit into the limit are all cached. A limit of 0 caches nothing.
+// Ten values that exactly fill the limit are all cached. With a limit of 0 nothing is cached.
 func TestCacheHoldsWhatFits(t *testing.T) {
 	if n, bytes := fullCache().Cached(); n != 10 || bytes != 10*entrySize {
-		t.Errorf("%d values, %d bytes: what just fits is cached", n, bytes)
+		t.Errorf("%d values of %d bytes cached, want 10 values that exactly fill the limit", n, bytes)
 	}
 	if v, _ := New(0).ObserveFirstPhase(testTopic, 0, "q", versioned(version(0), 1), true, 0); v != NeedsFull {
-		t.Errorf("a limit of 0: %v", v)
+		t.Errorf("limit of 0: verdict %v, want needs full", v)
 	}
 }
 
-// The cache is full and its oldest value is used. Another value then displaces the second oldest one; a value that is
-// cached again displaces nothing.
+// The cache is full, and its oldest value is used. A new value then displaces the second oldest one. Caching an
+// existing body again displaces nothing.
 func TestCacheDropsLeastRecentlyUsed(t *testing.T) {
 	p := fullCache()
 	isCached(p, "t0") // used
 	cacheValue(p, "tt", cachedValue)
 	cacheValue(p, "t0", cachedValue) // again
 	if !isCached(p, "t0") || isCached(p, "t1") || !isCached(p, "tt") {
-		t.Errorf("t0 %t, t1 %t, tt %t: want the least recently used gone",
+		t.Errorf("cached: t0 %t, t1 %t, tt %t; want only t1, the least recently used, evicted",
 			isCached(p, "t0"), isCached(p, "t1"), isCached(p, "tt"))
 	}
 	if n, bytes := p.Cached(); n != 10 || bytes != 10*entrySize {
-		t.Errorf("%d values, %d bytes after one was displaced", n, bytes)
+		t.Errorf("%d values of %d bytes cached after one was displaced, want a full cache of 10", n, bytes)
 	}
 }
 
-// A value is larger than an eighth of the limit. It is not cached, for it would displace many.
+// A value larger than an eighth of the limit is not cached, because it would displace many others.
 func TestCacheRefusesLargeValue(t *testing.T) {
 	p := fullCache()
 	cacheValue(p, "huge", []byte(strings.Repeat("x", 2*entrySize)))
 	if isCached(p, "huge") {
-		t.Error("a value over an eighth of the limit is cached")
+		t.Error("a value larger than an eighth of the limit is cached")
 	}
 }
 
-// Whatever comes, the counts add up, the limit holds, and the verdict Unchanged gives the value that was cached last
-// for just this body and shard under just this version.
+// After any sequence of calls the counts match the entries, the size is within the limit, and the verdict Unchanged
+// returns the value last cached for the same body, shard and version.
 func TestCacheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 20000).Draw(t, "limit")
@@ -106,10 +107,10 @@
 				verdict, value := p.ObserveFirstPhase(testTopic, shard, body, ev, true, now)
 				if verdict == Unchanged &&
 					(!ev.Readable || !ev.Versioned || cached[key{shard, body, v}] != string(value)) {
-					t.Fatalf("unchanged with %.20q, cached %.20q", value, cached[key{shard, body, v}])
+					t.Fatalf("verdict Unchanged with %.20q, cached %.20q", value, cached[key{shard, body, v}])
 				}
 				if verdict == Empty && (!ev.Readable || ev.Matches != 0) {
-					t.Fatalf("empty on %+v", ev)
+					t.Fatalf("verdict Empty for evidence %+v", ev)
 				}
 			}
 			bytes, values := 0, 0
@@ -121,7 +122,7 @@
 				}
 			}
 			if n, b := p.Cached(); n != values || b != bytes || b > limit || p.cache.recency.Len() < values {
-				t.Fatalf("%d values of %d bytes counted, %d of %d there, limit %d", n, b, values, bytes, limit)
+				t.Fatalf("counted %d values of %d bytes, found %d of %d, limit %d", n, b, values, bytes, limit)
 			}
 		}
 	})
--- a/internal/decide/twophase/latency_window.go
+++ b/internal/decide/twophase/latency_window.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// windowSize is how many latencies are kept: those of about a minute of one coordinator.
+// windowSize is the number of latencies kept: about a minute's worth at one coordinator.
 const windowSize = 64
 
-// latencyWindow holds the latest latencies in a ring. The zero value is empty.
+// latencyWindow holds the most recent latencies in a ring buffer. The zero value is empty.
 type latencyWindow struct {
 	ring  [windowSize]time.Duration
 	count int // latencies added so far
@@ -19,7 +19,7 @@
 	w.count++
 }
 
-// quantile returns the latency of the nearest rank to q, from 0 to 1; 0 where the window is empty.
+// quantile returns the latency at the nearest rank to q, which is from 0 to 1. It returns 0 if the window is empty.
 func (w *latencyWindow) quantile(q float64) time.Duration {
 	n := min(w.count, windowSize)
 	if n == 0 {
--- a/internal/decide/twophase/planner.go
+++ b/internal/decide/twophase/planner.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Topic is an index and a class of queries. Costs are learned for each topic by itself.
+// Topic is an index and a class of queries. Costs are learned for each topic separately.
 type Topic struct{ Index, Class string }
 
-// Request is a query at its arrival.
+// Request is an arriving query.
 type Request struct {
 	Topic
-	Body        string               // all that a shard's answer depends on, besides the shard's data
+	Body        string               // everything that a shard's answer depends on, besides the shard's data
 	Shards      []int                // shard of each part, in the order of the parts
-	Capable     func(shard int) bool // whether every holder of a shard can answer a first phase; nil where all can
+	Capable     func(shard int) bool // whether every holder of a shard supports first phases; nil if all do
 	Now         time.Duration        // instant of arrival
-	ObjectiveAt time.Duration        // latency objective as an instant: the answer is wanted until then
+	ObjectiveAt time.Duration        // instant by which the latency objective wants the answer
 }
 
-// Mode is how a shard is asked.
+// Mode is how a part is sent to its shard.
 type Mode int
 
 // The modes.
 const (
-	Full            Mode = iota // in full at once
-	FullWithVersion             // in full at once, with the version, so that the value can be cached
-	InTwoPhases                 // its first phase at once, and in full only where that proves nothing
+	Full            Mode = iota // send the full query at once
+	FullWithVersion             // send the full query at once and request the version, so that the value can be cached
+	InTwoPhases                 // send the first phase at once, and the full query only if that proves nothing
 )
 
-// Plan is how a query's shards are asked.
+// Plan is how the parts of a query are sent to their shards.
 type Plan struct {
 	Modes       []Mode        // mode of each part, in the order of the request
-	MaxDeferral time.Duration // how long the full questions of InTwoPhases parts wait at most; 0 where there is none
+	MaxDeferral time.Duration // longest deferral of the full queries of InTwoPhases parts; 0 if there are no such parts
 }
 
-// Planner learns where two phases pay, and caches values. Use New. It is for one goroutine at a time.
+// Planner learns for which shards two phases pay off, and caches values. Create it with New. It is not safe for
+// concurrent use.
 type Planner struct {
 	cache  cache
-	shards map[shardKey]*shardState // no more of them than the shards of the configured indices
+	shards map[shardKey]*shardState // bounded by the number of shards of the configured indices
 	topics map[Topic]*topicState
 }
 
-// New returns a Planner that caches at most so many bytes, bookkeeping included; 0 caches nothing.
+// New returns a Planner that caches at most cacheBytes bytes, including bookkeeping. With 0 it caches nothing.
 func New(cacheBytes int) *Planner {
 	return &Planner{
 		cache: newCache(cacheBytes), shards: map[shardKey]*shardState{}, topics: map[Topic]*topicState{},
@@ -64,8 +65,8 @@
 	return state
 }
 
-// Plan decides how a query is asked. Where two phases do not pay, each shard is asked in full at once; a few
-// are explored, to notice when two phases would pay.
+// Plan chooses the mode of each part of a query. A shard for which two phases do not pay off gets the full query at
+// once. The planner still explores a few of these shards, to detect when two phases would pay off.
 func (p *Planner) Plan(r Request) Plan {
 	t := p.topic(r.Topic)
 	t.grantCredit(len(r.Shards))
@@ -78,9 +79,9 @@
 			continue
 		}
 		s := p.shard(r.Index, r.Shards[i])
-		asked, cached := s.lookUp(r.Body)
+		requested, cached := s.lookUp(r.Body)
 		p.cache.recordRequest(s, r.Body)
-		mode, explores := t.chooseMode(s, asked, cached, deferral)
+		mode, explores := t.chooseMode(s, requested, cached, deferral)
 		if explores {
 			t.nextExplored = (i + 1) % len(r.Shards)
 		}
@@ -92,23 +93,23 @@
 	return plan
 }
 
-// chooseMode decides how one shard is asked, and whether that is exploration: a first phase that does not pay yet. An
-// exploration takes its credit.
+// chooseMode chooses the mode of one part, and reports whether the choice is exploration: a first phase that is not
+// expected to pay off. An exploration spends its credit.
 //
-// In units of a full answer, two phases cost ratio for the first answer and, where it proves nothing, 1+ratio for a
-// full answer with its version. They are cheaper than one phase where the probability of a proof is over
+// In units of a full answer's cost, a first-phase answer costs ratio. If it proves nothing, the full answer with its
+// version costs 1+ratio more. Two phases are cheaper than one if the probability of a proof is above
 // 2*ratio/(1+ratio).
-func (t *topicState) chooseMode(s *shardState, asked, cached bool, deferral time.Duration) (m Mode, explores bool) {
+func (t *topicState) chooseMode(s *shardState, requested, cached bool, deferral time.Duration) (m Mode, explores bool) {
 	ratio := t.costRatio(s)
 	breakEven := 2 * ratio / (1 + ratio)
 	saving := s.savingIfNotCached
-	if cached { // a shard with a cached value may prove to have no match just as well
+	if cached { // the first phase can prove either that the value is valid or that the shard has no match
 		saving = max(s.savingIfCached, s.savingIfNotCached)
 	}
 	switch {
 	case saving > breakEven && deferral > 0:
 		return InTwoPhases, false
-	case asked && !cached && s.versioned && s.savingIfCached > breakEven:
+	case requested && !cached && s.versioned && s.savingIfCached > breakEven:
 		return FullWithVersion, false
 	case deferral > 0 && t.spendExploration(ratio):
 		return InTwoPhases, true
@@ -116,10 +117,10 @@
 	return Full, false
 }
 
-// FullSent counts a full question that goes out: it pays for a fraction of an exploration.
+// FullSent records that a full query was sent. Each full query earns credit for a fraction of an exploration.
 func (p *Planner) FullSent(t Topic) { p.topic(t).earnExploration() }
 
-// ObserveLatency takes the latency of a shard's served part, of its first phase or in full.
+// ObserveLatency records the latency of a part that a shard served, either of its first phase or of its full query.
 func (p *Planner) ObserveLatency(t Topic, shard int, firstPhase bool, latency time.Duration) {
 	if firstPhase {
 		p.topic(t).firstLatencies.add(latency)
@@ -129,11 +130,11 @@
 	p.shard(t.Index, shard).observeFullLatency(latency)
 }
 
-// SetLimit changes how many bytes may be cached, and drops what is beyond that.
+// SetLimit sets the maximum size of the cache, in bytes, and evicts the entries that exceed it.
 func (p *Planner) SetLimit(cacheBytes int) {
 	p.cache.limit = cacheBytes
 	p.cache.trim()
 }
 
-// Cached returns how many values are cached, and the bytes of the whole cache.
+// Cached returns the number of cached values and the size of the whole cache in bytes.
 func (p *Planner) Cached() (values, bytes int) { return p.cache.values, p.cache.bytes }
--- a/internal/decide/twophase/planner_test.go
+++ b/internal/decide/twophase/planner_test.go
@@ -10,17 +10,18 @@
 
 var testTopic = Topic{"conditions", "summary"}
 
-// firstAnswerCost is the work of a first answer, and of a version with a full one, in full answers.
+// firstAnswerCost is the cost of a first-phase answer, and of the version in a full answer, as a fraction of a full
+// answer's cost.
 const firstAnswerCost = 0.1
 
-// simulation plays queries over some shards against a planner.
+// simulation runs queries over some shards against a planner.
 type simulation struct {
 	*Planner
 	now       time.Duration
 	shards    int
-	firstWork float64                                    // work of first answers and versions so far, in full answers
-	fullWork  float64                                    // full answers so far
-	state     func(shard int) (v Version, matches int64) // of a shard's data at the time
+	firstWork float64                                    // cost of first-phase answers and versions, in full answers
+	fullWork  float64                                    // number of full answers
+	state     func(shard int) (v Version, matches int64) // present state of a shard's data
 }
 
 // versioned is the evidence of a readable answer that shows its version.
@@ -28,13 +29,13 @@
 	return Evidence{Readable: true, Matches: matches, Versioned: true, Version: v}
 }
 
-// version returns the versions of a shard's data after n changes.
+// version returns the version of a shard's data after n changes.
 func version(n int) Version {
 	return Version{Docs: 10, Max: float64(100 + n), Min: 1, Sum: float64(500 + n)}
 }
 
-// ask plays one query and returns how many shards were not asked in full.
-func (s *simulation) ask(body string) (pruned int) {
+// query runs one query and returns how many of its shards got no full query.
+func (s *simulation) query(body string) (pruned int) {
 	s.now += time.Second
 	r := Request{Topic: testTopic, Body: body, Now: s.now, ObjectiveAt: s.now + 1500*ms}
 	for shard := range s.shards {
@@ -58,38 +59,39 @@
 		s.fullWork++
 		if withVersion {
 			s.firstWork += firstAnswerCost
-			s.ObserveFullWithVersion(testTopic, i, body, versioned(v, matches), fmt.Appendf(nil, "%s %d %v", body, i, v), s.now)
+			s.ObserveFullWithVersion(testTopic, i, body, versioned(v, matches), fmt.Appendf(nil, "%s %d %v", body, i, v),
+				s.now)
 		}
 	}
 	return pruned
 }
 
-// A site's data changes all the time, then not at all, then in half of the shards. While nothing changes nearly all
-// full questions are saved; while all changes hardly any work is lost; and the planner notices when that changes,
-// either way.
+// The data changes before each query, then never, then in half of the shards. While nothing changes, nearly all full
+// queries are saved. While everything changes, hardly any work is lost. The planner adapts when the rate of change
+// rises or falls.
 func TestPlannerFollowsHowOftenDataChanges(t *testing.T) {
 	changes := 0
 	unchanged := func(int) (Version, int64) { return version(0), 3 }
 	changing := func(int) (Version, int64) { changes++; return version(changes), 3 }
 	s := &simulation{Planner: New(1 << 20), shards: 12, state: changing}
-	play := func(queries int) (work float64) {
+	run := func(queries int) (work float64) {
 		s.firstWork, s.fullWork = 0, 0
 		for i := range queries {
-			s.ask(fmt.Sprint("body ", i%3))
+			s.query(fmt.Sprint("body ", i%3))
 		}
 		return (s.firstWork + s.fullWork) / float64(queries*s.shards)
 	}
-	if work := play(300); work > 1.05 || s.firstWork == 0 {
-		t.Errorf("all changing: %.3f of the work of one phase, want at most 1.05, and some of it exploration", work)
+	if work := run(300); work > 1.05 || s.firstWork == 0 {
+		t.Errorf("all shards changing: %.3f of the one-phase work, want at most 1.05 and some exploration", work)
 	}
 	s.state = unchanged
-	play(100) // the planner learns
-	if work := play(100); work > 0.2 {
-		t.Errorf("unchanged after changing: %.3f, want at most 0.2", work)
+	run(100) // the planner learns
+	if work := run(100); work > 0.2 {
+		t.Errorf("no shard changing after all did: %.3f of the one-phase work, want at most 0.2", work)
 	}
 	s.state = changing
-	if work := play(300); work > 1.05 {
-		t.Errorf("changing after unchanged: %.3f, want at most 1.05", work)
+	if work := run(300); work > 1.05 {
+		t.Errorf("all shards changing after none did: %.3f of the one-phase work, want at most 1.05", work)
 	}
 	half := func(shard int) (Version, int64) {
 		if shard%2 == 0 {
@@ -97,19 +99,19 @@
 		}
 		return unchanged(shard)
 	}
-	s.state = half
-	play(100)
-	if work := play(100); work > 0.65 || work < 0.5 {
-		t.Errorf("half changing: %.3f, want about 0.55: each shard is judged by itself", work)
+	s.state = half // each shard is judged by its own samples
+	run(100)
+	if work := run(100); work > 0.65 || work < 0.5 {
+		t.Errorf("half of the shards changing: %.3f of the one-phase work, want about 0.55", work)
 	}
 	s.state = func(int) (Version, int64) { return Version{}, 0 }
-	play(300)
-	if work := play(100); work > 0.2 {
-		t.Errorf("nothing matches: %.3f, want at most 0.2", work)
+	run(300)
+	if work := run(100); work > 0.2 {
+		t.Errorf("no shard with a match: %.3f of the one-phase work, want at most 0.2", work)
 	}
 }
 
-// Full questions are deferred for no longer than leaves a slow full answer its time before the latency objective.
+// A deferral leaves enough time for a slow full answer before the latency objective.
 func TestDeferralLeavesTimeForFullAnswer(t *testing.T) {
 	p := New(1 << 20)
 	plan := func(left time.Duration) Plan {
@@ -117,7 +119,7 @@
 			Now: time.Second, ObjectiveAt: time.Second + left})
 	}
 	if got := plan(1600 * ms); got.MaxDeferral != 200*ms || got.Modes[0] != InTwoPhases {
-		t.Errorf("nothing seen yet: %+v, want a quarter of half of the time", got)
+		t.Errorf("no latency observed yet: %+v, want a deferral of a quarter of half of the time", got)
 	}
 	for range 64 {
 		p.ObserveLatency(testTopic, 0, true, 10*ms)
@@ -131,7 +133,7 @@
 	} {
 		got := plan(tc.left)
 		if got.MaxDeferral != tc.deferral || (got.Modes[0] == InTwoPhases) != (tc.deferral > 0) {
-			t.Errorf("%v left: %+v, want a deferral of %v", tc.left, got, tc.deferral)
+			t.Errorf("%v left until the objective: %+v, want a deferral of %v", tc.left, got, tc.deferral)
 		}
 	}
 	got := p.Plan(Request{
@@ -139,12 +141,12 @@
 		Now: time.Second, ObjectiveAt: 3 * time.Second,
 	})
 	if got.Modes[0] != Full || got.Modes[1] != InTwoPhases {
-		t.Errorf("%+v, want the shard whose holders know no first phase asked in full", got)
+		t.Errorf("%+v, want the full query for the shard whose holders do not support first phases", got)
 	}
 }
 
-// First answers come so late that the full questions have gone out already. They save nothing, whatever they prove,
-// so the planner stops asking these shards in two phases.
+// First-phase answers arrive only after the full queries were sent. They save nothing even if they prove the value, so
+// the planner stops querying these shards in two phases.
 func TestLateFirstPhasesAreGivenUp(t *testing.T) {
 	p := New(1 << 20)
 	p.ObserveFullWithVersion(testTopic, 0, "q", versioned(version(0), 1), []byte("v"), 0)
@@ -159,6 +161,6 @@
 		p.FullSent(testTopic)
 	}
 	if firstPhases > 60 {
-		t.Errorf("%d first phases of 200 that never helped", firstPhases)
+		t.Errorf("%d of 200 queries used a first phase that never saved a full query, want at most 60", firstPhases)
 	}
 }
--- a/internal/decide/twophase/shard_state.go
+++ b/internal/decide/twophase/shard_state.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// sampleGain is the weight of a new sample in a shard's savings and latency: about five queries count.
+	// sampleGain is the weight of a new sample in the moving means of a shard's savings and latency: about the last
+	// five queries count.
 	sampleGain = 0.2
-	// initialSavingIfCached is the probability that a first phase saves the full question, for the first cached value.
+	// initialSavingIfCached is the initial estimate of the probability that a first phase saves the full query whose
+	// value is cached.
 	initialSavingIfCached = 0.5
-	// newestTrust is for how long the newest version counts after it was last confirmed.
+	// newestTrust is how long a shard's newest version stays valid after a replica last showed it.
 	newestTrust = time.Minute
 )
 
-// shardKey is a shard of an index.
+// shardKey identifies a shard of an index.
 type shardKey struct {
 	index  string
 	number int
 }
 
-// shardState is what is known of a shard's data.
+// shardState is what the planner has learned about a shard.
 type shardState struct {
-	savingIfCached    float64       // probability that a first phase saves the full question whose value is cached
-	savingIfNotCached float64       // probability that a first phase saves a full question whose value is not cached
-	fullLatency       time.Duration // of full answers, a moving mean; 0 where there was none
+	savingIfCached    float64       // probability that a first phase saves a full query whose value is cached
+	savingIfNotCached float64       // probability that a first phase saves a full query whose value is not cached
+	fullLatency       time.Duration // moving mean of the latency of full answers; 0 before the first one
 
 	versioned bool          // the latest readable answer had versions
 	hasNewest bool          // newest is valid
 	newest    Version       // newest version that any replica has shown
-	newestAt  time.Duration // when a replica last showed it
+	newestAt  time.Duration // when a replica last showed the newest version
 
 	entries map[string]*entry // cache entries by body: two bodies never share a value
 }
@@ -35,13 +37,13 @@
 	return &shardState{savingIfCached: initialSavingIfCached, entries: map[string]*entry{}}
 }
 
-// lookUp reports whether a body was asked for recently, and whether its value is cached.
-func (s *shardState) lookUp(body string) (asked, cached bool) {
+// lookUp reports whether a body was requested recently, and whether its value is cached.
+func (s *shardState) lookUp(body string) (requested, cached bool) {
 	e := s.entries[body]
 	return e != nil, e != nil && e.value != nil
 }
 
-// observeFullLatency takes the latency of a full answer.
+// observeFullLatency records the latency of a full answer.
 func (s *shardState) observeFullLatency(latency time.Duration) {
 	if s.fullLatency == 0 {
 		s.fullLatency = latency
@@ -49,9 +51,9 @@
 	s.fullLatency += time.Duration(sampleGain * float64(latency-s.fullLatency))
 }
 
-// observeSaving takes whether a first phase saved the full question. With a cached value it does so where that value
-// still stands or the shard has no match, without one only where there is no match; and neither where the full question
-// had gone out before.
+// observeSaving records whether a first phase saved the full query. With a cached value it does so if that value is
+// still valid or the shard has no match; without a cached value, only if the shard has no match. It never does so if
+// the full query was sent before the first-phase answer arrived.
 func (s *shardState) observeSaving(wasCached, saved bool) {
 	saving := &s.savingIfNotCached
 	if wasCached {
@@ -64,16 +66,17 @@
 	*saving += sampleGain * (sample - *saving)
 }
 
-// observeInvalidated takes that a body is asked for again whose cached value was dropped as outdated meanwhile. It
-// counts as a first phase that saved nothing.
+// observeInvalidated records a repeated request for a body whose cached value was dropped as outdated since the last
+// request. It counts as a first phase that saved nothing.
 func (s *shardState) observeInvalidated() { s.savingIfCached -= sampleGain * s.savingIfCached }
 
-// observeVersion takes the shard's version at a replica at now. It reports whether the replica's answer may be used,
-// and whether the cached values are outdated.
+// observeVersion records the version of the shard that a replica shows at now. It reports whether the replica's answer
+// may be used, and whether the cached values are outdated.
 //
-// A replica may lag behind the others: its answer would take back a change that a client has already seen. Its version
-// then is older than the newest one seen, and is not used. If nobody has confirmed the newest version for newestTrust,
-// it is gone: its newest document was deleted, or all replicas went back. Without that end nothing would be used again.
+// A replica can lag behind the others, and its answer would then revert a change that a client has already seen. So an
+// answer with a version older than the newest one is not used. If no replica has shown the newest version for
+// newestTrust, that version no longer exists: its newest document was deleted, or all replicas reverted to an older
+// state. The newest version must expire, because otherwise no answer would ever be used again.
 func (s *shardState) observeVersion(v Version, now time.Duration) (usable, outdated bool) {
 	if s.hasNewest {
 		switch r := v.relationTo(s.newest); {
@@ -81,7 +84,7 @@
 			s.newestAt = now
 			return true, false
 		case r != newer && now-s.newestAt < newestTrust:
-			return false, r == conflicting // either state may be the one that is cached under this version
+			return false, r == conflicting // the cached values may belong to either of the conflicting states
 		}
 	}
 	s.newest, s.newestAt, s.hasNewest = v, now, true
--- a/internal/decide/twophase/verdict.go
+++ b/internal/decide/twophase/verdict.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Evidence is what a replica's answer shows of its shard, on any wire.
+// Evidence is what a replica's answer shows about its shard, in any protocol.
 type Evidence struct {
-	Readable  bool    // the answer could be read, and speaks for the whole shard
-	Matches   int64   // exact number of matches; -1 where it is not given
-	Versioned bool    // every document has a version, and Version sums them up
-	Version   Version // valid where Versioned
+	Readable  bool    // the answer was readable and covers the whole shard
+	Matches   int64   // exact number of matches; -1 if the answer does not give it
+	Versioned bool    // every document has a version, and Version summarizes them
+	Version   Version // valid if Versioned
 }
 
-// Verdict is what a first answer proves.
+// Verdict is what a first-phase answer proves.
 type Verdict int
 
 // The verdicts.
 const (
-	Inconclusive Verdict = iota // nothing: it failed, could not be read, or its replica lags behind
+	Inconclusive Verdict = iota // nothing: the request failed, the answer is unreadable, or the replica lags behind
 	NeedsFull                   // the shard may have matches that are not cached
 	Empty                       // the shard has no match
-	Unchanged                   // the cached value is what the shard would answer
+	Unchanged                   // the cached value equals the shard's present answer
 )
 
-// String returns what the verdict means in a word or two.
+// String returns the verdict in a word or two.
 func (v Verdict) String() string {
 	return [...]string{"inconclusive", "needs full", "empty", "unchanged"}[v]
 }
 
-// Proves reports whether the shard's answer is known without the full question.
+// Proves reports whether the shard's answer is known without the full query.
 func (v Verdict) Proves() bool { return v == Empty || v == Unchanged }
 
-// ObserveFirstPhase judges a shard's first answer at now, and returns the cached value where it is Unchanged.
-// Deferred says that the full question has not gone out: only then has the first answer saved anything.
+// ObserveFirstPhase judges a shard's first-phase answer at now. It returns the cached value if the verdict is
+// Unchanged. deferred is whether the full query is still unsent: only then can the answer have saved it.
 func (p *Planner) ObserveFirstPhase(t Topic, shard int, body string, ev Evidence, deferred bool,
 	now time.Duration) (v Verdict, value []byte) {
 	s := p.shard(t.Index, shard)
@@ -49,7 +49,7 @@
 		if !p.acceptVersion(s, ev.Version, now) {
 			return Inconclusive, nil
 		}
-	} else if s.hasNewest { // this replica does not show how far it lags, though others do
+	} else if s.hasNewest { // other replicas showed versions, so this one may lag behind by an unknown amount
 		return Inconclusive, nil
 	}
 	if ev.Matches == 0 {
@@ -61,8 +61,8 @@
 	return NeedsFull, nil
 }
 
-// acceptVersion takes a shard's version at a replica, and reports whether that replica's answer may be used. It drops
-// the shard's cached values where they are outdated (shardState.observeVersion).
+// acceptVersion records the version of a shard that a replica shows, and reports whether that replica's answer may be
+// used. It drops the shard's cached values if they are outdated (shardState.observeVersion).
 func (p *Planner) acceptVersion(s *shardState, v Version, now time.Duration) (usable bool) {
 	usable, outdated := s.observeVersion(v, now)
 	if outdated {
@@ -71,12 +71,13 @@
 	return usable
 }
 
-// WantsVersion reports whether a full question that follows a first answer should bring the shard's version with it.
+// WantsVersion reports whether a full query that follows a first phase should request the shard's version.
 func (p *Planner) WantsVersion(t Topic, shard int) bool { return p.shard(t.Index, shard).versioned }
 
-// ObserveFullWithVersion takes the full answer to a question that asked for the shard's version. It caches the value
-// unless the replica lags behind. An answer without versions shows that they have gone away: no value of the shard is
-// cached until a first answer shows versions again. So it must not be called for a question without the version.
+// ObserveFullWithVersion records the answer to a full query that requested the shard's version. It caches the value
+// unless the replica lags behind. An answer without versions shows that the shard no longer has them: no value of the
+// shard is then cached until a first-phase answer shows versions again. So it must not be called for a full query that
+// did not request the version.
 func (p *Planner) ObserveFullWithVersion(t Topic, shard int, body string, ev Evidence, value []byte,
 	now time.Duration) {
 	s := p.shard(t.Index, shard)
--- a/internal/decide/twophase/verdict_test.go
+++ b/internal/decide/twophase/verdict_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A value is cached under a version. What a first answer proves depends on how its version relates to that one.
+// A value is cached under a version. What a first-phase answer proves depends on how its version relates to that one.
 func TestVerdicts(t *testing.T) {
 	at7 := Version{Docs: 10, Max: 7, Min: 1, Sum: 40}
 	for _, tc := range []struct {
@@ -16,42 +16,42 @@
 		{"unchanged", versioned(at7, 3), Unchanged},
 		{"changed", versioned(Version{10, 8, 1, 44}, 3), NeedsFull},
 		{"a document deleted", versioned(Version{9, 7, 1, 37}, 3), NeedsFull},
-		{"behind", versioned(Version{10, 6, 1, 39}, 3), Inconclusive},
-		{"a deletion that the replica has not seen", versioned(Version{11, 7, 1, 43}, 3), Inconclusive},
-		{"the newest document deleted, or behind", versioned(Version{9, 6, 1, 33}, 3), Inconclusive},
-		{"versions given twice", versioned(Version{10, 7, 1, 41}, 3), Inconclusive},
+		{"lagging replica", versioned(Version{10, 6, 1, 39}, 3), Inconclusive},
+		{"a deletion that the replica has not applied", versioned(Version{11, 7, 1, 43}, 3), Inconclusive},
+		{"the newest document deleted, or lagging replica", versioned(Version{9, 6, 1, 33}, 3), Inconclusive},
+		{"a version assigned twice", versioned(Version{10, 7, 1, 41}, 3), Inconclusive},
 		{"no match", versioned(at7, 0), Empty},
-		{"no match, behind", versioned(Version{10, 6, 1, 39}, 0), Inconclusive},
-		{"not read", Evidence{}, Inconclusive},
-		{"without versions where there were some", Evidence{Readable: true, Matches: 3}, Inconclusive},
-		{"without versions, no hit", Evidence{Readable: true, Matches: 0}, Inconclusive},
+		{"no match, lagging replica", versioned(Version{10, 6, 1, 39}, 0), Inconclusive},
+		{"unreadable", Evidence{}, Inconclusive},
+		{"no versions after an answer with versions", Evidence{Readable: true, Matches: 3}, Inconclusive},
+		{"no versions, no match", Evidence{Readable: true, Matches: 0}, Inconclusive},
 	} {
 		p := New(1 << 20)
 		p.ObserveFullWithVersion(testTopic, 4, "q", versioned(at7, 3), []byte("value"), 0)
 		v, value := p.ObserveFirstPhase(testTopic, 4, "q", tc.ev, true, time.Second)
 		if v != tc.want || (v == Unchanged) != (string(value) == "value") {
-			t.Errorf("%s: %v %q, want %v", tc.name, v, value, tc.want)
+			t.Errorf("%s: verdict %v with value %q, want %v", tc.name, v, value, tc.want)
 		}
-		// The cached value stands for its own body, shard and index only.
+		// The cached value is valid only for its own body, shard and index.
 		for _, k := range []struct {
 			topic Topic
 			shard int
 			body  string
 		}{{testTopic, 4, "other"}, {testTopic, 5, "q"}, {Topic{"trails", "summary"}, 4, "q"}} {
 			if v, _ := p.ObserveFirstPhase(k.topic, k.shard, k.body, tc.ev, true, time.Second); v == Unchanged {
-				t.Errorf("%s: unchanged for %+v, of which nothing is cached", tc.name, k)
+				t.Errorf("%s: verdict Unchanged for %+v, which has no cached value", tc.name, k)
 			}
 		}
 	}
-	// Where no version was ever seen, no match is proof enough: a full answer of that replica would say the same.
+	// If no version was ever seen, an answer without matches proves Empty: the replica's full answer would be the same.
 	if v, _ := New(1<<20).ObserveFirstPhase(testTopic, 4, "q", Evidence{Readable: true}, true, 0); v != Empty {
-		t.Errorf("no match without versions: %v", v)
+		t.Errorf("no match, and no version ever seen: verdict %v, want empty", v)
 	}
 }
 
-// A shard's newest document is deleted everywhere, so nobody shows its newest version any more. Replicas then look as
-// if they lagged behind: their answers neither prove anything nor are cached. After newestTrust that version is given
-// up.
+// A shard's newest document is deleted at all replicas, so no replica shows its newest version any longer. All replicas
+// then appear to lag behind, and their answers prove nothing and are not cached. That ends after newestTrust, when the
+// planner drops the newest version.
 func TestUnconfirmedVersionIsGivenUp(t *testing.T) {
 	p, newest, older := New(1<<20), Version{9, 8, 1, 40}, Version{8, 7, 1, 32}
 	p.ObserveFullWithVersion(testTopic, 0, "q", versioned(newest, 2), []byte("new"), 0)
@@ -62,10 +62,10 @@
 		p.ObserveFullWithVersion(testTopic, 0, "q", versioned(older, 2), []byte("old"), tc.at)
 		v, value := p.ObserveFirstPhase(testTopic, 0, "q", versioned(older, 2), true, tc.at)
 		if v != tc.want || v == Unchanged && string(value) != "old" {
-			t.Errorf("after %v: %v %q, want %v", tc.at, v, value, tc.want)
+			t.Errorf("after %v: verdict %v with value %q, want %v", tc.at, v, value, tc.want)
 		}
 	}
 	if v, _ := p.ObserveFirstPhase(testTopic, 0, "q", versioned(newest, 2), true, 2*newestTrust); v != NeedsFull {
-		t.Errorf("the newer state again: %v, its value is not cached any more", v)
+		t.Errorf("newer state shown again: verdict %v, want needs full because its value is no longer cached", v)
 	}
 }
--- a/internal/decide/twophase/version.go
+++ b/internal/decide/twophase/version.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// Version sums up the versions of a shard's documents. Writers give each change of a document a version that is higher
-// than any in the shard. So a change raises Max, and a deletion, which Max may not show, lowers Docs. Min and Sum guard
-// against writers that give a version twice: two states then agree in Max and Docs, and would pass for one.
+// Version summarizes the versions of a shard's documents. Writers give each changed document a version that is higher
+// than any in the shard. So a change raises Max, and a deletion lowers Docs but may leave Max as it is. Min and Sum
+// protect against writers that assign a version twice: without them, two different states with equal Max and Docs would
+// compare as the same.
 type Version struct {
 	Docs int64   // number of documents
 	Max  float64 // highest version
@@ -12,10 +13,11 @@
 	Sum  float64 // sum of the versions
 }
 
-// maxExact is the highest version that a float64 tells from its neighbours.
+// maxExact is the highest version that a float64 distinguishes from the adjacent versions.
 const maxExact = 1 << 53
 
-// Valid reports whether a version can be told from others: its figures are finite, and no digits are lost.
+// Valid reports whether a version can be distinguished from others: its numbers are finite and lose no digits in a
+// float64.
 func (v Version) Valid() bool {
 	for _, f := range []float64{v.Max, v.Min} {
 		if math.IsNaN(f) || math.Abs(f) > maxExact {
@@ -25,17 +27,17 @@
 	return v.Docs >= 0 && !math.IsNaN(v.Sum) && !math.IsInf(v.Sum, 0) && v.Min <= v.Max
 }
 
-// relation is how one state of a shard lies to another.
+// relation is how one state of a shard relates to another.
 type relation int
 
 const (
 	same        relation = iota
-	newer                // it followed the other state
-	older                // it came before the other state, or the newest document was deleted: both look alike
-	conflicting          // neither can have become the other, unless a version was given twice
+	newer                // it is later than the other state
+	older                // it is earlier than the other state, or the newest document was deleted: both look the same
+	conflicting          // neither can have evolved into the other, unless a writer assigned a version twice
 )
 
-// relationTo compares a version with that of a state seen before.
+// relationTo compares a version with the version of a state seen before.
 func (v Version) relationTo(o Version) relation {
 	switch {
 	case v == o:
@@ -44,7 +46,7 @@
 		return newer
 	case v.Max < o.Max:
 		return older
-	case v.Docs < o.Docs: // documents were deleted, none was changed
+	case v.Docs < o.Docs: // documents were deleted, and none was changed
 		return newer
 	case v.Docs > o.Docs:
 		return older
