--- a/internal/decide/overload/controller_test.go
+++ b/internal/decide/overload/controller_test.go
@@ -12,7 +12,8 @@
 
 const ms = time.Millisecond
 
-// normalRate is the traffic, in queries a second of three classes and tenants, that keeps the loop half busy.
+// normalRate is the total traffic of the three classes and tenants, in queries per second, that keeps the loop half
+// busy.
 const normalRate = 380.0
 
 func config() overload.Config {
@@ -30,8 +31,8 @@
 		}}
 }
 
-// rush is the normal traffic times a factor for each tenant. What is beyond a factor of 1.1 is beyond the tenant's
-// quota.
+// rush returns a simulation of the normal traffic multiplied by a factor for each tenant. Traffic above a factor of 1.1
+// exceeds the tenant's quota.
 func rush(length time.Duration, factor func(tenant string, t time.Duration) float64) loopsim.Simulation {
 	r := loopsim.Simulation{Duration: length, Seed: 1, Retries: 2, LatencyObjective: 1500 * ms,
 		QueryTime: 300 * time.Microsecond, PartTime: 200 * time.Microsecond, RejectionTime: 20 * time.Microsecond,
@@ -57,7 +58,7 @@
 	return r
 }
 
-// threefold is the factor of a rush of five seconds, from 2 s to 7 s.
+// threefold is the factor for a rush with three times the normal traffic for five seconds, from 2 s to 7 s.
 func threefold(_ string, t time.Duration) float64 {
 	if t > 2*time.Second && t < 7*time.Second {
 		return 3
@@ -68,72 +69,74 @@
 // levelRecorder records how a controller's level changes.
 type levelRecorder struct {
 	*overload.Controller
-	changes  []string        // instants and levels
-	normalAt []time.Duration // when the level became normal
+	changes  []string        // instant and new level of each change
+	normalAt []time.Duration // instants at which the level became normal
 }
 
-// normalAfter is when the level was normal first from an instant on.
-func (w *levelRecorder) normalAfter(at time.Duration) time.Duration {
-	for _, n := range w.normalAt {
+// normalAfter returns the first instant, not before at, at which the level became normal. If there is none, it returns
+// at while the level is normal, and an hour otherwise.
+func (r *levelRecorder) normalAfter(at time.Duration) time.Duration {
+	for _, n := range r.normalAt {
 		if n >= at {
 			return n
 		}
 	}
-	if w.Level() == overload.Normal {
+	if r.Level() == overload.Normal {
 		return at
 	}
 	return time.Hour
 }
 
-func (w *levelRecorder) Observe(s overload.Signals, now time.Duration) bool {
-	changed := w.Controller.Observe(s, now)
+func (r *levelRecorder) Observe(s overload.Signals, now time.Duration) bool {
+	changed := r.Controller.Observe(s, now)
 	if changed {
-		w.changes = append(w.changes, fmt.Sprint(now, " ", w.Level()))
+		r.changes = append(r.changes, fmt.Sprint(now, " ", r.Level()))
 	}
-	if changed && w.Level() == overload.Normal {
-		w.normalAt = append(w.normalAt, now)
+	if changed && r.Level() == overload.Normal {
+		r.normalAt = append(r.normalAt, now)
 	}
 	return changed
 }
 
-// servedFraction is the fraction of a kind of traffic that was served.
+// servedFraction returns the fraction of a kind of traffic that was served.
 func servedFraction(t *loopsim.Tally) float64 { return t.Served / max(1, t.Arrived) }
 
-// Clients send three times the usual traffic for five seconds, and come back when they are rejected. The loop keeps
-// up, the weight of what is served is higher than first come, first served would give, and the level is normal again
-// soon after.
+// Clients send three times the normal traffic for five seconds, and retry when they are rejected. The loop keeps up,
+// the total priority weight of the served queries is higher than with first come, first served, and the level is normal
+// again soon after the rush.
 func TestThreefoldTrafficKeepsLoopOnTime(t *testing.T) {
 	r := rush(12*time.Second, threefold)
 	firstCome := r.Run(loopsim.FirstCome{})
-	w := &levelRecorder{Controller: overload.New(config())}
-	got := r.Run(w)
+	levels := &levelRecorder{Controller: overload.New(config())}
+	got := r.Run(levels)
 	if p99 := got.WaitQuantile(0.99, 0, 12*time.Second); p99 > 50*ms {
-		t.Errorf("p99 of the wait %v, want under 50ms; first come %v",
+		t.Errorf("p99 of the wait is %v, want at most 50ms; first come, first served: %v",
 			p99, firstCome.WaitQuantile(0.99, 0, 12*time.Second))
 	}
 	if got.Total.EarnedWeight < 1.2*firstCome.Total.EarnedWeight || got.Total.Late > 0 {
-		t.Errorf("weight served %.0f, %.0f late; first come %.0f",
+		t.Errorf("weight served %.0f with %.0f late, want none late and 1.2 times the %.0f of first come, first served",
 			got.Total.EarnedWeight, got.Total.Late, firstCome.Total.EarnedWeight)
 	}
 	if h := got.ByClass["hazard"]; servedFraction(h) < 0.99 {
-		t.Errorf("%.3f of the hazard reports served", servedFraction(h))
+		t.Errorf("%.3f of the hazard reports served, want at least 0.99", servedFraction(h))
 	}
-	if w.normalAfter(7*time.Second) > 9*time.Second {
-		t.Errorf("%v: normal wanted within 2 s of the rush's end", w.changes)
+	if levels.normalAfter(7*time.Second) > 9*time.Second {
+		t.Errorf("level changes %v, want normal within 2 s after the rush", levels.changes)
 	}
 	attempts, rejected := 0, 0
 	for i := 90; i < 120; i++ {
 		attempts, rejected = attempts+got.Attempts[i], rejected+got.Rejections[i]
 	}
 	if float64(attempts) > 1.7*normalRate*3 || rejected > attempts/50 {
-		t.Errorf("%d attempts and %d rejections in the 3 s from 2 s after the rush on: no storm wanted", attempts, rejected)
+		t.Errorf("%d attempts and %d rejections from 2 s to 5 s after the rush, want no storm", attempts, rejected)
 	}
-	if len(w.changes) > 10 {
-		t.Errorf("the level swings: %v", w.changes)
+	if len(levels.changes) > 10 {
+		t.Errorf("level changes %v, want at most 10", levels.changes)
 	}
 }
 
-// Traffic triples and falls back every half second. The level changes no more than a few times, and no weight is lost.
+// Traffic alternates every half second between three times the normal rate and the normal rate. The level changes only
+// a few times, and hardly any priority weight is lost.
 func TestAlternatingTrafficDoesNotSwingLevel(t *testing.T) {
 	r := rush(12*time.Second, func(_ string, t time.Duration) float64 {
 		if t%time.Second < 500*ms {
@@ -141,17 +144,17 @@
 		}
 		return 1
 	})
-	w := &levelRecorder{Controller: overload.New(config())}
-	got, firstCome := r.Run(w), r.Run(loopsim.FirstCome{})
+	levels := &levelRecorder{Controller: overload.New(config())}
+	got, firstCome := r.Run(levels), r.Run(loopsim.FirstCome{})
 	p99 := got.WaitQuantile(0.99, 0, 12*time.Second)
-	if p99 > 100*ms || got.Total.EarnedWeight < 0.95*firstCome.Total.EarnedWeight || len(w.changes) > 20 {
-		t.Errorf("p99 of the wait %v, weight served %.0f, first come %.0f, levels %v",
-			p99, got.Total.EarnedWeight, firstCome.Total.EarnedWeight, w.changes)
+	if p99 > 100*ms || got.Total.EarnedWeight < 0.95*firstCome.Total.EarnedWeight || len(levels.changes) > 20 {
+		t.Errorf("p99 of the wait %v, weight served %.0f (first come, first served: %.0f), level changes %v",
+			p99, got.Total.EarnedWeight, firstCome.Total.EarnedWeight, levels.changes)
 	}
 }
 
-// One tenant sends thirteen times its traffic. The others, within their quotas, are hardly rejected; the one that
-// floods is rejected more than they are, but is still served within its quota.
+// One tenant sends thirteen times its normal traffic. The other tenants, within their quotas, are hardly rejected. The
+// flooding tenant is rejected more often, but is still served within its quota.
 func TestFloodingTenantIsRejectedFirst(t *testing.T) {
 	r := rush(10*time.Second, func(tenant string, t time.Duration) float64 {
 		if tenant == "momiji" && t > 2*time.Second && t < 7*time.Second {
@@ -163,26 +166,28 @@
 	flooding := got.ByTenant["momiji"]
 	for name, tally := range got.ByTenant {
 		if name != "momiji" && (servedFraction(tally) < 0.97 || servedFraction(tally) < servedFraction(flooding)) {
-			t.Errorf("%s: %.3f served, the flooding tenant %.3f", name, servedFraction(tally), servedFraction(flooding))
+			t.Errorf("%s: %.3f served, flooding tenant: %.3f; want at least 0.97 and no less than the flooding tenant",
+				name, servedFraction(tally), servedFraction(flooding))
 		}
 	}
 	if p99 := got.WaitQuantile(0.99, 0, 10*time.Second); p99 > 50*ms || servedFraction(flooding) < 0.1 {
-		t.Errorf("p99 %v, %.3f of the flooding tenant served: within its quota it has to be",
+		t.Errorf("p99 of the wait %v, flooding tenant %.3f served; want at most 50ms and at least 0.1",
 			p99, servedFraction(flooding))
 	}
 }
 
-// The process is suspended for a second under normal traffic, as by SIGSTOP or a starved core. It then finds a second's
-// queries waiting. It rejects few of them, and soon serves as before.
+// The process is suspended for a second under normal traffic, as by SIGSTOP or a starved core. When it resumes, the
+// queries of that second are waiting. It rejects few of them, and soon serves as before.
 func TestSuspendedProcessRejectsLittle(t *testing.T) {
 	r := rush(8*time.Second, func(string, time.Duration) float64 { return 1 })
 	r.Stalled = func(t time.Duration) bool { return t > 3*time.Second && t < 4*time.Second }
-	w := &levelRecorder{Controller: overload.New(config())}
-	got := r.Run(w)
-	if got.Total.Rejected > 0.1*got.Total.Arrived || w.normalAfter(4*time.Second) > 7*time.Second {
-		t.Errorf("%.0f of %.0f rejected, levels %v", got.Total.Rejected, got.Total.Arrived, w.changes)
+	levels := &levelRecorder{Controller: overload.New(config())}
+	got := r.Run(levels)
+	if got.Total.Rejected > 0.1*got.Total.Arrived || levels.normalAfter(4*time.Second) > 7*time.Second {
+		t.Errorf("%.0f of %.0f rejected, level changes %v; want at most a tenth rejected and normal within 3 s",
+			got.Total.Rejected, got.Total.Arrived, levels.changes)
 	}
 	if wait := got.WaitQuantile(0.99, 6*time.Second, 8*time.Second); wait > 50*ms {
-		t.Errorf("p99 of the wait two seconds later %v", wait)
+		t.Errorf("p99 of the wait from 2 s after the suspension on is %v, want at most 50ms", wait)
 	}
 }
--- a/internal/decide/overload/cost_model.go
+++ b/internal/decide/overload/cost_model.go
@@ -1,6 +1,6 @@
 package overload
 
-// Costs that are assumed before any were learned, in core seconds.
+// Initial cost estimates, in core seconds.
 const (
 	initialQueryCost     = 0.0003
 	initialPartCost      = 0.0001
@@ -8,39 +8,41 @@
 )
 
 const (
-	// costMemory is the factor of the older windows' sums at each window: they fade within ten seconds or so.
+	// costMemory is the factor by which each new window decays the sums over the earlier windows. They fade within
+	// about ten seconds.
 	costMemory = 0.996
-	// costRidge is the weight of the initial costs, as that of windows with a second or so of one core.
+	// costRidge is the weight of the initial costs: that of windows with about one second of work on one core.
 	costRidge = 0.02
-	// minCostFactor is the lowest cost that is learned, in initial costs.
+	// minCostFactor is the lowest cost that is learned, as a multiple of the initial cost.
 	minCostFactor = 0.2
-	// maxCostFactor is the highest cost that is learned, in initial costs.
+	// maxCostFactor is the highest cost that is learned, as a multiple of the initial cost.
 	maxCostFactor = 30.0
 )
 
-// costKinds is how many kinds of work there are: queries, parts, rejections.
+// costKinds is the number of kinds of work: queries, parts, rejections.
 const costKinds = 3
 
-// costModel learns what each kind of work costs from the CPU time of whole windows, by least squares with forgetting
-// and a ridge towards the initial costs. Windows with little work, whose CPU time went elsewhere, so move it little,
-// and kinds that always come together keep the proportion of their initial costs.
+// costModel learns the cost of each kind of work from the CPU time of whole windows, by least squares with exponential
+// forgetting and ridge regularization towards the initial costs. So a window with little work, whose CPU time was spent
+// on something else, changes the costs little, and kinds that always occur together keep the ratio of their initial
+// costs.
 type costModel struct {
 	query     float64 // core seconds for a query, besides its parts
 	part      float64 // core seconds for a part
 	rejection float64 // core seconds for a rejected query
 
-	products  [costKinds][costKinds]float64 // faded sums of the products of two kinds' work, in initial costs
-	responses [costKinds]float64            // faded sums of the products of a kind's work and the CPU time
+	products  [costKinds][costKinds]float64 // decayed sums of the products of two kinds' work, in initial costs
+	responses [costKinds]float64            // decayed sums of the products of a kind's work and the CPU time
 }
 
 func newCostModel() costModel {
 	return costModel{query: initialQueryCost, part: initialPartCost, rejection: initialRejectionCost}
 }
 
-// ofQuery is the cost of a query with so many parts, in core seconds.
+// ofQuery returns the cost of a query with the given number of parts, in core seconds.
 func (c costModel) ofQuery(parts float64) float64 { return c.query + c.part*parts }
 
-// learn takes a window's CPU time, in core seconds, and how much work of each kind was done in it.
+// learn updates the costs with a window's CPU time, in core seconds, and the amount of work of each kind in it.
 func (c *costModel) learn(cpu, queries, parts, rejections float64) {
 	work := [costKinds]float64{
 		queries * initialQueryCost, parts * initialPartCost, rejections * initialRejectionCost,
@@ -60,8 +62,8 @@
 	c.rejection = factors[2] * initialRejectionCost
 }
 
-// solve returns the costs that fit the sums best, in initial costs, by Gaussian elimination. The ridge keeps every
-// pivot above 0.
+// solve returns the costs that fit the sums best, as multiples of the initial costs, by Gaussian elimination. The ridge
+// keeps every pivot above 0.
 func (c *costModel) solve() (factors [costKinds]float64) {
 	var a [costKinds][costKinds + 1]float64
 	for i := range a {
--- a/internal/decide/overload/cost_model_test.go
+++ b/internal/decide/overload/cost_model_test.go
@@ -7,7 +7,7 @@
 	"harepass/internal/decide/overload"
 )
 
-// The cost of queries and parts is learned from the CPU time of whole windows, although other work takes CPU time too.
+// The costs of queries and parts are learned from the CPU time of whole windows, although other work uses CPU time too.
 func TestCostsAreLearnedFromWindows(t *testing.T) {
 	c := overload.New(config())
 	now := time.Second
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Level is how far a coordinator is from normal, for logs and for work that yields to queries.
+// Level is the severity of a coordinator's overload, for logs and for work that yields to queries.
 type Level int
 
 // The levels.
 const (
-	Normal   Level = iota // few arrivals are rejected, or none
-	Trimming              // traffic beyond its tenant's quota is rejected; never reached where there are no tenants
-	Shedding              // idempotent traffic within its quota is rejected, or all unprotected for want of memory
-	Critical              // protected queries are rejected too, or admitted ones ended
+	Normal   Level = iota // few or no arrivals are rejected
+	Trimming              // traffic beyond its tenant's quota is rejected; never reached without tenants
+	Shedding              // idempotent traffic within its quota, or with short memory all unprotected, is rejected
+	Critical              // protected queries are rejected too, or admitted queries are ended
 )
 
 // String returns the level's name in lower case.
 func (l Level) String() string { return [...]string{"normal", "trimming", "shedding", "critical"}[l] }
 
 const (
-	// rejectionGain is the weight of a window in the mean fraction of arrivals that are rejected.
+	// rejectionGain is the weight of a window in the moving mean of the rejected fraction of arrivals.
 	rejectionGain = 0.3
-	// manyRejections is the fraction from which rejections make a level: a few retries among them are always rejected.
+	// manyRejections is the rejected fraction of arrivals above which rejections raise the level. A few client retries
+	// are always rejected.
 	manyRejections = 0.1
-	// minLevelTime is how long a level is kept after its last cause.
+	// minLevelTime is how long a level lasts after its last cause.
 	minLevelTime = 650 * time.Millisecond
 )
 
-// levelTracker follows the level over the windows.
+// levelTracker updates the level after each window.
 type levelTracker struct {
 	present          Level
 	causedAt         time.Duration // when the present level last had a cause
-	rejectedFraction float64       // rejections among arrivals, a moving mean
+	rejectedFraction float64       // moving mean of the rejected fraction of arrivals
 }
 
-// update takes a window and reports whether the level changed. It rises at once, and falls when there has been no cause
-// for so high a level for minLevelTime.
+// update adjusts the level to a window and reports whether it changed. The level rises at once. It falls when no window
+// has given cause for a level this high for minLevelTime.
 func (t *levelTracker) update(w window, memory MemoryLevel, now time.Duration) (changed bool) {
 	if arrivals := w.queries + w.rejections; arrivals > 0 {
 		t.rejectedFraction += rejectionGain * (w.rejections/arrivals - t.rejectedFraction)
@@ -51,9 +52,9 @@
 	return true
 }
 
-// causedBy is the level that a window gives cause for. The highest score that was rejected tells Shedding from
-// Trimming: a query within its quota scores at least minWithinScore, less retryPenalty for a client's repeat, and one
-// beyond its quota scores less than that.
+// causedBy returns the level that a window gives cause for. The highest rejected score distinguishes Shedding from
+// Trimming: a query within its quota scores at least minWithinScore, less retryPenalty for a client's repeat, and a
+// query beyond its quota scores less than that.
 func (t *levelTracker) causedBy(w window, memory MemoryLevel) Level {
 	many := w.rejections > 0 && t.rejectedFraction > manyRejections
 	switch {
@@ -70,14 +71,14 @@
 // Level returns the present level.
 func (c *Controller) Level() Level { return c.level.present }
 
-// Reasons names the signals that are over their limits, for a log line.
+// Reasons returns the names of the signals that are over their limits, for a log line.
 func (c *Controller) Reasons(s Signals) (reasons []string) {
 	for _, r := range []struct {
 		name  string
 		holds bool
 	}{
 		{"loop delay", s.MeanWait > c.cfg.WaitTarget},
-		// Unlike rateLimit.grow, a use of exactly allCores is no reason yet, and neither is any use of 0 cores.
+		// Unlike in rateLimit.grow, a use of exactly allCores is not over the limit, nor is any use of 0 cores.
 		{"cpu", c.cfg.Cores > 0 && s.CoresUsed > allCores*c.cfg.Cores},
 		{"memory", c.memory > MemoryNormal},
 		{"descriptors", s.DescriptorFraction > saturated},
--- a/internal/decide/overload/memory_level.go
+++ b/internal/decide/overload/memory_level.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// MemoryLevel is what has to be done for want of memory. Each level includes what the lower ones do.
+// MemoryLevel is what a coordinator does to free memory. Each level includes the actions of the lower levels.
 type MemoryLevel int
 
-// The levels. Cached values go first, for they only save work. New queries are rejected before any admitted one is
-// ended.
+// The levels. Cached values are dropped first because they only save work. New queries are rejected before any admitted
+// query is ended.
 const (
-	MemoryNormal MemoryLevel = iota // nothing
+	MemoryNormal MemoryLevel = iota // do nothing
 	DropCached                      // drop cached values
-	RejectNew                       // reject new queries, protected ones excepted
+	RejectNew                       // reject new queries, except protected ones
 	EndQueries                      // reject all new queries, and end admitted ones
 )
 
-// String returns what is done at the level.
+// String returns the action taken at the level.
 func (m MemoryLevel) String() string {
 	return [...]string{"normal", "dropping cached values", "rejecting new queries", "ending queries"}[m]
 }
 
-// enterFraction is the fraction of the memory from which a level holds.
+// enterFraction is the fraction of the memory limit at which each level begins.
 var enterFraction = [...]float64{MemoryNormal: 0, DropCached: 0.6, RejectNew: 0.72, EndQueries: 0.85}
 
-// leaveFactor is the fraction of the entering size below which a level ends: without the gap it would swing.
+// leaveFactor is the fraction of the memory use at which a level begins, below which it ends. The gap keeps the level
+// from oscillating.
 const leaveFactor = 0.9
 
-// usedBytes is the memory in use. What is booked for queries counts at once, the live heap when the collector has
-// seen it.
+// usedBytes returns the memory in use. It is the larger of two measures: the bytes accounted to queries are up to date,
+// while the live heap is that of the last garbage collection.
 func (s Signals) usedBytes() int64 { return max(s.LiveBytes, s.QueryBytes) }
 
-// next is the level after an observation, where the process may use limit bytes; 0 or less for no limit.
+// next returns the level after an observation. The process may use limit bytes; 0 or less means no limit.
 func (m MemoryLevel) next(s Signals, limit int64) MemoryLevel {
 	if limit <= 0 {
 		return MemoryNormal
@@ -57,7 +58,7 @@
 // MemoryLevel returns the present memory level.
 func (c *Controller) MemoryLevel() MemoryLevel { return c.memory }
 
-// ExcessBytes is how many bytes have to be freed for the level EndQueries to end; 0 at any other level.
+// ExcessBytes returns how many bytes have to be freed to leave the level EndQueries; 0 at any other level.
 func (c *Controller) ExcessBytes(s Signals) int64 {
 	if c.memory < EndQueries {
 		return 0
@@ -65,19 +66,19 @@
 	return max(0, s.usedBytes()-int64(leaveFactor*enterFraction[EndQueries]*float64(c.cfg.MemoryBytes)))
 }
 
-// OpenQuery is an open query as a candidate for being ended.
+// OpenQuery is an open query that may be selected to be ended.
 type OpenQuery struct {
-	Bytes          int64   // bytes booked for the query
-	PriorityWeight float64 // what its timely answer counts
-	MayHaveRun     bool    // a part that must not run twice may have run: the client could not know whether it did
+	Bytes          int64   // bytes accounted to the query
+	PriorityWeight float64 // value of its timely answer
+	MayHaveRun     bool    // a part that must not run twice may have run, and the client could not know whether it did
 }
 
 // minPriorityWeight keeps the division of bytes by weight finite.
 const minPriorityWeight = 1e-9
 
-// SelectQueriesToEnd returns the indices of the queries to end so that at least need bytes are freed. Those with the
-// most bytes for their priority weight come first. A query that may have run is never selected, nor is one without
-// bytes. The result frees fewer bytes where there are no more to select.
+// SelectQueriesToEnd returns the indices of the queries to end to free at least need bytes. It selects the queries with
+// the most bytes per priority weight first. It never selects a query that may have run or that has no bytes. The
+// selected queries free fewer bytes than need if there are no more to select.
 func SelectQueriesToEnd(list []OpenQuery, need int64) (selected []int) {
 	var order []int
 	for i, q := range list {
@@ -85,10 +86,10 @@
 			order = append(order, i)
 		}
 	}
-	bytesForWeight := func(i int) float64 {
+	bytesPerWeight := func(i int) float64 {
 		return float64(list[i].Bytes) / max(list[i].PriorityWeight, minPriorityWeight)
 	}
-	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(bytesForWeight(y), bytesForWeight(x)) })
+	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(bytesPerWeight(y), bytesPerWeight(x)) })
 	for _, i := range order {
 		if need <= 0 {
 			break
--- a/internal/decide/overload/priority.go
+++ b/internal/decide/overload/priority.go
@@ -5,24 +5,25 @@
 	minWithinScore = 0.25
 	// maxIdempotentScore is the highest score of an idempotent query.
 	maxIdempotentScore = 0.9
-	// beyondFactor is the factor of a class's score for a query beyond its tenant's quota.
+	// beyondFactor is the factor applied to a class's score for a query beyond its tenant's quota.
 	beyondFactor = 0.15
-	// nonIdempotentBeyondScore is the score of a non-idempotent query beyond its tenant's quota: first among those.
+	// nonIdempotentBeyondScore is the score of a non-idempotent query beyond its tenant's quota, the highest of all
+	// queries beyond their quotas.
 	nonIdempotentBeyondScore = 0.2
-	// retryPenalty is what a client's repeat loses of its score, for it has less time left.
+	// retryPenalty is subtracted from the score of a client's repeat, because it has less time left.
 	retryPenalty = 0.02
-	// partsGain is the weight of an arrival in its class's usual number of parts.
+	// partsGain is the weight of an arrival in the moving mean of its class's number of parts.
 	partsGain = 0.05
 )
 
-// class is a class of queries and what was learned of it.
+// class is a class of queries with what was learned about it.
 type class struct {
 	Class
-	baseScore float64 // standing of its queries within their quota, from minWithinScore to 1; 1 is rejected last
-	parts     float64 // usual number of parts, a moving mean over the arrivals that show it
+	baseScore float64 // score of its queries within their quota, from minWithinScore to 1; 1 is rejected last
+	parts     float64 // moving mean of the number of parts, over the arrivals that show it
 }
 
-// newClass returns a class that keeps what was learned of old; nil where it is new.
+// newClass returns a class that keeps what was learned about its old version; old is nil for a new class.
 func newClass(c Class, old *class) *class {
 	k := &class{Class: c, parts: max(1, c.TypicalParts)}
 	if old != nil {
@@ -31,8 +32,8 @@
 	return k
 }
 
-// observeParts returns an arrival's number of parts, and learns the class's usual number from it. Where the arrival
-// does not show its number, it returns the usual one.
+// observeParts returns an arrival's number of parts and updates the class's mean with it. If the arrival does not show
+// the number, observeParts returns the mean.
 func (k *class) observeParts(a Arrival) float64 {
 	if a.Parts <= 0 {
 		return k.parts
@@ -42,7 +43,8 @@
 	return parts
 }
 
-// rankClasses scores the classes by their priority weight for what they cost. Non-idempotent ones come first.
+// rankClasses sets the base scores of the classes by their priority weight per cost. Non-idempotent classes get the
+// highest score.
 func rankClasses(classes map[string]*class, cost costModel) {
 	best := 0.0
 	for _, k := range classes {
@@ -59,7 +61,7 @@
 	}
 }
 
-// score is the standing of one query of the class, from 0 to 1; 1 is rejected last.
+// score returns the score of a query of the class, from 0 to 1. Queries with score 1 are rejected last.
 func (k *class) score(withinQuota, isRepeat bool) float64 {
 	s := k.baseScore
 	switch {
--- a/internal/decide/overload/quota.go
+++ b/internal/decide/overload/quota.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// burstSeconds is how far ahead of its quota a tenant may run, in seconds of the quota.
+	// burstSeconds is the burst that a tenant's quota allows, in seconds of the quota.
 	burstSeconds = 1.0
-	// minBurst is how far ahead of its quota a tenant may run at least, in queries: a few arrive together by chance.
+	// minBurst is the smallest burst that a quota allows, in queries, because a few queries arrive together by chance.
 	minBurst = 3.0
 )
 
-// tenantQuota is a token bucket that shows whether a tenant is within its quota. It rejects nothing by itself: it only
-// gives a query its standing. Package scatter counts the queries that were admitted by a bucket of its own.
+// tenantQuota is a token bucket that determines whether a tenant is within its quota. It rejects no query itself: its
+// result only affects the query's score. Package scatter counts the admitted queries in a bucket of its own.
 type tenantQuota struct {
-	perSecond  float64       // queries a second
-	burst      float64       // queries that the bucket holds at most
-	tokens     float64       // queries that may still come; below 0 where protected ones have overdrawn it
+	perSecond  float64       // queries per second
+	burst      float64       // capacity of the bucket, in queries
+	tokens     float64       // queries left within the quota; below 0 if protected queries have overdrawn it
 	refilledAt time.Duration // when tokens were last added
 }
 
-// newTenantQuota returns a quota that keeps the tokens of old; nil where the tenant is new.
+// newTenantQuota returns a quota that keeps the tokens of old; old is nil for a new tenant.
 func newTenantQuota(perSecond float64, old *tenantQuota) *tenantQuota {
 	burst := max(burstSeconds*perSecond, minBurst)
 	q := &tenantQuota{perSecond: perSecond, burst: burst, tokens: burst}
@@ -28,9 +28,8 @@
 	return q
 }
 
-// take reports whether a query lies within the quota, and counts it if so. A non-idempotent query may overdraw the
-// bucket by as much as it holds. A client's repeat belongs to a query that was counted, and costs
-// nothing.
+// take reports whether a query is within the quota, and counts it if so. A non-idempotent query may overdraw the bucket
+// by up to its capacity. A client's repeat takes no token, because it belongs to a query that was counted before.
 func (q *tenantQuota) take(nonIdempotent, isRepeat bool, now time.Duration) bool {
 	q.tokens = min(q.burst, q.tokens+q.perSecond*(now-q.refilledAt).Seconds())
 	q.refilledAt = now
@@ -43,8 +42,8 @@
 	return true
 }
 
-// chargeQuota counts an arrival towards its tenant's quota and reports whether it lies within. Where there are tenants,
-// an unknown one has no quota; where there are none, everything is within.
+// chargeQuota counts an arrival towards its tenant's quota and reports whether it is within the quota. An arrival of an
+// unknown tenant is beyond the quota; if no tenants are configured, every arrival is within it.
 func (c *Controller) chargeQuota(a Arrival, nonIdempotent bool, now time.Duration) bool {
 	q := c.tenants[a.Tenant]
 	if q == nil {
--- a/internal/decide/overload/retry_after.go
+++ b/internal/decide/overload/retry_after.go
@@ -3,55 +3,56 @@
 import "time"
 
 const (
-	// returnShare is the fraction of the capacity that rejected queries may take when they come back.
-	returnShare = 0.08
-	// minRetryTargets is the shortest time after which a rejected query comes back, in wait targets.
+	// retryShare is the fraction of the capacity that retries of rejected queries may use.
+	retryShare = 0.08
+	// minRetryTargets is the shortest time until the retry of a rejected query, in wait targets.
 	minRetryTargets = 10.0
 )
 
-// Lines of the queue in which rejected queries come back.
+// Queues in which rejected queries wait for their retry, in the order in which they are served.
 const (
-	withinQuotaLine = iota
-	beyondQuotaLine
-	returnLines
+	withinQuotaQueue = iota
+	beyondQuotaQueue
+	retryQueues
 )
 
-// returnSchedule is a virtual queue of the rejected queries that have not had the time to come back.
-type returnSchedule struct {
-	backlog  [returnLines]float64 // cost of these queries, in core seconds, by line
-	servedAt time.Duration        // until when the queue has been served
+// retrySchedule consists of virtual queues of the rejected queries whose retry is not due yet.
+type retrySchedule struct {
+	backlog  [retryQueues]float64 // cost of the waiting queries, in core seconds, by queue
+	servedAt time.Duration        // instant until which the queues have been served
 }
 
-// serve takes from the queue what share, in core seconds a second, allows until now. Queries within their quota go
-// first.
-func (r *returnSchedule) serve(share float64, now time.Duration) {
+// serve removes from the queues the work that share, in core seconds per second, allows until now. Queries within their
+// quota are served first.
+func (r *retrySchedule) serve(share float64, now time.Duration) {
 	served := share * (now - r.servedAt).Seconds()
-	for line, backlog := range r.backlog {
-		r.backlog[line] = max(0, backlog-served)
+	for queue, backlog := range r.backlog {
+		r.backlog[queue] = max(0, backlog-served)
 		served = max(0, served-backlog)
 	}
 	r.servedAt = now
 }
 
-// join appends a query to its line and returns the cost ahead of it, in core seconds.
-func (r *returnSchedule) join(cost float64, withinQuota bool) (ahead float64) {
-	line := withinQuotaLine
-	ahead = r.backlog[withinQuotaLine]
+// join appends a query to its queue and returns the cost ahead of it, in core seconds.
+func (r *retrySchedule) join(cost float64, withinQuota bool) (ahead float64) {
+	queue := withinQuotaQueue
+	ahead = r.backlog[withinQuotaQueue]
 	if !withinQuota {
-		line = beyondQuotaLine
-		ahead += r.backlog[beyondQuotaLine]
+		queue = beyondQuotaQueue
+		ahead += r.backlog[beyondQuotaQueue]
 	}
-	r.backlog[line] += cost
+	r.backlog[queue] += cost
 	return ahead
 }
 
-// retryAfter is when a rejected query may come back, from now: as in a queue that is served with a fixed share of the
-// capacity. However many are rejected at once, they return as a thin stream. Where that takes longer than the
-// configured maximum, they are spread evenly over its second half.
+// retryAfter returns the time after which the client of a rejected query may retry. It schedules retries like a queue
+// that is served with a fixed share of the capacity (retryShare), so that they arrive at a low rate however many
+// queries are rejected at once. Retries that would be due after the configured maximum are spread evenly over its
+// second half.
 func (c *Controller) retryAfter(cost float64, withinQuota bool, now time.Duration) time.Duration {
-	share := returnShare * c.throughput.capacity
-	c.returns.serve(share, now)
-	ahead := c.returns.join(cost, withinQuota)
+	share := retryShare * c.throughput.capacity
+	c.retries.serve(share, now)
+	ahead := c.retries.join(cost, withinQuota)
 	seconds := minRetryTargets * c.cfg.WaitTarget.Seconds() * (1 + c.cfg.Rand())
 	if share > 0 {
 		seconds += ahead / share
--- a/internal/decide/overload/throughput.go
+++ b/internal/decide/overload/throughput.go
@@ -1,21 +1,22 @@
 package overload
 
 const (
-	// doneGain is the weight of a window in the mean throughput.
+	// doneGain is the weight of a window in the moving mean of the throughput.
 	doneGain = 0.2
-	// capacityDecay is the factor of the capacity in a window in which the loop is behind although it does less.
+	// capacityDecay is the factor applied to the capacity in a window in which the loop is behind although its
+	// throughput is below the capacity.
 	capacityDecay = 0.98
 )
 
-// throughput is what the loop does, and can do, in core seconds a second by the cost model.
+// throughput is the work that the loop does and can do, in core seconds per second by the cost model.
 type throughput struct {
-	done     float64 // queries answered, a moving mean
-	capacity float64 // what the loop can do, also while less is asked of it
+	done     float64 // moving mean of the cost of answered queries
+	capacity float64 // highest sustainable throughput, estimated also while the load is lower
 	peak     float64 // highest mean so far
 }
 
-// observe takes the cost a second that was done in a window. A loop that is not behind did less only because less was
-// asked, so its capacity stays.
+// observe records the cost per second of the queries answered in a window. If the loop is not behind, a lower
+// throughput only shows a lower load, so the capacity stays unchanged.
 func (t *throughput) observe(perSecond float64, overTarget bool) {
 	t.done += doneGain * (perSecond - t.done)
 	if overTarget {
--- a/internal/decide/twophase/planner_test.go
+++ b/internal/decide/twophase/planner_test.go
@@ -59,8 +59,8 @@
 		s.fullWork++
 		if withVersion {
 			s.firstWork += firstAnswerCost
-			s.ObserveFullWithVersion(testTopic, i, body, versioned(v, matches), fmt.Appendf(nil, "%s %d %v", body, i, v),
-				s.now)
+			s.ObserveFullWithVersion(testTopic, i, body, versioned(v, matches),
+				fmt.Appendf(nil, "%s %d %v", body, i, v), s.now)
 		}
 	}
 	return pruned
