--- a/internal/decide/maintenance/coverage.go
+++ b/internal/decide/maintenance/coverage.go
@@ -7,15 +7,16 @@
 	"harepass/internal/decide/scatter"
 )
 
-// ring is how shards are placed: a shard is held by the replicas at replicationFactor positions from its own on.
+// ring describes how shards are placed on replicas: a shard is held by the replicas at replicationFactor consecutive
+// ring positions, of which the first is the shard's number modulo size.
 type ring struct {
 	size, replicationFactor int
 }
 
-// position is where a number of any size lies, from 0 to below the ring's size.
+// position returns the ring position of a number, which may be negative: the number modulo the ring size.
 func (g ring) position(number int) int { return (number%g.size + g.size) % g.size }
 
-// shardsAt calls f for each of the first shards that the replicas at a ring position hold.
+// shardsAt calls f for each shard below shards that the replicas at a ring position hold.
 func (g ring) shardsAt(ringPosition, shards int, f func(shard int)) {
 	for j := range g.replicationFactor {
 		for s := g.position(ringPosition - j); s < shards; s += g.size {
@@ -24,10 +25,10 @@
 	}
 }
 
-// UncoveredShards returns the shards, in order, whose ready holders are all out for maintenance: no query that needs
-// one of them can be answered completely. A shard that lacks a ready holder by the list alone is not among them.
-// Shards are numbered from 0 to below shards. The list has to name all holders of each shard that a replica which is
-// out holds.
+// UncoveredShards returns the shards, in order, whose ready holders are all out for maintenance. A query that needs one
+// of these shards cannot be answered completely. A shard without any holder that is listed as Ready is not included.
+// Shards are numbered from 0 to shards-1. For each shard held by a replica that is out, the list must contain all
+// holders of the shard.
 func (r Register) UncoveredShards(list []scatter.Replica, ringSize, replicationFactor, shards int) (uncovered []int) {
 	g := ring{ringSize, replicationFactor}
 	covered := map[int]bool{}  // ring positions with a ready replica that is not out
@@ -49,7 +50,7 @@
 	return uncovered
 }
 
-// coveredBy reports whether one of a shard's holders stands at one of some positions.
+// coveredBy reports whether a shard has a holder at one of the given positions.
 func (g ring) coveredBy(positions map[int]bool, shard int) bool {
 	for j := range g.replicationFactor {
 		if positions[g.position(shard+j)] {
--- a/internal/decide/maintenance/coverage_test.go
+++ b/internal/decide/maintenance/coverage_test.go
@@ -8,8 +8,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Of three ring positions, each shard is held by its own and the next one; no replica stands ready at the third. A
-// shard whose holders are all out for maintenance is reported; one that lacks a holder by the list alone is not.
+// On a ring of three positions, each shard is held at its own position and the next one. The third position has no
+// ready replica. A shard whose ready holders are all out for maintenance is reported. A shard is not reported merely
+// because a holder is not listed as Ready.
 func TestUncoveredShards(t *testing.T) {
 	list := []scatter.Replica{
 		{ID: "a", RingPosition: 0}, {ID: "b", RingPosition: 1}, {ID: "c", RingPosition: 2, State: scatter.Removed},
@@ -23,7 +24,7 @@
 			r.Apply(tc.out, Entry{Out: true, At: time.Second})
 		}
 		if got := r.UncoveredShards(list, 3, 2, 3); !slices.Equal(got, tc.want) {
-			t.Errorf("%s out as well: %v", tc.out, got)
+			t.Errorf("after taking %q out: uncovered shards %v", tc.out, got)
 		}
 	}
 }
--- a/internal/decide/maintenance/entry.go
+++ b/internal/decide/maintenance/entry.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Entry is the last call for a replica. Its JSON form is stored, and read by other versions of the program.
+// Entry is the last call for a replica. Its JSON form is stored in files that other versions of the program read.
 type Entry struct {
-	Out      bool          `json:"out"`              // the replica is out; else it was called back
+	Out      bool          `json:"out"`              // true if the replica is out, false if it was called back
 	At       time.Duration `json:"at"`               // time of the call, since the Unix epoch
-	OutSince time.Duration `json:"from,omitempty"`   // for a call back: since when the replica had been out; else 0
-	By       string        `json:"by,omitempty"`     // who called
-	Reason   string        `json:"reason,omitempty"` // why, where that was given
+	OutSince time.Duration `json:"from,omitempty"`   // for a call back: time when the replica was taken out; else 0
+	By       string        `json:"by,omitempty"`     // operator who made the call
+	Reason   string        `json:"reason,omitempty"` // reason for the call, if one was given
 }
 
-// supersedes reports whether e counts rather than o: the later of two calls. Of two calls at the same time the one that
-// takes the replica out counts, for that is the safe error; the rest of the order only has to be the same everywhere.
+// supersedes reports whether e takes precedence over o. The later of two calls does. Of two calls at the same time the
+// one that takes the replica out does, because wrongly taking a replica out is the safer error. Otherwise the order is
+// arbitrary, but it must be the same in all processes.
 func (e Entry) supersedes(o Entry) bool {
 	if e.At != o.At {
 		return e.At > o.At
--- a/internal/decide/maintenance/register.go
+++ b/internal/decide/maintenance/register.go
@@ -7,18 +7,18 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Register holds the last call for each replica that operators have called for, by replica id. It is for one goroutine
-// at a time.
+// Register holds the last call for each replica that has had one, by replica id. It is not safe for concurrent use.
 type Register map[string]Entry
 
-// Apply enters a call and reports whether it changed anything. A repeated call changes nothing: the first one counts.
+// Apply records a call and reports whether it changed the register. A repeated call changes nothing: the first one is
+// kept.
 //
-// The clock of the process that takes a call back may lag behind that of the process that took the replica out. Ordered
-// by these clocks alone the call back would be lost, and the replica stay out. So a call is entered after the last one
-// known, whatever its own time says.
+// The clock of the process that receives a call back may lag behind the clock of the process that took the replica out.
+// If calls were ordered by these clocks alone, the call back would be lost and the replica would stay out. So a call is
+// always recorded with a time after that of the last known call.
 func (r Register) Apply(id string, e Entry) (changed bool) {
 	last, known := r[id]
-	if last.Out == e.Out { // a replica that was never out has the zero entry
+	if last.Out == e.Out { // a replica without a call has the zero entry, which is not out
 		return false
 	}
 	if known {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// Merge takes over the entries of another register that supersede the ones here, and reports whether there were any.
+// Merge copies the entries of another register that supersede those of r, and reports whether there were any.
 func (r Register) Merge(other Register) (changed bool) {
 	for id, e := range other {
 		if last, known := r[id]; !known || e.supersedes(last) {
@@ -50,19 +50,20 @@
 	return out
 }
 
-// Prune drops the entries of replicas that were called back before a time: they are as any other replica again. The time
-// has to be longer ago than a slow start takes, which Effective has begin at the call back. Other registers may still
-// have such an entry, and merging one brings it back, which changes nothing. Merging one that has the replica as out
-// would take it out again, so a call back stays while isOutElsewhere says that there is such a register; nil for none.
+// Prune drops the entries of replicas that were called back before a given time, because these replicas need no special
+// treatment any longer. The time must be further in the past than the duration of a slow start, because Effective makes
+// the slow start begin at the call back. Merging a register that still has the pruned entry restores it, which is
+// harmless. But merging a register in which the replica is still out would take the replica out again. So Prune keeps a
+// call back while isOutElsewhere reports that such a register exists; nil means that there is none.
 func (r Register) Prune(before time.Duration, isOutElsewhere func(id string) bool) {
 	maps.DeleteFunc(r, func(id string, e Entry) bool {
 		return !e.Out && e.At < before && (isOutElsewhere == nil || !isOutElsewhere(id))
 	})
 }
 
-// Effective returns a listed replica as the scatter machine is to hear of it. A replica that is out drains. One that
-// was called back counts as restarted, for operators restart what they take out: at the start that the list gives, or
-// at the call back where the list does not show a restart yet.
+// Effective returns a listed replica as it appears to the scatter machine. A replica that is out appears as draining. A
+// replica that was called back counts as restarted, because operators restart the replicas that they take out. Its
+// start time is the listed one, or that of the call back if the list does not show a restart yet.
 func (r Register) Effective(listed scatter.Replica) scatter.Replica {
 	switch e, known := r[listed.ID]; {
 	case !known:
--- a/internal/decide/maintenance/register_test.go
+++ b/internal/decide/maintenance/register_test.go
@@ -10,41 +10,45 @@
 	"pgregory.net/rapid"
 )
 
-// call is the last call for a replica, by the model.
+// call is the last call for a replica in the model.
 type call struct {
 	out          bool
 	at, outSince time.Duration
 }
 
-// checkEffective checks what the scatter machine hears of a replica after its last call, for a replica that discovery
-// has listed.
-func (c call) checkEffective(t *rapid.T, listed, heard scatter.Replica) {
+// checkEffective checks how a replica appears to the scatter machine after its last call. It checks nothing for a
+// replica that discovery has not listed.
+func (c call) checkEffective(t *rapid.T, listed, effective scatter.Replica) {
 	restartedWhileOut := listed.StartedAt > c.outSince
 	switch {
 	case listed.ID == "":
 		return
-	case c.out && heard.State == scatter.Ready:
-		t.Fatalf("%s is out and appears as ready", listed.ID)
-	case c.out && heard.StartedAt != listed.StartedAt:
-		t.Fatalf("%s is out, listed %v, appears with another start as %v", listed.ID, listed, heard)
-	case !c.out && heard.State != listed.State:
-		t.Fatalf("%s is back, listed %v, appears in another state as %v", listed.ID, listed, heard)
-	case !c.out && restartedWhileOut && heard.StartedAt != listed.StartedAt:
-		t.Fatalf("%s was restarted at %v while out and appears to run since %v",
-			listed.ID, listed.StartedAt, heard.StartedAt)
-	case !c.out && !restartedWhileOut && heard.StartedAt != c.at:
-		t.Fatalf("%s came back at %v and appears to run since %v", listed.ID, c.at, heard.StartedAt)
+	case c.out && effective.State == scatter.Ready:
+		t.Fatalf("replica %s is out but appears as ready", listed.ID)
+	case c.out && effective.StartedAt != listed.StartedAt:
+		t.Fatalf("replica %s is out and listed as %v, but appears with another start time as %v",
+			listed.ID, listed, effective)
+	case !c.out && effective.State != listed.State:
+		t.Fatalf("replica %s was called back and is listed as %v, but appears in another state as %v",
+			listed.ID, listed, effective)
+	case !c.out && restartedWhileOut && effective.StartedAt != listed.StartedAt:
+		t.Fatalf("replica %s restarted at %v while out, but appears as started at %v",
+			listed.ID, listed.StartedAt, effective.StartedAt)
+	case !c.out && !restartedWhileOut && effective.StartedAt != c.at:
+		t.Fatalf("replica %s was called back at %v without a restart, but appears as started at %v",
+			listed.ID, c.at, effective.StartedAt)
 	}
 }
 
-// Two processes of a coordinator take operators' calls. Discovery lists what it likes meanwhile, and registers travel
-// late, twice and in any order. A model keeps the last call for each replica, by the time of the call: both processes
-// have to arrive at it, and the scatter machine has to hear it.
+// Two processes of a coordinator receive operators' calls. Meanwhile discovery lists arbitrary states, and copies of
+// the registers arrive late, more than once and in any order. A model keeps the last call for each replica by the time
+// of the call. Both registers, once merged, must agree with the model, and so must the replicas as they appear to the
+// scatter machine.
 func TestRegistersAgreeInAnyOrderOfMerging(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SampledFrom([]string{"a", "b", "c"})
 		registers := []Register{{}, {}}
-		var sent []Register // copies that have not arrived
+		var sent []Register // copies that may arrive at any later time, and more than once
 		last := map[string]call{}
 		now := time.Hour
 		listed := map[string]scatter.Replica{}
@@ -56,7 +60,7 @@
 				registers[process].Merge(registers[1-process]) // as operator.Store does before each call
 				was := registers[process][id].Out
 				if changed := registers[process].Apply(id, Entry{Out: out, At: now}); changed != (was != out) {
-					t.Fatalf("%s out=%t after out=%t: changed=%t", id, out, was, changed)
+					t.Fatalf("replica %s: Apply of out=%t after out=%t returned changed=%t", id, out, was, changed)
 				} else if changed {
 					last[id] = call{out, now, last[id].at}
 				}
@@ -84,14 +88,14 @@
 				other := maps.Clone(registers[1])
 				other.Merge(registers[0])
 				if !maps.Equal(all, other) {
-					t.Fatalf("the order of merging changes the result: %v and %v", all, other)
+					t.Fatalf("the order of merging changes the result: %v or %v", all, other)
 				}
 				if all.Merge(other) {
-					t.Fatal("merged twice, a register changes")
+					t.Fatal("merging a register a second time changes the result")
 				}
 				for id, c := range last {
 					if all[id].Out != c.out {
-						t.Fatalf("%s: out=%t, the last call that changed anything said %t", id, all[id].Out, c.out)
+						t.Fatalf("replica %s: out=%t, but the last call that changed it was out=%t", id, all[id].Out, c.out)
 					}
 					c.checkEffective(t, listed[id], all.Effective(listed[id]))
 				}
@@ -100,22 +104,22 @@
 	})
 }
 
-// A replica is taken out at one process and called back at another, whose clock lags behind by a second. The call
-// back came later and has to count, here and where the register is merged.
+// A replica is taken out at one process and called back later at another process, whose clock lags behind by a second.
+// The call back must take effect in this register and in any register that merges it.
 func TestCallBackCountsThoughItsClockLags(t *testing.T) {
 	r := Register{}
 	r.Apply("a", Entry{Out: true, At: 10 * time.Second})
 	r.Apply("a", Entry{Out: false, At: 9 * time.Second})
 	other := Register{"a": {Out: true, At: 10 * time.Second}}
 	if other.Merge(r); other["a"].Out || len(other.Out()) != 0 {
-		t.Errorf("still out: %v", other)
+		t.Errorf("replica a is still out after merging its call back: %v", other)
 	}
 }
 
-// Replicas called back long ago are forgotten; those that are out never are.
+// Prune drops the entries of replicas that were called back long ago, but never those of replicas that are out.
 func TestPruneKeepsReplicasThatAreOut(t *testing.T) {
 	r := Register{"back": {At: 4 * time.Second}, "out": {Out: true, At: time.Second}}
 	if r.Prune(time.Minute, nil); len(r) != 1 || len(r.Out()) != 1 {
-		t.Errorf("left %v", r)
+		t.Errorf("entries after Prune: %v, want only the replica that is out", r)
 	}
 }
