--- a/internal/decide/maintenance/register_test.go
+++ b/internal/decide/maintenance/register_test.go
@@ -95,7 +95,8 @@
 				}
 				for id, c := range last {
 					if all[id].Out != c.out {
-						t.Fatalf("replica %s: out=%t, but the last call that changed it was out=%t", id, all[id].Out, c.out)
+						t.Fatalf("replica %s: out=%t, but the last call that changed it was out=%t",
+							id, all[id].Out, c.out)
 					}
 					c.checkEffective(t, listed[id], all.Effective(listed[id]))
 				}
--- a/internal/decide/subsetting/circle.go
+++ b/internal/decide/subsetting/circle.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// goldenRatio is the fractional part of the golden ratio. Its multiples lie about evenly on the circle, however many of
-// them in a row are taken.
+// goldenRatio is the fractional part of the golden ratio. Any number of its successive multiples are spaced about
+// evenly on the circle.
 const goldenRatio = 0.6180339887498949
 
 // onCircle returns the fractional part of x, in [0, 1).
--- a/internal/decide/subsetting/harness_test.go
+++ b/internal/decide/subsetting/harness_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestMain has the properties draw the same cases in every run; other seeds are for whoever looks for more.
+// TestMain fixes the seed of the property tests so that every run draws the same cases. Set -rapid.seed for others.
 func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "7") // a flag on the command line overrides it
+	flag.Set("rapid.seed", "7") // -rapid.seed on the command line overrides it
 	os.Exit(m.Run())
 }
 
--- a/internal/decide/subsetting/hash.go
+++ b/internal/decide/subsetting/hash.go
@@ -1,7 +1,7 @@
 package subsetting
 
-// Salt returns a hash of a name that is equal in all processes (FNV-1a). It tells things that are divided alike, such
-// as the budgets of two replicas, apart.
+// Salt returns a hash of a name that is equal in all processes (FNV-1a). It distinguishes things that are divided in
+// the same way, such as the budgets of two replicas.
 func Salt(name string) (hash uint64) {
 	const offsetBasis, prime = 14695981039346656037, 1099511628211
 	hash = offsetBasis
@@ -11,7 +11,7 @@
 	return hash
 }
 
-// mix returns where a salt lies on the circle, with its bits spread (splitmix64's finalizer).
+// mix returns a salt's position on the circle, with the salt's bits mixed (splitmix64's finalizer).
 func mix(salt uint64) float64 {
 	salt += 0x9e3779b97f4a7c15
 	salt = (salt ^ salt>>30) * 0xbf58476d1ce4e5b9
--- a/internal/decide/subsetting/sequence_test.go
+++ b/internal/decide/subsetting/sequence_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// A fleet shares a budget of which each coordinator's share is less than a part. With one draw each, the number of
-// those that may send is right within one. With any traffic each, what all send deviates from the sum of their shares
-// by less than chance would, and stays below what overloads a replica in slow start (N + 3 root N + 3).
+// The coordinators of a fleet share a budget, and the share of each is less than one part. If each draws once, the
+// number that may send is within one of the budget. With uneven traffic, the parts sent by all deviate from the sum of
+// their shares by less than with random numbers, and stay below the number that overloads a replica in slow start
+// (N + 3 root N + 3).
 func TestSequencesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 1000).Draw(t, "coordinators")
@@ -23,7 +24,7 @@
 			}
 		}
 		if size > 1 && math.Abs(float64(senders)-share*float64(size)) > 1 {
-			t.Fatalf("%d of %d may send with a share of %.4f", senders, size, share)
+			t.Fatalf("%d of %d coordinators with a share of %.4f may send", senders, size, share)
 		}
 		rng := rand.New(rand.NewPCG(salt, 1))
 		skew := rapid.Float64Range(0, 2).Draw(t, "skew")
@@ -38,11 +39,11 @@
 				}
 			}
 			if sent += own; math.Abs(float64(own)-share*float64(draws)) > 1.5+0.5*math.Log2(float64(draws+1)) {
-				t.Fatalf("a member's %d draws under %.4f sent %d", draws, share, own)
+				t.Fatalf("a member with %d draws and a share of %.4f sent %d parts", draws, share, own)
 			}
 		}
 		if float64(sent) > wanted+3*math.Sqrt(wanted)+3 {
-			t.Fatalf("%d members, skew %.2f: %d sent, %.1f in the budget", size, skew, sent, wanted)
+			t.Fatalf("%d members with a traffic skew of %.2f sent %d parts, budget %.1f", size, skew, sent, wanted)
 		}
 	})
 }
--- a/internal/decide/subsetting/slots_test.go
+++ b/internal/decide/subsetting/slots_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// All coordinators of a fleet begin to wait at one instant. Each has a slot once a period, no sooner than half a period
-// away, and in no time fall more slots than their even number and a few.
+// All coordinators of a fleet begin to wait at the same instant. Each has one slot per period, not sooner than half a
+// period after that instant. No time window has more than a few slots above the even number.
 func TestSlotsAreEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 1000).Draw(t, "coordinators")
@@ -20,10 +20,10 @@
 		for _, m := range fleet(size) {
 			slot := m.Offset().NextSlot(now, period, salt)
 			if slot < now+period/2 || slot > now+3*period/2 {
-				t.Fatalf("%v: period %v, the slot is after %v", m, period, slot-now)
+				t.Fatalf("member %v, period %v: slot after %v, want 0.5 to 1.5 periods", m, period, slot-now)
 			}
 			if next := m.Offset().NextSlot(slot, period, salt); next < slot+period/2 || next > slot+3*period/2 {
-				t.Fatalf("%v: one slot after another by %v", m, next-slot)
+				t.Fatalf("member %v: next slot %v after the first, want 0.5 to 1.5 periods", m, next-slot)
 			}
 			slots = append(slots, slot)
 		}
@@ -35,12 +35,12 @@
 					from++
 				}
 				if i-from+1 > size/divisor+3 {
-					t.Fatalf("%d of %d slots within 1/%d of the period", i-from+1, size, divisor)
+					t.Fatalf("%d of %d slots are within 1/%d of the period", i-from+1, size, divisor)
 				}
 			}
 		}
 	})
 	if d := SlotPeriod(200, 25); d != 8*time.Second {
-		t.Errorf("200 at 25 a second: %v", d)
+		t.Errorf("period of 200 members with 25 slots per second is %v, want 8s", d)
 	}
 }
