--- a/internal/decide/settingsdiff/differences.go
+++ b/internal/decide/settingsdiff/differences.go
@@ -6,18 +6,21 @@
 	"strings"
 )
 
-// countKey ends the paths of the lists' lengths. No setting whose path ends so is compared, one outside the lists
-// neither: a length changes with the entries, which have lines of their own.
+// countKey is the path suffix of list lengths. Settings with this suffix are not compared, not even outside the lists:
+// a length changes only together with the entries, which have their own lines.
 const countKey = ".count"
 
-// Differences returns, in order, a line for each change from old to next, for operators to read. The result is empty if
-// nothing changes.
+// Differences returns a sorted list with one line for each change from old to next, for operators to read. The result
+// is empty if nothing changes.
 func Differences(old, next Named) (lines []string) {
-	was, is := keysOfEntries(old), keysOfEntries(next)
-	lines = entryDifferences(was, is)
-	covered := func(path string) bool { // by entryDifferences
+	oldKeys, nextKeys := keysOfEntries(old), keysOfEntries(next)
+	lines = entryDifferences(oldKeys, nextKeys)
+	// covered reports whether a setting gets no line of its own, because it is a length or belongs to an entry that
+	// entryDifferences reports as a whole.
+	covered := func(path string) bool {
 		p, inEntry := parseEntryPath(path)
-		return strings.HasSuffix(path, countKey) || inEntry && !(was.has(p.list, p.name) && is.has(p.list, p.name))
+		return strings.HasSuffix(path, countKey) ||
+			inEntry && !(oldKeys.has(p.list, p.name) && nextKeys.has(p.list, p.name))
 	}
 	for path, value := range next {
 		before, ok := old[path]
@@ -37,16 +40,16 @@
 	return lines
 }
 
-// entryDifferences returns a line for each entry that only one of two settings has.
-func entryDifferences(was, is entryKeys) (lines []string) {
+// entryDifferences returns a line for each entry that only the old or only the next settings have.
+func entryDifferences(oldKeys, nextKeys entryKeys) (lines []string) {
 	for _, list := range lists {
-		for name := range is[list] {
-			if !was.has(list, name) {
+		for name := range nextKeys[list] {
+			if !oldKeys.has(list, name) {
 				lines = append(lines, fmt.Sprintf("%s: %s is new", list, name))
 			}
 		}
-		for name := range was[list] {
-			if !is.has(list, name) {
+		for name := range oldKeys[list] {
+			if !nextKeys.has(list, name) {
 				lines = append(lines, fmt.Sprintf("%s: %s is gone", list, name))
 			}
 		}
--- a/internal/decide/settingsdiff/entries.go
+++ b/internal/decide/settingsdiff/entries.go
@@ -1,9 +1,9 @@
 package settingsdiff
 
-// entryKeys are the keys that the entries of each list have: by list, by the entry's name, the set of keys.
+// entryKeys maps a list and an entry name to the set of the entry's keys.
 type entryKeys map[string]map[string]map[string]bool
 
-// keysOfEntries collects the keys of all entries of settings by name.
+// keysOfEntries returns the keys of all list entries in the settings.
 func keysOfEntries(named Named) entryKeys {
 	found := entryKeys{}
 	for path := range named {
@@ -22,7 +22,7 @@
 	return found
 }
 
-// has reports whether a list has an entry of a name.
+// has reports whether a list has an entry with the given name.
 func (e entryKeys) has(list, name string) bool { return len(e[list][name]) > 0 }
 
 // shared returns the keys that all entries of a list have.
--- a/internal/decide/settingsdiff/harness_test.go
+++ b/internal/decide/settingsdiff/harness_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// settingsWith returns flat settings with classes of some names.
+// settingsWith returns flat settings with classes of the given names.
 func settingsWith(names ...string) map[string]string {
 	flat := map[string]string{
 		"caps.most_tries":           "4",
--- a/internal/decide/settingsdiff/missing.go
+++ b/internal/decide/settingsdiff/missing.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// A class has to say for how long its repeats are dropped if they are, and only then.
+// A class must have a deduplication window if its repeats are dropped, and only then.
 const (
 	repeatKey      = "repeat"
 	repeatGuarded  = "guarded" // the value of repeatKey in a class whose repeats are dropped
 	dedupWindowKey = "dedup_window_us"
 )
 
-// Missing returns, in order, the paths that next lacks but has to have because old has them: each path outside the
-// lists, and in each entry of a list the keys that all of the list's entries had and those that the entry itself had.
-// The result is empty if next lacks nothing.
+// Missing returns the sorted paths that next must have but lacks. Required are each path outside the lists that old has
+// and, in each list entry of next, the keys that all entries of the list had in old and the keys that the entry itself
+// had in old. The deduplication window is required of guarded classes only. The result is empty if next lacks nothing.
 func Missing(old, next Named) (paths []string) {
 	required := map[string]bool{}
 	oldKeys := keysOfEntries(old)
@@ -39,7 +39,7 @@
 	return paths
 }
 
-// requiredKeys returns the keys that an entry of next has to have.
+// requiredKeys returns the keys that an entry of next must have.
 func requiredKeys(list, name string, oldKeys entryKeys, old, next Named) map[string]bool {
 	keys := oldKeys.shared(list)
 	maps.Copy(keys, oldKeys[list][name])
--- a/internal/decide/settingsdiff/paths.go
+++ b/internal/decide/settingsdiff/paths.go
@@ -1,11 +1,11 @@
-// Package settingsdiff compares the settings in force with those of a file that is to replace them: what a broken file
-// lacks, and what a good one changes.
+// Package settingsdiff compares the settings in force with the settings of a file that is to replace them. It reports
+// the paths that an incomplete file lacks, and the changes that a complete file makes.
 //
 // # Contract
 //
-// Settings come as Flat, as internal/wire writes them. ByName brings them into the form that the other functions take.
-// No function changes its arguments or keeps them, and results are sorted, so that equal settings
-// give equal texts.
+// Settings are passed as Flat, the form that internal/wire writes. ByName converts them to the form that the other
+// functions take. No function modifies or retains its arguments. Results are sorted, so that equal settings give equal
+// texts.
 package settingsdiff
 
 import (
@@ -13,10 +13,10 @@
 	"strings"
 )
 
-// Flat is settings by flat paths, in which an entry of a list stands by its index: "classes.0.name".
+// Flat holds settings by flat paths, in which a list entry is identified by its index: "classes.0.name".
 type Flat map[string]string
 
-// Named is settings by paths in which an entry of a list stands by its name: "classes[map].name".
+// Named holds settings by paths in which a list entry is identified by its name: "classes[map].name".
 type Named map[string]string
 
 // lists are the settings' lists whose entries have names.
@@ -26,11 +26,11 @@
 	classes   = "classes"
 	customers = "customers"
 
-	// byClass ends the paths of lists that have one value for each class, in the order of the classes.
+	// byClass is the path suffix of lists with one value for each class, in the order of the classes.
 	byClass = "_by_class"
 )
 
-// entryPath is the path of a key of a list's entry, in the form "list[name].key".
+// entryPath is the path of a key of a list entry, in the form "list[name].key".
 type entryPath struct{ list, name, key string }
 
 func (p entryPath) String() string { return p.list + "[" + p.name + "]." + p.key }
@@ -49,7 +49,7 @@
 	return entryPath{}, false
 }
 
-// indexedPath is the path of a key of a list's entry in the flat form "list.index.key".
+// indexedPath is the path of a key of a list entry, in the flat form "list.index.key".
 type indexedPath struct{ list, index, key string }
 
 // parseIndexedPath parses a path in the form of indexedPath. ok is false for a path outside the lists.
@@ -63,9 +63,9 @@
 	return indexedPath{}, false
 }
 
-// ByName returns settings with the entries' names in the paths instead of their indexes, so that an entry which moves
-// within its list does not count as changed. Values by class become values of each class. An entry that has no name key
-// keeps its index.
+// ByName converts settings to paths with entry names instead of indexes, so that an entry that moves within its list
+// does not count as changed. It splits a list with one value for each class into one setting for each class. An entry
+// without a name key keeps its index.
 func ByName(flat Flat) Named {
 	names := entryNames(flat)
 	named := Named{}
@@ -88,7 +88,7 @@
 	return named
 }
 
-// entryNames returns the names of all entries, by their paths without a key.
+// entryNames returns the names of all list entries, by their indexed paths without a key.
 func entryNames(flat Flat) map[indexedPath]string {
 	names := map[indexedPath]string{}
 	for path, value := range flat {
--- a/internal/decide/subsetting/subset_test.go
+++ b/internal/decide/subsetting/subset_test.go
@@ -16,9 +16,9 @@
 	return Ring{Size: size, ReplicationFactor: 3, Replicas: size * perPosition}
 }
 
-// For fleets and rings of all sizes, the numbers of subsets that contain each replica differ by at most one. Each subset
-// has at least the wanted holders of each shard, less one for each additional replica per position. It exceeds its
-// fraction of the holders by at most the number of replicas per position.
+// For fleets and rings of all sizes, the numbers of subsets that contain each replica differ by at most one. Each
+// subset has at least the wanted holders of each shard, less one for each additional replica per position. It exceeds
+// its fraction of the holders by at most the number of replicas per position.
 func TestSubsetsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 1000).Draw(t, "coordinators")
