--- a/internal/decide/maintenance/doc.go
+++ b/internal/decide/maintenance/doc.go
@@ -1,6 +1,6 @@
 // Package maintenance decides how replicas that operators take out for maintenance appear to the scatter machine. It
-// adjusts the replicas that discovery lists before the machine gets them, so that maintenance is in force whatever
-// discovery lists.
+// adjusts the replicas that discovery lists before the machine gets them, so that maintenance stays in force regardless
+// of what discovery lists.
 //
 // # Contract
 //
--- a/internal/decide/overload/controller.go
+++ b/internal/decide/overload/controller.go
@@ -159,8 +159,8 @@
 		return false
 	}
 	// A process that is suspended (SIGSTOP, a starved core) does no work. If that counted as throughput, the capacity
-	// would drop, and queries would be rejected after the process resumes. A suspension shows as an observation that is
-	// far overdue.
+	// would drop, and queries would be rejected after the process resumes. A suspension shows as an observation that
+	// comes far later than due.
 	suspended := elapsed > time.Duration(stallWindows*float64(c.Interval()))
 	if !suspended {
 		c.throughput.observe(w.doneCost/elapsed.Seconds(), s.MeanWait > c.cfg.WaitTarget)
--- a/internal/decide/overload/level.go
+++ b/internal/decide/overload/level.go
@@ -9,7 +9,7 @@
 const (
 	Normal   Level = iota // few or no arrivals are rejected
 	Trimming              // traffic beyond its tenant's quota is rejected; never reached without tenants
-	Shedding              // idempotent traffic within its quota, or with short memory all unprotected, is rejected
+	Shedding              // idempotent traffic within its quota is rejected, or all unprotected if memory is short
 	Critical              // protected queries are rejected too, or admitted queries are ended
 )
 
@@ -22,7 +22,7 @@
 	// manyRejections is the rejected fraction of arrivals above which rejections raise the level. A few client retries
 	// are always rejected.
 	manyRejections = 0.1
-	// minLevelTime is how long a level lasts after its last cause.
+	// minLevelTime is how long a level is kept after its last cause.
 	minLevelTime = 650 * time.Millisecond
 )
 
--- a/internal/decide/overload/memory_level_test.go
+++ b/internal/decide/overload/memory_level_test.go
@@ -8,8 +8,9 @@
 	"harepass/internal/decide/overload"
 )
 
-// Memory runs short and is freed again. Each level begins at once and ends only below its leaveFactor. New queries are
-// rejected before any admitted query is ended, and protected queries only when admitted queries have to be ended.
+// Memory runs short and is freed again. Each level begins at once and ends only below 0.9 of the use at which it began.
+// New queries are rejected before any admitted query is ended, and protected queries only when admitted queries have to
+// be ended.
 func TestMemoryLevels(t *testing.T) {
 	cfg := config()
 	cfg.MemoryBytes = 1000
--- a/internal/decide/overload/rate_limit.go
+++ b/internal/decide/overload/rate_limit.go
@@ -12,7 +12,7 @@
 	// overTargetToLimit is the number of consecutive windows with a mean wait over the target that activates the limit,
 	// because so many are not due to chance.
 	overTargetToLimit = 2
-	// farBehindTargets is the mean wait, in wait targets, above which each query costs more than before.
+	// farBehindTargets is the mean wait, in wait targets, above which each query costs more than usual.
 	farBehindTargets = 3.0
 	// setpointFraction is the setpoint of the mean wait, as a fraction of the wait target. It is below 1 so that the
 	// target is seldom exceeded.
@@ -115,7 +115,7 @@
 	return s.MeanWait.Seconds() - setpointFraction*l.waitTarget.Seconds()
 }
 
-// farBehind reports whether the loop is so far behind that each query costs more than before.
+// farBehind reports whether the loop is so far behind that each query costs more than usual.
 func (l *rateLimit) farBehind(s Signals) bool {
 	return s.MeanWait.Seconds() > farBehindTargets*l.waitTarget.Seconds()
 }
--- a/internal/decide/overload/retry_after.go
+++ b/internal/decide/overload/retry_after.go
@@ -9,7 +9,7 @@
 	minRetryTargets = 10.0
 )
 
-// Queues in which rejected queries wait for their retry, in the order in which they are served.
+// Indices of the queues in which rejected queries wait for their retry, in the order in which the queues are served.
 const (
 	withinQuotaQueue = iota
 	beyondQuotaQueue
