--- a/internal/decide/lease/lease_test.go
+++ b/internal/decide/lease/lease_test.go
@@ -16,15 +16,15 @@
 	reloaded   = backoff.NotifiedAfterReload
 )
 
-// A process starts at 0 with a stored list; then calls to discovery are confirmed, find it unreachable or stay
-// unanswered, and reloads name other services. Each event moves the end of the lease by its own rule.
+// A process starts at 0 with a stored list. Then discovery confirms the list, is unreachable or leaves calls
+// unanswered, and reloads name other services. Each kind of event changes the expiry by its own rule.
 func TestExpiryAfterEachEvent(t *testing.T) {
 	for name, c := range map[string]struct {
 		events func(l *Lease)
 		want   time.Duration
 	}{
 		"no call yet": {func(*Lease) {}, listMaxAge},
-		"the first call failed": {func(l *Lease) {
+		"first call unanswered": {func(l *Lease) {
 			l.Unanswered()
 		}, notified},
 		"confirmed": {func(l *Lease) {
@@ -39,11 +39,11 @@
 			l.Confirmed(2 * second)
 			l.Unreachable(5 * second)
 		}, 5*second + notified},
-		"unreachable, then overloaded": {func(l *Lease) {
+		"unreachable, then unanswered": {func(l *Lease) {
 			l.Unreachable(5 * second)
 			l.Unanswered()
 		}, 5*second + notified},
-		"an older answer comes last": {func(l *Lease) {
+		"confirmations out of order": {func(l *Lease) {
 			l.Confirmed(5 * second)
 			l.Confirmed(4 * second)
 		}, 5*second + notified},
@@ -51,7 +51,7 @@
 			l.Confirmed(2 * second)
 			l.ServiceChanged(3 * second)
 		}, 3*second + reloaded},
-		"another service shortly before the end": {func(l *Lease) {
+		"another service shortly before expiry": {func(l *Lease) {
 			l.Confirmed(2 * second)
 			l.ServiceChanged(7 * second)
 		}, 2*second + notified},
@@ -67,14 +67,14 @@
 			l.ServiceChanged(3 * second)
 			l.Unanswered()
 		}, notified},
-		"another service again and again": {func(l *Lease) {
+		"three other services in succession": {func(l *Lease) {
 			l.Confirmed(second)
 			l.ServiceChanged(2 * second)
 			l.ServiceChanged(3 * second)
 			l.ServiceChanged(4 * second)
 			l.Unanswered()
 		}, 2*second + reloaded},
-		"another service that answers and is lost": {func(l *Lease) {
+		"another service that answers, then does not": {func(l *Lease) {
 			l.ServiceChanged(3 * second)
 			l.Confirmed(4 * second)
 			l.Unanswered()
@@ -86,18 +86,19 @@
 		}
 	}
 	if l := New(0, 0, 0); l.Expires() != notified {
-		t.Errorf("without a longest age of the list: expires at %v", l.Expires())
+		t.Errorf("listMaxAge of 0: expires at %v", l.Expires())
 	}
 }
 
-// An endpoint is drained just after discovery confirmed the list, and the coordinator does not learn of it. The
-// platform counts an attempt at the endpoint as a fault once the drain is notified and its grace is over. Whatever else
-// happens: once a call has failed, the lease ends 0.25 s before that, or half of a short grace before it.
+// An endpoint is drained just after discovery confirmed the list, and the coordinator does not learn of the drain. The
+// platform counts an attempt at the endpoint as a fault once the drain counts as notified and its grace is over. After
+// any sequence of events that ends with an unanswered call, the lease expires at least 0.25 s before that instant, or
+// at least half of the grace before it if the grace is short.
 func TestExpiresBeforeNotificationAndGraceAreOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.Int64Range(0, int64(2*second)).Draw(t, "grace"))
 		l := New(0, listMaxAge, grace)
-		now, current := time.Duration(0), time.Duration(0) // current: last confirmed or unreachable
+		now, current := time.Duration(0), time.Duration(0) // current: when last confirmed or unreachable
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(4*second)).Draw(t, "passes"))
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
