--- a/internal/decide/backoff/fleet_test.go
+++ b/internal/decide/backoff/fleet_test.go
@@ -13,7 +13,7 @@
 	coordinator int
 }
 
-// calls is a heap of calls, the next one first.
+// calls is a heap of calls, earliest first.
 type calls []call
 
 func (c calls) Len() int           { return len(c) }
@@ -22,17 +22,17 @@
 func (c *calls) Push(x any)        { *c = append(*c, x.(call)) }
 func (c *calls) Pop() any          { old := *c; x := old[len(old)-1]; *c = old[:len(old)-1]; return x }
 
-// service is a simulated discovery service that answers calls one after another. A call that has waited for
-// serviceTimeout fails, and occupies the service all the same.
+// service is a simulated discovery service that answers calls one at a time. A call that has waited for serviceTimeout
+// fails, but still occupies the service.
 type service struct {
-	callCost time.Duration // for which a call occupies the service
-	upAt     time.Duration // until then each call fails at once
-	freeAt   time.Duration // when all calls so far have been worked off
+	callCost time.Duration // time for which a call occupies the service
+	upAt     time.Duration // instant until which each call fails at once
+	freeAt   time.Duration // instant at which all calls so far are worked off
 }
 
 const serviceTimeout = 2 * time.Second
 
-// call returns when an answered call has its answer, or after how long a call fails.
+// call returns the instant at which the call is answered, or the time after which it fails.
 func (s *service) call(at time.Duration) (answeredAt, failedAfter time.Duration, ok bool) {
 	if at < s.upAt {
 		return 0, 0, false
@@ -45,7 +45,7 @@
 	return 0, serviceTimeout, false
 }
 
-// fleetRun is a fleet of coordinators that all need their list from a service at one instant.
+// fleetRun simulates a fleet of coordinators that all need their endpoint list from one service at one instant.
 type fleetRun struct {
 	size         int
 	service      service
@@ -53,7 +53,8 @@
 	failureDelay func(*Schedule, time.Duration) time.Duration
 }
 
-// run plays a minute. It returns how many calls were made, how many were answered, and when the last answer came.
+// run simulates one minute. It returns the number of calls made, the number answered, and the instant of the last
+// answer.
 func (f fleetRun) run() (made, answered int, last time.Duration) {
 	f.service.freeAt = f.service.upAt
 	var schedules []*Schedule
@@ -76,9 +77,9 @@
 	return made, answered, last
 }
 
-// A whole fleet starts, or loses discovery, at one instant. All coordinators have their list soon after, with few calls
-// that fail. Without spread calls, those that wait too long keep the service busy for nothing and hardly any
-// coordinator is answered; that case shows that the simulated service is a test at all.
+// A whole fleet starts, or loses discovery, at one instant. All coordinators get their list soon after, and few calls
+// fail. If calls are not spread, those that wait too long keep the service busy although they fail, and few
+// coordinators get an answer. The last case shows this, and thereby that the simulated service can be overloaded.
 func TestFleetHasListSoonAfterCommonFailure(t *testing.T) {
 	for _, c := range []struct {
 		fleet              int
@@ -88,7 +89,7 @@
 	}{
 		{80, 66 * time.Millisecond, 0, 8 * time.Second, 1.1, 80},
 		{80, 100 * time.Millisecond, 0, 12 * time.Second, 1.2, 80},
-		{80, 190 * time.Millisecond, 0, time.Minute, 4, 40}, // calls cost about twice a call slot: slow, but no jam
+		{80, 190 * time.Millisecond, 0, time.Minute, 4, 40}, // calls take about two call slots: slow, but not stuck
 		{80, 66 * time.Millisecond, 8 * time.Second, 18 * time.Second, 4, 80},
 		{300, 20 * time.Millisecond, 0, 31 * time.Second, 1.1, 300},
 		{3, 66 * time.Millisecond, 0, time.Second, 1, 3},
@@ -96,7 +97,7 @@
 		run := fleetRun{c.fleet, service{callCost: c.cost, upAt: c.upAt}, (*Schedule).FirstDelay, (*Schedule).Failed}
 		made, answered, last := run.run()
 		if answered < c.answered || last > c.lastAt+2*time.Second || float64(made) > c.callsEach*float64(c.fleet) {
-			t.Errorf("%d coordinators at %v a call: %d calls, %d answered, the last after %v",
+			t.Errorf("%d coordinators, %v per call: %d calls, %d answered, last answer after %v",
 				c.fleet, c.cost, made, answered, last)
 		}
 	}
@@ -106,13 +107,13 @@
 	}
 	run := fleetRun{80, service{callCost: 66 * time.Millisecond}, atOnce, short}
 	if made, answered, _ := run.run(); answered > 60 {
-		t.Errorf("without spread calls %d were answered, of %d calls: the simulated service is no test", answered, made)
+		t.Errorf("calls not spread: %d of %d were answered; the simulated service is not overloaded", answered, made)
 	}
 }
 
-// Discovery is lost to a fleet of at most thirty, and comes back at once or after some seconds. Calls that wait for two
-// seconds fail and have occupied the service for 0.1 s all the same. Every coordinator is answered within
-// NotifiedAfter of discovery's return, so none lacks a change that counts as notified.
+// A fleet of at most 30 coordinators loses discovery, which returns at once or after some seconds. Calls that wait for
+// 2 s fail, but still occupy the service for 0.1 s. Every coordinator gets an answer within NotifiedAfter of
+// discovery's return, so no coordinator lacks a change that counts as notified.
 func TestSmallFleetIsAnsweredBeforeChangesCountAsNotified(t *testing.T) {
 	for _, size := range []int{6, 20, 30} {
 		for _, upAt := range []time.Duration{0, 3 * time.Second, 8 * time.Second} {
@@ -120,14 +121,14 @@
 				(*Schedule).WatchLostDelay, (*Schedule).Failed}
 			_, answered, last := run.run()
 			if answered != size || last-upAt >= NotifiedAfter {
-				t.Errorf("%d coordinators: %d answered, the last %v after discovery was back", size, answered, last-upAt)
+				t.Errorf("%d coordinators: %d answered, last answer %v after its return", size, answered, last-upAt)
 			}
 		}
 	}
 }
 
-// A large fleet starts at one instant, at a service that answers calls fast. Spread over half of ListMaxAge, nearly
-// every first call is answered, and all coordinators have their list by then.
+// A large fleet starts at one instant and calls a service that answers fast. Its first calls are spread over half of
+// ListMaxAge, so the service answers nearly all of them and all coordinators have their list by then.
 func TestLargeFleetHasListWithinHalfOfListMaxAge(t *testing.T) {
 	const listMaxAge, size = 10 * time.Second, 300
 	firstDelay := func(s *Schedule) time.Duration {
@@ -137,6 +138,6 @@
 	run := fleetRun{size, service{callCost: 10 * time.Millisecond}, firstDelay, (*Schedule).Failed}
 	made, answered, last := run.run()
 	if answered != size || made > 310 || last > listMaxAge/2+2*time.Second {
-		t.Errorf("%d coordinators: %d calls, %d answered, the last after %v", size, made, answered, last)
+		t.Errorf("%d coordinators: %d calls, %d answered, last answer after %v", size, made, answered, last)
 	}
 }
--- a/internal/decide/backoff/notification_test.go
+++ b/internal/decide/backoff/notification_test.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// The parts into which the time until a change counts as notified is divided fit into it: after a watch that fell
-// silent, after calls that nobody answered, and after a reload that names another service.
+// After a silent watch, after an unanswered call, and after a reload that names another service, the longest waits for
+// an answer add up to less than the time until changes count as notified. Fleets that discovery can answer in time
+// keep to these waits.
 func TestPartsFitBeforeChangesCountAsNotified(t *testing.T) {
 	if sum := WatchHold + WatchSilence + MaxSpread + CallTimeout; sum >= NotifiedAfter {
-		t.Errorf("after a silent watch the answer comes after %v", sum)
+		t.Errorf("silent watch: the coordinator has its answer only after %v", sum)
 	}
 	if sum := CallTimeout + MaxSpread + CallTimeout; sum >= NotifiedAfter {
-		t.Errorf("after an unanswered call the answer comes after %v", sum)
+		t.Errorf("unanswered call: the coordinator has its answer only after %v", sum)
 	}
 	if sum := reloadCallTimeout + reloadMaxSpread + reloadCallTimeout; sum >= NotifiedAfterReload {
-		t.Errorf("after a reload the new service's answer comes after %v", sum)
+		t.Errorf("reload: the coordinator has the new service's answer only after %v", sum)
 	}
-	for _, fleet := range []int{1, 6, 20, 30} { // whose calls discovery can answer within half of NotifiedAfter
+	for _, fleet := range []int{1, 6, 20, 30} { // fleets that discovery can answer within half of NotifiedAfter
 		s := &Schedule{FleetSize: fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(uint64(fleet), 5))}
 		for i := range 200 {
 			if d := s.Failed(time.Duration(i%3) * time.Second); d < minFailureDelay || d >= MaxSpread {
-				t.Fatalf("one of %d calls again after %v", fleet, d)
+				t.Fatalf("fleet of %d: delay of %v after a failed call", fleet, d)
 			}
 			s.ServiceChanged()
 			d := s.Failed(s.AnswerTimeout())
 			if s.AnswerTimeout() != reloadCallTimeout || d >= reloadMaxSpread {
-				t.Fatalf("one of %d waits %v for a newly named service and calls again after %v", fleet, s.AnswerTimeout(), d)
+				t.Fatalf("fleet of %d: time-out of %v at a new service, then delay of %v", fleet, s.AnswerTimeout(), d)
 			}
 			s.Succeeded()
 		}
 	}
 }
 
-// A process that has not called counts as notified after ListMaxAge. Whatever the size of the fleet, its first call
-// comes within half of that, and a call after a failure before all of it is over; nor do the calls of the fleet come
-// together for that.
+// Changes count as notified to a process that has not called after ListMaxAge. In a fleet of any size, the first call
+// comes within half of ListMaxAge and the delay after a failed call is shorter than ListMaxAge. The first calls of the
+// fleet are still spread over the time.
 func TestCallsBeforeListMaxAgeIsOver(t *testing.T) {
 	const listMaxAge = 10 * time.Second
 	for _, fleet := range []int{80, 300, 2000} {
@@ -45,26 +46,26 @@
 			s := &Schedule{FleetSize: fleet, ListMaxAge: listMaxAge, Rand: rand.New(rand.NewPCG(uint64(i), 2))}
 			first := s.FirstDelay()
 			if first >= listMaxAge/2 {
-				t.Fatalf("one of %d calls first after %v", fleet, first)
+				t.Fatalf("fleet of %d: first call after %v", fleet, first)
 			}
 			inTwentieth[first*20/listMaxAge]++
 			for range 8 {
 				if d := s.Failed(2 * time.Second); d >= listMaxAge {
-					t.Fatalf("one of %d calls again after %v", fleet, d)
+					t.Fatalf("fleet of %d: delay of %v after a failed call", fleet, d)
 				}
 			}
 		}
 		for i, n := range inTwentieth {
 			if n > fleet/5 {
-				t.Errorf("%d of %d call first in twentieth %d of the time: %v", n, fleet, i, inTwentieth)
+				t.Errorf("%d first calls of %d in twentieth %d of listMaxAge: %v", n, fleet, i, inTwentieth)
 			}
 		}
 	}
 }
 
-// The incident of 2026-12-02: one of 35 coordinators has a list that was confirmed 3.6 s ago when a call fails after
-// 0.93 s. The next call is answered before the list expires. In a fleet that cannot all be answered by then no
-// coordinator hurries, for its call would only make others fail.
+// The incident of 2026-12-02: a coordinator in a fleet of 35 has a list that was confirmed 3.6 s ago when a call fails
+// after 0.93 s. The next call must be early enough for an answer before the list expires. In a fleet that discovery
+// cannot answer by then, no coordinator shortens its delay, because its call would only make other calls fail.
 func TestCallsAgainBeforeListExpires(t *testing.T) {
 	const took, expiresIn = 930 * time.Millisecond, 2400 * time.Millisecond
 	for _, c := range []struct {
@@ -79,7 +80,7 @@
 			later = max(later, s.FailedBeforeExpiry(took, expiresIn))
 		}
 		if latest > c.most || c.fleet == 300 && later < 2*expiresIn {
-			t.Errorf("one of %d calls again up to %v later, and up to %v after two more failures", c.fleet, latest, later)
+			t.Errorf("fleet of %d: delay of up to %v, and up to %v after two more failures", c.fleet, latest, later)
 		}
 	}
 }
--- a/internal/decide/backoff/schedule.go
+++ b/internal/decide/backoff/schedule.go
@@ -8,25 +8,26 @@
 const (
 	// minFailureDelay is the shortest delay after a failed call.
 	minFailureDelay = NotifiedAfter / 24 // 0.25 s
-	// firstCallShare is the share of ListMaxAge within which a process makes its first call, so that a failed one can
-	// be repeated before ListMaxAge is over.
+	// firstCallShare is the share of ListMaxAge within which a process makes its first call. The rest leaves time to
+	// repeat a failed call before ListMaxAge is over.
 	firstCallShare = 0.5
-	// watchLostSlots is the spreading interval after a lost watch, in call slots per coordinator. It allows for
-	// calls that occupy discovery for longer than assumed, since the fleet is likely to have lost its watches together.
+	// watchLostSlots is the spreading interval after a lost watch, in call slots per coordinator. The whole fleet has
+	// probably lost its watches together, so the interval allows for calls that take longer than one call slot.
 	watchLostSlots = 3
 )
 
-// Schedule decides when one coordinator of a fleet calls discovery. Rand has to be set; the other fields may be changed
-// between two calls of its methods.
+// Schedule decides when one coordinator of a fleet calls discovery. Rand must be set. The other fields may change
+// between two method calls.
 type Schedule struct {
 	// FleetSize is the number of coordinators that call the same discovery service.
 	FleetSize int
-	// ListMaxAge is the time after which a coordinator that has not called counts as notified all the same. It bounds
-	// the spreading interval of a fleet that discovery cannot answer in time (maxIntervalInTime); 0 sets no such bound.
+	// ListMaxAge is the time after which changes count as notified to a coordinator that has not called discovery. It
+	// bounds the spreading interval of a fleet that discovery cannot answer in time (maxIntervalInTime). 0 sets no
+	// such bound.
 	ListMaxAge time.Duration
-	// UsesAgent states that the calls go to an agent of this coordinator rather than to the shared service.
+	// UsesAgent reports whether calls go to an agent of this coordinator instead of the shared service.
 	UsesAgent bool
-	// Rand is the source of the drawn delays. Coordinators of a fleet need different ones.
+	// Rand is the source of the random delays. Each coordinator of a fleet needs a different source.
 	Rand *rand.Rand
 
 	load               serviceLoad
@@ -34,7 +35,7 @@
 }
 
 // FirstDelay returns how long to wait before the first call of a process that has a stored endpoint list. A process
-// that has none calls at once, without asking: it can send no query before it has a list.
+// without a stored list calls at once and does not use FirstDelay, because it cannot send a query before it has a list.
 func (s *Schedule) FirstDelay() time.Duration {
 	if s.UsesAgent {
 		return 0
@@ -43,9 +44,10 @@
 	return s.draw(s.bound(interval, NotifiedAfter-CallTimeout, scale(s.ListMaxAge, firstCallShare)))
 }
 
-// FirstDelayAtNewService returns how long to wait before the first call to a service that a reload has named, where the
-// endpoint list expires after expiresIn. A reload comes to the whole fleet at one instant. A fleet that needs all of the
-// time until lists expire spreads its calls over it; any other calls at once.
+// FirstDelayAtNewService returns how long to wait before the first call to a service that a reload has named, if the
+// endpoint list expires after expiresIn. A reload reaches the whole fleet at one instant. The coordinators of a fleet
+// that needs the whole time until its lists expire (needsWholeLease) spread their calls over that time; all others call
+// at once.
 func (s *Schedule) FirstDelayAtNewService(expiresIn time.Duration) time.Duration {
 	if s.UsesAgent || !s.needsWholeLease() {
 		return 0
@@ -53,8 +55,8 @@
 	return s.draw(min(s.spreadingInterval(1)-s.queueTime(), expiresIn-CallTimeout))
 }
 
-// WatchLostDelay returns how long to wait before a call that follows a lost watch. Unlike Failed it records nothing: a
-// lost watch says nothing of discovery's load, so it counts neither as a failure nor as a success.
+// WatchLostDelay returns how long to wait before the call that follows a lost watch. Unlike Failed it records nothing:
+// a lost watch does not show discovery's load, so it counts neither as a failure nor as a success.
 func (s *Schedule) WatchLostDelay() time.Duration {
 	if s.UsesAgent {
 		return agentDelay
@@ -62,8 +64,8 @@
 	return s.draw(min(s.spreadingInterval(watchLostSlots), MaxSpread))
 }
 
-// RenewDelay returns how long to wait before a watch is renewed that was answered after took and reported no change.
-// A service that answers watches without holding them must not be called without a pause.
+// RenewDelay returns how long to wait before renewing a watch that discovery answered after took without reporting a
+// change. The delay keeps the coordinator from calling without a pause a service that does not hold watches.
 func (s *Schedule) RenewDelay(took time.Duration) time.Duration {
 	if hold, _ := s.WatchTimeouts(); took < hold/2 {
 		return renewDelay
@@ -71,15 +73,16 @@
 	return 0
 }
 
-// Failed records that a call which was not a watch failed after took, and returns how long to wait before the next
-// call. It is for a coordinator whose endpoint list does not expire.
+// Failed records that a call other than a watch failed after took, and returns how long to wait before the next call.
+// It is for a coordinator whose endpoint list does not expire.
 func (s *Schedule) Failed(took time.Duration) (delay time.Duration) {
 	return s.FailedBeforeExpiry(took, 0)
 }
 
-// FailedBeforeExpiry records what Failed records, and returns the delay for an endpoint list that expires after
-// expiresIn. Where the fleet may hurry (maxIntervalToHurry), the next call is early enough to be answered before that.
-// A list that has expired, or that expires before any answer, does not hasten the call.
+// FailedBeforeExpiry records what Failed records, and returns the delay for a coordinator whose endpoint list expires
+// after expiresIn. If the fleet is small enough (maxIntervalInLease), the next call is early enough for an answer
+// before the list expires. A list that has expired, or that expires before discovery can answer, does not shorten the
+// delay.
 func (s *Schedule) FailedBeforeExpiry(took, expiresIn time.Duration) (delay time.Duration) {
 	if s.UsesAgent {
 		return agentDelay
@@ -88,11 +91,14 @@
 	return minFailureDelay + s.draw(s.failureInterval(expiresIn))
 }
 
-// failureInterval is the interval, after minFailureDelay, from which the next call is drawn. Each further failure may
-// spread a large fleet over another MaxSpread, so that discovery can work off the calls that it has failed. A fleet that
-// needs all of the time until lists expire is spread over its whole interval once a call has failed for want of capacity:
-// calls that come sooner wait in discovery's queue until they fail, and nobody is answered. Calls that fail at once have
-// taken no time of discovery's, and the next one may be answered.
+// failureInterval is the interval, after minFailureDelay, from which the instant of the next call is drawn. In a fleet
+// that discovery cannot answer in time, its bound grows by MaxSpread with each call slot that failures add, up to
+// ListMaxAge, so that discovery can work off the calls that it has failed.
+//
+// A fleet that needs the whole time until its lists expire (needsWholeLease) is spread over its whole interval once a
+// call has failed because discovery lacked capacity: earlier calls would wait in discovery's queue until they fail, and
+// no coordinator would get an answer. This does not apply to a call that fails at once. Such a call takes no time of
+// discovery, so discovery may answer the next one.
 func (s *Schedule) failureInterval(expiresIn time.Duration) time.Duration {
 	slots := s.load.slots
 	longest := min(s.ListMaxAge, time.Duration(slots)*MaxSpread)
@@ -108,11 +114,11 @@
 	return interval
 }
 
-// Succeeded records that a call or a watch was answered.
+// Succeeded records that discovery answered a call or a watch.
 func (s *Schedule) Succeeded() {
 	s.load.succeeded()
 	s.awaitingNewService = false
 }
 
-// ServiceChanged records that calls go to another service from now on. What was learned of the old one is dropped.
+// ServiceChanged records that calls go to another service from now on. It discards the load recorded for the old one.
 func (s *Schedule) ServiceChanged() { s.load, s.awaitingNewService = serviceLoad{}, true }
--- a/internal/decide/backoff/schedule_test.go
+++ b/internal/decide/backoff/schedule_test.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// One coordinator, or a few, wait for nobody; after a failure they pause just long enough not to call without end.
+// A fleet of one or a few coordinators does not spread its calls. After a failure each coordinator waits for
+// minFailureDelay, so that it does not call without a pause.
 func TestFewCoordinatorsDoNotWait(t *testing.T) {
 	for fleet := range 5 {
 		s := &Schedule{FleetSize: fleet, Rand: rand.New(rand.NewPCG(7, 7))}
 		if d := s.FirstDelay(); d != 0 {
-			t.Errorf("%d coordinators: the first call waits %v", fleet, d)
+			t.Errorf("%d coordinators: delay of %v before the first call", fleet, d)
 		}
 		if d := s.Failed(0); d != minFailureDelay {
-			t.Errorf("%d coordinators: after a failure %v", fleet, d)
+			t.Errorf("%d coordinators: delay of %v after a failed call", fleet, d)
 		}
 	}
 }
 
-// A coordinator loses its watch, perhaps together with the whole fleet. That says nothing of what discovery can answer:
-// whatever the size of the fleet, the coordinator calls within MaxSpread, and not all call together.
+// A coordinator loses its watch, perhaps together with the whole fleet. A lost watch does not show discovery's load, so
+// the coordinator calls within MaxSpread in a fleet of any size. The calls of a large fleet are still spread.
 func TestCallsWithinMaxSpreadOfLostWatch(t *testing.T) {
 	for _, fleet := range []int{1, 80, 300} {
 		s := &Schedule{FleetSize: fleet, ListMaxAge: 10 * time.Second, Rand: rand.New(rand.NewPCG(uint64(fleet), 3))}
@@ -28,11 +29,11 @@
 		for range 100 {
 			d := s.WatchLostDelay()
 			if sum += d; d >= MaxSpread {
-				t.Fatalf("one of %d calls %v after its watch was lost", fleet, d)
+				t.Fatalf("fleet of %d: delay of %v after a lost watch", fleet, d)
 			}
 		}
 		if fleet >= 80 && sum < 30*MaxSpread {
-			t.Errorf("one of %d waits %v in the mean: all call together", fleet, sum/100)
+			t.Errorf("fleet of %d: mean delay of %v after a lost watch; calls are not spread", fleet, sum/100)
 		}
 	}
 }
@@ -45,30 +46,30 @@
 	return longest
 }
 
-// Discovery fails calls after 0.4 s, sooner than assumed. That is its service time-out, so fewer calls may queue there
-// and the fleet is spread over more time. Neither a call that fails later nor one that fails at once changes that.
+// Discovery fails calls after 0.4 s, sooner than assumed. This becomes the service time-out, so fewer calls may wait in
+// discovery's queue and the fleet is spread over more time. A call that fails later or at once does not change it.
 func TestLearnsShortestServiceTimeout(t *testing.T) {
 	s := &Schedule{FleetSize: 20, Rand: rand.New(rand.NewPCG(1, 6))}
 	assumed := longestFirstDelay(s)
 	s.Failed(400 * time.Millisecond)
 	learned := longestFirstDelay(s)
 	if learned <= assumed || learned-assumed > 500*time.Millisecond {
-		t.Errorf("service time-out of 0.4 s: 20 wait for up to %v, %v before", learned, assumed)
+		t.Errorf("service time-out of 0.4 s: longest first delay %v, was %v", learned, assumed)
 	}
-	s.Failed(2 * time.Second) // it waited longer, whatever the cause
-	s.Failed(0)               // it was not queued at all
+	s.Failed(2 * time.Second) // the call waited longer, for any reason
+	s.Failed(0)               // the call was not queued
 	if d := longestFirstDelay(s); d < learned*9/10 || d > learned*11/10 {
-		t.Errorf("the shorter time-out is forgotten: %v, then %v", learned, d)
+		t.Errorf("shortest service time-out not kept: longest first delay was %v, is now %v", learned, d)
 	}
 }
 
-// A coordinator with an agent shares it with nobody, so it neither spreads its calls nor waits long for answers.
+// An agent serves only one coordinator, so the coordinator neither spreads its calls nor waits long for answers.
 func TestAgentIsCalledWithoutSpreading(t *testing.T) {
 	s := &Schedule{FleetSize: 300, UsesAgent: true, Rand: rand.New(rand.NewPCG(1, 6))}
 	first, lost, failed, timeout := s.FirstDelay(), s.WatchLostDelay(), s.Failed(time.Second), s.AnswerTimeout()
 	const longest = 100 * time.Millisecond
 	if first > 0 || lost > longest || failed > longest || timeout > 300*time.Millisecond {
-		t.Errorf("first call after %v, after a lost watch %v, after a failure %v, answer awaited for %v",
+		t.Errorf("delay of %v before the first call, %v after a lost watch, %v after a failure; answer time-out %v",
 			first, lost, failed, timeout)
 	}
 }
