--- a/internal/decide/retry/key.go
+++ b/internal/decide/retry/key.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// IdempotencyKeyHeader is the name of the header in which clients send their idempotency key, on either front.
+// IdempotencyKeyHeader is the name of the header in which clients of either front send the idempotency key.
 const IdempotencyKeyHeader = "Idempotency-Key"
 
 // MaxKeyLength is the length of the longest valid key, in bytes.
 const MaxKeyLength = 128
 
-// keyPunctuation are the characters that a key may hold besides letters and digits. A comma, an equals sign or a space
-// would end the key in the list of keys that a frame carries. Quotation marks are read differently by HTTP servers.
+// keyPunctuation lists the characters that a key may contain besides letters and digits. A comma, an equals sign or a
+// space would end the key in the list of keys that a frame carries. HTTP servers differ in how they read quotation
+// marks.
 const keyPunctuation = "-._~+/:"
 
 // Errors of Policy.Key. Their texts are sent to the client, so each names the header.
@@ -26,17 +27,17 @@
 	ErrEmptyKey = errors.New(IdempotencyKeyHeader + " is empty")
 	// ErrLongKey is the error for a key of more than MaxKeyLength bytes.
 	ErrLongKey = fmt.Errorf("%s is longer than %d characters", IdempotencyKeyHeader, MaxKeyLength)
-	// ErrMalformedKey is the error for a key with a character that no key may hold.
+	// ErrMalformedKey is the error for a key with a character that is not allowed in keys.
 	ErrMalformedKey = errors.New(IdempotencyKeyHeader + " may hold letters, digits and " + keyPunctuation + " only")
 )
 
-// RequiresKey reports whether queries of the class must have an idempotency key, which every attempt of their parts
-// carries.
+// RequiresKey reports whether queries of the class must have an idempotency key. Every attempt of their parts carries
+// that key.
 func (p Policy) RequiresKey() bool { return p.Idempotency == Keyed }
 
-// Key returns the idempotency key that the attempts of a query carry, given the values of IdempotencyKeyHeader in its
-// request, one for each line. In a class that is not Keyed it is empty, whatever the client sent. The error is one of
-// the Err...Key variables.
+// Key returns the idempotency key that the attempts of a query carry. values holds the value of each
+// IdempotencyKeyHeader line in the request. In a class that is not Keyed, Key ignores values and returns an empty key.
+// The error is one of the Err...Key variables.
 func (p Policy) Key(values []string) (string, error) {
 	if !p.RequiresKey() {
 		return "", nil
@@ -59,7 +60,7 @@
 	return key, nil
 }
 
-// isInvalidInKey reports whether a key must not hold a character.
+// isInvalidInKey reports whether a character is not allowed in keys.
 func isInvalidInKey(c rune) bool {
 	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 	digit := c >= '0' && c <= '9'
--- a/internal/decide/retry/key_test.go
+++ b/internal/decide/retry/key_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Clients of a keyed class send all sorts of keys. A key that could not be carried to replicas unchanged is refused, by
-// an error whose text names the header. In other classes no key is read at all.
+// Clients of a keyed class send valid and invalid keys. A key that attempts could not carry to replicas unchanged is
+// rejected with an error whose text begins with the header's name. In other classes the header is ignored.
 func TestKeyOfKeyedClass(t *testing.T) {
 	for _, tc := range []struct {
 		values []string
@@ -35,11 +35,11 @@
 			t.Errorf("%q: key %q, %v; want %v", tc.values, key, err, tc.want)
 		}
 		if err != nil && (key != "" || !strings.HasPrefix(err.Error(), IdempotencyKeyHeader)) {
-			t.Errorf("%q: key %q, and the error does not begin with the header's name: %v", tc.values, key, err)
+			t.Errorf("%q: want no key and an error that begins with the header's name; got %q, %v", tc.values, key, err)
 		}
 		for _, idempotency := range []Idempotency{Idempotent, NonIdempotent} {
 			if key, err := (Policy{Idempotency: idempotency}).Key(tc.values); key != "" || err != nil {
-				t.Errorf("%q in a class that is not keyed: key %q, %v", tc.values, key, err)
+				t.Errorf("%q in a class that is not keyed: got key %q, %v; want neither", tc.values, key, err)
 			}
 		}
 	}
--- a/internal/decide/retry/policy_test.go
+++ b/internal/decide/retry/policy_test.go
@@ -13,7 +13,7 @@
 		NonIdempotent: NeverRetryable,
 	} {
 		if got := (Policy{idempotency, window}).RetryableUntil(firstSent); got != want {
-			t.Errorf("idempotency %d: %v, want %v", idempotency, got, want)
+			t.Errorf("idempotency %d: retryable until %v, want %v", idempotency, got, want)
 		}
 	}
 }
