--- a/internal/decide/ratelimit/token_bucket.go
+++ b/internal/decide/ratelimit/token_bucket.go
@@ -1,50 +1,51 @@
-// Package ratelimit decides which readers may begin a large transfer now, and when the others are to call again. A
-// fleet that calls at one instant is served as fast as the rate allows, and few calls are in vain.
+// Package ratelimit decides which readers may begin a large transfer now, and when the others should call again. It
+// serves a fleet that calls at one instant as fast as the rate allows, and rejects few of the fleet's calls.
 //
 // # Contract
 //
-// A TokenBucket is for one goroutine at a time. It has no clock: now is a reading of the caller's monotonic clock, and
-// it draws no random numbers of its own.
+// A TokenBucket is for one goroutine at a time. It has neither a clock nor a random source: now is a reading of the
+// caller's monotonic clock, and the caller draws the random numbers.
 //
-// A reservation is a time at which rejected readers are to call again. It promises no tokens: a reader that calls
-// sooner, or on time but before another one, takes what there is.
+// A reservation is a time at which rejected readers should call again. It does not guarantee tokens: tokens go to the
+// readers in the order of their calls, even to a reader that calls before its reservation.
 package ratelimit
 
 import "time"
 
-// MaxWait is the longest time that a reader is told to wait before it calls again.
+// MaxWait is the longest time that a TokenBucket asks a reader to wait before it calls again.
 const MaxWait = 10 * time.Second
 
 const (
-	// burstTime bounds the unused tokens that are saved, as the time in which the rate brings them.
+	// burstTime limits the unused tokens that a bucket saves to those that the rate adds in this time.
 	burstTime = 500 * time.Millisecond
-	// readersPerReservation is how many readers are given the same time to call again. Some of them are served by other
-	// sources until then. A reader that finds the bucket empty again loses one short call; a time at which no reader
-	// calls is lost for all.
+	// readersPerReservation is how many readers share one reservation. Other sources serve some of these readers before
+	// their reservation. A reader that finds the bucket empty again loses one short call, whereas a reservation at
+	// which no reader calls is capacity lost to all readers.
 	readersPerReservation = 2
-	// reservationMargin is added to each wait, so that a reader on time finds tokens although a bucket that has just
-	// been filled up to 0 admits nobody.
+	// reservationMargin is added to each wait, because a bucket that has just been refilled to 0 tokens admits no
+	// transfer. With the margin, a reader that calls on time finds tokens.
 	reservationMargin = time.Millisecond
 )
 
-// TokenBucket limits transfers to a rate in bytes a second. A transfer is admitted while tokens are left, and may take
-// them below 0. Rejected readers are given successive times to call again. Use NewTokenBucket.
+// TokenBucket limits transfers to a rate in bytes per second. It admits a transfer while it has tokens left, and the
+// transfer may take the tokens below 0. It gives rejected readers successive times to call again. NewTokenBucket
+// creates one.
 type TokenBucket struct {
-	rate          float64       // tokens a second; a token is one byte
-	tokens        float64       // bytes that may be sent now; below 0 while earlier transfers have used up more
-	updatedAt     time.Duration // instant at which tokens was right
+	rate          float64       // tokens per second; a token is one byte
+	tokens        float64       // bytes that may be sent now; below 0 while earlier transfers have used more
+	updatedAt     time.Duration // instant at which tokens was last refilled
 	reservedUntil time.Duration // instant up to which the rate is reserved for rejected readers
 }
 
-// NewTokenBucket returns a full bucket at now.
+// NewTokenBucket returns a bucket that is full at now.
 func NewTokenBucket(bytesPerSecond int, now time.Duration) *TokenBucket {
 	rate := float64(bytesPerSecond)
 	return &TokenBucket{rate: rate, tokens: rate * burstTime.Seconds(), updatedAt: now, reservedUntil: now}
 }
 
-// Admit takes the tokens of a transfer of so many bytes, or returns how long its reader is to wait before it calls
-// again. Where the reservations go beyond MaxWait, the wait is drawn from the second half of MaxWait. draw is a random
-// number in [0, 1).
+// Admit takes the tokens for a transfer of the given number of bytes, or returns how long the reader should wait before
+// it calls again. If the next reservation is more than MaxWait away, Admit reserves no time and returns a random wait
+// in the second half of MaxWait, which draw selects: a random number in [0, 1).
 func (b *TokenBucket) Admit(now time.Duration, bytes int, draw float64) (wait time.Duration, admitted bool) {
 	b.refill(now)
 	if b.tokens > 0 {
@@ -60,13 +61,13 @@
 	return wait, false
 }
 
-// Charge takes the tokens of bytes that are sent whatever the rate is.
+// Charge takes the tokens for bytes that are sent regardless of the rate.
 func (b *TokenBucket) Charge(now time.Duration, bytes int) {
 	b.refill(now)
 	b.tokens -= float64(bytes)
 }
 
-// refill adds the tokens of the time since the last refill, up to those of burstTime.
+// refill adds the tokens for the time since the last refill, up to those for burstTime.
 func (b *TokenBucket) refill(now time.Duration) {
 	if now <= b.updatedAt {
 		return
@@ -75,7 +76,7 @@
 	b.updatedAt = now
 }
 
-// timeFor returns the time in which the rate brings so many bytes.
+// timeFor returns the time in which the rate adds the tokens for the given number of bytes.
 func (b *TokenBucket) timeFor(bytes float64) time.Duration {
 	return time.Duration(bytes / b.rate * float64(time.Second))
 }
--- a/internal/decide/ratelimit/token_bucket_test.go
+++ b/internal/decide/ratelimit/token_bucket_test.go
@@ -9,21 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// reader is one that calls for a transfer until it is admitted.
+// reader calls for a transfer until the bucket admits it.
 type reader struct {
 	callsAt time.Duration
 	calls   int
 }
 
-// admissions is when readers were admitted, in order, and how often they called.
+// admissions records when readers were admitted, in order, and how often they called.
 type admissions struct {
 	at       []time.Duration
-	maxCalls int // of one reader
-	calls    int // of all
+	maxCalls int // most calls of one reader
+	calls    int // calls of all readers
 }
 
-// play lets readers call for a transfer at given instants, and again when they are told to, each up to 5 ms late.
-func play(rate, bytes int, arrivals []time.Duration, random *rand.Rand) (result admissions) {
+// simulate has readers call for a transfer at the given instants, and again after each wait, each up to 5 ms late.
+func simulate(rate, bytes int, arrivals []time.Duration, random *rand.Rand) (result admissions) {
 	var due []reader
 	for _, at := range arrivals {
 		due = append(due, reader{callsAt: at})
@@ -47,28 +47,28 @@
 	return result
 }
 
-// The readers of one relay all start at one instant. They have their lists in about the time that the bytes take, with
-// few calls.
+// All readers of one relay start at one instant. They have their lists in about the time that the rate needs for the
+// bytes, and make few calls.
 func TestFleetThatStartsAtOnceIsServedAtTheRate(t *testing.T) {
 	const rate, bytes, fleet = 18_000_000, 940_000, 150
-	result := play(rate, bytes, make([]time.Duration, fleet), rand.New(rand.NewPCG(1, 1)))
+	result := simulate(rate, bytes, make([]time.Duration, fleet), rand.New(rand.NewPCG(1, 1)))
 	needed := fleet * bytes * time.Second / rate
 	last := result.at[fleet-1]
 	if last > needed+500*time.Millisecond || last < needed-time.Second {
-		t.Errorf("the last of %d was admitted after %v, at least %v are needed", fleet, last, needed)
+		t.Errorf("last of %d readers admitted after %v; the rate needs %v", fleet, last, needed)
 	}
 	if result.maxCalls > 12 || result.calls > 3*fleet {
-		t.Errorf("one of %d called %d times, all %d", fleet, result.maxCalls, result.calls)
+		t.Errorf("%d readers: up to %d calls of one reader, %d calls of all", fleet, result.maxCalls, result.calls)
 	}
 }
 
 // relayReader is a reader that calls two relays in turn.
 type relayReader struct {
-	preferred int              // the relay that it calls first
-	callsAt   [2]time.Duration // when it may call each
+	preferred int              // index of the relay that the reader calls first
+	callsAt   [2]time.Duration // earliest instant at which the reader may call each relay
 }
 
-// admittedBy calls a relay if it may, and reports whether that admits the reader.
+// admittedBy calls a relay if the reader may call it now, and reports whether the relay admits the reader.
 func (r *relayReader) admittedBy(b *TokenBucket, relay int, now time.Duration, bytes int, random *rand.Rand) bool {
 	if r.callsAt[relay] > now {
 		return false
@@ -78,7 +78,7 @@
 	return admitted
 }
 
-// Readers call two relays in turn and have reservations at both. Neither relay is left idle.
+// Readers call two relays in turn and have reservations at both. Neither relay becomes idle while readers wait.
 func TestReservationsAtTwoRelaysLeaveNeitherIdle(t *testing.T) {
 	const rate, bytes, fleet = 18_000_000, 940_000, 300
 	random := rand.New(rand.NewPCG(2, 2))
@@ -102,12 +102,12 @@
 		waiting = rejected
 	}
 	if needed := fleet * bytes * time.Second / (2 * rate); last > needed+time.Second {
-		t.Errorf("the last of %d was admitted after %v, at least %v are needed", fleet, last, needed)
+		t.Errorf("last of %d readers admitted after %v; the rate needs %v", fleet, last, needed)
 	}
 }
 
-// Readers arrive at any instants. In no span of time more is admitted than the rate allows, with the saved tokens and
-// one transfer; and all are admitted in the end.
+// Readers arrive at random instants. In any span of time, the admitted bytes are at most those that the rate allows
+// plus the saved tokens and one transfer. All readers are admitted in the end.
 func TestRateHoldsInAnySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.IntRange(1_000, 1_000_000).Draw(t, "rate")
@@ -116,25 +116,26 @@
 		for range rapid.IntRange(1, 60).Draw(t, "readers") {
 			arrivals = append(arrivals, time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond)
 		}
-		admitted := play(rate, bytes, arrivals, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))).at
+		admitted := simulate(rate, bytes, arrivals, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))).at
 		for i, from := range admitted {
 			for j, to := range admitted[i:] {
 				sent := float64((j + 1) * bytes)
 				if allowed := float64(rate)*((to-from)+burstTime).Seconds() + float64(bytes) + 1; sent > allowed {
-					t.Fatalf("%v bytes from %v to %v, %v allowed", sent, from, to, allowed)
+					t.Fatalf("%v bytes admitted from %v to %v, %v allowed", sent, from, to, allowed)
 				}
 			}
 		}
 	})
 }
 
-// A bucket is overdrawn by more than it gets within MaxWait. Readers are told to wait for a while, but never longer.
+// A bucket is overdrawn by more tokens than the rate adds within MaxWait. It rejects readers with a wait of at most
+// MaxWait.
 func TestWaitIsBoundedByMaxWait(t *testing.T) {
 	bucket := NewTokenBucket(1000, 0)
 	bucket.Charge(0, 100_000)
 	for range 1000 {
 		if wait, ok := bucket.Admit(0, 1000, 0.999); ok || wait <= 0 || wait > MaxWait {
-			t.Fatalf("wait %v, admitted %t", wait, ok)
+			t.Fatalf("wait %v, admitted %t; want a rejection with a wait of at most MaxWait", wait, ok)
 		}
 	}
 }
