--- a/internal/decide/failover/candidate.go
+++ b/internal/decide/failover/candidate.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	// returnSpread is the time over which readers return to a nearer source.
+	// returnSpread is the time over which the readers of farther sources return to a nearer one.
 	returnSpread = 3 * time.Second
-	// stableAfter is how long a source has to serve until its earlier failures no longer count.
+	// stableAfter is how long a source must serve before its earlier failures no longer count.
 	stableAfter = 5 * time.Second
-	// maxRejections is how many rejections in a row a reader accepts from a nearer source before it asks a farther one.
-	// A source that is going to have capacity for the reader rejects it once as a rule.
+	// maxRejections is the number of consecutive rejections by a nearer source after which a reader asks a farther one.
+	// A source that will have capacity for the reader usually rejects it only once.
 	maxRejections = 4
-	// maxFailures bounds the count of failures. Every backoff has reached its longest delay by then.
+	// maxFailures bounds the count of failures. At this count every backoff has reached its longest delay.
 	maxFailures = 16
 )
 
-// candidate is what a reader knows of one source. Instants are readings of the caller's clock.
+// candidate is what a reader knows about one source. Instants are readings of the caller's clock.
 type candidate struct {
 	Source
 	distance     distance
-	failures     int           // failures since the source was stable last, up to maxFailures
-	rejections   int           // rejections for want of capacity, in a row
+	failures     int           // failures since the source was last stable, up to maxFailures
+	rejections   int           // consecutive rejections because the source lacked capacity
 	retryAt      time.Duration // earliest instant at which a reader without a source follows it
 	returnAt     time.Duration // earliest instant at which a reader of a farther source probes it
-	serving      bool          // the source has answered since it was last followed
-	servingSince time.Duration // instant of its first answer since it was last followed
-	lagging      bool          // it was left or turned down as Stale, and has not been clearly fresh since
+	serving      bool          // the source has answered since the reader began to follow it
+	servingSince time.Duration // instant of the first answer since the reader began to follow the source
+	lagging      bool          // the source was left or not chosen as Stale, and has not been clearly fresh since
 }
 
-// succeeded records a good answer.
+// succeeded records a good answer of the source.
 func (c *candidate) succeeded(now time.Duration) {
 	c.rejections = 0
 	if !c.serving {
@@ -41,15 +41,16 @@
 	}
 }
 
-// rejected records that the source has no capacity for the reader, and when it asked to be called again.
+// rejected records that the source has no capacity for the reader, and that it asked the reader to call again after
+// retryAfter.
 func (c *candidate) rejected(now, retryAfter time.Duration, rng *rand.Rand) {
 	c.rejections++
 	c.retryAt = now + retryAfter
 	c.returnAt = c.retryAt + draw(rng, returnSpread)
 }
 
-// failed records that the source is not fit to be followed, and draws when it may be again. A stale source is not a
-// failing one, so its backoff does not grow.
+// failed records that the reader cannot follow the source now, and draws the instants from which it may follow or probe
+// the source again. A stale source has not failed, so its backoff does not grow.
 func (c *candidate) failed(now time.Duration, reason Reason, rng *rand.Rand) {
 	delay := backoffs[reason].delay(c.failures, rng)
 	if reason == Stale {
@@ -62,6 +63,6 @@
 	c.returnAt = c.retryAt + draw(rng, returnSpread)
 }
 
-// awaitsCapacity reports whether the source has rejected the reader, but not so often that a farther one is to be
-// asked.
+// awaitsCapacity reports whether the source has rejected the reader, but fewer than maxRejections times in a row, so
+// that the reader waits for it instead of asking a farther one.
 func (c *candidate) awaitsCapacity() bool { return c.rejections > 0 && c.rejections < maxRejections }
--- a/internal/decide/failover/freshness.go
+++ b/internal/decide/failover/freshness.go
@@ -3,51 +3,53 @@
 import "time"
 
 const (
-	// DefaultStaleAfter is the staleness of a source from which on its reader looks for a fresher source, where nothing
-	// else is configured. New does not apply it: the caller passes it to SetStaleAfter.
+	// DefaultStaleAfter is the default staleness above which a source is stale, so that its reader probes for a fresher
+	// one. New does not apply it: the caller passes it to SetStaleAfter.
 	DefaultStaleAfter = 1500 * time.Millisecond
-	// clearlyFresher is by how much the staleness of another source has to be less for the reader to follow it, as a
-	// share of the staleness from which on a source is stale. Readers do not change sources for less. A source that was
-	// stale has to be so much below that staleness before it counts as fresh again.
+	// clearlyFresher is the smallest difference in staleness for which a reader changes sources, as a share of
+	// staleAfter. A source that was stale counts as fresh again only when its staleness is below staleAfter by the same
+	// difference.
 	clearlyFresher = 0.5
 )
 
-// freshness is how stale the current source is.
+// freshness is the staleness of the current source and the limit for it.
 type freshness struct {
-	staleAfter time.Duration // staleness from which on a source is stale; 0 for never
-	staleness  time.Duration // staleness of the source at its last answer; 0 before the first
+	staleAfter time.Duration // staleness above which a source is stale; 0 if no source ever is
+	staleness  time.Duration // staleness of the source at its last answer; 0 before the first answer
 }
 
 func (f *freshness) isStale(staleness time.Duration) bool {
 	return f.staleAfter > 0 && staleness > f.staleAfter
 }
 
-// margin is the difference of stalenesses for which readers change sources.
+// margin is the smallest difference in staleness for which a reader changes sources.
 func (f *freshness) margin() time.Duration {
 	return time.Duration(clearlyFresher * float64(f.staleAfter))
 }
 
-// isClearlyFresher reports whether a source of a staleness is worth leaving the current, stale one for.
+// isClearlyFresher reports whether the reader should leave its stale current source for a source of the given
+// staleness.
 func (f *freshness) isClearlyFresher(staleness time.Duration) bool {
 	return staleness <= f.staleness-f.margin()
 }
 
-// isClearlyFresh reports whether a source of a staleness is far from being stale. One that is cut off from the
-// authority grows staler by the second, so one that is just not stale may be about to be.
+// isClearlyFresh reports whether the given staleness is below staleAfter by at least margin. The staleness of a source
+// that is cut off from the authority grows with time, so a source that is barely not stale may soon be stale.
 func (f *freshness) isClearlyFresh(staleness time.Duration) bool {
 	return staleness <= f.staleAfter-f.margin()
 }
 
-// SetStaleAfter sets the staleness from which on a source is stale; 0 for never.
+// SetStaleAfter sets the staleness above which a source is stale. With 0 no source is ever stale.
 func (s *Selector) SetStaleAfter(staleness time.Duration) { s.freshness.staleAfter = staleness }
 
-// Stale reports whether the current source is stale by its last answer. It is false while there is none.
+// Stale reports whether the current source was stale at its last answer. It returns false while there is no current
+// source.
 func (s *Selector) Stale() bool {
 	return s.current != none && s.freshness.isStale(s.freshness.staleness)
 }
 
-// RecordStaleness records the staleness of the current source, as its last answer gives it. A source that becomes stale
-// begins a search for a fresher one.
+// RecordStaleness records the staleness of the current source at its last answer. When the source becomes stale, the
+// search for a fresher one begins.
 func (s *Selector) RecordStaleness(now, staleness time.Duration) {
 	wasStale := s.Stale()
 	s.freshness.staleness = staleness
--- a/internal/decide/failover/harness_test.go
+++ b/internal/decide/failover/harness_test.go
@@ -11,13 +11,13 @@
 	sec = time.Second
 )
 
-// own is where the readers of these tests run.
+// own is the locality of the readers in these tests.
 var own = Locality{Zone: "r1-a", Region: "r1"}
 
 func random(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-// sixSources are two in the reader's zone, two in its region and two elsewhere, one of these in a zone of the reader's
-// zone's name.
+// sixSources returns two sources in the reader's zone, two in its region and two in other regions. One of the last two
+// is in a zone with the same name as the reader's zone.
 func sixSources() []Source {
 	return []Source{
 		{"far:1", Locality{"r2-a", "r2"}}, {"region:1", Locality{"r1-b", "r1"}}, {"zone:1", own},
@@ -25,10 +25,10 @@
 	}
 }
 
-// oneInRegionOneInZone are two of sixSources.
+// oneInRegionOneInZone returns one of sixSources in the reader's region and one in its zone.
 func oneInRegionOneInZone() []Source { return sixSources()[1:3] }
 
-// next waits, by moving now on, until a source is chosen, and returns it.
+// next advances now until FollowNext chooses a source, and returns that source.
 func next(t *testing.T, s *Selector, now *time.Duration) Source {
 	t.Helper()
 	for range 100 {
@@ -38,6 +38,6 @@
 		}
 		*now += wait
 	}
-	t.Fatal("no source is chosen")
+	t.Fatal("FollowNext chose no source in 100 calls")
 	return Source{}
 }
--- a/internal/decide/failover/locality.go
+++ b/internal/decide/failover/locality.go
@@ -1,18 +1,18 @@
 package failover
 
-// Locality is where a reader or a source runs. Zones of one name in two regions are different zones.
+// Locality is where a reader or a source runs. Zones with the same name in two regions are different zones.
 type Locality struct {
 	Zone   string
 	Region string
 }
 
-// Source is one that may be followed.
+// Source is a source that a reader may follow.
 type Source struct {
 	Address string // host and port
 	Locality
 }
 
-// distance orders sources by their locality; the nearest is the lowest.
+// distance orders sources by their locality; the nearest sources have the lowest value.
 type distance int
 
 const (
--- a/internal/decide/failover/probes.go
+++ b/internal/decide/failover/probes.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Nearer returns a source to probe for a reader whose current source is not stale: one that is nearer and whose time to
-// return has come. ok is false if there is none. It records nothing: until ProbeSucceeded or ProbeFailed it returns the
-// source again.
+// Nearer returns a source to probe while the current source is not stale: a nearer one whose returnAt has passed. ok is
+// false if there is none. Nearer records nothing: it returns the same source until the caller reports ProbeSucceeded or
+// ProbeFailed.
 func (s *Selector) Nearer(now time.Duration) (source Source, ok bool) {
 	if s.current == none {
 		return Source{}, false
@@ -20,25 +20,27 @@
 	return Source{}, false
 }
 
-// ProbeFailed records that a source which Nearer or Fresher returned is not fit to be followed. A source that is not
-// known, or that is followed by now, is left as it is.
+// ProbeFailed records that the reader cannot follow a source that Nearer or Fresher returned. It ignores an unknown
+// source, and a source that has become the current one.
 func (s *Selector) ProbeFailed(now time.Duration, source Source, reason Reason) {
 	if i := s.index(source); i != none && i != s.current {
 		s.candidates[i].failed(now, reason, s.rand)
 	}
 }
 
-// ProbeSucceeded judges a source that Nearer or Fresher returned and that has answered its probe with a staleness. It
-// reports whether the source is better than the current one, and then has made it the current one:
+// ProbeSucceeded decides whether the reader switches to a source that Nearer or Fresher returned, after that source has
+// answered a probe with the given staleness. It returns true if it has made the probed source the current one:
 //
-//   - A stale current source is left for one that is clearly fresher. The one of the two that is not followed is backed
-//     off as Stale. Sources that are about as stale as each other are never exchanged.
-//   - A current source that is not stale is left for a nearer one that is not stale either. A nearer one that was left or
-//     turned down as Stale has to be clearly fresh: it would soon be left again. A probed one that is stale, or still
-//     lags so, is backed off as Stale; a farther one, and the current source, are left as they are.
+//   - If the current source is stale, the reader switches to a probed source that is clearly fresher. The one of the
+//     two that the reader does not follow gets the Stale backoff. The reader never switches between sources of about
+//     the same staleness.
+//   - If the current source is not stale, the reader switches to a nearer one that is not stale either. A nearer source
+//     that is lagging, which means that it was left or not chosen as Stale, must be clearly fresh, because the reader
+//     would otherwise soon leave it again. A probed source that is stale, or a nearer one that is still lagging, gets
+//     the Stale backoff. A farther probed source that is not stale, and the current source, get no backoff.
 //
-// It is false, and nothing is recorded, where the probed source is not known or is the current one by now, or where the
-// reader has no source: its next one is FollowNext's to choose.
+// It returns false and records nothing if the probed source is unknown or has become the current one, or if there is no
+// current source, because only FollowNext chooses the next source then.
 func (s *Selector) ProbeSucceeded(now time.Duration, source Source, staleness time.Duration) bool {
 	i := s.index(source)
 	if i == none || s.current == none || i == s.current {
--- a/internal/decide/failover/reason.go
+++ b/internal/decide/failover/reason.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Reason is why a source is left, or why a probed one is not followed.
+// Reason is why a reader leaves a source, or does not follow a probed one.
 type Reason int
 
 const (
 	// Failed is a refused or reset connection, or an answer that reports a failure.
 	Failed Reason = iota
-	// Silent is a call without an answer in time. A source may take a heartbeat to answer, for it waits so long for a
-	// new version; an allowance is added for its way to the reader. Package distribution configures both.
+	// Silent is a call without an answer in time. A source may take one heartbeat to answer, because it waits that long
+	// for a new version. The time limit adds an allowance for the answer's way to the reader. Package distribution
+	// configures both.
 	Silent
 	// Behind is a source that has an older version than the reader.
 	Behind
-	// Invalid is an answer that breaks the protocol.
+	// Invalid is an answer that violates the protocol.
 	Invalid
-	// Stale is a source whose state was last known to be the newest too long ago.
+	// Stale is a source whose copy was last known to be the newest version too long ago.
 	Stale
 )
 
@@ -27,27 +28,29 @@
 	return [...]string{"failed", "silent", "behind", "invalid", "stale"}[r]
 }
 
-// maxFailureDelay bounds the backoff of sources that are cut off: they are Failed or Silent. A reader that lost all of
-// them for long has to have what is new within 3 s of their return, and a vain call that is under way at that instant
-// takes its heartbeat and allowance besides. A source that is Invalid answers, so it may be backed off for longer.
+// maxFailureDelay bounds the backoff of sources that the reader cannot reach, which are Failed or Silent. A reader that
+// lost all sources for a long time must have the newest version within 3 s of their return. A call that is in progress
+// at their return and fails takes its heartbeat and allowance in addition to the backoff. An Invalid source does
+// answer, so its backoff may be longer.
 const maxFailureDelay = 1500 * time.Millisecond
 
-// backoffs are the delays after which a source that was left for a reason may be followed again. Each Reason has one.
+// backoffs holds, for each Reason, the delay after which a reader may again follow a source that it left for the
+// reason.
 var backoffs = [...]backoff{
 	Failed:  {250 * time.Millisecond, maxFailureDelay},
 	Silent:  {500 * time.Millisecond, maxFailureDelay},
-	Behind:  {250 * time.Millisecond, time.Second}, // it is about to receive what it lacks
+	Behind:  {250 * time.Millisecond, time.Second}, // the source will soon receive the version that it lacks
 	Invalid: {2 * time.Second, 30 * time.Second},
-	Stale:   {time.Second, time.Second}, // it answers: if the current source fails, it is better than none
+	Stale:   {time.Second, time.Second}, // the source answers, so it is better than none if the current one fails
 }
 
 // backoff is a delay that doubles with each repetition, from min up to max.
 type backoff struct{ min, max time.Duration }
 
-// jitter is the share of each delay that is drawn at random.
+// jitter is the share of each delay that is random.
 const jitter = 0.5
 
-// delay draws the delay after so many repetitions.
+// delay draws the delay after the given number of repetitions.
 func (b backoff) delay(repetitions int, rng *rand.Rand) time.Duration {
 	delay := b.min
 	for range repetitions {
--- a/internal/decide/failover/selector.go
+++ b/internal/decide/failover/selector.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// leaveSpread is the time over which the readers of a lost source turn to their next ones.
+	// leaveSpread is the time over which the readers that leave a source choose their next ones.
 	leaveSpread = 100 * time.Millisecond
-	// idleDelay is how long a reader that has no candidates at all waits before it asks again.
+	// idleDelay is how long a reader without any candidates waits before it calls FollowNext again.
 	idleDelay = time.Second
 )
 
-// none is the index of no candidate.
+// none is the index that stands for no candidate.
 const none = -1
 
-// Selector decides which source one reader follows. Use New.
+// Selector decides which source one reader follows. New creates one.
 type Selector struct {
-	candidates []candidate   // the nearest first
-	current    int           // index of the candidate that is followed, or none
-	notBefore  time.Duration // earliest instant at which another source is chosen after the last one was left
-	freshness  freshness     // how stale the current source is
-	search     probeSearch   // for a fresher source; of use while the current one is stale
+	candidates []candidate   // nearest first
+	current    int           // index of the current source's candidate, or none
+	notBefore  time.Duration // earliest instant at which the reader chooses its next source after Leave
+	freshness  freshness     // staleness of the current source
+	search     probeSearch   // search for a fresher source; used only while the current one is stale
 	rand       *rand.Rand
 }
 
-// New returns a Selector for a reader at a locality. No source counts as stale before the caller has set a staleness by
-// SetStaleAfter: DefaultStaleAfter is not applied here.
+// New returns a Selector for a reader at the given locality. No source counts as stale until the caller sets a
+// staleness by SetStaleAfter: New does not apply DefaultStaleAfter.
 func New(own Locality, sources []Source, rng *rand.Rand) *Selector {
 	s := &Selector{current: none, rand: rng}
 	for _, source := range sources {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// Current returns the source that is followed; ok is false while there is none.
+// Current returns the source that the reader follows. ok is false while there is none.
 func (s *Selector) Current() (source Source, ok bool) {
 	if s.current == none {
 		return Source{}, false
@@ -49,9 +49,9 @@
 	return s.candidates[s.current].Source, true
 }
 
-// FollowNext makes a source the current one and returns it, for a reader that follows none: the nearest that may be
-// followed now. A nearer one that is about to have capacity is waited for. If none may be followed yet, FollowNext
-// returns how long to wait before its next call.
+// FollowNext is for a reader that follows no source. It makes the nearest source that the reader may follow now the
+// current one and returns it. It does not choose a source while a nearer one is expected to have capacity soon. If the
+// reader may follow no source yet, FollowNext returns how long to wait before its next call.
 func (s *Selector) FollowNext(now time.Duration) (source Source, wait time.Duration) {
 	if now < s.notBefore {
 		return Source{}, s.notBefore - now
@@ -75,15 +75,16 @@
 	return Source{}, earliest - now
 }
 
-// nearerAwaitsCapacity reports whether a source that is nearer than candidate i is about to have capacity for the
-// reader.
+// nearerAwaitsCapacity reports whether a source that is nearer than candidate i is expected to have capacity for the
+// reader soon.
 func (s *Selector) nearerAwaitsCapacity(i int) bool {
 	return slices.ContainsFunc(s.candidates[:i], func(c candidate) bool {
 		return c.distance < s.candidates[i].distance && c.awaitsCapacity()
 	})
 }
 
-// choose makes candidate i the current source. Nothing is known of its answers yet, and no fresher one is looked for.
+// choose makes candidate i the current source. It resets what is recorded of the current source's answers, and ends the
+// search for a fresher one.
 func (s *Selector) choose(i int) {
 	s.current = i
 	s.candidates[i].serving = false
@@ -91,18 +92,19 @@
 	s.search = probeSearch{}
 }
 
-// Succeeded records a good answer of the current source. There must be one.
+// Succeeded records a good answer of the current source, which must exist.
 func (s *Selector) Succeeded(now time.Duration) { s.candidates[s.current].succeeded(now) }
 
-// Leave gives the current source up. There must be one.
+// Leave gives up the current source, which must exist.
 func (s *Selector) Leave(now time.Duration, reason Reason) {
 	s.candidates[s.current].failed(now, reason, s.rand)
 	s.current = none
 	s.notBefore = now + draw(s.rand, leaveSpread)
 }
 
-// Rejected gives the current source up because it has no capacity for this reader now. There must be one. retryAfter is
-// the time after which it asked to be called again; it has spread these times over the readers that it rejected.
+// Rejected gives up the current source, which must exist, because it has no capacity for this reader now. retryAfter is
+// the time after which the source asked the reader to call again. The source has already spread these times over the
+// readers that it rejected.
 func (s *Selector) Rejected(now, retryAfter time.Duration) {
 	s.candidates[s.current].rejected(now, retryAfter, s.rand)
 	s.current = none
