--- a/internal/decide/follower/apply_test.go
+++ b/internal/decide/follower/apply_test.go
@@ -12,8 +12,8 @@
 	return versionlog.Version{Epoch: epoch, Index: index}
 }
 
-// A source answers with what is older than the reader's version, or with what breaks the protocol. The answer is
-// refused with the error that tells the two apart, and changes nothing.
+// A source answers with a slice that is older than the reader's version or that violates the protocol. Apply returns
+// ErrBehind for the former and ErrInvalid for the latter, and the State does not change.
 func TestRefusedAnswerChangesNothing(t *testing.T) {
 	type slice = versionlog.Slice
 	entries := func(list ...versionlog.Entry) []versionlog.Entry { return list }
@@ -31,19 +31,19 @@
 		"an older index": {slice{Version: version(7, 19), NewestIndex: 19}, ErrBehind},
 		"a later epoch's changes": {slice{Version: version(8, 21), NewestIndex: 21,
 			Entries: entries(entry("a", 21))}, ErrInvalid},
-		"an entry that it has": {slice{Version: version(7, 22), NewestIndex: 22,
+		"an entry that the reader has": {slice{Version: version(7, 22), NewestIndex: 22,
 			Entries: entries(entry("b", 20))}, ErrInvalid},
 		"entries out of order": {slice{Version: version(7, 23), NewestIndex: 23,
 			Entries: entries(entry("c", 23), entry("d", 22))}, ErrInvalid},
-		"a name twice": {slice{Version: version(7, 23), NewestIndex: 23,
+		"a repeated name": {slice{Version: version(7, 23), NewestIndex: 23,
 			Entries: entries(entry("c", 22), entry("c", 23))}, ErrInvalid},
-		"an entry past the index": {slice{Version: version(7, 21), NewestIndex: 21,
+		"an entry after the slice's version": {slice{Version: version(7, 21), NewestIndex: 21,
 			Entries: entries(entry("c", 22))}, ErrInvalid},
 		"an entry without a name": {slice{Version: version(7, 21), NewestIndex: 21,
 			Entries: entries(entry("", 21))}, ErrInvalid},
 		"a snapshot's later slice": {slice{Version: version(7, 21), NewestIndex: 30, Base: 30,
 			Entries: entries(entry("c", 21))}, ErrInvalid},
-		"an entry that goes back": {slice{Version: version(7, 25), NewestIndex: 25, Snapshot: true,
+		"an entry older than the reader's": {slice{Version: version(7, 25), NewestIndex: 25, Snapshot: true,
 			Entries: entries(entry("b", 19), entry("d", 25))}, ErrInvalid},
 	} {
 		var s State
@@ -55,13 +55,13 @@
 			t.Errorf("%s: %v, want %v", what, err, tc.want)
 		}
 		if after, _ := s.Cursor(); after != before || !s.Complete() || s.Len() != 2 {
-			t.Errorf("%s: the reader is at %+v with %d names, was at %+v", what, after, s.Len(), before)
+			t.Errorf("%s: reader changed to %+v with %d names, was at %+v with 2 names", what, after, s.Len(), before)
 		}
 	}
 }
 
-// A snapshot comes in two slices, for a reader that has names of another epoch and names from elsewhere. The first
-// slice removes no name, since the second may hold it. The second removes all that neither held, at once.
+// A reader that has names of another epoch, or names that come from no source, gets a snapshot of two slices. The first
+// slice removes no name, because the second may contain it. The second slice removes all names that neither contains.
 func TestNamesThatSnapshotLacksAreRemovedWithItsLastSlice(t *testing.T) {
 	var s State
 	s.Seed([]string{"unlisted", "listed"})
@@ -87,7 +87,7 @@
 	}
 }
 
-// A reader gets a second snapshot of one epoch. Only entries that have changed since the first are reported.
+// A reader gets a second snapshot of the same epoch. Apply reports only the entries that have changed since the first.
 func TestSnapshotReportsChangedEntriesOnly(t *testing.T) {
 	var s State
 	list := versionlog.Slice{Version: version(2, 9), NewestIndex: 9, Snapshot: true,
@@ -97,12 +97,12 @@
 	}
 	list.Version.Index, list.NewestIndex, list.Entries = 10, 10, []versionlog.Entry{entry("a", 4), entry("b", 10)}
 	if c, err := s.Apply(list); err != nil || len(c.Entries) != 1 || c.Entries[0].Name != "b" {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("second snapshot: %+v, %v; want only entry b", c, err)
 	}
 }
 
-// The discovery service has no epochs: it sends the complete list or changes, and numbers only the list's versions.
-// After a restart it counts from the beginning, so its snapshot is applied although its index is lower.
+// The discovery service has no epochs. It sends the complete list or changes, and numbers only the versions of the
+// list. After a restart its index starts again, so the reader must apply its snapshot although the index is lower.
 func TestServiceWithoutEpochs(t *testing.T) {
 	r := &reader{state: State{AcceptAnySnapshot: true}, bodies: map[string]string{}}
 	slice := func(index int64, snapshot bool, names ...string) versionlog.Slice {
@@ -122,10 +122,10 @@
 		{slice(3, true, "a"), 1},
 	} {
 		if _, err := r.apply(tc.slice); err != nil || len(r.bodies) != tc.names || !r.state.Complete() {
-			t.Errorf("after %+v: %v, %v", tc.slice.Version, r.bodies, err)
+			t.Errorf("after %+v: reader has %v, %v", tc.slice.Version, r.bodies, err)
 		}
 	}
 	if _, err := r.apply(slice(2, false, "z")); !errors.Is(err, ErrBehind) {
-		t.Errorf("changes that go back: %v", err)
+		t.Errorf("changes of an older index: %v, want ErrBehind", err)
 	}
 }
--- a/internal/decide/follower/follower.go
+++ b/internal/decide/follower/follower.go
@@ -1,15 +1,17 @@
-// Package follower keeps track of where a reader of a version log stands: the version that it has, the index of each
-// name, and whether the next answer of a source may be applied.
+// Package follower tracks the progress of one reader of a version log: the version that it has and the index of each
+// name. It decides whether the reader may apply the next answer of a source.
 //
 // # Contract
 //
-// A State never goes back, neither to an older epoch nor to an older index, whichever source answers. The one exception
-// is a snapshot for a State with AcceptAnySnapshot, which may be of any version.
+// A State never goes back to an older epoch or an older index, whichever source answers. The only exception is a
+// snapshot for a State with AcceptAnySnapshot, which may be of any version.
 //
-// An answer is checked completely before any of it counts: it is applied as a whole or not at all. The names that a
-// snapshot lacks are removed with its last slice, so a reader whose source is lost within a snapshot keeps what it had.
+// Apply checks an answer completely before it changes the State, so an answer is applied as a whole or not at all. The
+// last slice of a snapshot removes the names that the snapshot lacks, so a reader that loses its source within a
+// snapshot keeps the names that it had.
 //
-// The package holds no bodies of entries. A State has no clock and does no I/O; it is for one goroutine at a time.
+// The package does not store the bodies of entries. A State has no clock and does no I/O; it is for one goroutine at a
+// time.
 package follower
 
 import (
@@ -18,11 +20,11 @@
 	"harepass/internal/decide/versionlog"
 )
 
-// Errors of State.Apply. After an error the State is as it was.
+// Errors of State.Apply. An error leaves the State unchanged.
 var (
-	// ErrBehind is wrapped by the error for an answer that is older than what the reader has. Its source may catch up.
+	// ErrBehind is wrapped by the error for an answer that is older than what the reader has. The source may catch up.
 	ErrBehind = errors.New("follower: the source is behind the reader")
-	// ErrInvalid is wrapped by the error for an answer that breaks the protocol.
+	// ErrInvalid is wrapped by the error for an answer that violates the protocol.
 	ErrInvalid = errors.New("follower: invalid answer")
 )
 
@@ -30,52 +32,53 @@
 type Applied struct {
 	// Version is the version that the reader has now.
 	Version versionlog.Version
-	// Entries are the entries that are new or changed, in the order of their indexes. Some may be tombstones, which
-	// remove their names (Entry.Removed). Entries of a snapshot that the reader has already are left out.
+	// Entries are the new or changed entries, in the order of their indexes. Some may be tombstones, which remove their
+	// names (Entry.Removed). Entries of a snapshot that the reader already has are left out.
 	Entries []versionlog.Entry
-	// MissingFromSnapshot are the names that the reader has and a snapshot lacks: they are removed too. They come with
-	// the snapshot's last slice. Names that a tombstone removes are not among them.
+	// MissingFromSnapshot are the names that the reader had and the snapshot lacks. They are removed too. Only the last
+	// slice of a snapshot has them. Names that a tombstone removes are not among them.
 	MissingFromSnapshot []string
-	// Complete states that the reader has all of the log's state at Version, and knows of no newer one.
+	// Complete reports whether the reader has the log's whole state at Version and knows of no newer version.
 	Complete bool
-	// SnapshotCompleted states that the answer was the last slice of a snapshot.
+	// SnapshotCompleted reports whether the answer was the last slice of a snapshot.
 	SnapshotCompleted bool
 }
 
-// State is where one reader stands. The zero value has no version and no names.
+// State is the progress of one reader. The zero value has no version and no names.
 type State struct {
-	// AcceptAnySnapshot applies a snapshot whatever its version is. It is for a reader of one source that counts by an
-	// index of its own, as the discovery service does.
+	// AcceptAnySnapshot makes Apply accept a snapshot of any version. It is for a reader of a single source that has
+	// its own index, such as the discovery service.
 	AcceptAnySnapshot bool
 
 	hasVersion bool               // an answer was applied, so cursor is valid
-	cursor     versionlog.Cursor  // up to where the reader has the log
-	newest     versionlog.Version // the newest that a source has shown; a source with an older one is behind
-	indexes    map[string]int64   // by name, of the entries that the reader has; unknownIndex where none of this epoch
+	cursor     versionlog.Cursor  // position up to which the reader has the log
+	newest     versionlog.Version // newest version that a source has shown; a source with an older one is behind
+	indexes    map[string]int64   // index of each name's entry; unknownIndex if the entry is not of this epoch
 	snapshot   snapshot
 }
 
-// unknownIndex is the index of a name whose entry is of another epoch, or comes from elsewhere than a log.
+// unknownIndex is the index of a name whose entry is of another epoch or does not come from a log.
 const unknownIndex = -1
 
 // snapshot is the progress of the reader's snapshot.
 type snapshot struct {
-	completed bool                // a snapshot was completed, and none is under way
-	names     map[string]struct{} // names in the slices of the snapshot under way; nil while there is none
+	completed bool                // a snapshot was completed, and none is in progress
+	names     map[string]struct{} // names in the slices of the snapshot in progress; nil if there is none
 }
 
-// Cursor returns where the reader stands. ok is false before the first answer, when it is to call for a snapshot.
+// Cursor returns the reader's position in the log. ok is false before the first answer; the reader then needs a
+// snapshot.
 func (s *State) Cursor() (c versionlog.Cursor, ok bool) { return s.cursor, s.hasVersion }
 
-// Complete reports whether the reader has the log's state at the cursor's version and knows of no newer one: no
-// snapshot is missing or under way, and no change that a source has announced.
+// Complete reports whether the reader has the log's whole state at the cursor's version and knows of no newer version:
+// it has completed a snapshot, no other is in progress, and it has all changes that a source has announced.
 func (s *State) Complete() bool { return s.snapshot.completed && s.cursor.Complete() }
 
-// Len returns how many names the reader has.
+// Len returns the number of names that the reader has.
 func (s *State) Len() int { return len(s.indexes) }
 
-// Seed adds names that the reader has from elsewhere. The first snapshot that lacks them removes them. It is to be
-// called before the first Apply.
+// Seed adds names that the reader has from another origin than a source. The first snapshot removes those that it
+// lacks. Seed must be called before the first Apply.
 func (s *State) Seed(names []string) {
 	if s.indexes == nil {
 		s.indexes = map[string]int64{}
@@ -85,7 +88,7 @@
 	}
 }
 
-// Apply takes the next answer of a source. It returns what that changes, or an error that wraps ErrBehind or
+// Apply applies the next answer of a source. It returns what the answer changes, or an error that wraps ErrBehind or
 // ErrInvalid.
 func (s *State) Apply(slice versionlog.Slice) (Applied, error) {
 	if err := s.check(slice); err != nil {
@@ -111,7 +114,7 @@
 	return applied, nil
 }
 
-// applyEntry takes an entry and reports whether it changes what the reader has.
+// applyEntry applies an entry and reports whether it changes what the reader has.
 func (s *State) applyEntry(e versionlog.Entry) (changed bool) {
 	if s.snapshot.names != nil {
 		s.snapshot.names[e.Name] = struct{}{}
@@ -125,8 +128,8 @@
 	return !has || index != e.Index
 }
 
-// beginSnapshot begins a snapshot of a version. Indexes of another epoch, or of a service without epochs, do not tell
-// whether an entry has changed.
+// beginSnapshot begins a snapshot of the given version. It sets indexes of another epoch, or of a service without
+// epochs, to unknownIndex, because they do not show whether an entry has changed.
 func (s *State) beginSnapshot(of versionlog.Version) {
 	if s.indexes == nil {
 		s.indexes = map[string]int64{}
--- a/internal/decide/follower/harness_test.go
+++ b/internal/decide/follower/harness_test.go
@@ -11,12 +11,12 @@
 	return fmt.Appendf(nil, `{"name":%q,"status":"in_service","value":%d}`, name, value)
 }
 
-// entry returns one whose body goes by its index.
+// entry returns an entry whose body is derived from its index.
 func entry(name string, index int64) versionlog.Entry {
 	return versionlog.Entry{Name: name, Index: index, Body: object(name, int(index))}
 }
 
-// apply makes an entry's state that of its name.
+// apply applies an entry to bodies by name.
 func apply(bodies map[string]string, e versionlog.Entry) {
 	if e.Removed {
 		delete(bodies, e.Name)
@@ -25,7 +25,7 @@
 	bodies[e.Name] = string(e.Body)
 }
 
-// reader holds the bodies that its State's changes tell of.
+// reader keeps the bodies of the entries that its State reports as changed.
 type reader struct {
 	state  State
 	bodies map[string]string
--- a/internal/decide/follower/sources_test.go
+++ b/internal/decide/follower/sources_test.go
@@ -10,17 +10,17 @@
 	"harepass/internal/decide/versionlog"
 )
 
-// sliceBytes bounds the bodies of a slice, so that most snapshots take several.
+// sliceBytes bounds the bodies of a slice, so that most snapshots take several slices.
 const sliceBytes = 120
 
-// sources is a reader of an authority and of relays that are each somewhere behind it.
+// sources is an authority, relays that each lag behind it by a random amount, and one reader of all of them.
 type sources struct {
 	*rapid.T
 	authority    *versionlog.Log
 	relays       []*versionlog.Log
 	reader       *reader
 	lastComplete versionlog.Version
-	answers      []versionlog.Slice // all that the reader got
+	answers      []versionlog.Slice // all answers that the reader got
 }
 
 // publish publishes a few random changes.
@@ -37,7 +37,7 @@
 	}
 }
 
-// relay has a relay take the authority's next slice.
+// relay has a relay apply the authority's next slice.
 func (s *sources) relay() {
 	relay := s.relays[rapid.IntRange(0, 1).Draw(s.T, "relay")]
 	if err := relay.Apply(s.authority.Read(relay.Cursor(), sliceBytes)); err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// repeatOldAnswer gives a complete reader an answer for the second time. It may be refused.
+// repeatOldAnswer gives a complete reader an earlier answer again. The reader may refuse it.
 func (s *sources) repeatOldAnswer() {
 	if len(s.answers) > 0 && s.reader.state.Complete() {
 		s.reader.apply(s.answers[rapid.IntRange(0, len(s.answers)-1).Draw(s.T, "old")])
@@ -62,7 +62,7 @@
 	slice := log.Read(cursor, sliceBytes)
 	s.answers = append(s.answers, slice)
 	if _, err := s.reader.apply(slice); err != nil {
-		s.Fatalf("an answer to %+v is refused: %v", cursor, err)
+		s.Fatalf("reader at %+v refused an answer: %v", cursor, err)
 	}
 }
 
@@ -72,22 +72,22 @@
 	return s.reader.state.Complete() && cursor.Version == s.authority.Version()
 }
 
-// check fails if a complete reader has gone back, or has not what the authority has at that version.
+// check fails if a complete reader has gone back, or if its bodies differ from the authority's at the same version.
 func (s *sources) check() {
 	if cursor, _ := s.reader.state.Cursor(); s.reader.state.Complete() {
 		if cursor.Before(s.lastComplete) {
-			s.Fatalf("complete at %+v after %+v", cursor.Version, s.lastComplete)
+			s.Fatalf("reader is complete at %+v after it was complete at %+v", cursor.Version, s.lastComplete)
 		}
 		s.lastComplete = cursor.Version
 	}
 	if s.hasAll() && !maps.Equal(s.reader.bodies, liveBodies(s.authority)) {
-		s.Fatalf("the reader has %v, the authority %v", s.reader.bodies, liveBodies(s.authority))
+		s.Fatalf("reader has %v, authority has %v", s.reader.bodies, liveBodies(s.authority))
 	}
 }
 
-// A reader changes between an authority and two relays that are each somewhere behind it. It is answered in small
-// slices and, once it is complete, at times with an old answer again. It never goes back, and whenever it is complete
-// at the authority's version it has what the authority has.
+// A reader changes between an authority and two relays that lag behind it. It gets small slices and, while it is
+// complete, sometimes an old answer again. It never goes back, and whenever it is complete at the authority's version,
+// its bodies equal the authority's.
 func TestReaderOfSeveralSourcesNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const epoch = 5
@@ -117,7 +117,7 @@
 			}
 		}
 		if !maps.Equal(s.reader.bodies, liveBodies(s.authority)) {
-			t.Fatalf("the reader has %v, the authority %v", s.reader.bodies, liveBodies(s.authority))
+			t.Fatalf("reader has %v, authority has %v", s.reader.bodies, liveBodies(s.authority))
 		}
 	})
 }
