--- a/internal/decide/versionlog/apply_test.go
+++ b/internal/decide/versionlog/apply_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A relay's source, or several in turn, answer with what is older than the relay's log, out of order, or no part of
-// what the relay is reading. The relay refuses it and keeps what it has.
+// A relay gets slices, from one source or several in turn, that are older than its log, out of order, or not part of
+// what it is reading. The relay refuses them and its log does not change.
 func TestApplyRefusesWhatDoesNotFollow(t *testing.T) {
 	relay := New(0, 10)
 	complete := Slice{Version: Version{5, 20}, NewestIndex: 20, Snapshot: true,
@@ -29,12 +29,12 @@
 		atEnd := Cursor{Version: complete.Version, NewestIndex: complete.NewestIndex}
 		if relay.Version() != complete.Version || relay.Cursor() != atEnd ||
 			len(liveBodies(relay.byName)) != 2 {
-			t.Fatalf("%s: the relay is at %+v with %v", c.what, relay.Cursor(), liveBodies(relay.byName))
+			t.Fatalf("%s: relay changed to %+v with %v", c.what, relay.Cursor(), liveBodies(relay.byName))
 		}
 	}
 }
 
-// refusedSlice is one that a relay at index 20 of epoch 5 refuses, once it has taken others.
+// refusedSlice is a slice that a relay at index 20 of epoch 5 refuses after it has applied the slices in before.
 type refusedSlice struct {
 	what   string
 	before []Slice
@@ -58,17 +58,17 @@
 			Slice{Version: Version{5, 2}, NewestIndex: 19, Base: 19, Snapshot: true}, ErrOlder},
 		{"repeated entry", nil, changes(22, 22, entryAt("a", 20), entryAt("b", 22)), ErrOlder},
 		{"changes of a newer epoch", nil, Slice{Version: Version{6, 22}, NewestIndex: 22}, ErrMismatch},
-		{"a snapshot's slice without its beginning", nil,
+		{"a later slice of a snapshot without its first", nil,
 			Slice{Version: Version{5, 22}, NewestIndex: 30, Base: 30}, ErrMismatch},
 		{"entries out of order", nil, changes(25, 25, entryAt("a", 24), entryAt("b", 22)), ErrInvalid},
-		{"a name twice", nil, changes(25, 25, entryAt("a", 24), entryAt("a", 25)), ErrInvalid},
-		{"an entry over the version", nil, changes(25, 40, entryAt("a", 26)), ErrInvalid},
-		{"a version over the newest index", nil, changes(25, 24), ErrInvalid},
+		{"a repeated name", nil, changes(25, 25, entryAt("a", 24), entryAt("a", 25)), ErrInvalid},
+		{"an entry above the slice's version", nil, changes(25, 40, entryAt("a", 26)), ErrInvalid},
+		{"a version above the newest index", nil, changes(25, 24), ErrInvalid},
 		{"an oversized entry", nil, changes(25, 25, oversized), ErrInvalid},
 		{"no version", nil, Slice{Entries: []Entry{entryAt("a", 25)}}, ErrInvalid},
-		{"another base", []Slice{begun}, Slice{Version: Version{6, 6}, NewestIndex: 9, Base: 8}, ErrMismatch},
+		{"another base within", []Slice{begun}, Slice{Version: Version{6, 6}, NewestIndex: 9, Base: 8}, ErrMismatch},
 		{"another epoch within", []Slice{begun}, changes(21, 21), ErrMismatch},
 		{"an end before the base", []Slice{begun}, Slice{Version: Version{6, 6}, NewestIndex: 9}, ErrMismatch},
-		{"a slice again", []Slice{begun, continued}, continued, ErrOlder},
+		{"a repeated slice", []Slice{begun, continued}, continued, ErrOlder},
 	}
 }
--- a/internal/decide/versionlog/harness_test.go
+++ b/internal/decide/versionlog/harness_test.go
@@ -7,12 +7,12 @@
 	return fmt.Appendf(nil, `{"name":%q,"status":"in_service","value":%d}`, name, value)
 }
 
-// entryAt returns an entry of an index, as a log has it.
+// entryAt returns an entry with the given index, as a log stores it.
 func entryAt(name string, index int64) Entry {
 	return Entry{Name: name, Index: index, Body: withVersion(object(name, 1), index)}
 }
 
-// liveBodies returns the bodies of entries that are no tombstones, by name.
+// liveBodies returns the bodies of live entries by name.
 func liveBodies(entries map[string]Entry) map[string]string {
 	bodies := map[string]string{}
 	for name, entry := range entries {
--- a/internal/decide/versionlog/json.go
+++ b/internal/decide/versionlog/json.go
@@ -8,20 +8,20 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// MaxEnvelopeBytes bounds what an answer holds besides its entries and the commas between them.
+// MaxEnvelopeBytes bounds the bytes of an answer besides its entries and the commas between them.
 const MaxEnvelopeBytes = 256
 
 // ErrUnreadable is wrapped by the errors of ParseSlice.
 var ErrUnreadable = errors.New("versionlog: unreadable answer")
 
-// entryFields are the keys of an entry's object that the log reads.
+// entryFields holds the keys of an entry's object that the log reads.
 type entryFields struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 	Status  string `json:"status"`
 }
 
-// answer is a slice as it stands on the wire, where the newest index is named "head".
+// answer is the form of a slice on the wire, where the newest index has the name "head".
 type answer struct {
 	Epoch     int64            `json:"epoch"`
 	Index     int64            `json:"index"`
@@ -49,8 +49,9 @@
 	return append(buffer, "]}"...)
 }
 
-// ParseSlice reads an answer of discovery or of a relay. The slice shares no memory with data. Only the form is
-// checked: answers of discovery have no epoch and need not pass Slice.Check. The error wraps ErrUnreadable.
+// ParseSlice parses an answer of discovery or of a relay. The slice shares no memory with data. ParseSlice checks only
+// the form of the answer: answers of discovery have no epoch and need not pass Slice.Check. The error wraps
+// ErrUnreadable.
 func ParseSlice(data []byte) (Slice, error) {
 	var a answer
 	if err := json.Unmarshal(data, &a); err != nil {
--- a/internal/decide/versionlog/json_test.go
+++ b/internal/decide/versionlog/json_test.go
@@ -18,7 +18,7 @@
 		`{"epoch":1,"index":7,"head":7,"endpoints":[]}x`,
 	} {
 		if slice, err := ParseSlice([]byte(text)); !errors.Is(err, ErrUnreadable) {
-			t.Errorf("%s was read as %+v, %v", text, slice, err)
+			t.Errorf("%s: parsed as %+v, %v; want ErrUnreadable", text, slice, err)
 		}
 	}
 }
--- a/internal/decide/versionlog/publish.go
+++ b/internal/decide/versionlog/publish.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// MaxObjectBytes is the size of the longest object of a change.
+// MaxObjectBytes is the largest size of a change's object.
 const MaxObjectBytes = MaxEntryBytes - maxVersionKeyBytes
 
-// Errors of Publish and Replace. After an error the log is as it was.
+// Errors of Publish and Replace. An error leaves the log unchanged.
 var (
-	// ErrInvalidChange is wrapped by the error for a change that has no name, or whose object is no JSON object.
+	// ErrInvalidChange is wrapped by the error for a change that has no name, or whose Object is not a JSON object.
 	ErrInvalidChange = errors.New("versionlog: invalid change")
 	// ErrTooLarge is wrapped by the error for an object of more than MaxObjectBytes.
 	ErrTooLarge = errors.New("versionlog: object too large")
 )
 
-// Change is a new state of a name, as an authority publishes it.
+// Change is a new state of a name that an authority publishes.
 type Change struct {
 	Name    string
 	Removed bool
-	// Object is the entry as a JSON object of at most MaxObjectBytes; without meaning for a removal. Publish checks that
-	// much. The rest is the caller's to see to: its key "name" has the value Name, it has no key "version", which the
-	// log adds, and its key "status", if any, is not "terminated", by which readers know tombstones.
+	// Object is the entry as a JSON object of at most MaxObjectBytes; it is not used for a removal. Publish checks only
+	// this. The caller ensures that the key "name" has the value Name, that there is no key "version", which the log
+	// adds, and that the key "status", if any, is not "terminated", which marks tombstones for readers.
 	Object []byte
 }
 
-// check finds what keeps a change from being published.
+// check returns an error if a change must not be published.
 func (c Change) check() error {
 	switch {
 	case c.Name == "":
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// Publish gives each change that changes an entry's state the next index, and returns how many these are. Of several
-// changes of a name the last one counts. If one of the changes is not valid, none is published, and the error wraps
-// ErrInvalidChange or ErrTooLarge. It is for an authority's log.
+// Publish gives the next index to each change that alters the state of an entry, and returns the number of these
+// changes. Only the last of several changes of one name counts. If any change is invalid, Publish publishes none, and
+// the error wraps ErrInvalidChange or ErrTooLarge. It is for an authority's log.
 func (l *Log) Publish(changes []Change) (int, error) {
 	last := make(map[string]int, len(changes))
 	for i, change := range changes {
@@ -59,7 +59,8 @@
 	return published, nil
 }
 
-// Replace publishes a complete state: names that it lacks are removed. Results and errors are those of Publish.
+// Replace publishes a complete state and removes the names that the state lacks. Results and errors are those of
+// Publish.
 func (l *Log) Replace(state []Change) (int, error) {
 	listed := make(map[string]struct{}, len(state))
 	for _, change := range state {
@@ -75,7 +76,7 @@
 	return l.Publish(append(changes, state...))
 }
 
-// publish numbers a valid change and reports whether it changes the entry's state.
+// publish gives a valid change the next index if it alters the entry's state, and reports whether it did.
 func (l *Log) publish(change Change) bool {
 	old, known := l.byName[change.Name]
 	if change.Removed {
--- a/internal/decide/versionlog/publish_test.go
+++ b/internal/decide/versionlog/publish_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A change that leaves its entry as it is takes no index, several of a name take one, and a removed name that comes
-// back is a change.
+// A change that does not alter its entry gets no index. Several changes of one name get one index. Publishing a removed
+// name again is a change.
 func TestPublishNumbersOnlyChangesOfState(t *testing.T) {
 	a, b := object("a", 1), object("b", 1)
 	l := New(7, 10)
@@ -32,18 +32,18 @@
 	}
 	size := len(withVersion(object("a", 3), 3)) + len(withVersion(b, 5))
 	if entries, bytes := l.Live(); entries != 2 || bytes != size {
-		t.Errorf("%d live entries of %d bytes", entries, bytes)
+		t.Errorf("%d live entries of %d bytes, want the bodies of a and b", entries, bytes)
 	}
 	state := []Change{{Name: "a", Object: object("a", 3)}, {Name: "d", Object: object("d", 1)}}
-	for _, published := range []int{2, 0} { // b is removed and d added
+	for _, published := range []int{2, 0} { // the first Replace removes b and adds d
 		n, err := l.Replace(state)
 		if n != published || err != nil || l.Version() != (Version{7, 7}) || liveBodies(l.byName)["b"] != "" {
-			t.Errorf("%d of a complete state published, %v, version %+v", n, err, l.Version())
+			t.Errorf("Replace: %d published, %v, version %+v", n, err, l.Version())
 		}
 	}
 }
 
-// One change of several cannot be published. None is, and the error says which kind it is.
+// One of several changes is invalid. Publish publishes none of them and returns an error for the kind of fault.
 func TestPublishRefusesInvalidChanges(t *testing.T) {
 	l := New(7, 10)
 	if _, err := l.Publish([]Change{{Name: "a", Object: object("a", 1)}}); err != nil {
--- a/internal/decide/versionlog/read.go
+++ b/internal/decide/versionlog/read.go
@@ -3,19 +3,19 @@
 // newestKnown is the newest index of the epoch that the log knows of.
 func (l *Log) newestKnown() int64 { return max(l.version.Index, l.announcedIndex) }
 
-// Behind reports whether a reader knows of versions that this log neither has nor is about to receive: its source has
-// not announced them.
+// Behind reports whether this log is behind a reader: the reader has a version that the log lacks, or knows of a newest
+// index that the log neither has nor will soon receive, because the log's source has not announced it.
 //
-// It is the source's side of a rule that a reader checks too (package follower). A log knows nothing but the reader's
-// cursor, and may answer a reader whose newest index it lacks as long as that is announced. The reader compares with
+// The reader checks a similar rule for each answer (package follower). Behind knows only the reader's cursor, and the
+// log may answer a reader whose newest index it lacks if that index is announced. The reader compares an answer with
 // the newest version that any of its sources has shown to have.
 func (l *Log) Behind(from Cursor) bool {
 	return l.version.Before(Version{from.Epoch, max(from.Index, from.Base)}) ||
 		from.Epoch == l.version.Epoch && l.newestKnown() < from.NewestIndex
 }
 
-// NeedsSnapshot reports whether the reader gets a snapshot from its beginning: it is of another epoch, has nothing, or
-// may lack tombstones that are forgotten.
+// NeedsSnapshot reports whether the reader must get a snapshot from the beginning, because it is in another epoch, has
+// nothing, or may lack tombstones that the log has forgotten.
 func (l *Log) NeedsSnapshot(from Cursor) bool {
 	switch {
 	case from.Epoch != l.version.Epoch:
@@ -26,10 +26,10 @@
 	return from.Index <= 0 || from.Index < l.removals.horizon
 }
 
-// Read returns the reader's next slice. Its bodies and the commas between them have at most maxBytes together, but it
-// has one entry at least where there is one. Tombstones from before a snapshot began are left out of it. Read takes
-// time proportional to the slice, to the logarithm of the log, and in a snapshot to the tombstones that it leaves out.
-// The log must be neither Empty nor Behind the reader.
+// Read returns the reader's next slice. The bodies in the slice and the commas between them have at most maxBytes
+// together, but the slice has at least one entry if the reader lacks any. A snapshot omits the tombstones from before
+// it began. Read takes time proportional to the size of the slice plus the logarithm of the size of the log plus, in a
+// snapshot, the number of omitted tombstones. The log must be neither Empty nor Behind the reader.
 func (l *Log) Read(from Cursor, maxBytes int) Slice {
 	slice := Slice{Version: l.version, NewestIndex: l.newestKnown(), Snapshot: l.NeedsSnapshot(from)}
 	after, base := from.Index, from.Base
--- a/internal/decide/versionlog/readers_test.go
+++ b/internal/decide/versionlog/readers_test.go
@@ -8,26 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// reader follows a log as a coordinator does: entries count at once, and the last slice of a snapshot removes what none
-// of its slices holds.
+// reader follows a log as a coordinator does: it applies entries at once, and the last slice of a snapshot removes the
+// names that no slice of the snapshot contains.
 type reader struct {
 	cursor   Cursor
 	entries  map[string]Entry
-	snapshot map[string]bool // names in the snapshot under way; nil while there is none
+	snapshot map[string]bool // names in the snapshot in progress; nil if there is none
 }
 
-// apply takes a slice, and fails if that goes back.
+// apply applies a slice, and fails if the slice or an entry goes back.
 func (r *reader) apply(t *rapid.T, slice Slice) {
 	older := slice.Version.Epoch == r.cursor.Epoch && !slice.Snapshot && slice.Version.Before(r.cursor.Version)
 	if slice.Version.Epoch < r.cursor.Epoch || older {
-		t.Fatalf("went back from %+v to %+v", r.cursor, slice.Version)
+		t.Fatalf("reader goes back from %+v to %+v", r.cursor, slice.Version)
 	}
 	if slice.Snapshot {
 		r.beginSnapshot(slice.Version.Epoch)
 	}
 	for _, entry := range slice.Entries {
 		if old, known := r.entries[entry.Name]; known && entry.Index < old.Index {
-			t.Fatalf("%s went back from %d to %d", entry.Name, old.Index, entry.Index)
+			t.Fatalf("entry %s goes back from index %d to %d", entry.Name, old.Index, entry.Index)
 		}
 		r.entries[entry.Name] = entry
 		if r.snapshot != nil {
@@ -41,7 +41,8 @@
 	r.cursor = r.cursor.After(slice)
 }
 
-// beginSnapshot forgets the indexes of entries of another epoch: they say nothing in this one.
+// beginSnapshot resets the indexes of entries of another epoch, because they cannot be compared with indexes of this
+// one.
 func (r *reader) beginSnapshot(epoch int64) {
 	if epoch != r.cursor.Epoch {
 		for name, entry := range r.entries {
@@ -62,18 +63,18 @@
 		t.Fatal(err)
 	}
 	if got, want := fmt.Sprintf("%+v", parsed), fmt.Sprintf("%+v", slice); len(slice.Entries) > 0 && got != want {
-		t.Fatalf("parsed %s, written %s", got, want)
+		t.Fatalf("parsed %s, want %s", got, want)
 	}
 	return parsed
 }
 
-// chain is an authority, two relays of which each follows one before it, and two readers of any of them.
+// chain is an authority, two relays that each follow a log before it in logs, and two readers that may read any log.
 type chain struct {
 	*rapid.T
 	tombstones int
 	epoch      int64
-	value      int    // of the last change
-	logs       []*Log // the authority's first
+	value      int    // value of the last change
+	logs       []*Log // the authority's log, then the relays'
 	readers    []*reader
 	published  map[Version]string // the authority's live bodies at each version
 }
@@ -106,7 +107,7 @@
 	c.publish(changes)
 }
 
-// replaceAuthority has an authority without entries take over, once in ten calls.
+// replaceAuthority replaces the authority by a new one without entries, on average once in ten calls.
 func (c *chain) replaceAuthority(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 {
 		c.epoch++
@@ -114,7 +115,7 @@
 	}
 }
 
-// relay has a relay take the next slice of a source that is not behind it.
+// relay has a relay apply the next slice of a source, unless the source is behind it.
 func (c *chain) relay(relay, source, bytes int) {
 	from, cursor := c.logs[source], c.logs[relay].Cursor()
 	if from.Empty() || from.Behind(cursor) {
@@ -125,8 +126,8 @@
 	}
 }
 
-// read gives a reader the next slice of a log that is not behind it. A reader that is complete then has what the
-// authority had at that version.
+// read gives a reader the next slice of a log, unless the log is behind it. If the reader is complete then, it must
+// have what the authority had at that version.
 func (c *chain) read(r *reader, from *Log, bytes int) {
 	if from.Empty() || from.Behind(r.cursor) {
 		return
@@ -134,11 +135,11 @@
 	r.apply(c.T, overWire(c.T, from.Read(r.cursor, bytes)))
 	got, want := fmt.Sprint(liveBodies(r.entries)), c.published[r.cursor.Version]
 	if r.cursor.Complete() && got != want {
-		c.Fatalf("at %+v the reader has %s, the authority had %s", r.cursor, got, want)
+		c.Fatalf("at %+v: reader has %s, authority had %s", r.cursor, got, want)
 	}
 }
 
-// finish has relays and readers read on until they have all, and checks that they have the authority's state.
+// finish has relays and readers read until they are at the authority's version, and checks that they have its state.
 func (c *chain) finish() {
 	const bytes = 100
 	if c.logs[0].Empty() {
@@ -150,7 +151,7 @@
 			c.relay(relay, relay-1, bytes)
 		}
 		if got := fmt.Sprint(liveBodies(c.logs[relay].byName)); got != want {
-			c.Fatalf("relay %d has %s, the authority %s", relay, got, want)
+			c.Fatalf("relay %d has %s, authority has %s", relay, got, want)
 		}
 	}
 	for i, r := range c.readers {
@@ -158,15 +159,15 @@
 			c.read(r, c.logs[2-i], bytes)
 		}
 		if got := fmt.Sprint(liveBodies(r.entries)); got != want {
-			c.Fatalf("reader %d has %s, the authority %s", i, got, want)
+			c.Fatalf("reader %d has %s, authority has %s", i, got, want)
 		}
 	}
 }
 
-// Entries are published, removed and forgotten between bounded reads; relays lose their sources within a snapshot; a
-// new authority may take over. Readers of the authority and of two relays in a chain, that change between them, never
-// go back, have exactly the authority's state of a version whenever they are complete there, and end with its last
-// state if they read on.
+// Between reads of bounded size, an authority publishes and removes entries, logs forget tombstones, relays lose their
+// sources within a snapshot, and a new authority may replace the old one. Readers change between the authority and two
+// relays in a chain. They never go back, and whenever they are complete at a version they have exactly the authority's
+// state of that version. After enough reads they have its last state.
 func TestReadersEndWithAuthoritysState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newChain(t)
@@ -189,7 +190,8 @@
 	})
 }
 
-// A log is behind readers that have, or know of, what it neither has nor has been announced.
+// A log is behind a reader that has a version which the log lacks, or that knows of an index which the log neither has
+// nor has been announced.
 func TestLogIsBehindReaderThatKnowsMore(t *testing.T) {
 	relay := New(0, 10)
 	partial := Slice{Version: Version{5, 20}, NewestIndex: 30, Snapshot: true,
@@ -210,11 +212,11 @@
 		{Cursor{Version: Version{6, 1}}, true},
 	} {
 		if got := relay.Behind(c.from); got != c.want {
-			t.Errorf("behind %+v: %t", c.from, got)
+			t.Errorf("log behind a reader at %+v: %t, want the opposite", c.from, got)
 		}
 	}
 	slice := relay.Read(Cursor{Version: Version{5, 20}, NewestIndex: 30}, 100)
 	if !slice.More() || len(slice.Entries) != 0 {
-		t.Errorf("a reader that has what the relay has gets %+v", slice)
+		t.Errorf("reader at the relay's version gets %+v, want an empty slice with More", slice)
 	}
 }
--- a/internal/decide/versionlog/version.go
+++ b/internal/decide/versionlog/version.go
@@ -1,13 +1,13 @@
 package versionlog
 
-// Version names a state of a log. Indexes of one epoch say nothing about those of another.
+// Version identifies a state of a log. Indexes of different epochs cannot be compared.
 type Version struct {
 	Epoch int64
 	Index int64
 }
 
-// HasEpoch reports whether the version is of an epoch. Versions of services that count without epochs are not, nor is
-// that of a relay's log which has taken no snapshot yet: their epoch is 0.
+// HasEpoch reports whether the version has an epoch. The epoch is 0 in versions of services without epochs, and in the
+// version of a relay's log before its first snapshot.
 func (v Version) HasEpoch() bool { return v.Epoch != 0 }
 
 // Before reports whether v is older than w.
@@ -21,16 +21,16 @@
 // Entry is the latest state of one name.
 type Entry struct {
 	Name    string
-	Index   int64  // index of the change that brought the entry to this state
+	Index   int64  // index of the change that set this state
 	Removed bool   // the entry is a tombstone
-	Body    []byte // the entry's JSON object as it stands in answers, with its index
+	Body    []byte // the entry's JSON object as sent in answers, with its index
 }
 
-// Cursor is where a reader stands.
+// Cursor is a reader's position in a log.
 type Cursor struct {
-	// Version is what the reader has.
+	// Version is the version that the reader has.
 	Version
-	// Base is the index of the log's version when the reader's snapshot began; 0 for a reader that is not within a
+	// Base is the index of the log's version when the reader's snapshot began; 0 if the reader is not within a
 	// snapshot.
 	Base int64
 	// NewestIndex is the newest index of the epoch that the reader knows of. A reader below it lacks changes.
@@ -46,21 +46,21 @@
 	return next
 }
 
-// Complete reports whether the reader has all that it knows of.
+// Complete reports whether the reader has all changes that it knows of.
 func (c Cursor) Complete() bool { return c.Base == 0 && c.Index > 0 && c.Index >= c.NewestIndex }
 
 // Slice is one answer to a reader.
 type Slice struct {
-	// Version is what the reader has once it has applied the slice.
+	// Version is the version that the reader has after it has applied the slice.
 	Version Version
 	// NewestIndex is the newest index of the epoch that the log knows of.
 	NewestIndex int64
-	// Snapshot states that the slice is the first one of a snapshot. What the reader had before no longer counts.
+	// Snapshot reports whether the slice is the first one of a snapshot, which replaces what the reader had before.
 	Snapshot bool
-	// Base is the index of the log's version when the snapshot began, in the slices of a snapshot but the last; else 0.
-	// The reader gives it back with its next call.
+	// Base is the index of the log's version when the snapshot began, in all slices of a snapshot except the last; 0 in
+	// other slices. The reader sends it back with its next call.
 	Base int64
-	// Entries are in the order of their indexes, which all are above the reader's.
+	// Entries are in the order of their indexes, which are all above the reader's index.
 	Entries []Entry
 }
 
@@ -69,5 +69,6 @@
 	return Version{Epoch: s.Version.Epoch, Index: max(s.Version.Index, s.Base)}
 }
 
-// More reports whether the reader lacks changes after the slice, so that its next call is answered at once.
+// More reports whether the reader still lacks changes after it has applied the slice. Its next call is then answered at
+// once.
 func (s Slice) More() bool { return s.Version.Index < s.NewestIndex }
