--- a/internal/decide/pure_test.go
+++ b/internal/decide/pure_test.go
@@ -1,4 +1,4 @@
-// Package decide_test keeps the decisions below this folder pure.
+// Package decide_test checks that the decisions in the packages below this folder are pure.
 package decide_test
 
 import (
@@ -12,11 +12,12 @@
 	"testing"
 )
 
-// impure lists what is wrong with a file of decisions: I/O, clocks, goroutines, randomness of its own.
+// impure lists what makes a file of decisions impure: an import for I/O, locks, logs or another layer, a clock, a
+// goroutine, or random numbers without a seed from the caller.
 func impure(f *ast.File) (faults []string) {
 	const (
-		clocks = " Now Since Until Sleep After AfterFunc NewTimer NewTicker Tick " // names of package time
-		seeded = " Rand New NewPCG Source "                                        // names of math/rand that need a seed
+		clocks = " Now Since Until Sleep After AfterFunc NewTimer NewTicker Tick " // forbidden names of package time
+		seeded = " Rand New NewPCG Source "                                        // names of package rand that need a seed: allowed
 	)
 	for _, imp := range f.Imports {
 		path, _ := strconv.Unquote(imp.Path.Value)
@@ -64,7 +65,7 @@
 		return nil
 	})
 	if err != nil || files == 0 {
-		t.Fatalf("%d files, %v", files, err)
+		t.Fatalf("checked %d files, %v", files, err)
 	}
 }
 
@@ -75,7 +76,7 @@
 	} {
 		f, err := parser.ParseFile(token.NewFileSet(), "x.go", "package x\n"+body, 0)
 		if err != nil || len(impure(f)) == 0 {
-			t.Errorf("%q passes for pure (%v)", body, err)
+			t.Errorf("%q: no impurity reported (%v)", body, err)
 		}
 	}
 }
