--- a/internal/decide/pure_test.go
+++ b/internal/decide/pure_test.go
@@ -16,8 +16,8 @@
 // goroutine, or random numbers without a seed from the caller.
 func impure(f *ast.File) (faults []string) {
 	const (
-		clocks = " Now Since Until Sleep After AfterFunc NewTimer NewTicker Tick " // forbidden names of package time
-		seeded = " Rand New NewPCG Source "                                        // names of package rand that need a seed: allowed
+		clocks = " Now Since Until Sleep After AfterFunc NewTimer NewTicker Tick " // forbidden: package time
+		seeded = " Rand New NewPCG Source "                                        // allowed: math/rand with a seed
 	)
 	for _, imp := range f.Imports {
 		path, _ := strconv.Unquote(imp.Path.Value)
