--- a/internal/decide/failover/candidate.go
+++ b/internal/decide/failover/candidate.go
@@ -27,7 +27,7 @@
 	returnAt     time.Duration // earliest instant at which a reader of a farther source probes it
 	serving      bool          // the source has answered since the reader began to follow it
 	servingSince time.Duration // instant of the first answer since the reader began to follow the source
-	lagging      bool          // the source was left or not chosen as Stale, and has not been clearly fresh since
+	lagging      bool          // the reader left or passed over it as Stale, and it has not been clearly fresh since
 }
 
 // succeeded records a good answer of the source.
--- a/internal/decide/failover/probes.go
+++ b/internal/decide/failover/probes.go
@@ -35,9 +35,9 @@
 //     two that the reader does not follow gets the Stale backoff. The reader never switches between sources of about
 //     the same staleness.
 //   - If the current source is not stale, the reader switches to a nearer one that is not stale either. A nearer source
-//     that is lagging, which means that it was left or not chosen as Stale, must be clearly fresh, because the reader
-//     would otherwise soon leave it again. A probed source that is stale, or a nearer one that is still lagging, gets
-//     the Stale backoff. A farther probed source that is not stale, and the current source, get no backoff.
+//     that is lagging, because the reader left it or passed it over as Stale, must be clearly fresh: otherwise the
+//     reader would soon leave it again. A probed source that is stale, or a nearer one that is still lagging, gets the
+//     Stale backoff. A farther probed source that is not stale, and the current source, get no backoff.
 //
 // It returns false and records nothing if the probed source is unknown or has become the current one, or if there is no
 // current source, because only FollowNext chooses the next source then.
