--- a/internal/platform/caller.go
+++ b/internal/platform/caller.go
@@ -9,47 +9,48 @@
 	"harepass/internal/http1"
 )
 
-// Scheme names the replicas that speak frames.
+// Scheme is the scheme of endpoints whose replicas speak frames.
 const Scheme = "frame"
 
 const (
-	// idleTimeoutShare is how long an idle connection is used again, as a share of the time after which replicas
-	// close it: a later call might meet the close.
+	// idleTimeoutShare is how long an idle connection is reused, as a share of the time after which replicas close it.
+	// A call sent later might reach a connection that the replica is closing.
 	idleTimeoutShare = 0.8
-	// defaultIdleTimeout is how long one is used again where the settings do not tell when replicas close it.
+	// defaultIdleTimeout is how long an idle connection is reused if the settings do not say when replicas close it.
 	defaultIdleTimeout = 10 * time.Second
 
-	// Connections fall silent without any error, while their replica answers on others. One on which answers have been
-	// awaited for Caller.ResponseTimeout gets no new calls while there are fewer than maxSilentConns like it, and is
-	// closed once answersToClose later calls have been answered on others.
+	// A connection can fall silent without an error while its replica answers on other connections. A connection on
+	// which answers have been awaited for Caller.ResponseTimeout gets no new calls while the replica has fewer than
+	// maxSilentConns such connections. It is closed once answersToClose later calls have been answered on others.
 	maxSilentConns = 4
 	answersToClose = 3
 
-	// maxSettledIDs is how many settled ids a connection remembers: a late answer or a second copy is no fault.
+	// maxSettledIDs is how many ids of settled parts a connection remembers. An answer to one of them is a late or
+	// duplicate answer, which is not a fault.
 	maxSettledIDs = 256
 )
 
-// Caller speaks frames to replicas. It is a core.Caller. Its exported fields are to be set before the first Call;
-// Configure changes some of them later. All methods are for any goroutine.
+// Caller sends calls to replicas in frames. It implements core.Caller. The exported fields must be set before the first
+// Call; Configure may change some of them later. All methods may be called from any goroutine.
 type Caller struct {
-	Reporter       core.AttemptReporter // takes the outcome of each attempt
+	Reporter       core.AttemptReporter // receives the outcome of each attempt
 	CallsPerConn   int                  // calls that one connection carries at once; 0 for one
-	MaxConns       int                  // connections open at once, but for the first to each replica; 0 for no limit
+	MaxConns       int                  // open connections; the first to each replica is exempt; 0 for no limit
 	ConnectTimeout time.Duration
-	// ResponseTimeout bounds two times: from the first byte of an answer to its last, and the silence of a
-	// connection on which answers are awaited, after which new calls avoid it.
+	// ResponseTimeout bounds the time from the first byte of an answer to its last. It is also how long a connection on
+	// which answers are awaited may be silent before new calls avoid it.
 	ResponseTimeout time.Duration
-	KeepAlive       time.Duration // after which replicas close idle connections; 0 where that is not known
+	KeepAlive       time.Duration // time after which replicas close idle connections; 0 if unknown
 	Dial            http1.Dialer  // nil for plain TCP
 
-	mu        sync.Mutex                // guards all below, connections included; nothing blocks under it
+	mu        sync.Mutex                // guards the fields below and all connections; never held while blocking
 	conns     map[string][]*replicaConn // by replica id
 	openCount int                       // connections in conns
 	attempts  map[*core.Attempt]*sentAttempt
-	onDial    func() // called before each connection is opened; nil for nothing
+	onDial    func() // called before each connection is opened; may be nil
 }
 
-// OnDial has f called before each connection is opened from now on, without the lock.
+// OnDial sets the function that is called before each connection is opened from now on. It is called without the lock.
 func (caller *Caller) OnDial(f func()) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -72,8 +73,8 @@
 	c.enqueue(call)
 }
 
-// connFor finds a connection with capacity for a call, or opens one. Where no more may be opened, calls wait unread
-// at the replica. It is called under the lock.
+// connFor returns a connection with capacity for a call, or opens one. If no more connections may be opened, it returns
+// one without capacity, and the call waits unread at the replica. mu must be held.
 func (caller *Caller) connFor(to core.Endpoint) *replicaConn {
 	if caller.conns == nil {
 		caller.conns, caller.attempts = map[string][]*replicaConn{}, map[*core.Attempt]*sentAttempt{}
@@ -98,9 +99,9 @@
 	return c
 }
 
-// closeStaleAndPick closes the idle connections to an endpoint that are not trusted any more. Of the others it
-// returns the one with the fewest calls; of the silent ones apart, the one with the fewest calls and how many they
-// are. It is called under the lock.
+// closeStaleAndPick closes the idle connections to an endpoint that have its old address or have exceeded idleTimeout.
+// Among the other connections to its current address, it returns the one with the fewest calls that is not silent
+// (best), the silent one with the fewest calls, and the number of silent ones. mu must be held.
 func (caller *Caller) closeStaleAndPick(to core.Endpoint) (best, silent *replicaConn, silentCount int) {
 	for _, c := range slices.Clone(caller.conns[to.ID]) {
 		switch {
@@ -119,7 +120,7 @@
 	return best, silent, silentCount
 }
 
-// Configure takes over what other settings say of connections; those that stand go by it too.
+// Configure applies changed settings, also to the connections that are already open.
 func (caller *Caller) Configure(callsPerConn int, connect, response, keepAlive time.Duration) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -127,14 +128,14 @@
 	caller.ConnectTimeout, caller.ResponseTimeout = connect, response
 }
 
-// times are the time-outs that a connection goes by, for goroutines without the lock.
+// times returns the time-outs of connections. It is for goroutines that do not hold mu.
 func (caller *Caller) times() (connect, response, idle time.Duration) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
 	return caller.ConnectTimeout, caller.ResponseTimeout, caller.idleTimeout()
 }
 
-// idleTimeout is how long an idle connection is used again, and kept. It is called under the lock.
+// idleTimeout returns how long an idle connection is kept and reused. mu must be held.
 func (caller *Caller) idleTimeout() time.Duration {
 	if caller.KeepAlive <= 0 {
 		return defaultIdleTimeout
@@ -142,15 +143,15 @@
 	return time.Duration(float64(caller.KeepAlive) * idleTimeoutShare)
 }
 
-// OpenConns is how many connections there are, those that are coming up included.
+// OpenConns returns the number of connections, including those that are still being established.
 func (caller *Caller) OpenConns() int {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
 	return caller.openCount
 }
 
-// isFull reports whether no more connection may be opened. Where the limit is reached it closes an idle one first,
-// and then reports false. It is called under the lock.
+// isFull reports whether the limit on connections is reached and none of them is idle. At the limit it closes an idle
+// connection, if there is one, and reports false. mu must be held.
 func (caller *Caller) isFull() bool {
 	if caller.MaxConns == 0 || caller.openCount < caller.MaxConns {
 		return false
@@ -166,9 +167,9 @@
 	return true
 }
 
-// Cancel implements core.Caller. The cancellation is queued behind the attempt's call. Asked again, or where the
-// replica has answered nothing for long since the attempt was written, the connection is closed instead: the
-// cancellation might never be read, and the part run twice at once.
+// Cancel implements core.Caller. It queues the cancellation behind the attempt's call. If the attempt was cancelled
+// before, or if the replica has not answered for ResponseTimeout since the attempt was written, Cancel closes the
+// connection instead: the replica might never read the cancellation, and the part could run twice at once.
 func (caller *Caller) Cancel(at *core.Attempt) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -176,12 +177,12 @@
 	if s == nil {
 		return
 	}
-	askedBefore := s.cancelled
+	cancelledBefore := s.cancelled
 	s.cancelled = true
 	for _, c := range slices.Clone(caller.conns[at.ReplicaID]) {
 		switch {
 		case !slices.Contains(c.outstanding, s):
-		case askedBefore, c.hasIgnored(s):
+		case cancelledBefore, c.hasIgnored(s):
 			c.discard()
 		default:
 			c.enqueue(&queueItem{cancels: s})
@@ -200,7 +201,7 @@
 	}
 }
 
-// Close ends all connections. It does not wait for their goroutines.
+// Close closes all connections. It does not wait for their goroutines to end.
 func (caller *Caller) Close() {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -14,38 +14,38 @@
 	"harepass/internal/http1"
 )
 
-// Source names discovery as a source of endpoints.
+// Source is the name of discovery as a source of endpoints.
 const Source = "discovery"
 
-// unknownIndex stands for the version of the endpoint list where none is known, or the known one cannot be relied on.
+// unknownIndex replaces the version of the endpoint list if none is known or the known one cannot be relied on.
 const unknownIndex = -1
 
-// Discovery keeps a coordinator's endpoint list by the discovery service, from the first Subscribe on. Its exported
-// fields are to be set before Run; Run alone goes by them.
+// Discovery keeps a coordinator's endpoint list up to date from the discovery service, from the first Subscribe on. The
+// exported fields must be set before Run, which alone uses them.
 type Discovery struct {
 	Dial   http1.Dialer                              // nil for plain TCP
-	Listed func(scatter.UpdateKind, []core.Endpoint) // takes each update, and each failure; called by Run
-	Leased func(expires time.Duration)               // takes until when the list may be used, on Clock; nil for nobody
-	Clock  core.Clock                                // the coordinator's
+	Listed func(scatter.UpdateKind, []core.Endpoint) // receives each update and each failure; called by Run
+	Leased func(expires time.Duration)               // receives the time, on Clock, when the list expires; may be nil
+	Clock  core.Clock                                // the coordinator's clock
 	// Grace is how long attempts at an endpoint are allowed after its drain counts as notified.
 	Grace time.Duration
-	// Schedule decides when discovery is polled. NewDiscovery sets that of a coordinator which is alone.
+	// Schedule decides when discovery is polled. NewDiscovery sets the schedule of a fleet of one coordinator.
 	Schedule *backoff.Schedule
 
-	address    string    // of the service; of Run alone
-	index      int64     // version of the list that the coordinator has, or unknownIndex; of Run alone
-	known      List      // what the coordinator was started with; empty from Run on
-	copy       *ListCopy // for a process that takes over; nil where nobody wants it
-	changed    func()    // called when copy has changed
+	address    string    // of the service; only Run changes it
+	index      int64     // version of the coordinator's list, or unknownIndex; only Run changes it
+	known      List      // list that the coordinator started with; empty once Run has begun
+	copy       *ListCopy // for a process that takes over; nil if none is kept
+	changed    func()    // called after copy has changed
 	subscribe  chan struct{}
-	newAddress chan string // the latest address that Run has not seen
+	newAddress chan string // the latest address that Run has not received
 	tuning     atomic.Pointer[Tuning]
 	outage     outage
 	lease      lease.Lease
 }
 
-// NewDiscovery returns a Discovery for the service at an address; Listed has to be set before Run. The coordinator
-// is to have been given the known list, if there is one.
+// NewDiscovery returns a Discovery for the service at an address; Listed must be set before Run. The known list is the
+// one that the coordinator already has, and may be empty.
 func NewDiscovery(address string, known List) *Discovery {
 	d := &Discovery{
 		Clock:      core.SystemClock(),
@@ -62,25 +62,25 @@
 	return d
 }
 
-// KeepCopy keeps the complete list for a process that takes over, and calls changed when it has changed. It is to
-// be called before Run.
+// KeepCopy keeps a copy of the complete list for a process that takes over, and calls changed after each change of the
+// copy. It must be called before Run.
 func (d *Discovery) KeepCopy(changed func()) *ListCopy {
 	d.copy, d.changed = NewListCopy(d.address, d.known), changed
 	d.known = List{}
 	return d.copy
 }
 
-// Tuning is what the settings say of how discovery is polled.
+// Tuning holds the settings for polling discovery.
 type Tuning struct {
-	Fleet      int           // coordinators that share discovery
-	ListMaxAge time.Duration // as backoff.Schedule.ListMaxAge
-	Grace      time.Duration // as Discovery.Grace
+	Fleet      int           // number of coordinators that share the discovery service
+	ListMaxAge time.Duration // see backoff.Schedule.ListMaxAge
+	Grace      time.Duration // see Discovery.Grace
 }
 
-// Configure has other settings count from the next call to discovery on. It is for any goroutine.
+// Configure changes the settings from the next call to discovery on. It may be called from any goroutine.
 func (d *Discovery) Configure(t Tuning) { d.tuning.Store(&t) }
 
-// applyTuning takes over what Configure has brought.
+// applyTuning applies the settings of the latest Configure, if they are new.
 func (d *Discovery) applyTuning() {
 	if t := d.tuning.Swap(nil); t != nil {
 		d.Schedule.FleetSize, d.Schedule.ListMaxAge = t.Fleet, t.ListMaxAge
@@ -88,8 +88,8 @@
 	}
 }
 
-// Subscribe asks for the endpoint list and its changes, from now on for good. It is for any goroutine and does not
-// block.
+// Subscribe starts the subscription to the endpoint list and its changes, which lasts until Run ends. It may be called
+// from any goroutine and does not block.
 func (d *Discovery) Subscribe() {
 	select {
 	case d.subscribe <- struct{}{}:
@@ -97,27 +97,27 @@
 	}
 }
 
-// SetAddress takes the subscription to the service at another address. It is for one goroutine at a time, and does
-// not block.
+// SetAddress moves the subscription to the service at another address. Only one goroutine may call it at a time. It
+// does not block.
 func (d *Discovery) SetAddress(address string) {
-	select { // an address that Run has not seen yet is overtaken
+	select { // replaces an address that Run has not received yet
 	case <-d.newAddress:
 	default:
 	}
 	d.newAddress <- address
 }
 
-// Run serves subscriptions until ctx ends, from the first Subscribe on.
+// Run serves subscriptions from the first Subscribe until ctx ends.
 //
-// A subscription begins with a call that does not wait, for what is new since the version that the coordinator has,
-// and goes on with watches. Only where no version is known does it begin with the complete list: that costs
-// discovery work for each line, and after a common failure all coordinators of a fleet call at once. It ends with
-// the first failed call, of which the coordinator is told, and the next one begins after the delay that Schedule
-// gives. A watch that was lost is opened anew without telling the coordinator: what it missed is about to count as
-// notified.
+// A subscription begins with a call for the changes since the coordinator's version, which discovery answers at once,
+// and continues with watches. It begins with the complete list only if no version is known: a complete list costs
+// discovery work for each entry, and after a common failure all coordinators of a fleet call at once. A subscription
+// ends with its first failed call. Run reports the failure to the coordinator and begins the next subscription after
+// the delay that Schedule returns. It does not report a lost watch, but polls again: the changes that the watch missed
+// are about to count as notified.
 //
-// A new address ends the subscription too, and the next one begins with the complete list, for the new service counts
-// versions by an index of its own.
+// A new address also ends the subscription. The next one begins with the complete list, because the new service
+// numbers its versions by an index of its own.
 func (d *Discovery) Run(ctx context.Context) {
 	d.known, d.outage.answered = List{}, time.Now()
 	d.lease = lease.New(d.Clock(), d.Schedule.ListMaxAge, d.Grace)
@@ -140,8 +140,8 @@
 	}
 }
 
-// awaitSubscribe waits for the first Subscribe, or for a new address, and returns the delay before the first call.
-// running is false when ctx has ended.
+// awaitSubscribe waits for the first Subscribe or for a new address, and returns the delay before the first call.
+// running is false if ctx has ended.
 func (d *Discovery) awaitSubscribe(ctx context.Context) (delay time.Duration, running bool) {
 	select {
 	case <-d.subscribe:
@@ -156,7 +156,8 @@
 	return delay, true
 }
 
-// wait waits before the next subscription; a new address ends the wait. It returns false when ctx has ended.
+// wait waits before the next subscription until the delay is over or a new address arrives. It returns false if ctx has
+// ended.
 func (d *Discovery) wait(ctx context.Context, delay time.Duration) (running bool) {
 	select {
 	case <-time.After(delay):
@@ -168,10 +169,10 @@
 	return true
 }
 
-// recordFailure takes the end of a subscription in and returns the delay before the next one.
+// recordFailure records the failure that ended a subscription and returns the delay before the next one.
 func (d *Discovery) recordFailure(f *pollFailure) (delay time.Duration) {
 	switch e := f.evidence(); {
-	case e == provesUnreachable, e == mayBeCrowded && !d.Schedule.AnsweredBeforeExpiry():
+	case e == provesUnreachable, e == mayBeOverloaded && !d.Schedule.AnsweredBeforeExpiry():
 		d.lease.Unreachable(f.began)
 	case !f.watch:
 		d.lease.Unanswered()
@@ -184,15 +185,15 @@
 	return d.Schedule.FailedBeforeExpiry(f.took, d.lease.Expires()-d.Clock())
 }
 
-// reportLease tells the coordinator until when its list may be used. What an agent of the coordinator's own has not
-// learned counts as notified to nobody, so a pushed list has no lease.
+// reportLease tells the coordinator when its list expires. A list that the coordinator's own agent serves has no lease:
+// a change that the agent has not learned does not count as notified.
 func (d *Discovery) reportLease() {
 	if d.Leased != nil && !d.Schedule.UsesAgent {
 		d.Leased(d.lease.Expires())
 	}
 }
 
-// serviceChanged begins anew with the service at another address.
+// serviceChanged resets the known version, the schedule and the lease for the service at a new address.
 func (d *Discovery) serviceChanged() {
 	d.index = unknownIndex
 	d.Schedule.ServiceChanged()
--- a/internal/platform/discovery_log.go
+++ b/internal/platform/discovery_log.go
@@ -8,7 +8,7 @@
 	"harepass/internal/logmsg"
 )
 
-// The counters of calls to discovery. Their names are wire: the admin endpoint shows them.
+// The counters of calls to discovery. Their names must not change, because the admin endpoint shows them.
 var (
 	pollsAnswered    = counters.New("list_calls", "served")
 	watchesLost      = counters.New("list_calls", "watch_lost")
@@ -17,13 +17,13 @@
 	pollsUnanswered  = counters.New("list_calls", "unanswered")
 )
 
-// outage is a time without an answer of discovery: each failure is counted and logged, and so is its end.
+// outage counts and logs each failed call to discovery since its last answer, and logs the next answer.
 type outage struct {
-	answered time.Time // the last answer; the start before the first one
-	failures int       // since the last answer
+	answered time.Time // time of the last answer; before the first one, the time at which Run began
+	failures int       // failures since the last answer
 }
 
-// failed logs the end of a subscription, when the next one begins, and how long the list may be used still.
+// failed counts and logs a failure, with the time until the next poll and the time until the list expires.
 func (o *outage) failed(f *pollFailure, version int64, nextPoll, expires time.Duration) {
 	o.failures++
 	switch e := f.evidence(); {
@@ -31,7 +31,7 @@
 		watchesLost.Inc()
 	case e == provesUnreachable:
 		pollsUnreachable.Inc()
-	case e == mayBeCrowded:
+	case e == mayBeOverloaded:
 		pollsRejected.Inc()
 	default:
 		pollsUnanswered.Inc()
@@ -43,11 +43,11 @@
 		"endpoint_list_expires_in", expires.Round(time.Millisecond))
 }
 
-// answeredWith notes an answer with a version of the list, and logs the end of an outage.
+// answeredWith records an answer with a version of the list, and logs the end of an outage.
 func (o *outage) answeredWith(version int64) {
 	pollsAnswered.Inc()
 	if o.failures > 0 {
-		slog.Info("discovery answers again", "version", version, "failures", o.failures,
+		slog.Info("discovery recovered", "version", version, "failures", o.failures,
 			"after", time.Since(o.answered).Round(time.Millisecond))
 	}
 	o.answered, o.failures = time.Now(), 0
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,30 +1,30 @@
-// Package platform speaks the platform's protocol: to clients, to replicas, and to discovery.
+// Package platform implements the platform's protocol with clients, replicas and discovery.
 //
 // # Parts
 //
-//	front.go          clients: a request becomes a core.Query, an answer its reply
-//	caller.go         replicas: which connection takes a call, cancellation, limits
-//	replica_conn.go   one connection to a replica: what is outstanding on it, when it is closed
-//	replica_writer.go its writer: connects, writes calls and cancellations, ends what is left
+//	front.go          clients: converts a request to a core.Query, and its answer to a reply
+//	caller.go         replicas: choice of the connection for a call, cancellation, limits
+//	replica_conn.go   one connection to a replica: its outstanding attempts, when it is closed
+//	replica_writer.go its writer: connects, writes calls and cancellations, ends the attempts that remain
 //	replica_reader.go its reader: answers, time-outs, malformed frames
-//	frame.go          the frames' form
-//	discovery.go      discovery: when a subscription begins, and what its end means
+//	frame.go          the format of frames
+//	discovery.go      discovery: when a subscription begins, and what its failure means
 //	subscription.go   the calls of one subscription
-//	poll_failure.go   what a failed call shows
-//	discovery_log.go  what is counted and logged of discovery
-//	relayed_list.go   the endpoint list from relays, in discovery's place
-//	list.go           the endpoint list's form, and a copy of it for a process that takes over
+//	poll_failure.go   what a failed call proves about discovery
+//	discovery_log.go  counters and log lines of discovery
+//	relayed_list.go   the endpoint list from relays, in place of discovery
+//	list.go           the format of the endpoint list, and a copy of it for a process that takes over
 //
 // # Goroutines
 //
-// Each connection to a replica has a writer, which Caller starts, and a reader, which the writer starts and waits for;
-// both end when the connection is closed, at the latest by Caller.Close, which does not wait for them. All their state
-// is guarded by the Caller's lock, under which nothing blocks. Discovery.Run is one goroutine, which its caller starts
-// and ends by its context; a subscription has a second one that waits for a new address, and is waited for.
-// Front.Handle runs on the goroutines of http1.Server.
+// Each connection to a replica has a writer, which Caller starts, and a reader, which the writer starts and waits for.
+// Both end when the connection is closed, at the latest by Caller.Close, which does not wait for them. The Caller's
+// lock guards all their state and is never held while blocking. Discovery.Run runs on one goroutine, which its caller
+// starts, and ends with its context. Each subscription has a second goroutine, which waits for a new address, and which
+// Run waits for. Front.Handle runs on the goroutines of http1.Server.
 //
-// # Words
+// # Terms
 //
-// The protocol's words (slice, mass, entire, group, since) are mapped in front.go, frame.go and list.go to those of
+// front.go, frame.go and list.go map the protocol's terms (slice, mass, entire, group, since) to those of
 // docs/GLOSSARY.md.
 package platform
--- a/internal/platform/frame.go
+++ b/internal/platform/frame.go
@@ -14,25 +14,25 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A frame is a length of four bytes, least significant first, which counts what follows: a letter for its kind, and the
+// A frame is a four-byte little-endian length, a one-byte kind and a payload. The length counts the kind and the
 // payload.
 const (
-	frameCall   = '1' // to a replica: parts, one after the other
-	frameCancel = '2' // to a replica: the id of a part that is cancelled
+	frameCall   = '1' // to a replica: the parts of a call, one after the other
+	frameCancel = '2' // to a replica: the id of a cancelled part
 	frameAnswer = '5' // from a replica: the answer to one part
 	frameError  = 'X' // from a replica: it could not use a frame, and closes the connection
 
-	frameHeader = 4 // bytes of the length
-	// maxFrame bounds a frame, in bytes: a value, which has to fit a body of 64 KiB, and its line. Who claims more
-	// does not speak frames.
+	frameHeader = 4 // size of the length, in bytes
+	// maxFrame bounds the length of a frame, in bytes: a value, which has to fit into a body of 64 KiB, and the answer
+	// line before it. A peer that announces a larger frame does not speak this protocol.
 	maxFrame = 68 << 10
 )
 
-// errMalformed is returned for a frame or an answer that cannot be read. Nothing after it on a connection can be
-// trusted.
+// errMalformed is returned for a frame or an answer that cannot be parsed. Nothing that follows it on the connection
+// can be trusted.
 var errMalformed = errors.New("platform: malformed frame")
 
-// nextFrame takes one complete frame off the buffer; ok is false while it is not all there. The payload is valid
+// nextFrame removes one complete frame from the buffer; ok is false while the frame is incomplete. The payload is valid
 // until the buffer is used again.
 func nextFrame(b *buffer.Buffer) (kind byte, payload []byte, ok bool, err error) {
 	data := b.Bytes()
@@ -55,11 +55,11 @@
 	return append(append(b, kind), payload...)
 }
 
-// partID names a part on the frames: the query's id, a dot, the shard.
+// partID returns the id of a part in frames: the query's id, a dot and the shard.
 func partID(at *core.Attempt) string { return at.QueryID + "." + strconv.Itoa(at.Shard) }
 
-// appendPart writes one part of a call: a line with its id, shard, time left in milliseconds (1 is the least that
-// the wire has), idempotency key and length, then its body.
+// appendPart appends one part of a call: a line with its id, shard, time left in milliseconds (at least 1, the minimum
+// of the protocol), idempotency key and length, followed by its body.
 func appendPart(b []byte, at *core.Attempt) []byte {
 	b = fmt.Appendf(b, "%s %d d=%d", partID(at), at.Shard, max(1, at.Remaining().Milliseconds()))
 	if at.IdempotencyKey != "" {
@@ -69,22 +69,22 @@
 	return append(b, at.Body...)
 }
 
-// outcomes maps how an answer says that its part ended.
+// outcomes maps the END field of an answer to the outcome of its part.
 var outcomes = map[string]scatter.Outcome{
 	"S": scatter.Succeeded,
 	"E": scatter.Errored,
 	"B": scatter.Rejected,
 }
 
-// partAnswer is what a replica sent for a part.
+// partAnswer is a replica's answer to one part.
 type partAnswer struct {
 	id      string
 	outcome scatter.Outcome
 	value   []byte
 }
 
-// parseAnswer reads the payload of an answer: a line ID END SCORE REPORT, then the value, which is copied. The
-// report is not read: an answer counts whatever it holds.
+// parseAnswer parses the payload of an answer: a line ID END SCORE REPORT, followed by the value, which is copied. The
+// report is not parsed: the answer is valid whatever the report contains.
 func parseAnswer(payload []byte) (partAnswer, error) {
 	line, value, found := bytes.Cut(payload, []byte("\n"))
 	fields := strings.SplitN(string(line), " ", 4)
@@ -95,7 +95,7 @@
 	if _, err := strconv.ParseFloat(fields[2], 64); !known || err != nil {
 		return partAnswer{}, fmt.Errorf("%w: end or score %.80q", errMalformed, line)
 	}
-	if !utf8.Valid(value) { // no client could be given it unchanged
+	if !utf8.Valid(value) { // it could not be passed to a client unchanged
 		return partAnswer{}, fmt.Errorf("%w: value is not UTF-8", errMalformed)
 	}
 	return partAnswer{fields[0], outcome, append([]byte{}, value...)}, nil
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -16,14 +16,14 @@
 	"harepass/internal/http1"
 )
 
-// Front takes clients' queries on the platform's protocol. Its fields are to be set before the first request;
-// Handle is for any goroutine.
+// Front serves clients' queries in the platform's protocol. Its fields must be set before the first request. Handle may
+// be called from any goroutine.
 type Front struct {
 	Coordinator *core.Coordinator
-	Clock       core.Clock // the coordinator's
+	Clock       core.Clock // the coordinator's clock
 }
 
-// queryBody is the body of a query on the wire.
+// queryBody is the JSON body of a query.
 type queryBody struct {
 	Slices []struct {
 		Slice *int     `json:"slice"`
@@ -32,7 +32,7 @@
 	Filter *string `json:"filter"`
 }
 
-// answerBody is the body of an answer on the wire.
+// answerBody is the JSON body of an answer.
 type answerBody struct {
 	Entire bool   `json:"entire"`
 	Items  []item `json:"items"`
@@ -43,7 +43,7 @@
 	Body  string `json:"body"`
 }
 
-// invalidRequest is what is wrong with a request; the client is told the text.
+// invalidRequest is the error for an invalid request. The client receives its text.
 type invalidRequest struct{ text string }
 
 func (e *invalidRequest) Error() string { return e.text }
@@ -52,7 +52,7 @@
 	return &invalidRequest{fmt.Sprintf(format, args...)}
 }
 
-// Handle answers one request. clientLeft is closed when the client has closed its connection.
+// Handle answers one request. clientLeft is closed when the client closes its connection.
 func (f *Front) Handle(req *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 	path, _, _ := strings.Cut(req.Target, "?")
 	switch path {
@@ -73,8 +73,8 @@
 	return textReply(http.StatusNotFound, "no such path")
 }
 
-// query answers a query. The coordinator's admission is asked as soon as the head tells class and tenant, before
-// the body is parsed.
+// query answers a query. The coordinator decides on admission by the class and tenant in the head, before the body is
+// parsed.
 func (f *Front) query(req *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 	q, err := f.parseHead(req)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return answerReply(q, a)
 }
 
-// answerReply is the final answer to a query that was served, completely or in part.
+// answerReply returns the final answer to a query that was served completely or in part.
 func answerReply(q *core.Query, a core.Answer) *http1.Message {
 	body := answerBody{Entire: a.Complete, Items: []item{}}
 	for i, v := range a.Values {
@@ -116,7 +116,7 @@
 	return &http1.Message{Status: http.StatusOK, Header: header, Body: data}
 }
 
-// rejection is the answer to a rejected query. retryAfter is 0 for no advice.
+// rejection returns the answer to a rejected query. It has no Retry-After header if retryAfter is 0.
 func rejection(retryAfter time.Duration) *http1.Message {
 	m := textReply(http.StatusTooManyRequests, "refused")
 	if retryAfter > 0 {
@@ -125,10 +125,10 @@
 	return m
 }
 
-// singleHeaders are the headers of a query that stand once at most.
+// singleHeaders are the headers that a query may have at most once.
 var singleHeaders = []string{"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget", "X-Again"}
 
-// parseHead reads what this protocol has in its headers; what any query has to be is for the core to check.
+// parseHead reads the headers of this protocol. The core checks the rules that apply to the queries of every protocol.
 func (f *Front) parseHead(req *http1.Message) (*core.Query, error) {
 	for _, h := range singleHeaders {
 		if len(req.Header[h]) > 1 {
@@ -150,8 +150,8 @@
 	}, nil
 }
 
-// parseBody reads a query's body and parts. A body that is not UTF-8 is refused: decoding would change what the
-// parts carry.
+// parseBody reads a query's body and parts. It rejects a body that is not UTF-8, because decoding would change the data
+// that the parts carry.
 func parseBody(q *core.Query, data []byte) error {
 	var body queryBody
 	if !utf8.Valid(data) {
@@ -173,13 +173,13 @@
 	return nil
 }
 
-// maxBudget is the longest time that a client may give a query.
+// maxBudget is the longest time that a client may allow for a query.
 const maxBudget = time.Hour
 
-// budgetUnits are the units of a budget, by their letter.
+// budgetUnits maps the letter at the end of a budget to its unit.
 var budgetUnits = map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}
 
-// parseBudget reads the time that a client gives: a number followed by the letter of its unit.
+// parseBudget parses the time that a client allows: a number followed by the letter of its unit.
 func parseBudget(s string) (time.Duration, error) {
 	if s == "" || budgetUnits[s[len(s)-1]] == 0 || strings.Trim(s[:len(s)-1], "0123456789.") != "" {
 		return 0, invalidf("bad X-Budget %.40q", s)
@@ -192,7 +192,7 @@
 	return time.Duration(n * unit), nil
 }
 
-// textReply is an answer of one line of text.
+// textReply returns an answer whose body is one line of text.
 func textReply(status int, line string) *http1.Message {
 	header := textproto.MIMEHeader{"Content-Type": {"text/plain"}}
 	return &http1.Message{Status: status, Header: header, Body: []byte(line + "\n")}
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -11,7 +11,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// List is the endpoint list, or changes of it, in discovery's form.
+// List is the endpoint list, or a set of changes to it, in discovery's format.
 type List struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
@@ -28,14 +28,14 @@
 	SinceMS int64  `json:"since_ms"`
 }
 
-// statusRemoved is that of an entry that is listed no more; it stands among changes only.
+// statusRemoved is the status of an entry that is no longer listed. It occurs only in changes.
 const statusRemoved = "terminated"
 
 var replicaStates = map[string]scatter.ReplicaState{
 	"in_service": scatter.Ready, "terminating": scatter.Draining, statusRemoved: scatter.Removed}
 
-// CoreEndpoints gives the entries as the coordinator takes them. An entry with an unknown status or without a name
-// is an error.
+// CoreEndpoints converts the entries to the coordinator's endpoints. It returns an error for an entry that has an
+// unknown status or no name.
 func (l List) CoreEndpoints() ([]core.Endpoint, error) {
 	endpoints := make([]core.Endpoint, 0, len(l.Endpoints))
 	for _, e := range l.Endpoints {
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("platform: entry %q has status %q", e.Name, e.Status)
 }
 
-// check returns what keeps an entry from being an endpoint.
+// check returns an error if the entry cannot be converted to an endpoint.
 func (e Endpoint) check() error {
 	if _, known := replicaStates[e.Status]; !known || e.Name == "" {
 		return &EntryError{e.Name, e.Status}
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// ListCopy is the complete list as the answers so far make it, for a process that takes over. An answer costs what it
-// holds; only Snapshot goes through the list. It is for any goroutine.
+// ListCopy is the complete list that results from the answers so far, for a process that takes over. Merge costs work
+// only for the entries of its answer; only Snapshot iterates over the whole list. It may be used from any goroutine.
 type ListCopy struct {
 	mu      sync.Mutex
 	address string
@@ -79,14 +79,14 @@
 	entries map[string]Endpoint // by name
 }
 
-// NewListCopy returns a copy of a known list of the service at an address.
+// NewListCopy returns a copy of the known list, which came from the service at an address.
 func NewListCopy(address string, known List) *ListCopy {
 	c := &ListCopy{entries: map[string]Endpoint{}}
 	c.Merge(address, known)
 	return c
 }
 
-// Merge takes an answer of the service at an address into the copy.
+// Merge applies an answer of the service at an address to the copy.
 func (c *ListCopy) Merge(address string, l List) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Snapshot is the list and the address of the service that it came from.
+// Snapshot returns the list and the address of the service that it came from.
 func (c *ListCopy) Snapshot() (address string, l List) {
 	c.mu.Lock()
 	entries := maps.Clone(c.entries)
--- a/internal/platform/poll_failure.go
+++ b/internal/platform/poll_failure.go
@@ -12,59 +12,61 @@
 )
 
 var (
-	// errUnavailable is discovery's answer that it is down, or that a call has waited too long.
+	// errUnavailable is returned where discovery answers 503: it is down, or the call has waited too long.
 	errUnavailable = errors.New("platform: discovery answered 503")
-	// errUnreadableList is returned for an answer that is no endpoint list.
-	errUnreadableList = errors.New("platform: unreadable list")
-	// errListWentBack is returned for changes up to a version that is older than the one that is known.
-	errListWentBack = errors.New("platform: the list went back")
+	// errUnreadableList is returned for an answer that is not an endpoint list.
+	errUnreadableList = errors.New("platform: discovery's answer is not an endpoint list")
+	// errOutdatedList is returned for changes up to a version that is older than the known one.
+	errOutdatedList = errors.New("platform: discovery's changes are older than the known list")
 )
 
-// statusError is an answer of discovery with a status that no call is to have.
+// statusError is an answer of discovery with an unexpected status.
 type statusError struct{ status int }
 
 func (e *statusError) Error() string { return fmt.Sprintf("platform: discovery answered %d", e.status) }
 
-// pollFailure is a call to discovery that brought no list.
+// pollFailure is a call to discovery that returned no usable list.
 type pollFailure struct {
-	watch bool          // a watch brought no answer; false for a first call, and for an answer that could not be used
+	watch bool          // a watch got no answer; false for a first call, and for an answer that could not be used
 	began time.Duration // when the call began, on the coordinator's clock
-	took  time.Duration // how long discovery kept it; 0 for an answer that could not be used
+	took  time.Duration // how long the call took; 0 for an answer that could not be used
 	err   error
 }
 
 func (f *pollFailure) Error() string {
 	if f.watch {
-		return fmt.Sprintf("platform: the watch was lost after %v: %v", f.took.Round(time.Millisecond), f.err)
+		return fmt.Sprintf("platform: watch of discovery lost after %v: %v", f.took.Round(time.Millisecond), f.err)
 	}
 	return f.err.Error()
 }
 
 func (f *pollFailure) Unwrap() error { return f.err }
 
-// evidence is what a failed call shows of discovery. Changes of the list count as notified some time after discovery
-// had them and could be reached, so only a call that shows that it could not be reached lets the list hold longer.
+// evidence is what a failed call proves about discovery. A change of the list counts as notified some time after
+// discovery had it and could be reached. So a call extends the time for which the list may be used only if it proves
+// that discovery could not be reached, or if it may mean that and the fleet is too large for all its coordinators to be
+// answered before the list expires (recordFailure).
 //
-//	how the call ended                          what it can mean                       evidence
-//	connection refused, no route, not taken     nobody is there                        provesUnreachable
-//	no socket or port of our own to be had      a fault of this machine                provesNothing
-//	503, at once or late                        down; or a full queue; or a long wait  mayBeCrowded
-//	ended without an answer at once             down; or a full queue                  mayBeCrowded
-//	ended without an answer after a wait        it was accepted, and waited            provesNothing
-//	no answer, a broken or unreadable one       it was accepted                        provesNothing
-//	a watch that ended or stayed silent         says nothing of other calls            provesNothing
+//	how the call ended                          what it can mean                            evidence
+//	connection refused, timed out, or no route  nothing accepts connections there           provesUnreachable
+//	no local socket or port available           a fault of this machine                     provesNothing
+//	503, at once or late                        down, or a full queue, or a long wait       mayBeOverloaded
+//	ended without an answer at once             down, or a full queue                       mayBeOverloaded
+//	ended without an answer after a wait        discovery accepted the call, and it waited  provesNothing
+//	no answer, or a broken or unreadable one    discovery accepted the call                 provesNothing
+//	a watch that ended or was not answered      nothing about other calls                   provesNothing
 //
-// What would tell a crowded discovery from one that is down is not to be had here: watches end when it goes down, but
-// also by themselves, and nothing tells one coordinator that others are answered.
+// A coordinator cannot distinguish an overloaded discovery from one that is down: watches end when discovery goes down,
+// but also for other reasons, and a coordinator does not know whether discovery answers others.
 type evidence int
 
 const (
-	provesNothing     evidence = iota // discovery may have been reached
-	mayBeCrowded                      // discovery is down, or it rejects some calls and answers others
-	provesUnreachable                 // nobody could have reached discovery
+	provesNothing     evidence = iota // discovery may have been reachable
+	mayBeOverloaded                   // discovery is down, or it rejects some calls and answers others
+	provesUnreachable                 // no coordinator could have reached discovery
 )
 
-// evidence returns what the call shows.
+// evidence returns what the failed call proves.
 func (f *pollFailure) evidence() evidence {
 	var op *net.OpError
 	switch {
@@ -75,7 +77,7 @@
 	case f.watch:
 		return provesNothing
 	case errors.Is(f.err, errUnavailable), f.took < backoff.ImmediateFailure && endedWithoutAnswer(f.err):
-		return mayBeCrowded
+		return mayBeOverloaded
 	}
 	return provesNothing
 }
@@ -85,13 +87,13 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// localFaults are errors of a connect for want of something on this machine.
+// localFaults are the errors of a connect for which this machine lacks a resource.
 var localFaults = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN,
 }
 
-// isLocalFault reports whether a connection could not be had for want of something on this machine, which says
-// nothing of the other side.
+// isLocalFault reports whether a connect failed because this machine lacks a resource, which proves nothing about the
+// peer.
 func isLocalFault(err error) bool {
 	for _, fault := range localFaults {
 		if errors.Is(err, fault) {
--- a/internal/platform/poll_failure_test.go
+++ b/internal/platform/poll_failure_test.go
@@ -17,7 +17,7 @@
 	const soon, late = 10 * time.Millisecond, 930 * time.Millisecond
 	broken := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 	unconnected := &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
-	unreadable := errors.New("platform: unreadable list")
+	unreadable := errors.New("platform: discovery's answer is not an endpoint list")
 	dial := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 	}
@@ -30,10 +30,10 @@
 		"the network is away":                  {pollFailure{took: soon, err: dial(syscall.ENETUNREACH)}, provesUnreachable},
 		"no descriptor of our own is left":     {pollFailure{took: soon, err: dial(syscall.EMFILE)}, provesNothing},
 		"no port of our own is left":           {pollFailure{took: soon, err: dial(syscall.EADDRNOTAVAIL)}, provesNothing},
-		"unavailable at once":                  {pollFailure{took: soon, err: errUnavailable}, mayBeCrowded},
-		"unavailable after a wait":             {pollFailure{took: late, err: errUnavailable}, mayBeCrowded},
-		"reset at once":                        {pollFailure{took: soon, err: broken}, mayBeCrowded},
-		"ended at once":                        {pollFailure{took: soon, err: io.EOF}, mayBeCrowded},
+		"unavailable at once":                  {pollFailure{took: soon, err: errUnavailable}, mayBeOverloaded},
+		"unavailable after a wait":             {pollFailure{took: late, err: errUnavailable}, mayBeOverloaded},
+		"reset at once":                        {pollFailure{took: soon, err: broken}, mayBeOverloaded},
+		"ended at once":                        {pollFailure{took: soon, err: io.EOF}, mayBeOverloaded},
 		"reset after a wait (2026-12-02)":      {pollFailure{took: late, err: broken}, provesNothing},
 		"ended after a wait":                   {pollFailure{took: late, err: io.EOF}, provesNothing},
 		"cut off in the middle of an answer":   {pollFailure{took: soon, err: io.ErrUnexpectedEOF}, provesNothing},
--- a/internal/platform/relayed_list.go
+++ b/internal/platform/relayed_list.go
@@ -11,27 +11,27 @@
 	"harepass/internal/distribution"
 )
 
-// DistributedSource is the address under which a list that came from relays is kept. It is no discovery service's, so
-// nobody takes the list's version for one of discovery's.
+// DistributedSource is the address under which a list that came from relays is stored. No discovery service has this
+// address, so the list's version cannot be mistaken for a version of discovery's list.
 const DistributedSource = "distribution"
 
-// RelayedList brings the coordinator the endpoint list that relays give out, in Discovery's place: Check and Apply
-// are for a distribution.Follower, whose goroutine alone calls them. Its exported fields are to be set before.
+// RelayedList passes the endpoint list of relays to the coordinator, in place of Discovery. Check and Apply are for the
+// goroutine of a distribution.Follower only. The exported fields must be set before the follower runs.
 type RelayedList struct {
-	Listed func(scatter.UpdateKind, []core.Endpoint) // takes changes, and the last slice of the first snapshot
-	Part   func([]core.Endpoint)                     // takes slices of the first snapshot before its last one
+	Listed func(scatter.UpdateKind, []core.Endpoint) // receives changes, and the last slice of the first snapshot
+	Part   func([]core.Endpoint)                     // receives the other slices of the first snapshot
 
-	complete bool       // the first snapshot is in
+	complete bool       // the first snapshot is complete
 	checked  []Endpoint // the entries of the answer that was checked last, in its order
-	known    List       // what the coordinator was started with
-	copy     *ListCopy  // for a process that takes over; nil where nobody wants it
-	changed  func()     // called when copy has changed
+	known    List       // list that the coordinator started with
+	copy     *ListCopy  // for a process that takes over; nil if none is kept
+	changed  func()     // called after copy has changed
 }
 
-// NewRelayedList returns a RelayedList for a coordinator that has been given the known list.
+// NewRelayedList returns a RelayedList for a coordinator that already has the known list.
 func NewRelayedList(known List) *RelayedList { return &RelayedList{known: known} }
 
-// Known are the names of the entries that the coordinator has been given.
+// Known returns the names of the entries that the coordinator started with.
 func (d *RelayedList) Known() []string {
 	names := make([]string, 0, len(d.known.Endpoints))
 	for _, e := range d.known.Endpoints {
@@ -40,14 +40,15 @@
 	return names
 }
 
-// KeepCopy keeps the complete list for a process that takes over, and calls changed when it has changed. It is to
-// be called before the follower runs.
+// KeepCopy keeps a copy of the complete list for a process that takes over, and calls changed after each change of the
+// copy. It must be called before the follower runs.
 func (d *RelayedList) KeepCopy(changed func()) *ListCopy {
 	d.copy, d.changed = NewListCopy(DistributedSource, d.known), changed
 	return d.copy
 }
 
-// Check returns an error for an entry that is no endpoint, and keeps the others for the Apply that follows.
+// Check decodes the entries of an answer and keeps them for the Apply that follows. It returns an error if an entry
+// cannot be converted to an endpoint.
 func (d *RelayedList) Check(entries []versionlog.Entry) error {
 	d.checked = d.checked[:0]
 	for _, entry := range entries {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// Apply hands on what has changed. Entries count at once, also before the list is complete.
+// Apply passes the changes of an answer to the coordinator. They take effect at once, even before the list is complete.
 func (d *RelayedList) Apply(u distribution.Update) {
 	list := List{Index: u.Slice.Version.Index, Endpoints: d.endpoints(u.Entries)}
 	for _, name := range u.MissingFromSnapshot {
@@ -74,7 +75,7 @@
 	}
 	endpoints, err := list.CoreEndpoints()
 	if err != nil {
-		return // Check lets none pass
+		return // does not happen: Check has rejected such entries
 	}
 	if d.copy != nil {
 		d.copy.Merge(DistributedSource, list)
@@ -88,7 +89,7 @@
 	}
 }
 
-// endpoints gives some entries of the answer that was checked last, in its order, in discovery's form.
+// endpoints returns the decoded form of some entries of the answer that was checked last. They must be in its order.
 func (d *RelayedList) endpoints(entries []versionlog.Entry) []Endpoint {
 	list := make([]Endpoint, 0, len(entries))
 	next := 0
--- a/internal/platform/replica_conn.go
+++ b/internal/platform/replica_conn.go
@@ -9,55 +9,55 @@
 	"harepass/internal/decide/scatter"
 )
 
-// frameState is how far an attempt is on its connection.
+// frameState is how far the frame of an attempt has been written.
 type frameState int
 
 const (
-	frameQueued  frameState = iota // its frame has not been begun
-	frameBegun                     // its frame is being written
-	frameWritten                   // its frame's last byte is written: it may run
+	frameQueued  frameState = iota // writing has not begun
+	frameBegun                     // the frame is being written
+	frameWritten                   // the last byte has been written: the part may run
 )
 
-// sentAttempt is an attempt on a connection that has not ended.
+// sentAttempt is an attempt that was given to a connection and has not ended.
 type sentAttempt struct {
 	attempt   *core.Attempt
-	id        string // names its part on the frames
+	id        string // of its part, in frames
 	call      *queueItem
 	state     frameState
-	writtenAt time.Time // when its frame's last byte was written
-	cancelled bool      // its cancellation has been asked for
+	writtenAt time.Time // when the last byte of its frame was written
+	cancelled bool      // Caller.Cancel was called for it
 }
 
-// queueItem is what a connection's queue holds: a call, which lives on until its parts are settled, or the
-// cancellation of one attempt.
+// queueItem is an item of a connection's queue: the cancellation of one attempt, or a call, which remains in use until
+// its parts are settled.
 type queueItem struct {
 	parts     []*sentAttempt
-	unsettled int          // parts that have not ended
-	cancels   *sentAttempt // the attempt to be cancelled; nil for a call
+	unsettled int          // number of parts that have not ended
+	cancels   *sentAttempt // the attempt to cancel; nil for a call
 }
 
-// replicaConn is a connection to a replica. Its fields are guarded by the Caller's lock.
+// replicaConn is a connection to a replica. The Caller's mu guards its fields.
 type replicaConn struct {
 	caller           *Caller
-	replica          string // its id
+	replica          string // id of the replica
 	address          string
-	queue            []*queueItem  // not written yet, oldest first
-	wake             chan struct{} // holds a token when something is queued, or when the connection is closed
+	queue            []*queueItem  // items that have not been written, oldest first
+	wake             chan struct{} // holds a token after an item is queued or the connection is closed
 	outstanding      []*sentAttempt
-	settledIDs       []string // the ids that were settled here last, the latest last
-	calls            int      // with unsettled parts
+	settledIDs       []string // ids of the parts that were settled here last, the latest last
+	calls            int      // number of calls with unsettled parts
 	lastUsed         time.Time
-	lastAnswer       time.Time    // zero before the first one
+	lastAnswer       time.Time    // zero before the first answer
 	answersElsewhere int          // calls answered on other connections to the replica while this one was silent
-	closed           bool         // out of use
-	discarded        bool         // closed by us: an answer cannot be read, or none comes any more
-	malformedFrom    *sentAttempt // the attempt whose answer could not be read, if that can be told
-	conn             net.Conn     // nil before it is connected
+	closed           bool         // no longer in use
+	discarded        bool         // ended by this process, as after a malformed answer or a silence; see endOutstanding
+	malformedFrom    *sentAttempt // the attempt whose answer was malformed; nil if unknown
+	conn             net.Conn     // nil until connected
 }
 
-// enqueue queues a call, or a cancellation. It is called under the lock.
-func (c *replicaConn) enqueue(call *queueItem) {
-	c.queue = append(c.queue, call)
+// enqueue queues a call or a cancellation. mu must be held.
+func (c *replicaConn) enqueue(item *queueItem) {
+	c.queue = append(c.queue, item)
 	c.lastUsed = time.Now()
 	c.signal()
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-// close takes the connection out of use. It is called under the lock; the connection's goroutines end what is
-// outstanding on it.
+// close takes the connection out of use. The connection's goroutines then end the attempts that are outstanding on it.
+// mu must be held.
 func (c *replicaConn) close() {
 	if c.closed {
 		return
@@ -78,7 +78,7 @@
 	c.closed = true
 	c.caller.openCount--
 	list := slices.DeleteFunc(c.caller.conns[c.replica], func(o *replicaConn) bool { return o == c })
-	if c.caller.conns[c.replica] = list; len(list) == 0 { // the node may be gone for good
+	if c.caller.conns[c.replica] = list; len(list) == 0 { // the replica may have been removed for good
 		delete(c.caller.conns, c.replica)
 	}
 	if c.conn != nil {
@@ -87,13 +87,14 @@
 	c.signal()
 }
 
-// discard closes the connection so that what is outstanding on it is taken back. It is called under the lock.
+// discard closes the connection and has its outstanding attempts end as Cancelled or NotSent, rather than as failures
+// of the replica (see endOutstanding). mu must be held.
 func (c *replicaConn) discard() {
 	c.discarded = true
 	c.close()
 }
 
-// silentFor is for how long answers have been awaited and none has come. It is called under the lock.
+// silentFor returns how long answers have been awaited without any arriving. mu must be held.
 func (c *replicaConn) silentFor() time.Duration {
 	i := slices.IndexFunc(c.outstanding, func(s *sentAttempt) bool { return s.state == frameWritten })
 	if i < 0 {
@@ -105,8 +106,8 @@
 	return time.Since(c.lastAnswer)
 }
 
-// recordAnswer notes an answer, and what it says of the replica's other connections: one that has been silent while
-// later calls were answered elsewhere is closed. It is called under the lock.
+// recordAnswer records an answer. It also discards each other connection to the replica that has been silent while
+// answersToClose later calls were answered elsewhere. mu must be held.
 func (c *replicaConn) recordAnswer(s *sentAttempt) {
 	c.lastAnswer, c.answersElsewhere = time.Now(), 0
 	for _, o := range slices.Clone(c.caller.conns[c.replica]) {
@@ -118,7 +119,7 @@
 	}
 }
 
-// settle ends an attempt on this connection. It is called under the lock; the caller reports the outcome without it.
+// settle removes an attempt from the connection. mu must be held; the outcome must be reported without it.
 func (c *replicaConn) settle(s *sentAttempt) {
 	c.outstanding = slices.DeleteFunc(c.outstanding, func(o *sentAttempt) bool { return o == s })
 	delete(c.caller.attempts, s.attempt)
@@ -129,33 +130,33 @@
 	}
 }
 
-// endAttempt settles an attempt that is still outstanding and reports its outcome.
+// endAttempt settles an attempt and reports its outcome, if the attempt is still outstanding.
 func (c *replicaConn) endAttempt(s *sentAttempt, outcome scatter.Outcome, value []byte) {
 	c.caller.mu.Lock()
-	out := slices.Contains(c.outstanding, s)
-	if out {
+	isOutstanding := slices.Contains(c.outstanding, s)
+	if isOutstanding {
 		c.settle(s)
 	}
 	c.caller.mu.Unlock()
-	if out {
+	if isOutstanding {
 		c.caller.Reporter.AttemptEnded(s.attempt, outcome, value)
 	}
 }
 
-// closeIfIdle takes the connection out of use if no answer has been awaited for a time, and reports whether it did.
-// Both happen under one lock: a call that came in between would pass for one that the replica refused.
-func (c *replicaConn) closeIfIdle(since time.Duration) bool {
+// closeIfIdle closes the connection if no answer has been awaited on it for a time, and reports whether it did. The
+// check and the close share one lock: a call queued between them would seem to have been refused by the replica.
+func (c *replicaConn) closeIfIdle(idleFor time.Duration) bool {
 	c.caller.mu.Lock()
 	defer c.caller.mu.Unlock()
-	if len(c.outstanding) > 0 || time.Since(c.lastUsed) < since {
+	if len(c.outstanding) > 0 || time.Since(c.lastUsed) < idleFor {
 		return false
 	}
 	c.close()
 	return true
 }
 
-// hasIgnored reports whether the replica has answered nothing for Caller.ResponseTimeout since an attempt was
-// written. It is called under the lock.
+// hasIgnored reports whether an attempt was written more than Caller.ResponseTimeout ago and no answer has arrived on
+// the connection since. mu must be held.
 func (c *replicaConn) hasIgnored(s *sentAttempt) bool {
 	return s.state == frameWritten && c.lastAnswer.Before(s.writtenAt) &&
 		time.Since(s.writtenAt) > c.caller.ResponseTimeout
--- a/internal/platform/replica_reader.go
+++ b/internal/platform/replica_reader.go
@@ -15,11 +15,11 @@
 	"harepass/internal/socket"
 )
 
-// lateReadTime is how long bytes may take to be read that had come before a deadline.
+// lateReadTime bounds the time to read bytes that arrived before a deadline, after that deadline has passed.
 const lateReadTime = 50 * time.Millisecond
 
-// read takes answers until the connection ends, or until it is of no more use. An answer that has begun has to come in
-// completely within Caller.ResponseTimeout, so that one which never ends does not hold up those behind it.
+// read handles answers until the connection ends or is no longer usable. Each answer has to arrive completely within
+// Caller.ResponseTimeout of its first bytes, so that an answer which never ends does not delay those behind it.
 func (c *replicaConn) read(conn net.Conn) {
 	var b buffer.Buffer
 	inAnswer := false // an answer has begun, and has its deadline
@@ -31,9 +31,9 @@
 		inAnswer = inAnswer && !handled
 		_, response, idle := c.caller.times()
 		switch {
-		case b.Len() == 0: // looks now and then whether the connection is of use still
+		case b.Len() == 0: // the deadline makes the reader check periodically whether the connection is idle
 			conn.SetReadDeadline(time.Now().Add(idle))
-		case c.closeIfIdle(0): // nobody waits for these bytes, and they would spoil the next answer
+		case c.closeIfIdle(0): // no attempt awaits these bytes, and they would corrupt the next answer
 			return
 		case !inAnswer:
 			inAnswer = true
@@ -41,10 +41,10 @@
 		}
 		_, err := b.Fill(conn)
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
-		case late && socket.HasUnread(conn): // this process was held up: bytes that came in time are read
+		case late && socket.HasUnread(conn): // this process was delayed: it still reads bytes that arrived in time
 			conn.SetReadDeadline(time.Now().Add(lateReadTime))
 		case late && b.Len() > 0:
-			c.rejectAnswer(b.Bytes(), fmt.Errorf("%w: it does not end", errMalformed))
+			c.rejectAnswer(b.Bytes(), fmt.Errorf("%w: answer incomplete at its time-out", errMalformed))
 			return
 		case err != nil && (!late || c.closeIfIdle(idle)):
 			return
@@ -52,8 +52,8 @@
 	}
 }
 
-// handleBuffered handles the complete frames in a buffer. handled says that there was one, usable that the
-// connection is of use still.
+// handleBuffered handles the complete frames in a buffer. handled reports whether there was one, and usable whether the
+// connection is still usable.
 func (c *replicaConn) handleBuffered(b *buffer.Buffer) (handled, usable bool) {
 	for {
 		kind, payload, ok, err := nextFrame(b)
@@ -71,24 +71,23 @@
 	}
 }
 
-// handleFrame handles one frame and returns false where the connection is of no more use. behind says that more bytes
-// have come in with it.
-func (c *replicaConn) handleFrame(kind byte, payload []byte, behind bool) (usable bool) {
+// handleFrame handles one frame and returns false if the connection is no longer usable. moreBuffered states that more
+// bytes have arrived behind the frame.
+func (c *replicaConn) handleFrame(kind byte, payload []byte, moreBuffered bool) (usable bool) {
 	switch kind {
 	case frameAnswer:
-		return c.handleAnswer(payload, behind)
+		return c.handleAnswer(payload, moreBuffered)
 	case frameError: // the replica closes the connection
 		slog.Debug("replica rejected a frame", logmsg.KeyReplica, c.replica, "text", string(payload))
 		return false
 	}
-	c.rejectAnswer(nil, fmt.Errorf("%w: unknown letter %q", errMalformed, kind))
+	c.rejectAnswer(nil, fmt.Errorf("%w: unknown kind %q", errMalformed, kind))
 	return false
 }
 
-// handleAnswer takes an answer. A second copy, or the answer to what was cancelled, changes nothing. What comes
-// behind the last answer that was awaited is malformed: the connection is closed before a call could be sent after
-// it.
-func (c *replicaConn) handleAnswer(payload []byte, behind bool) (usable bool) {
+// handleAnswer handles an answer. A duplicate answer, or one to a part that was cancelled, changes nothing. Bytes
+// behind the last awaited answer are malformed: handleAnswer closes the connection before another call can use it.
+func (c *replicaConn) handleAnswer(payload []byte, moreBuffered bool) (usable bool) {
 	a, err := parseAnswer(payload)
 	if err != nil {
 		c.rejectAnswer(appendFrame(nil, frameAnswer, payload), err)
@@ -96,7 +95,7 @@
 	}
 	s, known := c.find(a.id)
 	if !known {
-		c.rejectAnswer(nil, fmt.Errorf("%w: answer to nobody: %q", errMalformed, a.id))
+		c.rejectAnswer(nil, fmt.Errorf("%w: answer to unknown part %q", errMalformed, a.id))
 		return false
 	}
 	if s == nil {
@@ -104,20 +103,20 @@
 	}
 	c.caller.mu.Lock()
 	c.recordAnswer(s)
-	unasked := behind && len(c.outstanding) == 1
-	if unasked {
+	hasUnexpectedBytes := moreBuffered && len(c.outstanding) == 1
+	if hasUnexpectedBytes {
 		c.close()
 	}
 	c.caller.mu.Unlock()
 	c.endAttempt(s, a.outcome, a.value)
-	return !unasked
+	return !hasUnexpectedBytes
 }
 
-// rejectAnswer marks the connection as discarded for an answer that cannot be read; data is that answer from its
-// length on, as far as it has come in. If it names no part that is outstanding, it belongs to the only one, if there
-// is just one. The reader then ends, and endOutstanding reports the outcomes.
+// rejectAnswer discards the connection because of a malformed answer. data is that answer from its length on, as far as
+// it has arrived. If data names no outstanding part and the frame of exactly one part has been begun, the answer counts
+// as that part's. The reader then ends, and endOutstanding reports the outcomes.
 func (c *replicaConn) rejectAnswer(data []byte, err error) {
-	slog.Debug("malformed answer", logmsg.KeyReplica, c.replica, logmsg.KeyError, err)
+	slog.Debug("replica answer malformed", logmsg.KeyReplica, c.replica, logmsg.KeyError, err)
 	var failed *sentAttempt
 	if len(data) > frameHeader && data[frameHeader] == frameAnswer {
 		id, _, _ := bytes.Cut(data[frameHeader+1:], []byte(" "))
@@ -138,8 +137,9 @@
 	c.discard()
 }
 
-// find returns the attempt that an answer belongs to: the part's first that is written and not cancelled, or else one
-// that is cancelled and not settled yet. known says that the part is, or was, asked for here.
+// find returns the attempt that an answer belongs to: the part's first attempt whose frame has been begun and that is
+// not cancelled, or else one that is cancelled but not settled. known reports whether this connection carries or has
+// carried the part.
 func (c *replicaConn) find(id string) (found *sentAttempt, known bool) {
 	c.caller.mu.Lock()
 	defer c.caller.mu.Unlock()
--- a/internal/platform/replica_writer.go
+++ b/internal/platform/replica_writer.go
@@ -15,10 +15,10 @@
 	"harepass/internal/socket"
 )
 
-// connsEndedWhileIdle counts connections that nodes had ended when a call was about to be written to them.
+// connsEndedWhileIdle counts the idle connections that the replica had closed when a call was about to be written.
 var connsEndedWhileIdle = counters.New("node_connections", "ended_while_idle")
 
-// run connects, writes what is queued, and ends what is outstanding when the connection breaks.
+// run connects, writes the queue, and ends the outstanding attempts once the connection has ended.
 func (c *replicaConn) run() {
 	defer c.endOutstanding()
 	conn := c.connect()
@@ -48,7 +48,7 @@
 	<-reading
 }
 
-// connect opens the connection; nil means that it could not be had.
+// connect opens the connection. It returns nil if that fails.
 func (c *replicaConn) connect() net.Conn {
 	c.caller.mu.Lock()
 	onDial := c.caller.onDial
@@ -63,8 +63,8 @@
 	if err == nil {
 		return conn
 	}
-	slog.Debug("connection failed", logmsg.KeyReplica, c.replica, logmsg.KeyError, err)
-	if errors.Is(err, syscall.EMFILE) { // no descriptor is left here, which says nothing of the replica
+	slog.Debug("replica connection failed", logmsg.KeyReplica, c.replica, logmsg.KeyError, err)
+	if errors.Is(err, syscall.EMFILE) { // this process has no descriptor left, which says nothing about the replica
 		c.caller.mu.Lock()
 		c.discarded = true
 		c.caller.mu.Unlock()
@@ -72,9 +72,10 @@
 	return nil
 }
 
-// endOutstanding reports the outcome of all that was still outstanding when the writer has ended, for only then is it
-// known what may have run. A connection that the replica broke resets it. One that was discarded for a malformed
-// answer fails the part whose answer that was and takes the others back: that says nothing of the replica's health.
+// endOutstanding ends all outstanding attempts. It runs after the writer has ended, because only then is it known which
+// parts may have run. If the replica broke the connection, written attempts end as ConnectionReset and the others as
+// ConnectFailed. If the connection was discarded, the attempt whose answer was malformed ends as Errored, and the
+// others as Cancelled or NotSent, which say nothing about the replica's health.
 func (c *replicaConn) endOutstanding() {
 	c.caller.mu.Lock()
 	c.close()
@@ -99,13 +100,13 @@
 	}
 }
 
-// write waits for something to write and writes all that is queued; false means that the connection is over.
+// write waits until it is woken and writes the queue. It returns false if the connection has ended.
 func (c *replicaConn) write(conn net.Conn) bool {
 	<-c.wake
 	for {
 		next, state := c.takeQueued(conn)
-		if state != lookTaken {
-			return state == lookEmpty
+		if state != itemTaken {
+			return state == queueEmpty
 		}
 		for _, s := range next.denied {
 			c.endAttempt(s, scatter.NotSent, nil)
@@ -119,48 +120,48 @@
 	}
 }
 
-// queueLook is what a writer finds when it looks for something to write.
-type queueLook int
+// queueState is what takeQueued found.
+type queueState int
 
 const (
-	lookTaken queueLook = iota // there was something
-	lookEmpty                  // nothing is queued
-	lookOver                   // the connection is closed
+	itemTaken  queueState = iota // an item was taken
+	queueEmpty                   // nothing is queued
+	connClosed                   // the connection is closed
 )
 
-// outgoing is what is to be done for one queued call or cancellation.
+// outgoing is the work for one queued call or cancellation.
 type outgoing struct {
-	frame   []byte         // nil where nothing is to be written
-	parts   []*sentAttempt // in the frame
-	denied  []*sentAttempt // may not begin any more
-	ended   *sentAttempt   // ends once the frame is written; nil for a call
+	frame   []byte         // nil if nothing is to be written
+	parts   []*sentAttempt // the attempts in the frame
+	denied  []*sentAttempt // the attempts that may no longer begin
+	ended   *sentAttempt   // ends with outcome once the frame is written; nil for a call
 	outcome scatter.Outcome
 }
 
-// takeQueued takes what is queued first. A connection that its replica has ended while idle is discarded instead,
-// so that what is queued goes elsewhere.
-func (c *replicaConn) takeQueued(conn net.Conn) (next outgoing, state queueLook) {
+// takeQueued takes the oldest queued item. If the replica has closed the connection while it was idle, takeQueued
+// discards the connection instead, so that the queued calls are sent elsewhere.
+func (c *replicaConn) takeQueued(conn net.Conn) (next outgoing, state queueState) {
 	c.caller.mu.Lock()
 	defer c.caller.mu.Unlock()
 	switch {
 	case c.closed:
-		return next, lookOver
+		return next, connClosed
 	case len(c.queue) == 0:
-		return next, lookEmpty
+		return next, queueEmpty
 	case c.peerEndedWhileIdle(conn):
 		c.discard()
-		return next, lookOver
+		return next, connClosed
 	}
-	call := c.queue[0]
+	item := c.queue[0]
 	c.queue = c.queue[1:]
-	if call.cancels != nil {
-		return c.cancellation(call.cancels), lookTaken
+	if item.cancels != nil {
+		return c.cancellation(item.cancels), itemTaken
 	}
-	return beginCall(call), lookTaken
+	return beginCall(item), itemTaken
 }
 
-// cancellation is what cancels an attempt: nothing, where it has ended meanwhile; no frame, where its own has not
-// been begun, for its call skips it. It is called under the lock.
+// cancellation returns the work that cancels an attempt: none if the attempt has ended, and no frame if the attempt's
+// own frame has not been begun, because its call then skips it. mu must be held.
 func (c *replicaConn) cancellation(s *sentAttempt) (next outgoing) {
 	if !slices.Contains(c.outstanding, s) {
 		return next
@@ -175,8 +176,8 @@
 	return next
 }
 
-// beginCall begins the parts of a call that still may begin. A cancelled one is left out: its cancellation is
-// queued behind the call. It is called under the lock.
+// beginCall begins the parts of a call that may still begin. It skips cancelled parts, whose cancellation is queued
+// behind the call. mu must be held.
 func beginCall(call *queueItem) (next outgoing) {
 	for _, s := range call.parts {
 		switch {
@@ -192,9 +193,9 @@
 	return next
 }
 
-// writeFrame writes a frame and notes which parts are out with its last byte; false means that the connection is
-// over. A part whose frame was not written completely has never run. A write that blocks is ended when an attempt
-// on the connection is cancelled for the second time, which closes it.
+// writeFrame writes a frame and marks its parts as written after its last byte. It returns false if the connection has
+// ended. A part whose frame was not written completely has not run. A write that blocks ends when an attempt on the
+// connection is cancelled for the second time, which closes the connection.
 func (c *replicaConn) writeFrame(conn net.Conn, next outgoing) bool {
 	n, err := conn.Write(next.frame)
 	if n == len(next.frame) {
@@ -207,9 +208,9 @@
 	return err == nil
 }
 
-// peerEndedWhileIdle reports whether the replica has ended the connection while nothing was outstanding on it, and
-// its reader has not had its turn to see that. What is queued has not begun: it goes elsewhere, and says nothing of
-// the replica. It is called under the lock.
+// peerEndedWhileIdle reports whether the replica has closed the connection while no written attempt was outstanding on
+// it, and the reader has not run since. The queued calls have not begun: they are sent elsewhere and say nothing about
+// the replica. mu must be held.
 func (c *replicaConn) peerEndedWhileIdle(conn net.Conn) bool {
 	unsettled := slices.ContainsFunc(c.outstanding, func(s *sentAttempt) bool { return s.state != frameQueued })
 	if unsettled || !socket.PeerClosed(conn) {
@@ -219,7 +220,7 @@
 	return true
 }
 
-// callFrame is the frame of a call's parts, nil if none is left.
+// callFrame returns the frame of a call's parts, or nil if there are none.
 func callFrame(parts []*sentAttempt) []byte {
 	if len(parts) == 0 {
 		return nil
--- a/internal/platform/subscription.go
+++ b/internal/platform/subscription.go
@@ -20,18 +20,18 @@
 	maxListHead = 16 << 10
 	maxListBody = 4 << 20
 
-	// instancesPath is where discovery gives out the endpoint list.
+	// instancesPath is the path at which discovery serves the endpoint list.
 	instancesPath = "/registry/instances"
-	// pollHold is how long discovery may hold a call that is to be answered at once: the least time that it takes.
+	// pollHold is how long discovery may hold a call that is to be answered at once: the shortest hold it accepts.
 	pollHold = time.Millisecond
 )
 
-// serveSubscription serves one subscription on a connection of its own, until a call fails or the address changes.
+// serveSubscription serves one subscription on its own connection until a call fails or the address changes.
 func (d *Discovery) serveSubscription(ctx context.Context) (moved bool, failure *pollFailure) {
 	ctx, cancel := context.WithCancel(ctx)
 	limits := http1.Limits{Head: maxListHead, Body: maxListBody}
 	client := &http1.Client{Address: d.address, Dial: d.Dial, Limits: limits}
-	next := make(chan string, 1) // the new address; closed without one
+	next := make(chan string, 1) // receives a new address, if there is one, and is closed
 	go func() {
 		defer close(next)
 		select {
@@ -44,7 +44,7 @@
 	failure = d.poll(ctx, client)
 	client.Close()
 	cancel()
-	// The address changes only now: what poll has taken over until here came from the old one.
+	// d.address changes only now, because all answers that poll has applied came from the old address.
 	if address, moved := <-next; moved {
 		d.address = address
 		return true, failure
@@ -52,8 +52,8 @@
 	return false, failure
 }
 
-// poll calls for the list and its changes until a call fails. What cannot be used is not taken over, and the next
-// call asks for the complete list.
+// poll requests the list and then its changes until a call fails. An unusable answer is not applied, and the next call
+// requests the complete list.
 func (d *Discovery) poll(ctx context.Context, client *http1.Client) *pollFailure {
 	for watch := false; ; watch = true {
 		d.applyTuning()
@@ -73,7 +73,7 @@
 		d.outage.answeredWith(list.Index)
 		changed := list.Index != d.index || list.Snapshot
 		d.takeOver(list, endpoints, changed, watch)
-		if watch && !changed && took >= hold { // there was nothing newer at its end
+		if watch && !changed && took >= hold { // the list was still the latest one at the end of the hold
 			began += hold
 		}
 		d.lease.Confirmed(began)
@@ -86,9 +86,9 @@
 	}
 }
 
-// nextCall is the next call's target and time-out, and how long discovery may hold a watch. A watch that is renewed
-// in time costs discovery no queued call. The first call of a subscription is answered at once, with what is new or
-// with nothing.
+// nextCall returns the target and the time-out of the next call, and how long discovery may hold a watch. Renewing a
+// watch in time costs discovery no queued call. The first call of a subscription is answered at once, with or without
+// changes.
 func (d *Discovery) nextCall(watch bool) (target string, timeout, hold time.Duration) {
 	hold, silence := d.Schedule.WatchTimeouts()
 	switch {
@@ -101,14 +101,14 @@
 	}
 }
 
-// changesSince is the target of a call for what is newer than the version that the coordinator has; discovery may
-// hold it for a time where nothing is.
+// changesSince returns the target of a call for the changes since the coordinator's version. Discovery may hold the
+// call for a time while there are none.
 func (d *Discovery) changesSince(hold time.Duration) string {
 	return fmt.Sprintf("%s?from=%d&hold_ms=%d", instancesPath, d.index, hold.Milliseconds())
 }
 
-// takeOver hands an answer on. A watch that brought nothing is not handed on: the coordinator knows by the
-// subscription's first answer that it is told of changes.
+// takeOver applies an answer and passes it to the coordinator. It does not pass on a watch without changes: the first
+// answer of the subscription has already shown the coordinator that it receives changes.
 func (d *Discovery) takeOver(list List, endpoints []core.Endpoint, changed, watch bool) {
 	kind := scatter.IncrementalUpdate
 	if list.Snapshot {
@@ -124,13 +124,13 @@
 	}
 }
 
-// read checks an answer before anything of it counts.
+// read parses and checks an answer before any of it is applied.
 func (d *Discovery) read(data []byte) (list List, endpoints []core.Endpoint, err error) {
 	if err = json.Unmarshal(data, &list); err != nil {
 		return list, nil, fmt.Errorf("%w: %w", errUnreadableList, err)
 	}
 	if !list.Snapshot && list.Index < d.index {
-		return list, nil, fmt.Errorf("%w from version %d to %d", errListWentBack, d.index, list.Index)
+		return list, nil, fmt.Errorf("%w: known version %d, received %d", errOutdatedList, d.index, list.Index)
 	}
 	endpoints, err = list.CoreEndpoints()
 	return list, endpoints, err
@@ -149,7 +149,7 @@
 	}
 }
 
-// call sends one call to discovery and returns the body of its answer.
+// call makes one call to discovery and returns the body of the answer.
 func call(ctx context.Context, client *http1.Client, target string, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
