--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -11,13 +11,13 @@
 	"harepass/internal/decide/scatter"
 )
 
-// bufferSize is that of the readers and writers, in bytes.
+// bufferSize is the size of the read and write buffers, in bytes.
 const bufferSize = 1 << 16
 
 // ErrTruncated is returned for input that ends inside a batch or a line.
 var ErrTruncated = errors.New("input ends inside a batch")
 
-// SyntaxError says which line is no message, or none that may stand there.
+// SyntaxError reports a line that is not a message, or a message that is not allowed at its place.
 type SyntaxError struct {
 	Line    int
 	Problem string
@@ -26,18 +26,19 @@
 // Error names the line.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Problem) }
 
-// syntaxErrorf returns a *SyntaxError for the line that was read last.
+// syntaxErrorf returns a *SyntaxError for the line read last.
 func (d *Decoder) syntaxErrorf(format string, args ...any) error {
 	return &SyntaxError{d.line, fmt.Sprintf(format, args...)}
 }
 
-// Batch is what happened at one time.
+// Batch holds the messages of one point in time.
 type Batch struct {
 	Time     time.Duration
 	Messages []Message
 }
 
-// Message is one event of one instance of the decision module. Exactly one of Start, Stop and Event is set.
+// Message is the start, the stop or an event of one instance of the decision module. Exactly one of Start, Stop and
+// Event is set.
 type Message struct {
 	Line     int
 	Instance string
@@ -46,7 +47,7 @@
 	Event    scatter.Event
 }
 
-// Start begins an instance.
+// Start holds the parameters of a new instance.
 type Start struct {
 	Seed     uint64
 	Settings scatter.Settings
@@ -64,8 +65,8 @@
 	return &Decoder{r: bufio.NewReaderSize(r, bufferSize), lists: map[int][]scatter.Replica{}}
 }
 
-// Next returns the next batch, or io.EOF at the clean end of input. Other errors are a *SyntaxError, a *FieldError,
-// or wrap ErrTruncated; they name the line.
+// Next returns the next batch, or io.EOF if the input ends between batches. Any other error of the input is a
+// *SyntaxError, a *FieldError or wraps ErrTruncated, and names the line.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
 	text, err := d.readLine()
@@ -91,7 +92,7 @@
 	}
 }
 
-// readMessage reads one line of a batch, with the rows that belong to it, and reports whether the batch is over.
+// readMessage reads one line of a batch and the rows that belong to it. It reports whether the line ended the batch.
 func (d *Decoder) readMessage(b *Batch) (done bool, err error) {
 	f, err := d.parseInside()
 	if err != nil {
@@ -115,7 +116,7 @@
 	return false, nil
 }
 
-// readLine reads a line without its end. io.EOF is the clean end of input.
+// readLine reads a line and removes its line ending. It returns io.EOF if the input ends between lines.
 func (d *Decoder) readLine() (string, error) {
 	s, err := d.r.ReadString('\n')
 	if err == io.EOF && s != "" {
@@ -128,7 +129,7 @@
 	return strings.TrimRight(s, "\r\n"), nil
 }
 
-// parseInside reads and parses a line inside a batch, where input may not end.
+// parseInside reads and parses a line inside a batch, where the input must not end.
 func (d *Decoder) parseInside() (*fields, error) {
 	text, err := d.readLine()
 	if err == io.EOF {
@@ -140,7 +141,7 @@
 	return d.parse(text)
 }
 
-// parse parses a line: a message name and fields of the form name=value, with single blanks between.
+// parse parses a line: a message name and fields of the form name=value, separated by single spaces.
 func (d *Decoder) parse(text string) (*fields, error) {
 	words := strings.Split(text, " ")
 	f := &fields{name: words[0], line: d.line, values: make(map[string]string, len(words)-1)}
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -15,7 +15,7 @@
 // NewEncoder returns an Encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{bufio.NewWriterSize(w, bufferSize)} }
 
-// Actions writes what one instance of the decision module asks for, a line for each action.
+// Actions writes the actions of one instance of the decision module, one line each.
 func (e *Encoder) Actions(instance string, actions []scatter.Action) {
 	for _, action := range actions {
 		e.action(instance, action)
@@ -49,13 +49,13 @@
 	}
 }
 
-// Exception reports that an instance's decision code failed.
+// Exception writes a line which reports that an instance's decision code failed.
 func (e *Encoder) Exception(instance, text string) {
 	text = strings.Join(strings.Fields(text), " ")
 	fmt.Fprintf(e.w, "exception root_id=%s text=%s\n", instance, text)
 }
 
-// End closes the reply and flushes it. It returns the first error of any write since the last End.
+// End ends the reply and flushes it. It returns the first error of any write since the last End.
 func (e *Encoder) End() error {
 	e.w.WriteString("eor\n")
 	return e.w.Flush()
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -2,7 +2,7 @@
 
 import "harepass/internal/decide/scatter"
 
-// replicaStates maps the states of an endpoint list's rows.
+// replicaStates maps the states in the rows of an endpoint list.
 var replicaStates = map[string]scatter.ReplicaState{
 	"active":  scatter.Ready,
 	"leaving": scatter.Draining,
@@ -17,7 +17,8 @@
 	"refused":    scatter.FailedUpdate,
 }
 
-// outcomes maps the verdicts on an attempt, by their number on the wire, which is not that of scatter.Outcome.
+// outcomes maps the verdicts on an attempt. The index is a verdict's number on the wire, which differs from the value
+// of its scatter.Outcome.
 var outcomes = []scatter.Outcome{
 	scatter.Errored,
 	scatter.Succeeded,
@@ -32,8 +33,8 @@
 // optionRetry is the bit of a query's options that marks a client's retry.
 const optionRetry = 2
 
-// message decodes one event line; known is false for names that the module has no use for,
-// such as probe_done and mail, and for those that no page has.
+// message decodes one event line. known is false for messages that the module does not use, such as probe_done and
+// mail, and for undocumented ones.
 func (d *Decoder) message(f *fields) (m Message, known bool) {
 	m.Line = d.line
 	switch f.name {
@@ -73,7 +74,8 @@
 	}
 }
 
-// endpointUpdate decodes a change of the endpoint list; all but a failure name a list that was given before.
+// endpointUpdate decodes an update of the endpoint list. Every update except a failure names a list that an earlier
+// line has defined.
 func (d *Decoder) endpointUpdate(f *fields) scatter.EndpointUpdate {
 	kind, ok := updateKinds[f.string("scope")]
 	if !ok && f.err == nil {
@@ -90,7 +92,7 @@
 	return update
 }
 
-// arrival decodes a query, whose shard is negative, or one of its parts.
+// arrival decodes the arrival of a query, whose shard is negative, or of one of its parts.
 func arrival(f *fields) scatter.Event {
 	shard := f.int("segment_no")
 	if shard >= 0 {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// fields is one parsed line, or the settings as paths with their values. The first access that fails sets err; further
-// ones return zero values.
+// fields is one parsed line, or the settings as a map from paths to values. The first access that fails sets err. An
+// access that fails returns a value that must not be used.
 type fields struct {
 	name   string
 	line   int
@@ -17,27 +17,27 @@
 	err    error
 }
 
-// FieldError says which field of a message is wrong. Line is 0 for the settings where they stand as JSON.
+// FieldError reports an invalid field of a message. Line is 0 for settings in JSON.
 type FieldError struct {
 	Line    int
 	Message string // the message's name
 	Field   string
-	Problem string // what is wrong with the field
+	Problem string // why the field is invalid
 }
 
-// Error names line, message and field.
+// Error names the line, the message and the field.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("line %d: %s: field %s %s", e.Line, e.Message, e.Field, e.Problem)
 }
 
-// fail notes what is wrong with a field, unless another one was wrong before.
+// fail records that a field is invalid, unless an earlier failure was recorded.
 func (f *fields) fail(key, problem string) {
 	if f.err == nil {
 		f.err = &FieldError{f.line, f.name, key, problem}
 	}
 }
 
-// string is a field that has to be there.
+// string returns a required field.
 func (f *fields) string(key string) string {
 	v := f.values[key]
 	if v == "" {
@@ -46,10 +46,10 @@
 	return v
 }
 
-// optionalString is a field that may be missing, and is empty then.
+// optionalString returns a field, or "" if it is missing.
 func (f *fields) optionalString(key string) string { return f.values[key] }
 
-// has reports whether a field is there.
+// has reports whether a field is present and not empty.
 func (f *fields) has(key string) bool { return f.values[key] != "" }
 
 func (f *fields) int64(key string) int64 {
@@ -72,7 +72,7 @@
 	return n
 }
 
-// optionalInt is a whole number, or a default where the field is missing.
+// optionalInt returns an integer field, or a default if the field is missing.
 func (f *fields) optionalInt(key string, missing int) int {
 	if !f.has(key) {
 		return missing
@@ -80,12 +80,12 @@
 	return f.int(key)
 }
 
-// duration is a time in microseconds.
+// duration returns a field that holds a time in microseconds.
 func (f *fields) duration(key string) time.Duration {
 	return time.Duration(f.int64(key)) * time.Microsecond
 }
 
-// optionalDuration is a time in microseconds, 0 where the field is missing.
+// optionalDuration returns a field that holds a time in microseconds, or 0 if the field is missing.
 func (f *fields) optionalDuration(key string) time.Duration {
 	if !f.has(key) {
 		return 0
@@ -93,7 +93,7 @@
 	return f.duration(key)
 }
 
-// float is a finite number.
+// float returns a field that holds a finite number.
 func (f *fields) float(key string) float64 {
 	v := f.string(key)
 	x, err := strconv.ParseFloat(v, 64)
@@ -103,7 +103,7 @@
 	return x
 }
 
-// optionalFloat is a finite number, or a default where the field is missing.
+// optionalFloat returns a field that holds a finite number, or a default if the field is missing.
 func (f *fields) optionalFloat(key string, missing float64) float64 {
 	if !f.has(key) {
 		return missing
@@ -111,7 +111,7 @@
 	return f.float(key)
 }
 
-// bool is a flag; a missing one is false.
+// bool returns a boolean field, or false if the field is missing.
 func (f *fields) bool(key string) bool {
 	switch v := f.values[key]; v {
 	case "", "false", "0":
@@ -124,8 +124,8 @@
 	}
 }
 
-// item is entry i of a comma-joined list of numbers, or a default where the list is shorter. Unlike float it takes any
-// number that Go parses: the settings are the platform's own.
+// item returns entry i of a comma-separated list of numbers, or a default if that entry is empty or beyond the end.
+// Unlike float it accepts every number that Go parses, because the platform writes the settings itself.
 func (f *fields) item(key string, i int, missing float64) float64 {
 	items := strings.Split(f.values[key], ",")
 	if i >= len(items) || items[i] == "" {
--- a/internal/wire/json.go
+++ b/internal/wire/json.go
@@ -11,17 +11,17 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Limits are the settings that bind the program round the decision module rather than the module.
+// Limits holds the settings that apply to the program around the decision module rather than to the module.
 type Limits struct {
-	Shards         int           // 0 if not given
+	Shards         int           // 0 if not set
 	MaxOpen        int           // queries and parts open at once; 0 for no limit
 	CallsPerConn   int           // calls that one connection to a replica carries at once
 	ConnectTimeout time.Duration // for connections to replicas
-	KeepAlive      time.Duration // after which replicas close idle connections
+	KeepAlive      time.Duration // time after which replicas close idle connections
 }
 
-// JSONSettings reads the settings where they stand as nested JSON: the same object as the fields of a provision
-// line, with the same names and units.
+// JSONSettings reads settings in nested JSON. The object corresponds to the fields of a provision line, with the same
+// names and units.
 func JSONSettings(raw []byte) (scatter.Settings, Limits, error) {
 	values, err := Flatten(raw)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return s, l, f.err
 }
 
-// Flatten gives a JSON value as paths with their values, the form that the simulator's lines have.
+// Flatten converts a JSON value to a map from paths to values, as in the simulator's lines.
 func Flatten(raw []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -52,8 +52,8 @@
 	return values, nil
 }
 
-// flatten writes a JSON value as the simulator's lines do: paths with dots, lists of plain values joined with commas,
-// lists of objects with their count.
+// flatten adds a JSON value to values in the form of the simulator's lines: paths separated by dots, lists of plain
+// values joined with commas, and lists of objects with their count.
 func flatten(values map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,15 +7,15 @@
 	"harepass/internal/decide/scatter"
 )
 
-// idempotencies maps what a class says of repeats.
+// idempotencies maps the repeat field of a class.
 var idempotencies = map[string]scatter.Idempotency{
 	"free":        scatter.Idempotent,
 	"guarded":     scatter.Keyed,
 	"single_shot": scatter.NonIdempotent,
 }
 
-// settings reads the settings of a provision line. Unknown keys are skipped; keys that a site leaves out keep the zero
-// value, except where zero would mean something else.
+// settings reads the settings of a provision line. It ignores unknown keys. An optional key that a site omits yields
+// zero, except where zero would have a different meaning.
 func settings(f *fields) scatter.Settings {
 	s := scatter.Settings{
 		Coordinators:      f.optionalInt("balancers", 1),
@@ -61,7 +61,7 @@
 	}
 }
 
-// retryBudget is nil where the settings do not bound retries.
+// retryBudget returns nil if the settings do not limit retries.
 func retryBudget(f *fields) *scatter.RetryBudget {
 	if !f.has("rules.extra_ratio") {
 		return nil
@@ -73,7 +73,7 @@
 	}
 }
 
-// class reads class i. Its name may not be that of an earlier one.
+// class reads class i. Its name must differ from those of the earlier classes.
 func class(f *fields, i int, earlier []scatter.Class) scatter.Class {
 	prefix := fmt.Sprintf("classes.%d.", i)
 	idempotency, ok := idempotencies[f.string(prefix+"repeat")]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -54,7 +54,7 @@
 		"gone root_id=r tid=q", "deadline_hit root_id=r name=77", "newly_invented root_id=r x=1",
 		"stop root_id=r", "flush")
 	if err != nil || len(all) != 1 {
-		t.Fatalf("%d batches, %v", len(all), err)
+		t.Fatalf("decoded %d batches, error %v; want 1 batch and no error", len(all), err)
 	}
 	want := []scatter.Event{
 		scatter.EndpointUpdate{Kind: scatter.CachedUpdate, Replicas: []scatter.Replica{
@@ -78,7 +78,7 @@
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 	if last := all[0].Messages[len(all[0].Messages)-1]; !last.Stop {
-		t.Errorf("last message %+v is no stop", last)
+		t.Errorf("last message is %+v, want a stop", last)
 	}
 }
 
@@ -89,7 +89,7 @@
 	}
 	s := all[0].Messages[0].Start
 	if s.Seed != 5138197539985895 {
-		t.Errorf("seed %d", s.Seed)
+		t.Errorf("seed is %d, want 5138197539985895", s.Seed)
 	}
 	want := scatter.Settings{Coordinators: 3, RingSize: 12, ReplicationFactor: 4, PartsPerCall: 8,
 		TickInterval: 5 * time.Millisecond, MaxAttempts: 3, Hedging: true, Cancellation: true,
@@ -115,7 +115,7 @@
 	in := func(lines ...string) []string { return append([]string{"batch time_us=1"}, lines...) }
 	for _, tc := range []struct {
 		lines []string
-		want  string // in the message
+		want  string // part of the error text
 	}{
 		{[]string{"hello there=1"}, "line 1"},
 		{[]string{"batch"}, "line 1: batch: field time_us is missing"},
@@ -148,7 +148,7 @@
 	}
 	_, err := NewDecoder(strings.NewReader("batch time_us=1\nflus")).Next()
 	if !errors.Is(err, ErrTruncated) {
-		t.Errorf("a cut line: %v", err)
+		t.Errorf("input that ends inside a line: error %v, want ErrTruncated", err)
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 }
 
-// FuzzDecode holds that any input ends in batches or one error, never a panic or a hang.
+// FuzzDecode checks that the decoder ends with io.EOF or another error on every input, without a panic or a hang.
 func FuzzDecode(f *testing.F) {
 	f.Add("batch time_us=1\n" + provision + "\nflush\n")
 	f.Add("batch time_us=1\nsheet table=0 members=1\nrow leaf=a state=active\nflush\n")
