--- a/internal/platform/agent_test.go
+++ b/internal/platform/agent_test.go
@@ -18,17 +18,17 @@
 	"harepass/internal/test/fake"
 )
 
-// agent is what pushed lists come to: it answers at once with what it has, and says nothing while discovery is
-// down, not to those either that have asked before.
+// agent is a fake agent, to which discovery pushes the list. It answers at once with the list that it has. While
+// discovery is down it answers nothing, not even the calls that it received before.
 type agent struct {
-	changed atomic.Bool // it holds the news that the node drains
-	down    atomic.Bool
-	watches bool // a call waits until there is something newer
+	changed atomic.Bool // its list says that the replica drains
+	down    atomic.Bool // discovery is down
+	watches bool        // it holds a call until there is a newer list
 	calls   atomic.Int32
 }
 
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if a.calls.Add(1) > 1000 { // time stands still for a coordinator that asks without a pause
+	if a.calls.Add(1) > 1000 { // the test's clock would not advance while a coordinator calls without a pause
 		time.Sleep(time.Second)
 	}
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
@@ -47,9 +47,9 @@
 	fmt.Fprintf(w, `{"index":%d,"endpoints":[]}`, map[bool]int{true: 8, false: 7}[a.changed.Load()])
 }
 
-// What the agent holds counts as told at once, and a drain binds half a second later: a coordinator has it well
-// before that, though discovery was down and neither the watch that stood then nor a call made meanwhile is ever
-// answered.
+// What the agent holds counts as notified at once, and a drain has to be obeyed half a second later. A coordinator has
+// to learn of the drain well before that, even if discovery was down and neither the watch that was open then nor any
+// call made during the outage is ever answered.
 func TestAgentIsHeardInTime(t *testing.T) {
 	for _, down := range []time.Duration{0, 5 * time.Millisecond, 3 * time.Second} {
 		for _, watches := range []bool{true, false} {
@@ -63,8 +63,8 @@
 					d.Dial = memory.Dial
 					d.Schedule = &backoff.Schedule{FleetSize: 3, UsesAgent: true, Rand: rand.New(rand.NewPCG(1, 1))}
 					notified := make(chan time.Time, 1)
-					d.Listed = func(_ scatter.UpdateKind, nodes []core.Endpoint) {
-						if len(nodes) == 1 && nodes[0].State == scatter.Draining {
+					d.Listed = func(_ scatter.UpdateKind, endpoints []core.Endpoint) {
+						if len(endpoints) == 1 && endpoints[0].State == scatter.Draining {
 							notified <- time.Now()
 						}
 					}
@@ -74,7 +74,7 @@
 					d.Subscribe()
 					time.Sleep(2*time.Second + time.Duration(i)*53*time.Millisecond)
 					if n := a.calls.Load(); n > 75 {
-						t.Errorf("%d calls in two to three seconds", n)
+						t.Errorf("%d calls in two to three seconds, want at most 75", n)
 					}
 					if down > 0 {
 						a.down.Store(true)
@@ -84,7 +84,7 @@
 					a.down.Store(false)
 					changed := time.Now()
 					if took := (<-notified).Sub(changed); took > backoff.AgentNotifiedAfter {
-						t.Errorf("down for %v, holds watches: %t, %d: the drain was heard of after %v", down, watches, i, took)
+						t.Errorf("down for %v, holds watches %t, run %d: drain after %v", down, watches, i, took)
 					}
 					cancel()
 					<-done
--- a/internal/platform/caller_fuzz_test.go
+++ b/internal/platform/caller_fuzz_test.go
@@ -14,14 +14,14 @@
 // modelAttempt is the state of one attempt in the model.
 type modelAttempt struct {
 	at        *core.Attempt
-	written   bool              // its last byte is out
-	begun     bool              // its first byte may be out
+	written   bool              // its last byte has been written
+	begun     bool              // its first byte may have been written
 	cancelled bool              // Cancel was called for it
-	conn      int               // number of the connection that it went on
-	outcome   []scatter.Outcome // that has to be reported; empty while the attempt is out
+	conn      int               // number of the connection that carried it
+	outcome   []scatter.Outcome // expected outcome; empty while the attempt is outstanding
 }
 
-// callerModel says what each attempt of a Caller has to come to, by the protocol's table, on one connection at a time.
+// callerModel predicts the outcome of each attempt of a Caller by the protocol's table, with one connection at a time.
 type callerModel struct {
 	*fakeReplica
 	all           []*modelAttempt
@@ -30,27 +30,27 @@
 	needsConn     bool // the next call has to open a connection
 }
 
-// maxFuzzSteps bounds a play, in bytes; a step takes two.
+// maxFuzzSteps bounds the input of a run, in bytes; a step takes two.
 const maxFuzzSteps = 80
 
-// A random sequence of calls, cancellations, answers, breaks, refused connections and a replica that stops reading.
-// Each attempt has to end once, as the protocol's table says: an attempt that ends twice or never would keep a query
-// waiting or count a part as run that was not.
+// FuzzCaller runs a random sequence of calls, cancellations, answers, broken and refused connections, with a replica
+// that may stop reading. Each attempt has to end exactly once, as the protocol's table says: an attempt that never ends
+// would keep a query waiting, and one that ends twice could count a part as run that was not.
 func FuzzCaller(f *testing.F) {
 	f.Add([]byte{0, 0, 2, 0, 0, 1, 3, 0})
 	f.Add([]byte{0, 0, 7, 0, 0, 0, 1, 1, 4, 0})
 	f.Add([]byte{7, 0, 0, 0, 0, 0, 1, 0, 7, 0, 2, 1})
-	for kind := range byte(11) { // each kind of unreadable answer, alone, beside others, and with a write that waits
+	for kind := range byte(11) { // each kind of malformed answer: alone, beside others, and while a write waits
 		f.Add([]byte{0, 0, 3, kind, 0, 1, 0, 2, 2, 0, 3, kind + 11, 0, 3, 0, 4, 7, 0, 0, 5, 3, kind + 22, 0, 6, 2, 0})
 	}
 	f.Add([]byte{0, 0, 2, 9, 0, 1, 0, 2, 2, 9, 0, 3, 0, 4, 2, 18, 5, 0, 2, 18, 5, 0})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		synctest.Test(t, func(t *testing.T) { playSteps(t, steps[:min(len(steps), maxFuzzSteps)]) })
+		synctest.Test(t, func(t *testing.T) { runSteps(t, steps[:min(len(steps), maxFuzzSteps)]) })
 	})
 }
 
-// playSteps plays steps, each of a kind and an argument, and compares caller and model after each.
-func playSteps(t *testing.T, steps []byte) {
+// runSteps runs steps, each of a kind and an argument, and compares the Caller with the model after each.
+func runSteps(t *testing.T, steps []byte) {
 	m := &callerModel{fakeReplica: newFakeReplica(4), needsConn: true}
 	for i := 0; i+1 < len(steps); i += 2 {
 		m.step(steps[i]%9, int(steps[i+1]))
@@ -65,7 +65,7 @@
 	synctest.Wait()
 	for k, w := range m.all {
 		if len(m.ended[w.at]) != 1 {
-			t.Errorf("attempt %d ended %v", k, m.ended[w.at])
+			t.Errorf("attempt %d has the outcomes %v after Close, want exactly one", k, m.ended[w.at])
 		}
 	}
 	if m.current != nil {
@@ -73,11 +73,11 @@
 	}
 }
 
-// step plays one step. Those that need an attempt or a connection do nothing where there is none.
+// step runs one step. A step that needs an attempt or a connection does nothing if there is none.
 func (m *callerModel) step(kind byte, arg int) {
 	var chosen *modelAttempt
-	if out := m.out(); len(out) > 0 {
-		chosen = out[arg%len(out)]
+	if outstanding := m.outstanding(); len(outstanding) > 0 {
+		chosen = outstanding[arg%len(outstanding)]
 	}
 	switch kind {
 	case 0:
@@ -87,7 +87,7 @@
 	case 2:
 		m.answer(chosen, arg)
 	case 3:
-		m.sendUnreadable(chosen, arg)
+		m.sendMalformed(chosen, arg)
 	case 4:
 		m.breakConn(arg)
 	case 5:
@@ -96,16 +96,16 @@
 		m.refuses = !m.refuses
 	case 7:
 		m.toggleReading()
-	case 8: // a pause in which idle connections are no longer trusted
-		if len(m.out()) == 0 && !m.stoppedReader {
+	case 8: // a pause after which an idle connection is not reused
+		if len(m.outstanding()) == 0 && !m.stoppedReader {
 			time.Sleep(25 * time.Second)
 			m.needsConn = true
 		}
 	}
 }
 
-// out returns the attempts that have no outcome yet.
-func (m *callerModel) out() (list []*modelAttempt) {
+// outstanding returns the attempts that have no outcome yet.
+func (m *callerModel) outstanding() (list []*modelAttempt) {
 	for _, w := range m.all {
 		if len(w.outcome) == 0 {
 			list = append(list, w)
@@ -114,9 +114,9 @@
 	return list
 }
 
-// connEnds ends all attempts that are out: with one outcome if they were not written, else with the other.
-func (m *callerModel) connEnds(unwritten, written scatter.Outcome) {
-	for _, w := range m.out() {
+// endAll ends all outstanding attempts: with one outcome those that were not written, with the other the rest.
+func (m *callerModel) endAll(unwritten, written scatter.Outcome) {
+	for _, w := range m.outstanding() {
 		w.outcome = []scatter.Outcome{unwritten}
 		if w.written {
 			w.outcome[0] = written
@@ -125,27 +125,27 @@
 	m.stoppedReader, m.writeWaits, m.needsConn = false, false, true
 }
 
-// connSpoilt closes the connection because of an answer that could not be read: to the guilty attempt or, if that
-// cannot be told, to the only one that has begun. That one alone says something of the replica.
-func (m *callerModel) connSpoilt(guilty *modelAttempt) {
+// discardConn ends the connection because of a malformed answer. The answer belongs to malformedFrom or, if it is nil,
+// to the only attempt that has begun. Only the outcome of that attempt counts against the replica.
+func (m *callerModel) discardConn(malformedFrom *modelAttempt) {
 	var begun []*modelAttempt
-	for _, w := range m.out() {
+	for _, w := range m.outstanding() {
 		if w.begun {
 			begun = append(begun, w)
 		}
 	}
-	if guilty == nil && len(begun) == 1 {
-		guilty = begun[0]
+	if malformedFrom == nil && len(begun) == 1 {
+		malformedFrom = begun[0]
 	}
-	if guilty != nil {
-		guilty.outcome = []scatter.Outcome{scatter.Errored}
+	if malformedFrom != nil {
+		malformedFrom.outcome = []scatter.Outcome{scatter.Errored}
 	}
-	m.connEnds(scatter.NotSent, scatter.Cancelled)
+	m.endAll(scatter.NotSent, scatter.Cancelled)
 }
 
-// call makes a call of one part, unless that would take a second connection: TestCallsPerConnection shows those.
+// call makes a call of one part, unless that would take a second connection: TestCallsPerConnection covers those.
 func (m *callerModel) call(shard int) {
-	if len(m.out()) == m.caller.CallsPerConn {
+	if len(m.outstanding()) == m.caller.CallsPerConn {
 		return
 	}
 	at := &core.Attempt{QueryID: fmt.Sprintf("q%d", len(m.all)), Shard: shard, Body: []byte("t"), Timeout: time.Second,
@@ -162,15 +162,15 @@
 	w.conn = m.connCount
 }
 
-// cancel cancels an attempt. One that was cancelled before still waits for its cancellation to be written: the
-// connection is closed instead.
+// cancel cancels an attempt. If the attempt was cancelled before and its cancellation still waits to be written, the
+// Caller has to close the connection instead.
 func (m *callerModel) cancel(w *modelAttempt) {
 	if w == nil {
 		return
 	}
 	m.caller.Cancel(w.at)
 	if w.cancelled {
-		m.connEnds(scatter.NotSent, scatter.Cancelled)
+		m.endAll(scatter.NotSent, scatter.Cancelled)
 		return
 	}
 	w.cancelled = true
@@ -179,7 +179,7 @@
 	}
 }
 
-// answer answers an attempt, whatever the load report says, and perhaps sends more bytes than belong to the answer.
+// answer answers an attempt with one of several load reports, and may send more bytes than belong to the answer.
 func (m *callerModel) answer(w *modelAttempt, arg int) {
 	if w == nil || !w.written {
 		return
@@ -194,15 +194,15 @@
 		return
 	}
 	m.send(slices.Concat(frame, behind), 1<<20)
-	if len(m.out()) == 0 {
-		m.connEnds(0, 0)
+	if len(m.outstanding()) == 0 {
+		m.endAll(0, 0)
 	} else if behind[0] == 0 {
-		m.connSpoilt(nil)
+		m.discardConn(nil)
 	}
 }
 
-// sendUnreadable sends what is no frame of the protocol, or none that answers an attempt that is out.
-func (m *callerModel) sendUnreadable(w *modelAttempt, arg int) {
+// sendMalformed sends bytes that are not a frame of the protocol, or a frame that answers no outstanding attempt.
+func (m *callerModel) sendMalformed(w *modelAttempt, arg int) {
 	if m.needsConn {
 		return
 	}
@@ -228,22 +228,22 @@
 		m.send(appendFrame(nil, frameAnswer, []byte("nobody.1 S 0 -\nvalue")), size)
 	case 6: // the replica says that it closes the connection
 		m.send(appendFrame(nil, frameError, []byte("bad")), size)
-		m.connEnds(scatter.ConnectFailed, scatter.ConnectionReset)
+		m.endAll(scatter.ConnectFailed, scatter.ConnectionReset)
 		return
 	default:
-		m.sendUnreadableAnswer(id, kind, size)
-		m.connSpoilt(w)
+		m.sendMalformedAnswer(id, kind, size)
+		m.discardConn(w)
 		return
 	}
-	m.connSpoilt(nil)
+	m.discardConn(nil)
 }
 
-// sendUnreadableAnswer sends an answer to a part that names the part, and cannot be read further.
-func (m *callerModel) sendUnreadableAnswer(id string, kind, size int) {
+// sendMalformedAnswer sends an answer that names its part and is malformed behind the name.
+func (m *callerModel) sendMalformedAnswer(id string, kind, size int) {
 	switch kind {
 	case 7: // a value of 3 GB
 		m.send(append([]byte{0, 94, 208, 178, '5'}, id+" S 7 -\nvvvv"...), 1<<20)
-	case 8: // one that never ends
+	case 8: // an answer that never ends
 		m.send(append([]byte{99, 0, 0, 0, '5'}, id+" S 7 -\nvvvv"...), size)
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -254,17 +254,17 @@
 	}
 }
 
-// breakConn ends the connection from the replica's side, perhaps inside a frame.
+// breakConn closes the connection from the replica's side, possibly inside a frame.
 func (m *callerModel) breakConn(arg int) {
 	if m.needsConn {
 		return
 	}
 	m.send([]byte{9, 0, 0, 0, '5', 'x'}[:arg%7], 1)
 	m.current.Close()
-	m.connEnds(scatter.ConnectFailed, scatter.ConnectionReset)
+	m.endAll(scatter.ConnectFailed, scatter.ConnectionReset)
 }
 
-// answerAgain sends a second answer to an attempt that has ended on the open connection. That is no fault.
+// answerAgain sends a second answer to an attempt that has ended on the open connection, which is not a fault.
 func (m *callerModel) answerAgain() {
 	for _, w := range m.all {
 		if len(w.outcome) > 0 && w.conn == m.connCount && !m.needsConn {
@@ -274,8 +274,8 @@
 	}
 }
 
-// toggleReading has the replica stop reading, or read again. What waited is written then; an attempt that was
-// cancelled before its first byte is not.
+// toggleReading makes the replica stop reading, or read again. The writes that waited are then completed, except those
+// of attempts that were cancelled before their first byte.
 func (m *callerModel) toggleReading() {
 	if m.needsConn {
 		return
@@ -284,7 +284,7 @@
 		m.stopReading()
 	} else {
 		m.readAgain()
-		for _, w := range m.out() {
+		for _, w := range m.outstanding() {
 			switch {
 			case w.cancelled && w.begun:
 				w.outcome = []scatter.Outcome{scatter.Cancelled}
--- a/internal/platform/caller_test.go
+++ b/internal/platform/caller_test.go
@@ -10,7 +10,8 @@
 	"harepass/internal/core"
 )
 
-// A connection carries only so many calls at once; a further call opens another one. A call of two parts is one frame.
+// A connection carries at most CallsPerConn calls at once, and a further call opens another connection. A call of two
+// parts is one frame.
 func TestCallsPerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeReplica(2)
@@ -27,7 +28,7 @@
 	})
 }
 
-// The frame of a call is worded as the protocol's page words it.
+// The frame of a call has the format of the protocol's page.
 func TestCallFrame(t *testing.T) {
 	at := &core.Attempt{QueryID: "9b1f", Shard: 3, Timeout: 240 * time.Millisecond, Body: []byte("c41e77d0")}
 	got := callFrame([]*sentAttempt{{attempt: at}})
@@ -36,7 +37,7 @@
 	}
 }
 
-// openConns counts the connections that a caller holds, by its own list.
+// openConns counts the connections in a Caller's own list.
 func openConns(caller *Caller) (n int) {
 	for _, list := range caller.conns {
 		n += len(list)
@@ -44,9 +45,9 @@
 	return n
 }
 
-// There is a limit on all connections: an idle one makes way, and where none is idle calls wait at a replica that has a
-// connection already. What nobody uses any more is closed after the idle timeout, so that replicas that were removed
-// leave nothing behind.
+// MaxConns limits all connections. At the limit an idle connection is closed for a new one. If none is idle, calls wait
+// at a replica that already has a connection. Unused connections are closed after the idle time-out, so that removed
+// replicas leave nothing behind.
 func TestConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeReplica(1)
@@ -60,32 +61,34 @@
 		r.sendAnswer(r.frames[0][1:])
 		call("b")
 		if call("b"); openConns(r.caller) != 2 || r.connCount != 3 || len(r.caller.conns["a"]) != 0 {
-			t.Errorf("%d connections of %d opened: the idle one did not make way", openConns(r.caller), r.connCount)
+			t.Errorf("%d connections open, %d opened: the idle one was not closed for a new one",
+				openConns(r.caller), r.connCount)
 		}
 		if call("b"); openConns(r.caller) != 2 || len(r.frames) != 4 {
-			t.Errorf("%d connections and %d frames: a call to a busy replica did not wait there",
+			t.Errorf("%d connections and %d frames: the call to a busy replica did not wait at it",
 				openConns(r.caller), len(r.frames))
 		}
 		if call("c"); openConns(r.caller) != 3 {
-			t.Errorf("%d connections: a replica has none", openConns(r.caller))
+			t.Errorf("%d connections, want 3: a replica has none", openConns(r.caller))
 		}
 		for _, id := range r.frames[4:] {
 			r.sendAnswer(id[1:])
 		}
 		if time.Sleep(time.Minute); len(r.caller.conns["c"]) != 0 || openConns(r.caller) != 2 {
-			t.Errorf("connections %v after a minute", r.caller.conns)
+			t.Errorf("connections %v after a minute, want two and none to c", r.caller.conns)
 		}
 		r.caller.Close()
 		synctest.Wait()
 		if len(r.caller.conns) > 0 || len(r.caller.attempts) > 0 {
-			t.Errorf("%d replicas and %d attempts remain", len(r.caller.conns), len(r.caller.attempts))
+			t.Errorf("%d replicas and %d attempts remain after Close, want none",
+				len(r.caller.conns), len(r.caller.attempts))
 		}
 	})
 }
 
 // A part is sent twice to one replica, and the first attempt is cancelled while the replica does not read, so that the
-// cancellation waits to be written. An answer then belongs to the second attempt, which is still wanted; given to the
-// first, it would be lost.
+// cancellation waits to be written. An answer then has to go to the second attempt, which is still needed. If it went
+// to the first, it would be lost.
 func TestAnswerGoesToAttemptNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newFakeReplica(4)
@@ -98,7 +101,8 @@
 		synctest.Wait()
 		r.send(appendFrame(nil, frameAnswer, []byte("q.0 S 1 -\nv")), 99)
 		if len(r.ended[first]) != 0 || len(r.ended[second]) != 1 {
-			t.Errorf("first ended %v, second %v", r.ended[first], r.ended[second])
+			t.Errorf("outcomes of the first attempt %v, want none; of the second %v, want one",
+				r.ended[first], r.ended[second])
 		}
 		r.caller.Close()
 		synctest.Wait()
--- a/internal/platform/cost_test.go
+++ b/internal/platform/cost_test.go
@@ -12,8 +12,9 @@
 	"harepass/internal/test/fake"
 )
 
-// A query over every section of 60 nodes, as a coordinator of a large fleet gets one every few seconds: what it costs
-// there moves the answer, for the machine has a quarter of a core. Most of what is counted here is the nodes' own part.
+// BenchmarkWideQuery runs a query over all shards of 60 replicas. A coordinator of a large fleet gets one every few
+// seconds, and its cost delays the answer there, because the machine has a quarter of a core. Most of the CPU time
+// measured here is that of the fake replicas.
 func BenchmarkWideQuery(b *testing.B) {
 	const replicas, shards = 60, 120
 	clock := core.SystemClock()
@@ -26,12 +27,12 @@
 		Classes: []scatter.Class{{Name: "summary", LatencyObjective: 380 * time.Millisecond, Deadline: 2 * time.Second,
 			PriorityWeight: 3, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}},
 	}
-	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Subscribe: func() {}, PolledSource: Source,
+	coordinator, err := core.New(core.Config{Seed: 1, Clock: clock, Subscribe: func() {}, PolledSource: Source,
 		Callers: map[string]core.Caller{Scheme: caller}, Settings: settings})
 	if err != nil {
 		b.Fatal(err)
 	}
-	caller.Reporter = owner
+	caller.Reporter = coordinator
 	var list []core.Endpoint
 	for i := range replicas {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,15 +40,15 @@
 			b.Fatal(err)
 		}
 		defer l.Close()
-		go (&fake.Replicas{Script: func(shard, _ int) fake.Reply { // apart from each other, as nodes answer
+		go (&fake.Replicas{Script: func(shard, _ int) fake.Reply { // answers at different times, as real replicas do
 			return fake.Reply{After: time.Duration(5+shard*37%50) * time.Millisecond}
 		}}).ServeFrames(l)
 		replica := scatter.Replica{ID: fmt.Sprint("n", i), RingPosition: i}
 		list = append(list, core.Endpoint{Replica: replica, Address: l.Addr().String(), Scheme: Scheme})
 	}
-	go owner.Run()
+	go coordinator.Run()
 	defer caller.Close()
-	owner.UpdateEndpoints(Source, scatter.FullUpdate, list)
+	coordinator.UpdateEndpoints(Source, scatter.FullUpdate, list)
 	var parts []core.Part
 	for i := range shards {
 		parts = append(parts, core.Part{Shard: i, Weight: 1.0 / shards})
@@ -56,7 +57,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 	for b.Loop() {
 		id := fmt.Sprint("q", clock().Nanoseconds())
-		a := owner.Execute(&core.Query{ID: id, Class: "summary", Deadline: clock() + 2*time.Second,
+		a := coordinator.Execute(&core.Query{ID: id, Class: "summary", Deadline: clock() + 2*time.Second,
 			Body: []byte("c41e77d0"), Parts: parts}, nil)
 		if a.Status != core.Served {
 			b.Fatalf("%+v", a.Status)
--- a/internal/platform/deadline_test.go
+++ b/internal/platform/deadline_test.go
@@ -15,11 +15,11 @@
 	"harepass/internal/test/fake"
 )
 
-// deadlineSlack is by how much the deadline that a node is told may be over what its client has left.
+// deadlineSlack is by how much the time sent to a replica may exceed the time that the client has left.
 const deadlineSlack = 150 * time.Millisecond
 
-// A node is told the time that its client has left when the frame is written, not when the attempt was decided: it
-// may have waited for its connection since.
+// The time sent to a replica is what the client has left when the frame is written. It is not what was left when the
+// attempt was decided, because the attempt may have waited for its connection since.
 func TestReplicaGetsTheTimeThatIsLeft(t *testing.T) {
 	const budget, late = 1400 * time.Millisecond, 400 * time.Millisecond
 	type received struct {
@@ -49,31 +49,31 @@
 		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second,
 			PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}},
 	}
-	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
+	coordinator, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
 		PolledSource: "test", Callers: map[string]core.Caller{Scheme: caller}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	caller.Reporter = owner
-	go owner.Run()
-	defer owner.Stop()
+	caller.Reporter = coordinator
+	go coordinator.Run()
+	defer coordinator.Stop()
 	replica := scatter.Replica{ID: "n0", State: scatter.Ready}
 	endpoint := core.Endpoint{Replica: replica, Address: l.Addr().String(), Scheme: Scheme}
-	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{endpoint})
+	coordinator.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{endpoint})
 	until := time.Now().Add(budget)
 	query := &core.Query{ID: "q", Class: "c", Deadline: clock() + budget, Parts: []core.Part{{Shard: 0, Weight: 1}}}
-	a := owner.Execute(query, nil)
+	a := coordinator.Execute(query, nil)
 	if a.Status != core.Served {
-		t.Fatalf("the answer is %+v", a)
+		t.Fatalf("answer %+v, want status Served", a)
 	}
 	part := <-parts
 	deadline, err := strconv.Atoi(strings.TrimPrefix(part.list, "d="))
 	if left := until.Sub(part.at); err != nil || time.Duration(deadline)*time.Millisecond > left+deadlineSlack {
-		t.Errorf("the node was told %q, %v, when its client had %v left", part.list, err, left)
+		t.Errorf("the replica received %q (error %v) while the client had %v left", part.list, err, left)
 	}
 }
 
-// The time of a request that is pipelined behind another runs from its coming, not from its turn.
+// The time of a request that is pipelined behind another one runs from its arrival, not from its turn.
 func TestPipelinedRequestHasWhatIsLeftOfItsTime(t *testing.T) {
 	const budget, first = 1400 * time.Millisecond, 600 * time.Millisecond
 	parts := make(chan fake.Part, 8)
@@ -81,7 +81,7 @@
 		Script: func(shard, _ int) fake.Reply {
 			return fake.Reply{After: time.Duration(1-shard) * first} // the first request asks for shard 0
 		}}
-	address := serveBehindOwner(t, fleet)
+	address := serveFront(t, fleet)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -98,12 +98,13 @@
 	left := time.Until(until)
 	deadline, err := strconv.Atoi(strings.TrimPrefix(second.List, "d="))
 	if err != nil || second.ID != "q1.1" || time.Duration(deadline)*time.Millisecond > left+deadlineSlack {
-		t.Errorf("the node was told %q for %s, %v, when its client had %v left", second.List, second.ID, err, left)
+		t.Errorf("the replica received %q for part %s (error %v) while the client had %v left",
+			second.List, second.ID, err, left)
 	}
 }
 
-// serveBehindOwner serves the platform's protocol before one node, and returns the address.
-func serveBehindOwner(t *testing.T, fleet *fake.Replicas) string {
+// serveFront serves the platform's protocol to clients with a coordinator of one replica, and returns the address.
+func serveFront(t *testing.T, fleet *fake.Replicas) string {
 	replicaListener, clients := listenLocal(t), listenLocal(t)
 	go fleet.ServeFrames(replicaListener)
 	caller := &Caller{
@@ -117,18 +118,19 @@
 		Classes: []scatter.Class{{Name: "c", LatencyObjective: 1500 * time.Millisecond, Deadline: 3 * time.Second,
 			PriorityWeight: 1, CompleteFraction: 1, MinFraction: 1}},
 	}
-	owner, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
+	coordinator, err := core.New(core.Config{Seed: 1, Settings: settings, Clock: clock, Subscribe: func() {},
 		PolledSource: "test", Callers: map[string]core.Caller{Scheme: caller}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	caller.Reporter = owner
+	caller.Reporter = coordinator
 	replica := scatter.Replica{ID: "n0", State: scatter.Ready}
 	endpoint := core.Endpoint{Replica: replica, Address: replicaListener.Addr().String(), Scheme: Scheme}
-	owner.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{endpoint})
-	go owner.Run()
-	t.Cleanup(owner.Stop)
-	server := &http1.Server{Handler: (&Front{Coordinator: owner, Clock: clock}).Handle, Limits: http1.DefaultLimits}
+	coordinator.UpdateEndpoints("test", scatter.FullUpdate, []core.Endpoint{endpoint})
+	go coordinator.Run()
+	t.Cleanup(coordinator.Stop)
+	server := &http1.Server{
+		Handler: (&Front{Coordinator: coordinator, Clock: clock}).Handle, Limits: http1.DefaultLimits}
 	go server.Serve(clients)
 	return clients.Addr().String()
 }
--- a/internal/platform/discovery_fixture_test.go
+++ b/internal/platform/discovery_fixture_test.go
@@ -16,16 +16,16 @@
 	"harepass/internal/test/fake"
 )
 
-// listUpdate is an update of the endpoint list, as Listed gets it.
+// listUpdate is an update of the endpoint list, as Listed receives it.
 type listUpdate struct {
 	kind      scatter.UpdateKind
 	endpoints int
 }
 
-// failedPoll is the update that tells of a poll that failed.
+// failedPoll is the update that reports a failed poll.
 var failedPoll = listUpdate{kind: scatter.FailedUpdate}
 
-// discoveryFixture is a Discovery on a network in memory, with what it was told.
+// discoveryFixture is a Discovery on an in-memory network, with the updates that it reported.
 type discoveryFixture struct {
 	*Discovery
 	memory  fake.Network
@@ -37,7 +37,7 @@
 	updates []listUpdate
 }
 
-// newDiscoveryFixture returns a Discovery for an address, of a coordinator that knows a list.
+// newDiscoveryFixture returns a Discovery for an address, whose coordinator has the known list.
 func newDiscoveryFixture(address string, known List) *discoveryFixture {
 	fx := &discoveryFixture{Discovery: NewDiscovery(address, known), done: make(chan struct{})}
 	fx.Dial = fx.memory.Dial
@@ -76,7 +76,7 @@
 	}
 }
 
-// takeUpdates returns the updates since the last call, once all goroutines have come to rest.
+// takeUpdates waits until all goroutines are blocked, and returns the updates since the last call.
 func (fx *discoveryFixture) takeUpdates() []listUpdate {
 	synctest.Wait()
 	fx.mu.Lock()
@@ -86,14 +86,14 @@
 	return updates
 }
 
-// requestLog notes the polls that a service gets; polls go on while the test looks.
+// requestLog records the polls that a service receives. Polls may arrive while the test reads it.
 type requestLog struct {
 	mu      sync.Mutex
 	targets []string
 	at      []time.Time
 }
 
-// add notes a poll and returns how many there are.
+// add records a poll and returns the number of polls.
 func (l *requestLog) add(target string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,31 +101,31 @@
 	return len(l.targets)
 }
 
-// all returns the targets of the polls, and when each came.
+// all returns the targets of the polls and their arrival times.
 func (l *requestLog) all() (targets []string, at []time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.targets, l.at
 }
 
-// fleetSchedule is the schedule of a coordinator that is one of 6, 14 or 22, by the seed.
+// fleetSchedule returns the schedule of a coordinator in a fleet of 6, 14 or 22, depending on the seed.
 func fleetSchedule(seed uint64) *backoff.Schedule {
 	return &backoff.Schedule{FleetSize: 6 + int(seed%3)*8, ListMaxAge: 10 * time.Second,
 		Rand: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// readyList is a list of index 7 whose one endpoint, a, is ready.
+// readyList returns a list of index 7 whose only endpoint, a, is Ready.
 func readyList() List {
 	return List{Index: 7, Endpoints: []Endpoint{{Name: "a", Address: "a:1", Status: "in_service"}}}
 }
 
-// watchHoldMillis is how long watches ask to be held, as the parameter says it.
+// watchHoldMillis is the value of the parameter hold_ms of a watch.
 var watchHoldMillis = fmt.Sprint(backoff.WatchHold.Milliseconds())
 
 // isWatch reports whether a poll is a watch.
 func isWatch(r *http.Request) bool { return r.URL.Query().Get("hold_ms") == watchHoldMillis }
 
-// The ways in which a service fails to answer.
+// The handlers below are the ways in which a service fails to answer.
 
 func neverAnswers(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -17,16 +17,16 @@
 	"harepass/internal/decide/scatter"
 )
 
-// subscriptionPlay is a service that holds watches for 0.8 s, and is unavailable or silent as the test says. Each
-// answer has one endpoint, and the number of the poll plus 40 for an index.
-type subscriptionPlay struct {
+// subscriptionTest is a service that holds watches for 0.8 s and is unavailable or silent when the test sets this. Each
+// answer has one endpoint, and the number of the poll plus 40 as its index.
+type subscriptionTest struct {
 	*testing.T
 	*discoveryFixture
 	polls               requestLog
 	unavailable, silent atomic.Bool
 }
 
-func (p *subscriptionPlay) answer(w http.ResponseWriter, r *http.Request) {
+func (p *subscriptionTest) answer(w http.ResponseWriter, r *http.Request) {
 	index := 40 + p.polls.add(r.URL.RequestURI())
 	if p.unavailable.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -43,18 +43,18 @@
 	fmt.Fprintf(w, body, index, !r.URL.Query().Has("from"))
 }
 
-// The coordinator subscribes. The subscription begins with the complete list and goes on with watches, each begun as
-// soon as the one before was answered. Then the service fails: each poll that fails is told once, the next ones follow
-// by themselves and ask what is new. At last it falls silent: the watch counts as lost, and a poll follows.
+// A subscription begins with the complete list and continues with watches, each of which begins as soon as the previous
+// one is answered. When the service fails, each failed poll is reported once, and further polls for the changes follow.
+// When the service falls silent, the watch counts as lost and a poll follows.
 func TestSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &subscriptionPlay{T: t, discoveryFixture: newDiscoveryFixture("d", List{})}
+		p := &subscriptionTest{T: t, discoveryFixture: newDiscoveryFixture("d", List{})}
 		p.serve("d", p.answer)
 		p.start()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if targets, _ := p.polls.all(); len(targets) > 0 {
-			t.Error("it polls without a subscription")
+			t.Error("Discovery polls without a subscription")
 		}
 		p.expectWatches()
 		p.expectPollsAfterFailure()
@@ -64,13 +64,13 @@
 	})
 }
 
-// expectWatches subscribes, and makes the service unavailable in the third watch, which is answered still.
-func (p *subscriptionPlay) expectWatches() {
+// expectWatches subscribes, and makes the service unavailable during the third watch, which is still answered.
+func (p *subscriptionTest) expectWatches() {
 	startedAt := time.Now()
 	p.Subscribe()
 	time.Sleep(2000 * time.Millisecond)
 	synctest.Wait()
-	p.Subscribe() // one stands: nothing more happens
+	p.Subscribe() // has no effect on an existing subscription
 	p.unavailable.Store(true)
 	time.Sleep(300 * time.Millisecond)
 	synctest.Wait()
@@ -83,23 +83,23 @@
 	updates := p.takeUpdates()
 	if !slices.Equal(updates, []listUpdate{
 		{scatter.FullUpdate, 1}, {scatter.IncrementalUpdate, 1}, {scatter.IncrementalUpdate, 1}}) {
-		p.Errorf("updates %v", updates)
+		p.Errorf("updates %v, want one full and two incremental ones", updates)
 	}
 	if late := at[2].Sub(startedAt) - 800*time.Millisecond; late != 0 {
-		p.Errorf("the watch was renewed after %v", late)
+		p.Errorf("the watch was renewed %v after its answer, want at once", late)
 	}
 }
 
-// expectPollsAfterFailure waits while the service is unavailable. The third watch is answered still; the fifth poll
-// is the watch that meets the 503, and the polls after it ask what is new.
-func (p *subscriptionPlay) expectPollsAfterFailure() {
+// expectPollsAfterFailure waits while the service is unavailable. The third watch is still answered. The fifth poll is
+// the watch that gets the 503, and the polls after it ask for changes.
+func (p *subscriptionTest) expectPollsAfterFailure() {
 	time.Sleep(4 * time.Second)
 	synctest.Wait()
 	targets, _ := p.polls.all()
 	failures := len(targets) - 5
 	for _, target := range targets[5:] {
 		if target != "/registry/instances?from=44&hold_ms=1" {
-			p.Errorf("after the watch: poll %s", target)
+			p.Errorf("poll %s after the failed watch, want one for the changes since index 44", target)
 		}
 	}
 	updates := p.takeUpdates()
@@ -108,29 +108,29 @@
 	}
 }
 
-func (p *subscriptionPlay) expectRecovery() {
+func (p *subscriptionTest) expectRecovery() {
 	p.unavailable.Store(false)
 	time.Sleep(time.Second)
 	updates := p.takeUpdates()
 	if len(updates) == 0 || updates[len(updates)-1] != (listUpdate{scatter.IncrementalUpdate, 1}) {
-		p.Errorf("discovery is back and the coordinator was not told: updates %v", updates)
+		p.Errorf("updates %v after discovery recovered, want an incremental one last", updates)
 	}
 }
 
-// expectPollAfterSilence has the watch that stands answered, and the next one not.
-func (p *subscriptionPlay) expectPollAfterSilence() {
+// expectPollAfterSilence lets the open watch be answered, and the next one not.
+func (p *subscriptionTest) expectPollAfterSilence() {
 	p.silent.Store(true)
 	time.Sleep(2*backoff.WatchHold + backoff.WatchSilence + backoff.CallTimeout/2)
 	updates := p.takeUpdates()
 	targets, _ := p.polls.all()
 	if last := targets[len(targets)-1]; !strings.HasSuffix(last, "&hold_ms=1") || len(updates) > 1 {
-		p.Errorf("a silent watch was followed by %s, updates %v", last, updates)
+		p.Errorf("poll %s after a silent watch, want one answered at once; updates %v, want at most one", last, updates)
 	}
 }
 
-// A reload names another address. The watch at the old one ends, and the subscription begins at the new one at once,
-// with the complete list, since the index is another service's. A new service that nobody can reach is told like any
-// other failure.
+// After a reload names another address, the watch at the old one ends. The subscription begins at the new one at once,
+// with the complete list, because the known index is that of another service. A new service that cannot be reached is
+// reported like any other failure.
 func TestSetAddressMovesSubscription(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newDiscoveryFixture("old", List{})
@@ -156,23 +156,23 @@
 		fx.Subscribe()
 		synctest.Wait()
 		startedAt := time.Now()
-		fx.SetAddress("nowhere") // overtaken before it is seen, or not: the last address counts
+		fx.SetAddress("nowhere") // Run may or may not receive it: the last address counts
 		fx.SetAddress("new")
 		synctest.Wait()
 		if fx.Subscribe(); time.Since(startedAt) > 0 {
-			t.Error("the move took its time")
+			t.Error("the subscription did not move to the new address at once")
 		}
 		want := []string{"old/registry/instances", "old/registry/instances?from=28&hold_ms=1000",
 			"new/registry/instances", "new/registry/instances?from=28&hold_ms=1000"}
 		if !slices.Equal(polls, want) || kinds[0] != scatter.FullUpdate || kinds[len(kinds)-1] != scatter.FullUpdate ||
 			ids[0] != "old" || ids[len(ids)-1] != "new" {
-			t.Errorf("polls %v, updates %v of %v", polls, kinds, ids)
+			t.Errorf("polls %v; updates %v of %v, want the full list of old first and of new last", polls, kinds, ids)
 		}
 		kinds, ids = nil, nil
 		fx.SetAddress("nowhere")
 		synctest.Wait()
 		if !slices.Equal(kinds, []scatter.UpdateKind{scatter.FailedUpdate}) || len(ids) > 0 {
-			t.Errorf("no service there: updates %v of %v", kinds, ids)
+			t.Errorf("updates %v of %v for an address without a service, want one failure", kinds, ids)
 		}
 		fx.close()
 	})
@@ -203,9 +203,9 @@
 	})
 }
 
-// A fleet that starts, or loses its list in one instant, polls with watches from the index that each coordinator has,
-// which costs discovery little. Only an answer that cannot be used is followed by a poll for the complete list, and
-// nothing of it is taken over.
+// A fleet that starts, or loses discovery, at one instant polls and watches from the index that each coordinator has,
+// which costs discovery little. Only an unusable answer is followed by a poll for the complete list, and nothing of
+// such an answer is applied.
 func TestWatchStartsFromKnownIndex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newDiscoveryFixture("d", readyList())
@@ -235,14 +235,14 @@
 			{`{"index":9,` + oneEndpoint, from(9), listUpdate{scatter.IncrementalUpdate, 1}},
 			{`not even JSON`, complete, failedPoll},
 			{`{"index":12,"snapshot":true,` + oneEndpoint, from(12), listUpdate{scatter.FullUpdate, 1}},
-			{`{"index":11,` + oneEndpoint, complete, failedPoll}, // older than what it has
+			{`{"index":11,` + oneEndpoint, complete, failedPoll}, // older than the known list
 			{`{"index":3,"snapshot":true,` + oneEndpoint, from(3), listUpdate{scatter.FullUpdate, 1}},
 			{`{"index":4,"endpoints":[{"name":"c","status":"confused"}]}`, complete, failedPoll},
 		} {
 			fx.Subscribe()
 			synctest.Wait()
 			if len(polls) == 1 && polls[0] != "/registry/instances?from=7&hold_ms=1" {
-				t.Errorf("the first poll is %s", polls[0])
+				t.Errorf("the first poll is %s, want one for the changes since index 7", polls[0])
 			}
 			fx.takeUpdates()
 			answers <- c.answer
@@ -251,26 +251,26 @@
 				awaitRetry()
 			}
 			if !slices.Equal(updates, []listUpdate{c.update}) || polls[len(polls)-1] != c.next {
-				t.Errorf("after %s: updates %v, next poll %s", c.answer, updates, polls[len(polls)-1])
+				t.Errorf("answer %s: unexpected updates %v or next poll %s", c.answer, updates, polls[len(polls)-1])
 			}
 		}
 		answers <- `{"index":5,"snapshot":true,` + oneEndpoint
 		synctest.Wait()
-		service.Close() // the subscription ends, with an index known: that of a service which is left
+		service.Close() // ends the subscription; the known index is that of a service that is about to be replaced
 		awaitRetry()
 		polls = nil
 		fx.serve("elsewhere", answer)
 		fx.SetAddress("elsewhere")
 		synctest.Wait()
 		if !slices.Equal(polls, []string{complete}) {
-			t.Errorf("moved without a subscription: polls %v", polls)
+			t.Errorf("polls %v after a move between two subscriptions, want one for the complete list", polls)
 		}
 		fx.close()
 	})
 }
 
-// Reloads name one service and another in turn, while answers of the service before come in. The copy for a process
-// that takes over always has the list of the service whose address it has.
+// Reloads name two services in turn, while answers of the previous service arrive. The copy for a process that takes
+// over always holds the list of the service whose address it holds.
 func TestCopyHasListOfItsAddressDuringReloads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fx := newDiscoveryFixture("a", List{})
@@ -294,17 +294,17 @@
 		fx.Subscribe()
 		for i := range 300 {
 			fx.SetAddress([]string{"b", "a"}[i%2])
-			time.Sleep(3 * time.Millisecond) // the next one comes in the moment of an answer
+			time.Sleep(3 * time.Millisecond) // the next address is set at the instant of an answer
 			for range i % 7 {
 				runtime.Gosched()
 			}
 		}
 		if n := mixed.Load(); n > 0 {
-			t.Errorf("%d copies with the list of another address", n)
+			t.Errorf("%d copies had the list of another address, want none", n)
 		}
 		fx.cancel()
 		<-fx.done
-		time.Sleep(time.Second) // for handlers that still answer
+		time.Sleep(time.Second) // lets the handlers finish that are still answering
 		fx.close()
 	})
 }
--- a/internal/platform/ended_idle_test.go
+++ b/internal/platform/ended_idle_test.go
@@ -12,7 +12,7 @@
 	"harepass/internal/http1"
 )
 
-// idleEndFixture is a caller and its replica on a real socket; the test speaks for the replica.
+// idleEndFixture is a Caller and its replica on a real socket. The test acts as the replica.
 type idleEndFixture struct {
 	*fakeReplica
 	t       *testing.T
@@ -33,7 +33,7 @@
 	return fx
 }
 
-// callFirst makes the call that opens the connection, and reads it at the replica's end, which it returns.
+// callFirst makes the call that opens the connection, reads it at the replica's end, and returns both.
 func (fx *idleEndFixture) callFirst() (first *core.Attempt, replicaEnd net.Conn) {
 	fx.t.Helper()
 	first = &core.Attempt{QueryID: "first", ReplicaID: "n"}
@@ -55,14 +55,14 @@
 			return got[0]
 		}
 	}
-	fx.t.Fatal("no outcome")
+	fx.t.Fatal("the attempt has no outcome after 10 s")
 	return 0
 }
 
-// steppedReader is a connection whose reads return only as the test lets them.
+// steppedReader is a connection on which each read waits for the test to permit it.
 type steppedReader struct {
 	*net.TCPConn
-	reads chan struct{} // one for each read
+	reads chan struct{} // holds a token for each permitted read
 }
 
 func (c *steppedReader) Read(p []byte) (int, error) {
@@ -70,9 +70,9 @@
 	return c.TCPConn.Read(p)
 }
 
-// A replica ends a connection while it is idle, and a call is about to be written to it before the reader has seen the
-// end. The call has not begun, goes elsewhere, and says nothing of the replica: written, it would be a reset, after
-// which a report may have run.
+// A replica closes an idle connection, and a call is about to be written to it before the reader has seen the close.
+// The call must end as NotSent, so that it is sent elsewhere and says nothing about the replica. If it were written, it
+// would end as ConnectionReset, after which a report may have run.
 func TestCallToConnectionThatReplicaHasEnded(t *testing.T) {
 	reads := make(chan struct{}, 10)
 	fx := newIdleEndFixture(t, 4, func(ctx context.Context, address string) (net.Conn, error) {
@@ -86,7 +86,7 @@
 	reads <- struct{}{}
 	replicaEnd.Write(appendFrame(nil, frameAnswer, []byte("first.0 S 0 -\nv")))
 	if got := fx.awaitOutcome(first); got != scatter.Succeeded {
-		t.Fatalf("the first call ended as %v", got)
+		t.Fatalf("the first call ended with outcome %v, want Succeeded", got)
 	}
 	replicaEnd.Close()
 	time.Sleep(10 * time.Millisecond)
@@ -97,21 +97,22 @@
 		reads <- struct{}{}
 	}
 	if got := fx.awaitOutcome(second); got != scatter.NotSent {
-		t.Errorf("the call ended as outcome %v, want one that has never begun", got)
+		t.Errorf("the second call ended with outcome %v, want NotSent", got)
 	}
 }
 
-// lockOrder hands a mutex to goroutines in an order that the test makes: once a goroutine has waited for the lock in
-// vain, it goes to those who wait, in their order.
+// lockOrder passes a mutex between goroutines in an order that the test determines: once a goroutine has failed to get
+// the lock for a while, the mutex goes to the waiting goroutines in the order of their arrival.
 type lockOrder struct {
 	mu       *sync.Mutex
-	regained bool // guarded by mu: the test has had the lock again after the first in line
+	regained bool // guarded by mu: the test has regained the lock after the first waiting goroutine
 }
 
-// untilWaiting is a pause in which a goroutine comes to wait for a lock.
+// untilWaiting is a pause that is long enough for a goroutine to wait for a lock.
 const untilWaiting = 20 * time.Millisecond
 
-// pass unlocks, and locks again behind the goroutine that has waited longest; from there on the lock goes in order.
+// pass unlocks the mutex and locks it again behind the goroutine that has waited longest. From then on the lock goes to
+// waiting goroutines in the order of their arrival.
 func (o *lockOrder) pass() {
 	o.mu.Unlock()
 	o.mu.Lock()
@@ -120,10 +121,11 @@
 	o.mu.Unlock()
 }
 
-// holdBehind takes the lock after the test has regained it, says so, and passes it on when release is closed.
+// holdBehind takes the lock after the test has regained it, closes holds, and passes the lock on once release is
+// closed.
 func (o *lockOrder) holdBehind(holds, release chan struct{}) {
 	o.mu.Lock()
-	for !o.regained { // it came before the test, which would wait for it for ever: the test is first
+	for !o.regained { // it got the lock before the test, which would then wait for it for ever; the test goes first
 		o.mu.Unlock()
 		time.Sleep(time.Millisecond)
 		o.mu.Lock()
@@ -133,9 +135,9 @@
 	o.pass()
 }
 
-// Half a frame ends an idle connection, and a call comes in that very moment. The call goes on a new connection, and
-// does not count as refused by the replica. The moment is made, on real sockets: the reader's look whether any
-// attempt is out, and behind it the call, wait for the caller's lock.
+// Half a frame ends an idle connection at the instant at which a call is made. The call must go to a new connection and
+// not count as refused by the replica. The test forces this instant on real sockets: the reader's check for outstanding
+// attempts waits for the Caller's lock, and the call waits behind it.
 func TestCallWhileIdleConnectionEnds(t *testing.T) {
 	fx := newIdleEndFixture(t, 1, nil)
 	first, replicaEnd := fx.callFirst()
@@ -145,7 +147,7 @@
 	}
 	order := &lockOrder{mu: &fx.caller.mu}
 	order.mu.Lock()
-	replicaEnd.Write([]byte{99, 0, 0}) // the reader asks for its time-outs, and then looks
+	replicaEnd.Write([]byte{99, 0, 0}) // the reader takes the lock for its time-outs, and again for its check
 	time.Sleep(untilWaiting)
 	holds, release, called := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go order.holdBehind(holds, release)
@@ -160,7 +162,7 @@
 	<-called
 	time.Sleep(2 * untilWaiting)
 	if got := fx.outcomes(second); len(got) > 0 {
-		t.Errorf("the call ended %v", got)
+		t.Errorf("the call ended with outcomes %v, want it to be outstanding", got)
 	}
 	fx.caller.Close()
 }
--- a/internal/platform/fake_replica_test.go
+++ b/internal/platform/fake_replica_test.go
@@ -16,11 +16,11 @@
 	"harepass/internal/decide/scatter"
 )
 
-// gatedConn is the caller's end of a connection to a replica. While its gate is shut, writes wait, and fail if the
-// connection is closed then.
+// gatedConn is the Caller's end of a connection to a replica. While the gate blocks, writes wait, and fail if the
+// connection is closed.
 type gatedConn struct {
 	net.Conn
-	gate   chan struct{} // closed while the gate is open
+	gate   chan struct{} // closed while writes may pass
 	closed chan struct{}
 	once   sync.Once
 }
@@ -30,7 +30,7 @@
 	case <-c.gate:
 		return c.Conn.Write(p)
 	case <-c.closed:
-		return len(p) - 1, errors.New("closed") // all but the last byte went out
+		return len(p) - 1, errors.New("connection closed") // all but the last byte was written
 	}
 }
 
@@ -39,23 +39,23 @@
 	return c.Conn.Close()
 }
 
-// fakeReplica is a replica on connections in memory that reads frames and answers what the test sends. It takes the
-// outcomes of its caller's attempts.
+// fakeReplica is a replica on in-memory connections. It reads frames, and sends the answers that the test gives it. It
+// also records the outcomes of its Caller's attempts.
 type fakeReplica struct {
 	caller *Caller
 
 	mu     sync.Mutex
 	ended  map[*core.Attempt][]scatter.Outcome
-	frames []string // that the replica was sent: the letter and the id
+	frames []string // received frames: the kind and the id
 
-	refuses   bool       // new connections
-	conn      *gatedConn // the caller's end of the last connection; nil if there is none
+	refuses   bool       // it refuses new connections
+	conn      *gatedConn // the Caller's end of the last connection; nil if there is none
 	current   net.Conn   // the replica's end that send writes to; nil if there is none
 	ends      []net.Conn // the replica's ends, in the order of the dials
-	connCount int        // connections opened
+	connCount int        // number of connections opened
 }
 
-// newFakeReplica returns a replica and its caller with so many calls on a connection.
+// newFakeReplica returns a replica with a Caller that makes at most callsPerConn calls on a connection at once.
 func newFakeReplica(callsPerConn int) *fakeReplica {
 	r := &fakeReplica{ended: map[*core.Attempt][]scatter.Outcome{}}
 	r.caller = &Caller{Reporter: r, CallsPerConn: callsPerConn, ConnectTimeout: time.Second,
@@ -70,7 +70,7 @@
 	r.ended[at] = append(r.ended[at], o)
 }
 
-// outcomes returns the outcomes of an attempt that were reported so far.
+// outcomes returns the outcomes that have been reported for an attempt.
 func (r *fakeReplica) outcomes(at *core.Attempt) []scatter.Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +79,7 @@
 
 func (r *fakeReplica) dial(context.Context, string) (net.Conn, error) {
 	if r.refuses {
-		return nil, errors.New("refused")
+		return nil, errors.New("connection refused")
 	}
 	callerEnd, replicaEnd := net.Pipe()
 	r.conn = &gatedConn{Conn: callerEnd, gate: make(chan struct{}), closed: make(chan struct{})}
@@ -91,7 +91,7 @@
 	return r.conn, nil
 }
 
-// readFrames notes the frames that come in until the connection ends.
+// readFrames records the received frames until the connection ends.
 func (r *fakeReplica) readFrames(conn net.Conn) {
 	for {
 		var n uint32
@@ -109,7 +109,7 @@
 	}
 }
 
-// send writes from the replica's side, in pieces of size+1 bytes.
+// send writes data from the replica's end in pieces of size+1 bytes.
 func (r *fakeReplica) send(data []byte, size int) {
 	conn := r.current
 	go func() {
@@ -124,12 +124,12 @@
 	synctest.Wait()
 }
 
-// sendAnswer writes a successful answer to a part, in one piece.
+// sendAnswer sends a successful answer to a part in one piece.
 func (r *fakeReplica) sendAnswer(id string) {
 	r.send(appendFrame(nil, frameAnswer, fmt.Appendf(nil, "%s S 0 -\nv", id)), 1<<20)
 }
 
-// stopReading has the replica read nothing more, so that the caller's writes wait.
+// stopReading makes the replica stop reading, so that the Caller's writes wait.
 func (r *fakeReplica) stopReading() { r.conn.gate = make(chan struct{}) }
 
 // readAgain ends stopReading.
--- a/internal/platform/frame_test.go
+++ b/internal/platform/frame_test.go
@@ -9,7 +9,8 @@
 	"harepass/internal/buffer"
 )
 
-// Frames come in pieces of any size, as the network cuts them. They have to mean what they mean in one piece.
+// FuzzFrames checks that frames which arrive in pieces of any size, as the network splits them, are read as in one
+// piece.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte{2, 0, 0, 0, '5', 'x', 1, 0, 0, 0, 'X'}, uint8(1))
 	f.Add([]byte{0, 0, 0, 0}, uint8(2))
@@ -21,7 +22,7 @@
 	})
 }
 
-// readFrames reads frames from data that comes in pieces of at most size bytes, up to the first error.
+// readFrames reads frames from data that arrives in pieces of at most size bytes, up to the first error.
 func readFrames(data []byte, size int) (frames []string) {
 	var b buffer.Buffer
 	src := bytes.NewReader(data)
--- a/internal/platform/front_test.go
+++ b/internal/platform/front_test.go
@@ -23,11 +23,11 @@
 	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 1,
 		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second,
 			CompleteFraction: 1, MinFraction: 1}}}
-	owner, err := core.New(core.Config{Settings: settings, Clock: core.SystemClock(), Subscribe: func() {}})
+	coordinator, err := core.New(core.Config{Settings: settings, Clock: core.SystemClock(), Subscribe: func() {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Front{Coordinator: owner, Clock: core.SystemClock()}
+	f := &Front{Coordinator: coordinator, Clock: core.SystemClock()}
 	twice := request("POST", "/api", "", "X-Call-Id", "a")
 	twice.Header.Add("X-Call-Id", "b")
 	good := `{"slices":[{"slice":1,"mass":1}],"filter":"f"}`
@@ -68,7 +68,7 @@
 	} {
 		m := f.Handle(tc.req, nil)
 		if m.Status != tc.status || !strings.Contains(string(m.Body), tc.want) {
-			t.Errorf("%s %s %s %v: %d %s, want %d %s",
+			t.Errorf("%s %s %s %v: answer %d %s, want %d with %q in the text",
 				tc.req.Method, tc.req.Target, tc.req.Body, tc.req.Header, m.Status, m.Body, tc.status, tc.want)
 		}
 	}
@@ -81,7 +81,7 @@
 	left := q.Deadline - f.Clock()
 	if err != nil || left <= 0 || left > 250*time.Millisecond || !q.IsRetry || q.Tenant != "acme" ||
 		q.Class != "c" || string(q.Body) != "f" {
-		t.Errorf("%+v, %v", q, err)
+		t.Errorf("query %+v, error %v", q, err)
 	}
 }
 
@@ -90,10 +90,10 @@
 	endpoints, err := l.CoreEndpoints()
 	if err != nil || len(endpoints) != 1 || endpoints[0].State != scatter.Draining ||
 		endpoints[0].StartedAt != 5*time.Millisecond || endpoints[0].RingPosition != 2 || endpoints[0].Address != "h:1" {
-		t.Errorf("%+v, %v", endpoints, err)
+		t.Errorf("endpoints %+v, error %v", endpoints, err)
 	}
 	l.Endpoints[0].Status = "asleep"
 	if _, err := l.CoreEndpoints(); err == nil {
-		t.Error("an unknown status is taken")
+		t.Error("CoreEndpoints accepts an unknown status")
 	}
 }
--- a/internal/platform/notified_in_time_test.go
+++ b/internal/platform/notified_in_time_test.go
@@ -20,9 +20,9 @@
 // discoveryFault is a fault of discovery that begins with a change of the list.
 type discoveryFault struct {
 	name  string
-	watch http.HandlerFunc // answers the watch that stands at the change
-	polls http.HandlerFunc // answers polls while the fault lasts; nil if they are answered well
-	delay time.Duration    // of a poll that is answered well
+	watch http.HandlerFunc // answers the watch that is open at the change
+	polls http.HandlerFunc // answers polls while the fault lasts; nil if they succeed
+	delay time.Duration    // of a poll that succeeds
 }
 
 var discoveryFaults = []discoveryFault{
@@ -37,10 +37,10 @@
 	{"answers that never end", resets, answersWithoutEnd, 0},
 }
 
-// faultyDiscovery is a service whose one endpoint begins to drain while a fault begins.
+// faultyDiscovery is a service whose only endpoint begins to drain when a fault begins.
 type faultyDiscovery struct {
 	fault         discoveryFault
-	changed, over atomic.Bool // the change has come; the fault is over
+	changed, over atomic.Bool // the list has changed; the fault is over
 }
 
 func (s *faultyDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -63,19 +63,20 @@
 	}
 }
 
-// Replicas began to drain at 3.68 s, and coordinators learned it at 11.87 s and 12.7 s: their watches of 10 s had
-// fallen silent at 1 s. In a fleet of 273, watches were renewed up to 10 s after their silence had shown. Whatever
-// fails, a coordinator has to have a change before it counts as notified: 6 s after discovery had it and could be
-// reached. Each fault begins with the change, in fleets of which all can be served in that time.
+// Guards against learning of a change too late. Replicas that began to drain at 3.68 s were known as draining only at
+// 11.87 s and 12.7 s, because watches of 10 s had fallen silent at 1 s. In a fleet of 273, watches were renewed up to
+// 10 s after their silence was detected. With every fault, a coordinator has to receive a change before it counts as
+// notified, 6 s after discovery had it and could be reached. Each fault begins with the change, in fleets that
+// discovery can answer in that time.
 func TestNotifiedInTime(t *testing.T) {
 	for _, fault := range discoveryFaults {
 		for seed := range uint64(30) {
-			synctest.Test(t, func(t *testing.T) { playDiscoveryFault(t, fault, seed) })
+			synctest.Test(t, func(t *testing.T) { runDiscoveryFault(t, fault, seed) })
 		}
 	}
 }
 
-func playDiscoveryFault(t *testing.T, fault discoveryFault, seed uint64) {
+func runDiscoveryFault(t *testing.T, fault discoveryFault, seed uint64) {
 	service := &faultyDiscovery{fault: fault}
 	fx := newDiscoveryFixture("d", readyList())
 	fx.serve("d", service.ServeHTTP)
@@ -97,17 +98,18 @@
 		reachable = time.Now()
 	}
 	if took := (<-notified).Sub(reachable); took >= backoff.NotifiedAfter {
-		t.Errorf("%s, seed %d: the drain came in %v after discovery had it and could be reached",
+		t.Errorf("%s, seed %d: the drain arrived %v after discovery had it and could be reached",
 			fault.name, seed, took)
 	}
 	fx.cancel()
 	<-fx.done
-	time.Sleep(faultTime) // for handlers that still answer
+	time.Sleep(faultTime) // lets the handlers finish that are still answering
 	fx.close()
 }
 
-// A reload names another discovery. Its changes count as notified 4 s after, though its first poll is never answered,
-// is rejected or fails late, and at whatever moment of the subscription to the old one the reload comes.
+// After a reload names another discovery service, its changes count as notified 4 s later. The coordinator has to have
+// them by then even if its first poll is never answered, is rejected, fails late or gets an unreadable answer, and
+// wherever in the subscription to the old service the reload occurs.
 func TestNotifiedInTimeAfterReload(t *testing.T) {
 	for name, first := range map[string]http.HandlerFunc{
 		"never answered": neverAnswers,
@@ -116,13 +118,14 @@
 		"unreadable":     answersUnreadably,
 	} {
 		for seed := range uint64(20) {
-			synctest.Test(t, func(t *testing.T) { playReload(t, name, first, seed) })
+			synctest.Test(t, func(t *testing.T) { runReload(t, name, first, seed) })
 		}
 	}
 }
 
-// playReload moves from one service to another that answers its first poll in a way of its own, and others late.
-func playReload(t *testing.T, name string, first http.HandlerFunc, seed uint64) {
+// runReload moves from one service to another, whose first poll is answered by first and whose later polls are
+// answered late.
+func runReload(t *testing.T, name string, first http.HandlerFunc, seed uint64) {
 	fx := newDiscoveryFixture("old", readyList())
 	fx.serve("old", func(w http.ResponseWriter, r *http.Request) {
 		if isWatch(r) {
@@ -138,7 +141,7 @@
 		case r.URL.Query().Has("from"):
 			<-r.Context().Done()
 		default:
-			time.Sleep(1400 * time.Millisecond) // polls of a fleet are served in turn
+			time.Sleep(1400 * time.Millisecond) // discovery answers the polls of a fleet one after another
 			const list = `{"index":3,"snapshot":true,"endpoints":[{"name":"a","address":"a:1","status":"terminating"}]}`
 			io.WriteString(w, list)
 		}
@@ -156,7 +159,7 @@
 	startedAt := time.Now()
 	fx.SetAddress("new")
 	if took := (<-notified).Sub(startedAt); took >= backoff.NotifiedAfterReload {
-		t.Errorf("%s, seed %d: the drain came in %v after the reload", name, seed, took)
+		t.Errorf("%s, seed %d: the drain arrived %v after the reload", name, seed, took)
 	}
 	fx.close()
 	time.Sleep(2 * time.Second)
--- a/internal/platform/one_change_test.go
+++ b/internal/platform/one_change_test.go
@@ -12,7 +12,7 @@
 	"harepass/internal/distribution"
 )
 
-// reader is what a coordinator does with answers up to where the owner has them, with a list of so many nodes.
+// reader does what a coordinator does with an answer before core receives it.
 type reader struct {
 	state follower.State
 	list  *RelayedList
@@ -20,7 +20,7 @@
 }
 
 func newReader(tb testing.TB, replicas int) *reader {
-	r := &reader{list: NewRelayedList(List{}), index: 10_000} // of as many digits for each list
+	r := &reader{list: NewRelayedList(List{}), index: 10_000} // has the same number of digits for each list size
 	r.list.KeepCopy(func() {})
 	r.list.Listed = func(scatter.UpdateKind, []core.Endpoint) {}
 	version := versionlog.Version{Epoch: 1, Index: r.index}
@@ -51,15 +51,15 @@
 		SnapshotCompleted: c.SnapshotCompleted, Complete: c.Complete})
 }
 
-// change takes the next change of one entry.
+// change applies the next change of one entry.
 func (r *reader) change(tb testing.TB) {
 	r.index++
 	version := versionlog.Version{Epoch: 1, Index: r.index}
 	r.take(tb, versionlog.Slice{Version: version, NewestIndex: r.index, Entries: []versionlog.Entry{oneEntry(3, r.index)}})
 }
 
-// leastAllocations is the smallest number of allocations that one of many calls makes. What pools lack makes some calls
-// allocate more, and the race detector has them lack something at random.
+// leastAllocations returns the smallest number of allocations among many calls. A call allocates more if a pool is
+// empty, which the race detector causes at random.
 func leastAllocations(call func()) float64 {
 	const calls = 300
 	least := math.Inf(1)
@@ -69,20 +69,20 @@
 	return least
 }
 
-// A changed entry makes no more work on a long list than on a short one, counted in allocations.
+// A changed entry causes no more work on a long list than on a short one, counted in allocations.
 func TestOneChangeIsWorkForOne(t *testing.T) {
 	short, long := newReader(t, 70), newReader(t, 7000)
 	a, b := leastAllocations(func() { short.change(t) }), leastAllocations(func() { long.change(t) })
 	if a != b {
-		t.Errorf("%v allocations with 70 nodes, %v with 7,000", a, b)
+		t.Errorf("%v allocations with 70 replicas, %v with 7,000; want the same number", a, b)
 	}
 }
 
-// The same by time: go test -bench OneChange ./internal/platform
+// BenchmarkOneChange measures the same by time: go test -bench OneChange ./internal/platform
 func BenchmarkOneChange(b *testing.B) {
-	for _, nodes := range []int{70, 700, 7000} {
-		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			r := newReader(b, nodes)
+	for _, replicas := range []int{70, 700, 7000} {
+		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
+			r := newReader(b, replicas)
 			for b.Loop() {
 				r.change(b)
 			}
--- a/internal/platform/poll_failure_test.go
+++ b/internal/platform/poll_failure_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// What a failed call shows of discovery. Only a connection that nobody took proves that discovery cannot be reached: a
-// crowded one, which answers others, rejects calls as one that is down does, at once and late.
+// Only a connection that was not accepted proves that discovery cannot be reached. An overloaded discovery, which
+// answers other calls, rejects calls in the same way as one that is down, at once or late.
 func TestEvidenceOfFailedCall(t *testing.T) {
 	const soon, late = 10 * time.Millisecond, 930 * time.Millisecond
 	broken := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
@@ -25,11 +25,11 @@
 		failure pollFailure
 		want    evidence
 	}{
-		"nobody listens":                       {pollFailure{took: soon, err: dial(syscall.ECONNREFUSED)}, provesUnreachable},
-		"the connection never came up":         {pollFailure{took: late, err: unconnected}, provesUnreachable},
-		"the network is away":                  {pollFailure{took: soon, err: dial(syscall.ENETUNREACH)}, provesUnreachable},
-		"no descriptor of our own is left":     {pollFailure{took: soon, err: dial(syscall.EMFILE)}, provesNothing},
-		"no port of our own is left":           {pollFailure{took: soon, err: dial(syscall.EADDRNOTAVAIL)}, provesNothing},
+		"no process listens":                   {pollFailure{took: soon, err: dial(syscall.ECONNREFUSED)}, provesUnreachable},
+		"the connection timed out":             {pollFailure{took: late, err: unconnected}, provesUnreachable},
+		"the network is unreachable":           {pollFailure{took: soon, err: dial(syscall.ENETUNREACH)}, provesUnreachable},
+		"no descriptor left in this process":   {pollFailure{took: soon, err: dial(syscall.EMFILE)}, provesNothing},
+		"no port left on this machine":         {pollFailure{took: soon, err: dial(syscall.EADDRNOTAVAIL)}, provesNothing},
 		"unavailable at once":                  {pollFailure{took: soon, err: errUnavailable}, mayBeOverloaded},
 		"unavailable after a wait":             {pollFailure{took: late, err: errUnavailable}, mayBeOverloaded},
 		"reset at once":                        {pollFailure{took: soon, err: broken}, mayBeOverloaded},
--- a/internal/platform/rejection_test.go
+++ b/internal/platform/rejection_test.go
@@ -10,18 +10,18 @@
 	"harepass/internal/decide/scatter"
 )
 
-// noGate refuses all.
-type noGate struct{ refuse bool }
+// fixedAdmitter admits all queries or, if reject is set, none.
+type fixedAdmitter struct{ reject bool }
 
-func (g noGate) Admit(overload.Arrival) (bool, time.Duration) { return !g.refuse, time.Second }
-func (noGate) ObserveTick(core.Tick)                          {}
-func (noGate) QueryDone(int)                                  {}
+func (g fixedAdmitter) Admit(overload.Arrival) (bool, time.Duration) { return !g.reject, time.Second }
+func (fixedAdmitter) ObserveTick(core.Tick)                          {}
+func (fixedAdmitter) QueryDone(int)                                  {}
 
-// echo is a Caller that serves everything at once.
+// echo is a Caller whose attempts all succeed at once.
 type echo struct{ o *core.Coordinator }
 
 func (e *echo) Call(_ core.Endpoint, list []*core.Attempt) {
-	go func() { // the owner must not be called from within
+	go func() { // Call must not call back into the Coordinator itself
 		for _, at := range list {
 			e.o.AttemptEnded(at, scatter.Succeeded, []byte("5be2a07c19f04d63"))
 		}
@@ -30,7 +30,7 @@
 func (*echo) Cancel(*core.Attempt)        {}
 func (*echo) CloseIdleConnections(string) {}
 
-func front(b testing.TB, refuse bool) *Front {
+func front(b testing.TB, reject bool) *Front {
 	e := &echo{}
 	clock := core.SystemClock()
 	settings := scatter.Settings{
@@ -40,7 +40,7 @@
 			PriorityWeight: 1, LateWeight: 0.5, CompleteFraction: 1, MinFraction: 1}},
 	}
 	o, err := core.New(core.Config{Seed: 1, PolledSource: "test", Clock: clock, Subscribe: func() {},
-		Callers: map[string]core.Caller{"echo": e}, Admitter: noGate{refuse}, Settings: settings})
+		Callers: map[string]core.Caller{"echo": e}, Admitter: fixedAdmitter{reject}, Settings: settings})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,19 +61,20 @@
 	return f.Handle(message, nil).Status
 }
 
-// What the gate refuses is refused before its body is read: spoilt as it is, that is not looked at.
+// A query that the Admitter rejects is rejected before its body is parsed, even if the body is malformed.
 func TestRefusedByItsHead(t *testing.T) {
 	message := request("POST", "/api", "{", "X-Call-Id", "q", "X-Call-Class", "c", "X-Budget", "3000m")
 	m := front(t, true).Handle(message, nil)
 	if m.Status != 429 || m.Header.Get("Retry-After") != "1" {
-		t.Errorf("%d %v", m.Status, m.Header)
+		t.Errorf("answer %d %v, want 429 with Retry-After 1", m.Status, m.Header)
 	}
 	if status := handle(front(t, false), 1); status != 200 {
-		t.Errorf("%d where the gate lets in", status)
+		t.Errorf("status %d for an admitted query, want 200", status)
 	}
 }
 
-// A refusal has to cost less than a tenth of a served query: compare allocations and time of these two.
+// BenchmarkServed and BenchmarkRefused compare a served query and a rejected one. A rejection has to cost less than a
+// tenth of a served query, in allocations and in time.
 func BenchmarkServed(b *testing.B) {
 	f := front(b, false)
 	b.ReportAllocs()
--- a/internal/platform/relayed_list_bench_test.go
+++ b/internal/platform/relayed_list_bench_test.go
@@ -10,7 +10,7 @@
 	"harepass/internal/distribution"
 )
 
-// snapshotBodies is a whole list of so many nodes in the answers of a relay.
+// snapshotBodies returns a relay's answers that hold the complete list of so many replicas.
 func snapshotBodies(b *testing.B, replicas int) (bodies [][]byte) {
 	log := versionlog.New(1, replicas)
 	changes := make([]versionlog.Change, replicas)
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkWholeListFromRelays is what reading a whole list costs a coordinator before its owner has it.
+// BenchmarkWholeListFromRelays measures what a coordinator spends on reading a complete list before core receives it.
 func BenchmarkWholeListFromRelays(b *testing.B) {
 	bodies := snapshotBodies(b, 7000)
 	b.ReportAllocs()
--- a/internal/platform/relayed_list_test.go
+++ b/internal/platform/relayed_list_test.go
@@ -17,14 +17,15 @@
 		Body: fmt.Appendf(nil, `{"version":3,"name":%q,"address":"a:1","group":2,"status":%q}`, name, status)}
 }
 
-// A drain in an early slice of the first snapshot reaches the owner with that slice. Names are gone with the last
-// one, and only that brings the list as such; the copy for a process that takes over has all of it.
+// A drain in an early slice of the first snapshot reaches the coordinator with that slice. Entries that the snapshot
+// lacks are removed with its last slice, the first one that is passed to Listed. The copy for a process that takes over
+// holds the complete list.
 func TestDistributedList(t *testing.T) {
 	d := NewRelayedList(List{Endpoints: []Endpoint{
 		{Name: "known", Status: "in_service"}, {Name: "old", Status: "in_service"},
 	}})
 	if got := d.Known(); !slices.Equal(got, []string{"known", "old"}) {
-		t.Errorf("known %v", got)
+		t.Errorf("known names %v, want known and old", got)
 	}
 	changes := 0
 	listCopy := d.KeepCopy(func() { changes++ })
@@ -60,7 +61,7 @@
 		scatter.IncrementalUpdate, scatter.Removed,
 		scatter.IncrementalUpdate, scatter.Ready)
 	if got := strings.Join(updates, ", "); got != want {
-		t.Errorf("told %s\nwant %s", got, want)
+		t.Errorf("updates %s\nwant %s", got, want)
 	}
 	address, list := listCopy.Snapshot()
 	var names []string
@@ -70,11 +71,11 @@
 	got := strings.Join(names, ", ")
 	if got != "b in_service, c in_service, known terminating" || address != DistributedSource ||
 		list.Index != 13 || changes != 4 {
-		t.Errorf("kept %s of %s, version %d, after %d changes", got, address, list.Index, changes)
+		t.Errorf("the copy holds %s from %s, version %d, after %d changes", got, address, list.Index, changes)
 	}
 }
 
-// Entries that are no nodes are found before any of their answer counts.
+// Check finds entries that are not endpoints, before any entry of their answer is applied.
 func TestDistributedCheck(t *testing.T) {
 	d := NewRelayedList(List{})
 	for _, bad := range []string{
@@ -83,7 +84,7 @@
 	} {
 		entries := []versionlog.Entry{distributedEntry("b", "in_service"), {Name: "a", Body: []byte(bad)}}
 		if err := d.Check(entries); err == nil {
-			t.Errorf("%s passes", bad)
+			t.Errorf("Check accepts the entry %s", bad)
 		}
 	}
 }
