--- a/internal/platform/replica_writer.go
+++ b/internal/platform/replica_writer.go
@@ -208,7 +208,7 @@
 	return err == nil
 }
 
-// peerEndedWhileIdle reports whether the replica has closed the connection while no written attempt was outstanding on
+// peerEndedWhileIdle reports whether the replica has closed the connection while no begun attempt was outstanding on
 // it, and the reader has not run since. The queued calls have not begun: they are sent elsewhere and say nothing about
 // the replica. mu must be held.
 func (c *replicaConn) peerEndedWhileIdle(conn net.Conn) bool {
