--- a/internal/lifecycle/admin_endpoint.go
+++ b/internal/lifecycle/admin_endpoint.go
@@ -11,8 +11,8 @@
 	"harepass/internal/platform"
 )
 
-// openAdminEndpoint accepts operators' calls. From then on maintenance calls and the endpoint list are stored for the
-// process that comes next.
+// openAdminEndpoint opens the admin endpoint for operators' calls. From then on maintenance calls and the endpoint list
+// are stored for the next process.
 func (p *process) openAdminEndpoint(ctx context.Context) error {
 	l, err := net.Listen("tcp", p.Platform.AdminAddress)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// copyList returns a copy of the endpoint list that its source updates; changed is called after each change.
+// copyList returns a copy of the endpoint list that the list's source keeps up to date. The source calls changed after
+// each change.
 func (p *process) copyList(changed func()) *platform.ListCopy {
 	if p.relayedList != nil {
 		return p.relayedList.KeepCopy(changed)
--- a/internal/lifecycle/counters.go
+++ b/internal/lifecycle/counters.go
@@ -14,8 +14,8 @@
 // countersInterval is the time between two log lines with the totals.
 const countersInterval = 10 * time.Second
 
-// logCounters writes all totals periodically, if any has changed, until ctx ends. The log then
-// shows what a process did, also after it was killed.
+// logCounters logs all totals once per countersInterval, if any has changed, until ctx is done. So the log shows what a
+// process did, even if it was killed.
 func logCounters(ctx context.Context) {
 	ticker := time.NewTicker(countersInterval)
 	defer ticker.Stop()
@@ -33,10 +33,10 @@
 	}
 }
 
-// logTotals writes all totals once.
+// logTotals logs all totals once.
 func logTotals() { slog.Info("counters", counters.Attrs(counters.Totals())...) }
 
-// logReady writes when a coordinator that was started at a time has left the phase Starting.
+// logReady waits until a coordinator has left the phase Starting, and logs the time that this took since its start.
 func logReady(coordinator *core.Coordinator, started time.Time) {
 	<-coordinator.Started()
 	slog.Info(logmsg.PhaseChanged, "phase", coordinator.Phase().String(),
--- a/internal/lifecycle/doc.go
+++ b/internal/lifecycle/doc.go
@@ -1,31 +1,31 @@
-// Package lifecycle runs a harepass program from its start to its end: a coordinator, with RunCoordinator, or a relay,
-// with RunRelay.
+// Package lifecycle runs a harepass program from start to end: a coordinator with RunCoordinator, or a relay or an
+// authority with RunRelay.
 //
 // # Contract
 //
-// A caller takes the signals first, with NotifySignals, then reads the configuration, then runs the program. A signal
-// that comes while files are read is so handled once the program runs. SIGTERM and SIGINT are handled alike: both Run
-// functions then answer what they have accepted, each for a bounded time, and return. They return an error if the
-// program cannot start: a *config.InvalidError says that the configuration is at fault, any other is the system's.
+// A caller first calls NotifySignals, then reads the configuration, then runs the program. So a signal that arrives
+// while files are read is handled once the program runs. SIGTERM and SIGINT are handled alike: on either, both Run
+// functions answer the requests that they have accepted, within a bounded time, and return. They return an error if the
+// program cannot start: a *config.InvalidError if the configuration is invalid, else an error of the operating system.
 //
-// One goroutine, the caller's, starts, reloads and drains; the fields of a process are its own. The goroutines that it
-// starts end with the process: the core's with Stop, listeners' when they are closed, those that wait for the core to
-// start when it leaves the phase Starting, and all others with the context.
+// A single goroutine, the caller's, starts, reloads and drains; only it uses the fields of a process. The goroutines
+// that it starts end with the process: the core's on Stop, the listeners' when their listener is closed, those that
+// wait for the core to start when it leaves the phase Starting, and all others when the context is cancelled.
 //
-// # Where each step stands
+// # Files
 //
 //	process.go           a coordinator from start to end
-//	start.go             how its components are put together, and in which order they begin
+//	start.go             creation of a coordinator's components, and the order in which they start
 //	replicas.go          the callers of replicas
-//	endpoints.go         where the endpoint list comes from: discovery, relays, an inventory
-//	relayed_settings.go  settings that relays give out
-//	listeners.go         the fronts, and how descriptors are divided among clients and replicas
-//	stored_state.go      the folder of the stored state, and the story of a hand-over between two processes
-//	inherited_list.go    which endpoint list a process begins with: the stored one, or its configuration's
-//	admin_endpoint.go    operators' calls, and what they leave for the next process
-//	reload.go            what a running process takes over from files and relays, and what it does not
-//	drain.go             the end: what is still answered, and by when
-//	signals.go           signals, and their order
+//	endpoints.go         sources of the endpoint list: discovery, relays, an inventory
+//	relayed_settings.go  settings that relays distribute
+//	listeners.go         the fronts, and the division of descriptors between clients and replicas
+//	stored_state.go      the folder for state files, and how state passes from one process to the next
+//	inherited_list.go    choice of the first endpoint list: the stored one or the configuration's
+//	admin_endpoint.go    operators' calls, and what is stored of them for the next process
+//	reload.go            which values a running process takes from files and relays, and which it does not
+//	drain.go             the end of a process: which requests are still answered, and by when
+//	signals.go           signals and their precedence
 //	counters.go          the totals in the log
 //	relay.go             a relay or an authority from start to end
 package lifecycle
--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -8,30 +8,30 @@
 	"harepass/internal/logmsg"
 )
 
-// Times of the end. SIGINT is handled as SIGTERM is; "SIGTERM" stands for both here.
+// Times of the drain. SIGINT is handled like SIGTERM; "SIGTERM" means either in this file.
 const (
-	// AcceptAfterTerm is how long after SIGTERM new connections are accepted: clients learn late that a coordinator
-	// drains. It does not apply where the platform holds the listener.
+	// AcceptAfterTerm is how long new connections are still accepted after SIGTERM, because clients learn with a delay
+	// that a coordinator drains. It does not apply if the platform holds the listener.
 	AcceptAfterTerm = 700 * time.Millisecond
-	// MaxCloseIdleDelay is how long after the end of AcceptAfterTerm connections without an open request are closed at
-	// the latest.
+	// MaxCloseIdleDelay is the longest time from the end of AcceptAfterTerm until connections without an open request
+	// are closed.
 	MaxCloseIdleDelay = 500 * time.Millisecond
-	// MaxKillDelay is counted from the end of AcceptAfterTerm. The platform kills no sooner than this, 3.7 s after
-	// SIGTERM; where the longest deadline of a class is shorter, it may kill when that is over.
+	// MaxKillDelay is the time from the end of AcceptAfterTerm to the earliest kill by the platform, which is thus
+	// 3.7 s after SIGTERM. If the longest deadline of all classes is shorter, it takes the place of MaxKillDelay.
 	MaxKillDelay = 3 * time.Second
-	// maxKillMargin is how long before the earliest kill the last answer is due, at most.
+	// maxKillMargin is the longest time between the last answer's due time and the earliest kill.
 	maxKillMargin = 100 * time.Millisecond
 )
 
-// drainSchedule says when the steps of the end are due. Both times count from SIGTERM, also where the platform holds
-// the listener.
+// drainSchedule holds the times at which steps of a drain are due. Both times count from SIGTERM, even if the platform
+// holds the listener.
 type drainSchedule struct {
-	closeIdleAfter  time.Duration // connections without an open request are closed at this time
-	lastAnswerAfter time.Duration // the last query has its answer by this time, which is before the platform may kill
+	closeIdleAfter  time.Duration // when connections without an open request are closed
+	lastAnswerAfter time.Duration // by when every query is answered; earlier than the platform may kill
 }
 
-// newDrainSchedule returns the schedule for classes. Where deadlines are short, idle connections close early enough
-// that a request which came just before can still be answered.
+// newDrainSchedule returns the schedule for classes. With short deadlines, idle connections are closed earlier, so that
+// a request that arrived just before can still be answered in time.
 func newDrainSchedule(classes []scatter.Class) drainSchedule {
 	longest := time.Duration(0)
 	for _, c := range classes {
@@ -44,17 +44,17 @@
 	}
 }
 
-// drain ends the process: every query that was accepted is answered, and so is what still comes while clients learn
-// that this coordinator ends. The order is:
+// drain ends the process after every accepted query is answered, including those that still arrive while clients learn
+// that this coordinator is ending. The steps are:
 //
-//  1. The coordinator begins to drain: it is no longer ready, and each query, open or new, has its answer by
+//  1. The coordinator starts to drain: it is no longer ready, and each query, open or new, is answered by
 //     lastAnswerAfter.
-//  2. New connections are accepted for AcceptAfterTerm. This step is left out where the platform holds the listener:
-//     new connections are then for the process that takes over, from the beginning on.
-//  3. The listeners are closed, and from then on each answer is the last one of its connection. Clients go on using
-//     their connections, and another coordinator may not be up yet, so no connection is closed without an answer here.
-//  4. At closeIdleAfter, connections without an open request are closed; the others close with their answers, which
-//     drain waits for.
+//  2. New connections are still accepted for AcceptAfterTerm. This step is skipped if the platform holds the listener:
+//     new connections are then left to the process that takes over, from SIGTERM on.
+//  3. The listeners are closed. From now on each connection closes after its next answer, but no connection is closed
+//     without an answer, because clients still use theirs and another coordinator may not be ready yet.
+//  4. At closeIdleAfter, connections without an open request are closed. The others close after their answers; drain
+//     waits for these.
 //  5. The coordinator stops.
 //  6. The connections to replicas and the admin endpoint are closed.
 func (p *process) drain() {
@@ -81,8 +81,8 @@
 	slog.Info(logmsg.CoordinatorStopped)
 }
 
-// stopAccepting closes the listeners. Connections that wait at a listener of this process are accepted first; those at
-// one that the platform holds are for the process that takes over.
+// stopAccepting closes the listeners. Connections in the backlog of this process's own listener are accepted first;
+// those in the backlog of the platform's listener are left to the process that takes over.
 func (p *process) stopAccepting() {
 	for _, f := range p.fronts {
 		if p.ListenerFD == 0 {
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -16,9 +16,9 @@
 	"harepass/internal/test/fake"
 )
 
-// drainingProcess is a process with one front in memory, at the address "c", and one class, whose shard no replica
-// holds.
-func drainingProcess(t *testing.T, memory *fake.Network) *process {
+// newDrainTestProcess returns a running process with one in-memory front at the address "c" and one class, whose shard
+// no replica holds.
+func newDrainTestProcess(t *testing.T, memory *fake.Network) *process {
 	settings := scatter.Settings{Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, MaxAttempts: 1,
 		Classes: []scatter.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second,
 			CompleteFraction: 1, MinFraction: 1}}}
@@ -38,18 +38,18 @@
 	return p
 }
 
-// A coordinator drains while others may not be up yet, so its clients go on using their connections. A connection that
-// closes under a request loses it. Connections are closed only with an answer given after the listener is closed, or
-// when they have nothing open then.
+// While a coordinator drains, others may not be ready yet, so its clients go on using their connections. A connection
+// that closes while a request is open loses the request. So a connection is closed only with an answer that is sent
+// after the listener has closed or, later, if it has no open request.
 func TestDrainKeepsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var memory fake.Network
-		p := drainingProcess(t, &memory)
+		p := newDrainTestProcess(t, &memory)
 		dial := func() *http1.Client {
 			return &http1.Client{Address: "c", Dial: memory.Dial, Limits: http1.DefaultLimits}
 		}
 		id := 0
-		ask := func(c *http1.Client) string { // no replica holds the shard: it is rejected when its time is over
+		ask := func(c *http1.Client) string { // no replica holds the shard: the query is rejected at its deadline
 			id++
 			a, _, err := c.Do(context.Background(), &http1.Message{Method: "POST", Target: "/api",
 				Body: []byte(`{"slices":[{"slice":0,"mass":1}],"filter":""}`),
@@ -73,17 +73,17 @@
 		<-ended
 		got = append(got, ask(idle))
 		if want := "[429 false 429 false 429 false 429 true none none none]"; fmt.Sprint(got) != want {
-			t.Errorf("answers and whether they close: %v, want %s", got, want)
+			t.Errorf("status and connection close of each answer: %v, want %s", got, want)
 		}
 		if took := time.Since(began); took != AcceptAfterTerm+MaxCloseIdleDelay {
-			t.Errorf("it took %v", took)
+			t.Errorf("drain took %v, want AcceptAfterTerm+MaxCloseIdleDelay", took)
 		}
 	})
 }
 
-// A query that is not answered when the platform kills the process is lost. The platform kills 0.7 s and the longest
-// deadline after SIGTERM, and no later than 3.7 s. The last answer is due before that, and idle connections close
-// before the last answer, also where deadlines are short.
+// A query that is still open when the platform kills the process is lost. The platform kills 0.7 s plus the longest
+// deadline after SIGTERM, and at the latest 3.7 s after SIGTERM. The last answer must be due before the kill, and idle
+// connections must close before the last answer is due, even with short deadlines.
 func TestDrainEndsBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond,
 		time.Second, 3 * time.Second, 8 * time.Second} {
@@ -91,7 +91,7 @@
 		kill := AcceptAfterTerm + min(longest, 3*time.Second)
 		closeIdle, lastAnswer := schedule.closeIdleAfter, schedule.lastAnswerAfter
 		if closeIdle < AcceptAfterTerm || closeIdle >= lastAnswer || lastAnswer >= kill {
-			t.Errorf("deadlines up to %v: idle connections close at %v, the last answer by %v, the kill at %v",
+			t.Errorf("longest deadline %v: idle connections close at %v, last answer due by %v, kill at %v",
 				longest, closeIdle, lastAnswer, kill)
 		}
 	}
--- a/internal/lifecycle/endpoints.go
+++ b/internal/lifecycle/endpoints.go
@@ -17,11 +17,11 @@
 	"harepass/internal/platform"
 )
 
-// pollScheduleStream keeps the poll schedule's draws apart from others of the same seed.
+// pollScheduleStream selects a random stream for the poll schedule that differs from other streams of the same seed.
 const pollScheduleStream = 0x70616365
 
-// newEndpointSource makes the source of the platform's endpoint list: relays where the distribution file says so, else
-// discovery. Either begins with the list that is known.
+// newEndpointSource creates the source of the platform's endpoint list: relays if the distribution file says so, else
+// discovery. Either source starts from the list that chooseFirstList returns.
 func (p *process) newEndpointSource(cfg *core.Config) {
 	p.openStore()
 	known, listDiscovery := p.chooseFirstList()
@@ -34,7 +34,7 @@
 		return
 	}
 	if listDiscovery != p.Platform.Discovery {
-		known = platform.List{} // its version counts at another service, so all of the list is polled
+		known = platform.List{} // versions of another service do not compare: poll the complete list
 	}
 	p.discovery = platform.NewDiscovery(p.Platform.Discovery, known)
 	p.discovery.Schedule = &backoff.Schedule{FleetSize: p.Settings.Coordinators, ListMaxAge: p.Settings.ListMaxAge,
@@ -43,7 +43,7 @@
 	cfg.Subscribe = p.discovery.Subscribe
 }
 
-// runSources starts what brings endpoints and settings.
+// runSources starts the sources of endpoints and settings.
 func (p *process) runSources(ctx context.Context) {
 	update := func(kind scatter.UpdateKind, endpoints []core.Endpoint) {
 		p.coordinator.UpdateEndpoints(platform.Source, kind, endpoints)
@@ -65,14 +65,14 @@
 	}
 }
 
-// newFollower returns a follower of a resource at the relays of the distribution file.
+// newFollower returns a follower that reads a resource from the relays of the distribution file.
 func (p *process) newFollower(c distribution.Config) *distribution.Follower {
 	c = p.Distribution.Follower(c)
 	c.Rand = rand.New(rand.NewPCG(p.Seed, rand.Uint64()))
 	return distribution.New(c)
 }
 
-// followEndpoints keeps the endpoint list up to date from the relays.
+// followEndpoints starts a follower that keeps the endpoint list up to date from the relays.
 func (p *process) followEndpoints(ctx context.Context) {
 	apply := func(u distribution.Update) {
 		p.relayedList.Apply(u)
@@ -88,11 +88,11 @@
 	go f.Run(ctx)
 }
 
-// logInForce writes from when on a version of a resource is in force in this process.
+// logInForce logs that a version of a resource is in force in this process from now on.
 func logInForce(path distribution.Path, v versionlog.Version) {
 	slog.Info(logmsg.VersionInForce, logmsg.KeyResource, path.ResourceName(),
 		logmsg.KeyEpoch, v.Epoch, logmsg.KeyIndex, v.Index, logmsg.KeyInForceAt, time.Now().UnixMilli())
 }
 
-// versionText is a version for logs: epoch and index.
+// versionText formats a version for logs as epoch/index.
 func versionText(v versionlog.Version) string { return fmt.Sprintf("%d/%d", v.Epoch, v.Index) }
--- a/internal/lifecycle/inherited_list.go
+++ b/internal/lifecycle/inherited_list.go
@@ -10,11 +10,11 @@
 	"harepass/internal/platform"
 )
 
-// chooseFirstList returns the endpoint list to begin with, and the address of the discovery that it came from. It is
-// the list that another process has stored: that can hold changes which came after the platform's file was written.
-// The configuration's list is taken where both are of one discovery and the configuration's version is the later one;
-// versions of two discoveries cannot be compared. It is also taken where no list is stored, or the stored one cannot
-// be read. A stored list also replaces KnownEndpoints.
+// chooseFirstList returns the endpoint list that the process starts with, and the address of the discovery service that
+// it came from. It prefers the list that another process stored, because that one can have changes made after the
+// platform's file was written. It returns the configuration's list if no list is stored, if the stored one cannot be
+// read, or if both come from the same discovery service and the configuration's version is later. Versions of two
+// discovery services cannot be compared. If it returns the stored list, that list also replaces KnownEndpoints.
 func (p *process) chooseFirstList() (list platform.List, discovery string) {
 	configured := p.Platform.KnownList
 	if p.store == nil {
@@ -38,7 +38,7 @@
 	return stored, discovery
 }
 
-// readStoredList reads an endpoint list from stored state.
+// readStoredList decodes an endpoint list from a state file, both in discovery's form and as the core's endpoints.
 func readStoredList(data []byte) (platform.List, []core.Endpoint, error) {
 	var list platform.List
 	err := json.Unmarshal(data, &list)
--- a/internal/lifecycle/listeners.go
+++ b/internal/lifecycle/listeners.go
@@ -13,16 +13,16 @@
 	"harepass/internal/platform"
 )
 
-// maxAPIBody is the longest body of a request to the OpenSearch front, in bytes.
+// maxAPIBody is the maximum length of the body of a request to the OpenSearch front, in bytes.
 const maxAPIBody = 256 << 10
 
-// front is a listener for clients with its server.
+// front is a listener for clients and the server that accepts from it.
 type front struct {
 	listener net.Listener
 	server   *http1.Server
 }
 
-// openFronts opens the listeners for clients: the OpenSearch front's first, where both are on.
+// openFronts opens the listeners for clients. If both fronts are on, the OpenSearch front's is the first.
 func (p *process) openFronts() error {
 	if p.OpenSearch != nil {
 		p.apiFront = &opensearch.Front{Config: p.OpenSearch, Coordinator: p.coordinator, Clock: p.clock,
@@ -40,7 +40,7 @@
 	return p.openFront(p.Platform.Listen, &http1.Server{Handler: handler.Handle, Limits: http1.DefaultLimits})
 }
 
-// openFront opens the listener at an address for a server. Nothing is accepted yet.
+// openFront opens the listener at an address for a server, without accepting connections yet.
 func (p *process) openFront(address string, server *http1.Server) error {
 	l, err := p.clientListener(address)
 	if err != nil {
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// ListenerDescriptorError reports that the descriptor in PROXY_FD is no listener. Err is nil where no such descriptor
-// is open. A value that cannot be such a descriptor is a config.DescriptorValueError, found while the configuration is
-// read.
+// ListenerDescriptorError reports that the descriptor that PROXY_FD names is not a listener. Err is nil if that
+// descriptor is not open. A value of PROXY_FD that cannot be a descriptor is a config.DescriptorValueError instead,
+// which reading the configuration returns.
 type ListenerDescriptorError struct {
 	FD  int
 	Err error
@@ -67,10 +67,11 @@
 	return fmt.Sprintf("PROXY_FD names descriptor %d, which is no listening socket: %v", e.FD, e.Err)
 }
 
-// Unwrap returns what the system says of the descriptor, or nil.
+// Unwrap returns the operating system's error for the descriptor, or nil.
 func (e *ListenerDescriptorError) Unwrap() error { return e.Err }
 
-// clientListener is the listener that the platform hands down for the platform's front, where it does; else a new one.
+// clientListener returns the listener that the platform passes in PROXY_FD for the platform's front, if there is one,
+// else a new listener.
 func (p *process) clientListener(address string) (net.Listener, error) {
 	if p.ListenerFD == 0 || p.Platform == nil || address != p.Platform.Listen {
 		return net.Listen("tcp", address)
@@ -87,8 +88,9 @@
 	return l, nil
 }
 
-// serveFronts divides the connections among the fronts and accepts clients. Where the platform holds the listener, a
-// process accepts from it only once it can serve: until then clients wait, or reach the process before.
+// serveFronts divides the client connections equally among the fronts and starts accepting clients. If the platform
+// holds the listener, the process accepts from it only once it can serve: until then clients wait in the backlog, or
+// reach the old process.
 func (p *process) serveFronts() {
 	n := len(p.fronts)
 	for _, f := range p.fronts {
@@ -107,7 +109,7 @@
 	}
 }
 
-// maxClientConns is how many connections clients may have. The admin endpoint's come out of them.
+// maxClientConns returns how many connections clients may have. The admin endpoint's connections reduce that number.
 func (p *process) maxClientConns() int {
 	if p.store != nil {
 		return p.Limits.ClientConns() - operator.MaxConns
@@ -115,20 +117,20 @@
 	return p.Limits.ClientConns()
 }
 
-// availableClientConns is how many connections clients may have now. Where there are many replicas, their connections
-// may exceed their quarter of the descriptors, for each replica is owed one; clients then have less.
+// availableClientConns returns how many connections clients may have now. With many replicas, the connections to them
+// may exceed their quarter of the descriptors, because each replica needs one; clients then get that many fewer.
 func (p *process) availableClientConns() int {
 	return p.maxClientConns() - max(0, p.frameCaller.OpenConns()-p.frameCaller.MaxConns)
 }
 
-// trimIdleClients closes idle clients' connections before a replica is dialled, so that a descriptor is free for it.
+// trimIdleClients closes connections of idle clients before a replica is dialled, so that a descriptor is free for it.
 func (p *process) trimIdleClients() {
 	for _, f := range p.fronts {
 		f.server.EvictExcess()
 	}
 }
 
-// clientConnUse is the used share of the connections that clients may have, from 0 to 1, at the front that is fullest.
+// clientConnUse returns the used share of the connections that clients may have, from 0 to 1, at the fullest front.
 func (p *process) clientConnUse() (share float64) {
 	for _, f := range p.fronts {
 		share = max(share, float64(f.server.BusyConns())/float64(f.server.MaxConns))
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -18,26 +18,26 @@
 
 // process is a running coordinator.
 type process struct {
-	*config.Config // in force; a reload replaces some of it
+	*config.Config // the configuration in force; a reload replaces parts of it
 	env            config.Environment
 	version        string     // of the program, as the OpenSearch front reports it
-	clock          core.Clock // of the coordinator and of everything that hands it instants
+	clock          core.Clock // of the coordinator and of all components that pass instants to it
 
 	coordinator *core.Coordinator // makes the decisions and owns the open queries
 	frameCaller *platform.Caller  // the connections to replicas that speak frames
-	shedder     *loadshed.Shedder // overload control; nil where it is off
-	fronts      []front           // the listeners for clients, in the order in which they were opened
-	apiFront    *opensearch.Front // nil where there is no OpenSearch front
-	onStop      []func()          // what closes once the coordinator has stopped, in this order
+	shedder     *loadshed.Shedder // overload control; nil if it is off
+	fronts      []front           // the listeners for clients, in the order of opening
+	apiFront    *opensearch.Front // nil if there is no OpenSearch front
+	onStop      []func()          // functions to call, in this order, once the coordinator has stopped
 
-	discovery       *platform.Discovery   // nil without the platform, and where relays give out the endpoint list
-	relayedList     *platform.RelayedList // nil where no relay gives out the endpoint list
-	relayedSettings relayedSettings       // the settings that relays give out, where they do
-	store           *operator.Store       // stored state and maintenance; nil where there is no admin endpoint
+	discovery       *platform.Discovery   // nil without a platform, or if relays distribute the endpoint list
+	relayedList     *platform.RelayedList // nil if no relay distributes the endpoint list
+	relayedSettings relayedSettings       // state of the settings that relays distribute
+	store           *operator.Store       // stored state and maintenance; nil if there is no admin endpoint
 }
 
-// RunCoordinator serves by a configuration until a signal says to end, and drains then. version is that of the
-// program.
+// RunCoordinator runs a coordinator with a configuration until a signal to end arrives, and then drains it. version is
+// the program's version.
 func RunCoordinator(c *config.Config, env config.Environment, signals *Signals, clock core.Clock,
 	version string) error {
 	debug.SetMemoryLimit(config.HeapBytes(c.Limits.MemoryMB))
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// handleEvents reloads at each signal to do so, and takes over the settings that relays give out, until a signal
-// to end comes.
+// handleEvents reloads on each reload signal and applies the settings that relays distribute, until a signal to end
+// arrives.
 func (p *process) handleEvents(signals *Signals) {
 	untilEnd(signals, p.relayedSettings.updates, p.reload, p.applySettingsUpdate)
 }
--- a/internal/lifecycle/relay.go
+++ b/internal/lifecycle/relay.go
@@ -15,10 +15,11 @@
 	"harepass/internal/relay"
 )
 
-// relayShutdownTimeout is how long answers that are being written may take at the end.
+// relayShutdownTimeout is how long answers that are being written at shutdown may take.
 const relayShutdownTimeout = time.Second
 
-// RunRelay gives out the endpoint list and the settings by a relay's file until a signal says to end.
+// RunRelay runs a relay or an authority with the configuration in its file until a signal to end arrives. It
+// distributes the endpoint list and the settings.
 func RunRelay(f *config.RelayFile, signals *Signals) error {
 	debug.SetMemoryLimit(config.HeapBytes(f.MemoryMB))
 	if f.Cores > 0 {
@@ -40,10 +41,10 @@
 	authority *relay.Authority // nil for a relay
 }
 
-// newRelayProcess returns a relay or an authority with empty version logs. An authority's epoch is its start in Unix
-// milliseconds, so that its versions supersede those of the process before.
+// newRelayProcess returns a relay or an authority with empty version logs. An authority's epoch is its start time in
+// Unix milliseconds, so that its versions supersede those of the previous process.
 func newRelayProcess(f *config.RelayFile) *relayProcess {
-	epoch := int64(0) // a relay adopts that of its source
+	epoch := int64(0) // a relay adopts the epoch of its source
 	if f.Authority != nil {
 		epoch = time.Now().UnixMilli()
 	}
@@ -58,7 +59,7 @@
 	return r
 }
 
-// run serves until a signal says to end; at a reload the authority reads its files again.
+// run serves readers until a signal to end arrives. On a reload signal an authority reads its files again.
 func (r *relayProcess) run(signals *Signals) error {
 	listener, err := net.Listen("tcp", r.file.Listen)
 	if err != nil {
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// follow starts what brings the endpoint list and the settings: the authority's sources, or the relays upstream.
+// follow starts the sources of the endpoint list and the settings: the authority's own sources, or for a relay the
+// followers of its upstream.
 func (r *relayProcess) follow(ctx context.Context) {
 	if r.authority != nil {
 		go r.authority.Run(ctx)
@@ -95,7 +97,7 @@
 	}
 }
 
-// reload has the authority read its files again; a relay has none.
+// reload makes an authority read its files again. It does nothing for a relay, which has no such files.
 func (r *relayProcess) reload() {
 	if r.authority == nil {
 		return
--- a/internal/lifecycle/relayed_settings.go
+++ b/internal/lifecycle/relayed_settings.go
@@ -11,10 +11,10 @@
 	"harepass/internal/logmsg"
 )
 
-// relayedSettings is the state of the settings that relays give out.
+// relayedSettings is the state of the settings that relays distribute.
 type relayedSettings struct {
-	updates <-chan settingsUpdate // nil where no relay gives out settings
-	inForce bool                  // the settings in force came from a relay, so the file's no longer count
+	updates <-chan settingsUpdate // nil if no relay distributes settings
+	inForce bool                  // the settings in force came from a relay, so the file's are ignored
 }
 
 // settingsUpdate is one complete version of the settings.
@@ -23,7 +23,7 @@
 	settings json.RawMessage
 }
 
-// followSettings has the relays' settings handed to handleEvents, each version that is complete.
+// followSettings starts a follower that sends each complete version of the relays' settings to handleEvents.
 func (p *process) followSettings(ctx context.Context) {
 	updates := make(chan settingsUpdate)
 	p.relayedSettings.updates = updates
@@ -44,7 +44,7 @@
 	go f.Run(ctx)
 }
 
-// applySettingsUpdate puts a version of the settings in force, completely or not at all.
+// applySettingsUpdate puts a version of the settings in force, either completely or, on error, not at all.
 func (p *process) applySettingsUpdate(u settingsUpdate) {
 	next, err := p.WithFleetSettings(u.settings, p.env)
 	if err == nil {
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -10,36 +10,37 @@
 	"harepass/internal/platform"
 )
 
-// What a running process takes over, from the platform's file at a reload or from settings that relays give out:
+// A running process applies these values when the platform's file is reloaded or relays distribute settings:
 //
-//   - all settings of the coordinator's decisions, and the limits of the protocol;
+//   - all settings that the coordinator's decisions use, and the protocol's limits;
 //   - for replicas that speak frames, the calls per connection and the connections' time-outs;
 //   - the classes and tenants of overload control;
-//   - the fleet size, the age limit of lists and the drain grace by which discovery is polled;
-//   - discovery's address, from the file alone.
+//   - the fleet size, the lists' maximum age and the drain grace that polling discovery depends on;
+//   - discovery's address, which only the file can change.
 //
-// What it does not take over, though a change of the settings is logged as settings changed:
+// It does not apply these values, although a change of the settings is logged as settings changed:
 //
-//   - whether endpoint lists are pushed to an agent (config.Config.ListPushed): discovery is polled as at the start;
+//   - whether endpoint lists are pushed to an agent (config.Config.ListPushed): polling of discovery stays as it was at
+//     the start;
 //   - the time-outs of connections to replicas that speak the OpenSearch API (opensearch.Caller);
-//   - the ring size by which the inventory is read;
-//   - the settings' Retry-After as the bound of overload control's.
+//   - the ring size that is used to read the inventory;
+//   - the settings' Retry-After as the upper bound of overload control's Retry-After.
 //
-// The name, the addresses for clients and operators, and the limits of the process need a restart. A reload with such a
-// change logs so once: the next reload of that file compares with this one, and does not repeat it. The line does not
-// say which of them has changed. The seed and the known endpoint list of the file are for the start alone. The files of
-// the OpenSearch front, of overload control and of distribution are not read again, nor is the file of settings that
-// the OpenSearch front names where there is no platform: there a reload reads the inventory and nothing else.
+// The name, the addresses for clients and operators, and the limits of the process change only at a restart. A reload
+// that finds such a change logs "restart required" once, without naming the changed value: the next reload compares the
+// file with the one read last, so it does not repeat the line. The file's seed and known endpoint list are used only at
+// the start. The files of the OpenSearch front, of overload control and of distribution are not read again. Without a
+// platform, a reload reads only the inventory, and not the settings file that the OpenSearch front names.
 //
-// A reload is refused as a whole, and the configuration in force stays, for each error of config.LoadPlatform, of
-// config.Config.Changes and of core.Coordinator.Configure. The file has to name discovery also where PROXY_DISCOVERY
-// did so at the start (config.WithoutDiscovery).
+// An error of config.LoadPlatform, config.Config.Changes or core.Coordinator.Configure rejects the whole reload, and
+// the configuration in force stays. The file must name discovery even if PROXY_DISCOVERY named it at the start
+// (config.WithoutDiscovery).
 
-// maxLoggedChanges is how many changes of settings a reload logs one by one; the rest is counted.
+// maxLoggedChanges is how many changed settings a reload logs one by one. For the remaining ones it logs their number.
 const maxLoggedChanges = 40
 
-// reload reads the platform's configuration and the inventory again. Where one of the files is at fault, what was read
-// of it before stays in force.
+// reload reads the platform's configuration and the inventory again. If one of the two is invalid, its previous
+// contents stay in force.
 func (p *process) reload() {
 	if p.Platform != nil {
 		if err := p.reloadPlatform(); err != nil {
@@ -51,7 +52,7 @@
 	}
 }
 
-// reloadInventory reads the inventory again. Endpoints that it no longer has begin to drain.
+// reloadInventory reads the inventory again. Endpoints that are no longer in it start to drain.
 func (p *process) reloadInventory() {
 	endpoints, err := p.Inventory.Read(p.clock())
 	if err != nil {
@@ -62,9 +63,8 @@
 	p.coordinator.UpdateEndpoints(inventory.Source, scatter.FullUpdate, endpoints)
 }
 
-// reloadPlatform reads the platform's file and puts what a running process takes over from it in force: discovery's
-// address and the settings. The file's settings no longer count once relays have given out theirs. With an error
-// nothing is put in force.
+// reloadPlatform reads the platform's file and applies the discovery address and the settings in it. Once settings from
+// a relay are in force, the file's settings are ignored. On error nothing is applied.
 func (p *process) reloadPlatform() error {
 	next, err := config.LoadPlatform(config.WithoutDiscovery(p.env))
 	if err == nil && p.relayedSettings.inForce {
@@ -77,7 +77,7 @@
 	return p.replaceConfig(next)
 }
 
-// replaceConfig puts the settings and discovery's address of next in force. With an error none of it is.
+// replaceConfig puts the settings and the discovery address of next in force. On error it changes nothing.
 func (p *process) replaceConfig(next *config.Config) error {
 	changes, err := p.Changes(next)
 	if err != nil {
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// configureDiscovery hands the new settings, and another address if it has changed, to discovery, where that is
-// polled.
+// configureDiscovery passes the new settings, and the new address if it has changed, to the discovery client. It does
+// nothing if this process does not poll discovery.
 func (p *process) configureDiscovery(address string) {
 	if p.discovery == nil {
 		return
@@ -125,7 +125,7 @@
 	}
 }
 
-// logChanges writes what has changed in the settings.
+// logChanges logs the changed settings, at most maxLoggedChanges of them one by one.
 func logChanges(changes []string) {
 	for i, c := range changes {
 		if i == maxLoggedChanges {
--- a/internal/lifecycle/replicas.go
+++ b/internal/lifecycle/replicas.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// responseTimeoutsPerObjective is how many response time-outs fit into the tightest latency objective, so that
-	// another replica can still be asked within it.
+	// responseTimeoutsPerObjective is the number of response time-outs that fit into the tightest latency objective, so
+	// that another replica can still be called within the objective.
 	responseTimeoutsPerObjective = 5
-	// maxResponseTimeout bounds the response time-out whatever the objectives are.
+	// maxResponseTimeout is the upper bound of the response time-out for any latency objective.
 	maxResponseTimeout = time.Second
 )
 
-// responseTimeout is how long a replica's connection may be silent while responses are due: far longer than a part
-// takes, but short enough to ask another replica within the tightest latency objective.
+// responseTimeout returns how long a replica's connection may be silent while responses are outstanding. It is far
+// longer than a part takes, but short enough to call another replica within the tightest latency objective.
 func responseTimeout(classes []scatter.Class) time.Duration {
 	timeout := maxResponseTimeout
 	for _, c := range classes {
@@ -28,8 +28,9 @@
 	return timeout
 }
 
-// newReplicaCallers adds the callers of replicas to cfg: that of frames always, and where there is an OpenSearch front
-// also that of its API, which is returned. Both then share the connections to replicas.
+// newReplicaCallers adds the callers of replicas to cfg: always the one for frames and, if there is an OpenSearch
+// front, the one for its API, which it returns (else nil). Each of the two may then open half of the connections to
+// replicas.
 func (p *process) newReplicaCallers(cfg *core.Config) (apiCaller *opensearch.Caller) {
 	limits := p.ProtocolLimits
 	p.frameCaller = &platform.Caller{CallsPerConn: limits.CallsPerConn, MaxConns: p.Limits.ReplicaConns(),
--- a/internal/lifecycle/signals.go
+++ b/internal/lifecycle/signals.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// Signals are those that a program handles. Ends and reloads have a channel each: a full channel drops a signal, and
-// reloads, however many, must not crowd out the end.
+// Signals holds the signals that a program handles. Signals to end and to reload have separate channels: a full channel
+// drops further signals, and reload signals must never cause a signal to end to be dropped.
 type Signals struct {
-	ends    chan os.Signal // SIGTERM and SIGINT, which are handled alike
-	reloads chan os.Signal // SIGHUP; while one waits, further ones are dropped, since one reload does for all
+	ends    chan os.Signal // SIGTERM and SIGINT, handled alike
+	reloads chan os.Signal // SIGHUP; while one is pending, further ones are dropped: one reload serves them all
 }
 
-// NotifySignals takes the signals from now on. It is to be called once, before anything that lasts.
+// NotifySignals starts receiving the signals. Call it once, before any work that takes long.
 func NotifySignals() *Signals {
 	s := newSignals()
 	signal.Notify(s.ends, syscall.SIGTERM, syscall.SIGINT)
@@ -21,13 +21,13 @@
 	return s
 }
 
-// newSignals returns signals that nothing sends yet.
+// newSignals returns Signals that do not receive from the operating system yet.
 func newSignals() *Signals {
 	return &Signals{make(chan os.Signal, 1), make(chan os.Signal, 1)}
 }
 
-// untilEnd handles reloads and updates of settings, one after the other, until a signal to end comes. Where several
-// are there, the end goes first. A nil channel of updates brings none.
+// untilEnd handles reload signals and settings updates, one at a time, until a signal to end arrives. If several are
+// pending, the signal to end has precedence. updates may be nil, for a program without settings updates.
 func untilEnd(s *Signals, updates <-chan settingsUpdate, reload func(), apply func(settingsUpdate)) {
 	for {
 		select {
--- a/internal/lifecycle/signals_test.go
+++ b/internal/lifecycle/signals_test.go
@@ -8,8 +8,8 @@
 	"harepass/internal/inventory"
 )
 
-// An end and a reload are there at once, and a select takes either. The end goes first, whichever came first: nothing
-// is read again. There is no clock, so reading the inventory would panic.
+// A signal to end and a reload signal are both pending, and a select could choose either. The signal to end must have
+// precedence, so that nothing is read again. The process has no clock, so reading the inventory would panic.
 func TestEndGoesBeforeReload(t *testing.T) {
 	for range 100 {
 		p := &process{Config: &config.Config{Inventory: &inventory.Reader{}}}
--- a/internal/lifecycle/start.go
+++ b/internal/lifecycle/start.go
@@ -11,9 +11,9 @@
 	"harepass/internal/platform"
 )
 
-// start builds the coordinator with its callers, its sources of endpoints and its fronts, and sets all of them going.
-// The coordinator has lists, maintenance and checkpoint before its first tick; listeners open last, so that no
-// client is accepted by a process that cannot start.
+// start creates the coordinator with its callers, its sources of endpoints and its fronts, and starts all of them.
+// The coordinator has endpoint lists, maintenance entries and checkpoint before its first tick. The fronts'
+// listeners are opened last, so that a process that cannot start accepts no client.
 func (p *process) start(ctx context.Context) error {
 	cfg := core.Config{Seed: p.Seed, Settings: p.Settings, Limits: p.coreLimits(), Clock: p.clock,
 		Callers: map[string]core.Caller{}, Subscribe: func() {}, PolledSource: inventory.Source}
@@ -33,7 +33,7 @@
 	if apiCaller != nil {
 		apiCaller.Reporter = coordinator
 	}
-	if err := p.restoreKnown(ctx); err != nil {
+	if err := p.loadInitialState(ctx); err != nil {
 		return err
 	}
 	go coordinator.Run()
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// restoreKnown gives the coordinator what is known before it runs: endpoint lists, maintenance and the checkpoint of
-// the process before.
-func (p *process) restoreKnown(ctx context.Context) error {
+// loadInitialState passes the known endpoint lists, and the maintenance entries and the checkpoint of other processes,
+// to the coordinator before that runs. It opens the admin endpoint, if there is one.
+func (p *process) loadInitialState(ctx context.Context) error {
 	if p.Inventory != nil {
 		p.coordinator.UpdateEndpoints(inventory.Source, scatter.FullUpdate, p.InventoryEndpoints)
 	}
@@ -64,7 +64,7 @@
 	return p.openAdminEndpoint(ctx)
 }
 
-// runShedder starts overload control, where it is on.
+// runShedder starts overload control if it is on.
 func (p *process) runShedder(ctx context.Context) {
 	if p.shedder == nil {
 		return
@@ -75,7 +75,7 @@
 	go p.shedder.Run(ctx)
 }
 
-// coreLimits is what the protocol and the time to the end allow the coordinator.
+// coreLimits returns the coordinator's limits, from the protocol's limits and the drain schedule.
 func (p *process) coreLimits() core.Limits {
 	return core.Limits{MaxOpen: p.ProtocolLimits.MaxOpen, Shards: p.ProtocolLimits.Shards,
 		DrainTimeout: newDrainSchedule(p.Settings.Classes).lastAnswerAfter}
--- a/internal/lifecycle/stored_state.go
+++ b/internal/lifecycle/stored_state.go
@@ -10,33 +10,33 @@
 	"harepass/internal/operator"
 )
 
-// The story of a hand-over, from one process of a coordinator to the next:
+// How state passes from one process of a coordinator to the next:
 //
-//  1. While the old process runs, its operator.Store writes a state file into StateFolder after each change: which
-//     replicas are out for maintenance, the endpoint list with the address of the discovery that it came from, and the
-//     checkpoint of what the coordinator has learned. Each process writes a file of its own.
-//  2. The new process reads the files of all others before its coordinator exists (openStore). It begins with the
-//     stored endpoint list, or with its configuration's where that is a later version of one discovery; it need not
-//     wait for discovery, and sends nothing to a replica that this list has as draining (chooseFirstList). It
-//     takes over the latest checkpoint, if that is recent (restoreKnown), and all maintenance entries
-//     (openAdminEndpoint).
-//  3. Where the platform holds the clients' listener (PROXY_FD), the new process accepts from it once its coordinator
-//     has left the phase Starting (serveFronts). Until then the old process accepts. While both run, each reads the
-//     other's file, so that an operator's call at either one holds for both.
-//  4. At SIGTERM the old process accepts nothing more from the platform's listener, answers what it has, and ends
-//     (drain). A process that is killed leaves its last file, which is read in the same way.
+//  1. While the old process runs, its operator.Store writes a state file into StateFolder after each change. The file
+//     has the replicas that are out for maintenance, the endpoint list with the address of the discovery service that
+//     it came from, and the checkpoint of what the coordinator has learned. Each process writes a file of its own.
+//  2. The new process reads the files of all other processes before it creates its coordinator (openStore). It starts
+//     with the stored endpoint list, unless its configuration has a later version from the same discovery service
+//     (chooseFirstList). So it need not wait for discovery, and sends nothing to a replica that this list has as
+//     draining. It restores the latest checkpoint if that is recent (loadInitialState), and takes over all maintenance
+//     entries (openAdminEndpoint).
+//  3. If the platform holds the clients' listener (PROXY_FD), the new process accepts from it only after its
+//     coordinator has left the phase Starting (serveFronts); until then only the old process accepts. While both run,
+//     each reads the other's file, so that an operator's call to either process applies to both.
+//  4. On SIGTERM the old process stops accepting from the platform's listener, answers the requests that it has, and
+//     ends (drain). A killed process leaves its last file, which the next process reads in the same way.
 //
-// A coordinator without an admin endpoint stores nothing, and begins with its configuration's list.
+// A coordinator without an admin endpoint stores nothing and starts with its configuration's endpoint list.
 
-// StateFolder is the folder of the stored state, below the one that TMPDIR names. The platform leaves that one as it
-// was when it starts a new version beside the old one.
+// StateFolder is the name of the folder for state files, within the folder that TMPDIR names. The platform keeps the
+// contents of TMPDIR when it starts a new version beside the old one.
 const StateFolder = "harepass"
 
-// ErrNoStateFolder means that TMPDIR is not set, so nothing can be stored for the process that comes next.
-var ErrNoStateFolder = errors.New("TMPDIR is not set")
+// ErrNoStateFolder means that TMPDIR is not set, so this process can store nothing for the next one.
+var ErrNoStateFolder = errors.New("TMPDIR is not set: there is no folder for state files")
 
-// openStore opens the stored state, if there is an admin endpoint. If the folder cannot be opened, operators' calls
-// are answered all the same, but end with this process.
+// openStore reads the state that other processes stored, if there is an admin endpoint. If the folder cannot be
+// opened, operators' calls are still answered, but their effect ends with this process.
 func (p *process) openStore() {
 	if p.Platform.AdminAddress == "" {
 		return
@@ -48,7 +48,7 @@
 	p.store = operator.NewStore(p.Platform.Name, files, p.clock)
 }
 
-// openStateFolder opens the folder of the stored state. The error is ErrNoStateFolder, or the system's.
+// openStateFolder opens the folder for state files. An error is ErrNoStateFolder or comes from the operating system.
 func (p *process) openStateFolder() (*operator.StateDir, error) {
 	dir := p.env("TMPDIR")
 	if dir == "" {
