--- a/internal/operator/admin_call.go
+++ b/internal/operator/admin_call.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Handler does what calls ask for. An error says why that was not done, and is shown to the caller. Its methods may be
-// called from several goroutines at once.
+// Handler carries out calls. An error says why a call was not carried out, and its text is sent to the caller. The
+// methods may be called from several goroutines at once.
 type Handler interface {
-	// Status returns nil where the coordinator is ready for queries.
+	// Status returns nil if the coordinator is ready for queries.
 	Status() error
-	// StartMaintenance takes a replica out. by is the caller's address.
+	// StartMaintenance takes a replica out for maintenance. by is the caller's address.
 	StartMaintenance(id, by string) error
-	// EndMaintenance calls a replica back. by is the caller's address.
+	// EndMaintenance ends a replica's maintenance. by is the caller's address.
 	EndMaintenance(id, by string) error
 }
 
-// The calls. They are wire.
+// Names of the calls, part of the protocol with operators' tools.
 const (
 	statusCall           = "status"
 	startMaintenanceCall = "maint-on"
@@ -26,7 +26,7 @@
 // idCount is how many replica ids each call takes.
 var idCount = map[string]int{statusCall: 0, startMaintenanceCall: 1, endMaintenanceCall: 1}
 
-// CallError says what is wrong with a line that is no call. Its text is wire.
+// CallError says why a line is not a valid call. Its text is part of the protocol with operators' tools.
 type CallError struct{ Problem string }
 
 // Error implements error.
@@ -34,7 +34,8 @@
 
 var errLineTooLong = &CallError{fmt.Sprintf("the line is longer than %d bytes", maxLineBytes)}
 
-// answer is the line that answers a call with an outcome. It is wire.
+// answer returns the line that answers a call: 200 on success, or 400 with the error's text. The line is part of the
+// protocol with operators' tools.
 func answer(err error) string {
 	if err != nil {
 		return "400 " + strings.ReplaceAll(err.Error(), "\n", " ") + "\n"
@@ -42,7 +43,7 @@
 	return "200 ok\n"
 }
 
-// handle does what a line asks for.
+// handle parses a line and carries out the call in it.
 func (s *AdminServer) handle(line, by string) error {
 	call, id, err := parseCall(line)
 	switch {
@@ -57,8 +58,8 @@
 	}
 }
 
-// parseCall reads a call; an error is a *CallError. It is strict, for a call that is misread takes out the wrong
-// replica.
+// parseCall parses the line of a call. An error is a *CallError. Parsing is strict, because a misread call could take
+// the wrong replica out for maintenance.
 func parseCall(line string) (call, id string, err error) {
 	words := strings.Split(strings.TrimRight(line, "\r\n"), " ")
 	n, known := idCount[words[0]]
@@ -76,5 +77,5 @@
 	return words[0], words[1], nil
 }
 
-// notInID reports whether a character cannot be part of a replica's id: spaces, control characters, invalid UTF-8.
+// notInID reports whether a character cannot be part of a replica's id: a space, a control character or invalid UTF-8.
 func notInID(c rune) bool { return c <= ' ' || c == 0x7f || c == 0xfffd }
--- a/internal/operator/admin_call_test.go
+++ b/internal/operator/admin_call_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Whatever is read as a call gives the line again when it is written.
+// A line that parses as a call must equal the line that the call is formatted to, except for the line's end. Any other
+// line must give a *CallError.
 func FuzzParseCall(f *testing.F) {
 	for _, s := range []string{
 		"status\n", "maint-on s-1\n", "maint-off s-1\r\n", "maint-on \x00\n", "maint-on a b", "maint-on\u00a0a\n",
@@ -19,17 +20,17 @@
 		if err != nil {
 			var callError *CallError
 			if !errors.As(err, &callError) {
-				t.Errorf("%q: %v is no CallError", line, err)
+				t.Errorf("%q: error %v is not a *CallError", line, err)
 			}
 			return
 		}
-		again := call
+		formatted := call
 		if call != statusCall {
-			again += " " + id
+			formatted += " " + id
 		}
-		if strings.TrimRight(line, "\r\n") != again || strings.ContainsAny(id, " \r\n\x00") ||
+		if strings.TrimRight(line, "\r\n") != formatted || strings.ContainsAny(id, " \r\n\x00") ||
 			call != statusCall && id == "" {
-			t.Errorf("%q read as %q %q", line, call, id)
+			t.Errorf("%q parsed as call %q with id %q", line, call, id)
 		}
 	})
 }
--- a/internal/operator/admin_server.go
+++ b/internal/operator/admin_server.go
@@ -16,28 +16,29 @@
 const MaxConns = 16
 
 const (
-	// maxLineBytes bounds a call, which is a word and a replica's id.
+	// maxLineBytes is the maximum length of a call's line: a word and a replica's id.
 	maxLineBytes = 256
-	// callTimeout is the time from accepting a connection within which its whole line has to arrive.
+	// callTimeout is the time from accepting a connection within which its complete line must arrive.
 	callTimeout = 5 * time.Second
-	// minConnTime is the age up to which a connection is not closed for a newer one: its line may be on its way.
+	// minConnTime is the age below which a connection is not closed in favour of a newer one, because its line may
+	// still be on the way.
 	minConnTime = 20 * time.Millisecond
-	// answerTimeout is the time in which a caller has to take its answer.
+	// answerTimeout is the time-out for writing an answer to the caller.
 	answerTimeout = time.Second
-	// lingerTimeout is the time that a caller which still sends has to read its answer.
+	// lingerTimeout is how long a caller that is still sending has to read its answer.
 	lingerTimeout = 200 * time.Millisecond
-	// acceptBackoff is the pause before the next attempt to accept where that is not possible now.
+	// acceptBackoff is the delay before accepting a connection is tried again.
 	acceptBackoff = 5 * time.Millisecond
 )
 
-// AdminServer answers operators' calls, one for each connection. Set Handler, call Serve, and Close at the end.
+// AdminServer answers operators' calls, one call per connection. Set Handler, call Serve, and call Close at the end.
 type AdminServer struct {
 	Handler Handler
 
 	mu     sync.Mutex
 	conns  []*adminConn // oldest first
 	closed bool
-	wg     sync.WaitGroup // of the goroutines that serve connections
+	wg     sync.WaitGroup // counts the goroutines that serve connections
 }
 
 type adminConn struct {
@@ -45,7 +46,7 @@
 	acceptedAt time.Time
 }
 
-// Serve accepts connections until the listener is closed. Its caller owns the goroutine.
+// Serve accepts connections until the listener is closed. It blocks; the caller runs it in a goroutine of its own.
 func (s *AdminServer) Serve(l net.Listener) {
 	for {
 		for !s.ensureFreeConn() {
@@ -55,7 +56,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, or the caller had gone already: both pass
+		if err != nil { // out of descriptors, or the caller has disconnected: both are temporary
 			time.Sleep(acceptBackoff)
 			continue
 		}
@@ -63,9 +64,9 @@
 	}
 }
 
-// ensureFreeConn reports whether one more connection may be accepted. Callers that send nothing could take all
-// connections, and an operator would wait for their timeouts. So where all are taken the oldest one is closed, unless
-// it is very young.
+// ensureFreeConn reports whether one more connection may be accepted. If MaxConns connections are open, it closes the
+// oldest one, unless that is younger than minConnTime. Otherwise callers that send nothing could occupy all
+// connections, and an operator would have to wait until these time out.
 func (s *AdminServer) ensureFreeConn() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +97,7 @@
 	})
 }
 
-// remove forgets a connection; one that was closed for a newer one is forgotten already.
+// remove removes a connection from conns. A connection that was closed in favour of a newer one is no longer there.
 func (s *AdminServer) remove(c *adminConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// Close closes all connections and waits until none is served. The listener has to be closed before.
+// Close closes all connections and waits until their goroutines have ended. The listener must be closed before.
 func (s *AdminServer) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -116,7 +117,7 @@
 	s.wg.Wait()
 }
 
-// serveConn answers the one call of a connection. A call without its line's end is none, and is not answered.
+// serveConn answers the single call of a connection. A line without its newline is not a call and is not answered.
 func (s *AdminServer) serveConn(c *adminConn) {
 	c.SetReadDeadline(c.acceptedAt.Add(callTimeout))
 	line, err := bufio.NewReaderSize(c, maxLineBytes).ReadSlice('\n')
@@ -136,9 +137,9 @@
 	c.linger()
 }
 
-// linger ends a connection after its answer. A connection that is closed while bytes of the caller are unread is
-// reset, and the caller loses the answer that is on its way. So the caller sees the end first, and the rest is read
-// for a while.
+// linger ends a connection after its answer. Closing a connection while bytes from the caller are unread would reset
+// it, and the caller would lose the answer in flight. So linger first closes the sending side, and then reads and
+// discards up to maxLineBytes for lingerTimeout.
 func (c *adminConn) linger() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
--- a/internal/operator/admin_server_test.go
+++ b/internal/operator/admin_server_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// callRecorder is a Handler that records calls, and refuses those for replicas whose id ends in "nobody".
+// callRecorder is a Handler that records calls. It returns an error for replicas whose id ends in "nobody".
 type callRecorder struct {
 	mu    sync.Mutex
 	calls []string
@@ -31,7 +31,7 @@
 func (h *callRecorder) StartMaintenance(id, _ string) error { return h.record("out " + id) }
 func (h *callRecorder) EndMaintenance(id, _ string) error   { return h.record("back " + id) }
 
-// startAdminServer serves on a port of its own until the test ends.
+// startAdminServer runs an AdminServer on a free port until the test ends.
 func startAdminServer(t *testing.T) (h *callRecorder, address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +45,7 @@
 	return h, l.Addr().String()
 }
 
-// send opens a connection, sends bytes and reads the answer to its end.
+// send opens a connection, sends a text and reads the answer until the connection ends.
 func send(address, text string) (string, error) {
 	c, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
@@ -60,14 +60,15 @@
 	return string(answer), err
 }
 
-// Each call gets one line that begins with 200 or 400; a line that is no call says what is wrong with it.
+// The answer to each call is one line that begins with 200 or 400. The answer to a line that is not a valid call says
+// what is wrong with the line.
 func TestAnswersToCalls(t *testing.T) {
 	h, address := startAdminServer(t)
 	for _, tc := range []struct{ line, want string }{
 		{"status\n", "200 ok\n"},
 		{"status\r\n", "200 ok\n"},
 		{"maint-on s-1\n", "200 ok\n"},
-		{"maint-off s-1\nmaint-off s-2\n", "200 ok\n"}, // one line a connection
+		{"maint-off s-1\nmaint-off s-2\n", "200 ok\n"}, // only the first line of a connection is read
 		{"maint-on nobody\n", "400 no node nobody is listed\n"},
 		{"maint-on\n", "400 maint-on takes 1 ids, got 0 words\n"},
 		{"maint-on a b\n", "400 maint-on takes 1 ids, got 2 words\n"},
@@ -79,18 +80,18 @@
 		{strings.Repeat("x", 10*maxLineBytes), "400 the line is longer than 256 bytes\n"},
 	} {
 		if got, err := send(address, tc.line); got != tc.want || err != nil {
-			t.Errorf("%.30q: %q %v, want %q", tc.line, got, err, tc.want)
+			t.Errorf("line %.30q: answer %q, error %v, want %q", tc.line, got, err, tc.want)
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if got, want := fmt.Sprint(h.calls), "[status status out s-1 back s-1 out nobody]"; got != want {
-		t.Errorf("calls %s, want %s", got, want)
+		t.Errorf("calls to the handler: %s, want %s", got, want)
 	}
 }
 
-// Callers connect and send nothing, or half a line, twenty times more than there are connections. Half a call must
-// not be carried out, and an operator who then calls must be answered.
+// Callers that send nothing or an incomplete line open twenty times MaxConns connections. An incomplete call must not
+// be carried out, and an operator who calls afterwards must be answered.
 func TestSilentCallersDoNotBlockOperator(t *testing.T) {
 	h, address := startAdminServer(t)
 	var silent []net.Conn
@@ -106,7 +107,7 @@
 		silent = append(silent, c)
 	}
 	if got, err := send(address, "status\n"); got != "200 ok\n" || err != nil {
-		t.Fatalf("%q %v", got, err)
+		t.Fatalf("answer to the operator: %q, error %v", got, err)
 	}
 	for _, c := range silent {
 		c.(*net.TCPConn).CloseWrite()
@@ -114,6 +115,6 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if got := fmt.Sprint(h.calls); got != "[status]" {
-		t.Errorf("calls %s", got)
+		t.Errorf("calls to the handler: %s, want [status]", got)
 	}
 }
--- a/internal/operator/endpoint_list_test.go
+++ b/internal/operator/endpoint_list_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// The endpoint list changes all the time, for 205 steps of a tenth of a poll, so 20.5 polls. A short one of 7,000
-// bytes may be encoded every 7 ms, so it is at each poll of 100 ms: 20 or 21 times. A long one of 700,000 bytes may be
-// every 0.7 s, so it is about three or four times in 2.05 s. The last change is written in the end, and nothing is
-// encoded where nothing has changed.
+// The endpoint list changes continuously: 205 times, every tenth of a poll interval, so for 20.5 polls. A short list of
+// 7,000 bytes may be encoded every 7 ms, so it is encoded at each poll of 100 ms: 20 or 21 times. A long list of
+// 700,000 bytes may be encoded every 0.7 s, so it is encoded about three or four times in 2.05 s. The last change must
+// be written eventually, and an unchanged list must not be encoded again.
 func TestListIsEncodedAsOftenAsItsLengthAllows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir, err := os.MkdirTemp("", "")
@@ -40,7 +40,7 @@
 				time.Sleep(pollInterval / 10)
 			}
 			if n := int(encoded.Load()); n < c.encodings-1 || n > c.encodings+1 {
-				t.Errorf("%s: encoded %d times, want %d", name, n, c.encodings)
+				t.Errorf("%s list: encoded %d times, want about %d", name, n, c.encodings)
 			}
 			time.Sleep(2 * time.Second)
 			before := encoded.Load()
@@ -48,10 +48,10 @@
 			next.end()
 			list, from := next.InheritedList()
 			if from != "d:1" || len(list) != c.bytes+2 || list[1] != byte('a'+version.Load()%26) {
-				t.Errorf("%s: found %d bytes from %s", name, len(list), from)
+				t.Errorf("%s list: next process found %d bytes from %s, want the last change", name, len(list), from)
 			}
 			if time.Sleep(5 * time.Second); encoded.Load() != before {
-				t.Errorf("%s: encoded %d times more", name, encoded.Load()-before)
+				t.Errorf("%s list: encoded %d times without a change", name, encoded.Load()-before)
 			}
 			cancel()
 			<-done
--- a/internal/operator/maintenance.go
+++ b/internal/operator/maintenance.go
@@ -9,11 +9,13 @@
 	"harepass/internal/logmsg"
 )
 
-// callBackLifetime is how long a call back is remembered, or longer, while another process's state file has the replica
-// as out. By then the replica is warmed up, and as any other.
+// callBackLifetime is how long the register keeps the entry of a replica whose maintenance has ended. By then the
+// replica is warmed up and is treated like any other. The entry is kept for longer while another process's state file
+// still has the replica as out for maintenance.
 const callBackLifetime = 10 * time.Minute
 
-// NotListedError says that a call names a replica that is not listed. Its text is wire.
+// NotListedError reports that a call names a replica that is not in the endpoint list. Its text is part of the protocol
+// with operators' tools.
 type NotListedError struct{ ID string }
 
 // Error implements error.
@@ -28,9 +30,9 @@
 // EndMaintenance implements Handler. An error is a *NotListedError.
 func (s *Store) EndMaintenance(id, by string) error { return s.setMaintenance(id, false, by) }
 
-// setMaintenance takes a replica out or calls it back. That binds here at once. Other processes' calls are read
-// first, for they came before. Files that cannot be read or written in time do not stop the call: it is written at a
-// later poll.
+// setMaintenance takes a replica out for maintenance or ends its maintenance, with immediate effect in this process. It
+// first has the other processes' calls read, because these were made earlier. If files cannot be read or written in
+// time, the call still takes effect, and is written at a later poll.
 func (s *Store) setMaintenance(id string, out bool, by string) error {
 	if err := s.sync(); err != nil {
 		slog.Warn("maintenance call without other processes' state files", logmsg.KeyReplica, id, logmsg.KeyError, err)
@@ -46,7 +48,8 @@
 	return nil
 }
 
-// applyCall enters a call and notifies the coordinator, and reports whether anything changed.
+// applyCall enters a call into the register, notifies the coordinator if that changes the register, and reports whether
+// it did. An error is a *NotListedError.
 func (s *Store) applyCall(id string, out bool, by string) (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/operator/state_dir.go
+++ b/internal/operator/state_dir.go
@@ -16,32 +16,33 @@
 )
 
 const (
-	// stateFileSuffix ends the name of a state file.
+	// stateFileSuffix is the suffix of a state file's name.
 	stateFileSuffix = ".state"
 	// writingSuffix is appended to the name of a state file while it is written.
 	writingSuffix = ".new"
-	// maxOldStateFiles is how many state files of other processes stay, the latest ones.
+	// maxOldStateFiles is how many state files of other processes Prune keeps, the latest ones.
 	maxOldStateFiles = 4
-	// partialLifetime is the age from which the writer of a partial state file was killed.
+	// partialLifetime is the age above which the writer of a partial state file counts as killed, and Prune removes the
+	// file.
 	partialLifetime = time.Minute
 )
 
-// msgNotUsed is the log message for a state file that was found and left out.
+// msgNotUsed is the log message for a state file that was found but is ignored.
 const msgNotUsed = "state file not used"
 
-// StateDir is the directory that the processes of a coordinator share. Each writes a state file of its own. It is
-// for one goroutine at a time.
+// StateDir is the directory that the processes of a coordinator share. Each process writes a state file of its own. A
+// StateDir must not be used by several goroutines at once.
 type StateDir struct {
 	dir      string
 	own      string                 // name of this process's state file
-	lastRead map[string]fs.FileInfo // the other state files when they were last read, by name
-	unread   map[string]fs.FileInfo // those whose reading failed since, by name: they are read again, and logged once
-	out      map[string][]string    // ids of the replicas that are out by the other state files, by the files' names
+	lastRead map[string]fs.FileInfo // the other state files as of their last read, by name
+	unread   map[string]fs.FileInfo // files that could not be read since, by name: reading is retried, and logged once
+	out      map[string][]string    // ids of the replicas that are out in each other state file, by file name
 	readFile func(path string) ([]byte, error)
 }
 
-// OpenStateDir makes the directory where it is missing. started is this process's start: state files' names are in
-// the order of starts.
+// OpenStateDir opens the directory, and creates it if it does not exist. started is the start time of this process,
+// which begins its state file's name, so that names sort in the order of the processes' starts.
 func OpenStateDir(dir string, started time.Time) (*StateDir, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -51,17 +52,18 @@
 		out: map[string][]string{}, readFile: os.ReadFile}, nil
 }
 
-// ownPartial is the name of this process's state file while it is written.
+// ownPartial returns the name of this process's state file while it is written.
 func (d *StateDir) ownPartial() string { return d.own + writingSuffix }
 
-// Write replaces this process's state file completely or not at all. What is over the limit is left out: first what was
-// learned, then the endpoint list, which a new process gets from discovery; the operators' calls stay, for nobody else
-// has them. leftOut names what was. Write returns ErrTooLarge where the calls alone are over the limit, or an error of
-// the file system.
+// Write replaces this process's state file completely or not at all. If the state exceeds the limit, Write leaves out
+// the checkpoint and then the endpoint list, which a new process can get from discovery. It never leaves out the
+// operators' calls, because no other component has them. leftOut names the parts that were left out. Write returns
+// ErrTooLarge if the calls alone exceed the limit, or an error of the file system.
 //
-// A process that is killed while it writes would leave a torn state file in place of its last one, and the operators'
-// calls would be lost. So the new one is written beside it and renamed over it. The directory does not outlive the
-// machine, so nothing is synced: only other processes read it, and they see a rename completely or not at all.
+// If a process were killed while it overwrites its state file, the file would be incomplete and the operators' calls in
+// it lost. So Write creates a partial file beside the old one and renames it over that. It does not sync the file,
+// because the directory does not outlive the machine: only other processes read it, and they see a rename completely or
+// not at all.
 func (d *StateDir) Write(s StateFile) (leftOut []string, err error) {
 	data, leftOut, err := encodeWithinLimit(s)
 	if err != nil {
@@ -69,13 +71,13 @@
 	}
 	partial := filepath.Join(d.dir, d.ownPartial())
 	if err := os.WriteFile(partial, data, 0o600); err != nil {
-		os.Remove(partial) // a full disk leaves half of it
+		os.Remove(partial) // a full disk leaves an incomplete file
 		return leftOut, err
 	}
 	return leftOut, os.Rename(partial, filepath.Join(d.dir, d.own))
 }
 
-// encodeWithinLimit returns a state file's stored form without what does not fit into the limit.
+// encodeWithinLimit encodes a state file without the parts that do not fit into the limit, which leftOut names.
 func encodeWithinLimit(s StateFile) (data []byte, leftOut []string, err error) {
 	data, err = Encode(s)
 	if errors.Is(err, ErrTooLarge) && s.Checkpoint != nil {
@@ -90,8 +92,8 @@
 }
 
 // ReadChanged returns the other processes' state files that have changed since the last call, in order of the
-// processes' starts. One that cannot be used is logged and left out until it changes. One that the file system fails to
-// read is logged, and read again at the next call.
+// processes' starts. It logs a file with unusable contents and ignores it until it changes. It also logs a file that
+// the file system fails to read, but tries to read that one again at the next call.
 func (d *StateDir) ReadChanged() (list []StateFile) {
 	paths, err := filepath.Glob(filepath.Join(d.dir, "*"+stateFileSuffix))
 	if err != nil {
@@ -127,9 +129,9 @@
 	return list
 }
 
-// hasOut reports whether a replica is out by another process's state file, as that was when it was last read. A process
-// that starts later may read the file, though its writer has ended.
-func (d *StateDir) hasOut(id string) bool {
+// isOutElsewhere reports whether another process's state file, as of its last read, has a replica as out for
+// maintenance. The file counts even if its writer has ended, because a process that starts later may read it.
+func (d *StateDir) isOutElsewhere(id string) bool {
 	for _, ids := range d.out {
 		if slices.Contains(ids, id) {
 			return true
@@ -138,12 +140,13 @@
 	return false
 }
 
-// sameFile reports whether a file is as it was when it was last read; nil where it was not read yet.
+// sameFile reports whether a file is unchanged since its last read; last is nil if it has not been read.
 func sameFile(last, now fs.FileInfo) bool {
 	return last != nil && os.SameFile(last, now) && last.ModTime().Equal(now.ModTime()) && last.Size() == now.Size()
 }
 
-// read reads a file of a size in bytes. It returns ErrTooLarge, a *fs.PathError or an error of Decode.
+// read reads and decodes a state file; size is the file's, in bytes. An error is ErrTooLarge, a *fs.PathError or one of
+// Decode.
 func (d *StateDir) read(path string, size int64) (StateFile, error) {
 	if size > maxStateFileBytes {
 		return StateFile{}, fmt.Errorf("%w: %d bytes, at most %d are read", ErrTooLarge, size, maxStateFileBytes)
@@ -155,7 +158,8 @@
 	return Decode(data)
 }
 
-// Prune removes the state files of ended processes but for the latest few, and partial ones whose writers were killed.
+// Prune removes other processes' state files except for the latest maxOldStateFiles, and partial files older than
+// partialLifetime.
 func (d *StateDir) Prune() {
 	entries, err := os.ReadDir(d.dir)
 	if err != nil {
--- a/internal/operator/state_file_compat_test.go
+++ b/internal/operator/state_file_compat_test.go
@@ -12,10 +12,10 @@
 	"harepass/internal/decide/scatter"
 )
 
-// storedPath is a state file that the program wrote at 51e85a9, the last version before Go names were changed.
+// storedPath is a state file written by the program at commit 51e85a9, the last one before Go identifiers were renamed.
 const storedPath = "testdata/51e85a9.state"
 
-// storedStateFile is what was stored there; every field has a value of its own.
+// storedStateFile returns the state that is stored in storedPath. Each field has a distinct value.
 func storedStateFile() StateFile {
 	return StateFile{
 		Name:   "n3",
@@ -47,8 +47,8 @@
 	}
 }
 
-// A new version of the program takes over from an old one. The state file that the old one left is read completely,
-// each value in its place, and is written again as the same bytes, which the old one could read.
+// A new version of the program takes over from an old one. It must read the old version's state file completely, with
+// each value in its field, and must write the same state as the same bytes, so that the old version could read them.
 func TestStateFileOfEarlierVersionIsReadAndWrittenAlike(t *testing.T) {
 	stored, err := os.ReadFile(storedPath)
 	if err != nil {
@@ -59,9 +59,9 @@
 		t.Fatal(err)
 	}
 	if want := storedStateFile(); !reflect.DeepEqual(got, want) {
-		t.Errorf("read\n%+v, want\n%+v", got, want)
+		t.Errorf("decoded\n%+v, want\n%+v", got, want)
 	}
-	if again, err := Encode(got); err != nil || !bytes.Equal(again, stored) {
-		t.Errorf("%v: written again as\n%s, was\n%s", err, again, stored)
+	if encoded, err := Encode(got); err != nil || !bytes.Equal(encoded, stored) {
+		t.Errorf("error %v, encoded again as\n%s, want\n%s", err, encoded, stored)
 	}
 }
--- a/internal/operator/state_file_test.go
+++ b/internal/operator/state_file_test.go
@@ -17,8 +17,8 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A state file is cut at any byte, has any one byte altered, or is in the form of another version. It must not be read
-// as another state file: replicas that are out would be back.
+// A state file that is cut at any byte, has any single byte altered, or has the format of another version must not be
+// decoded as a different state: that could return replicas to service that are out for maintenance.
 func TestTornStateFilesAreRefused(t *testing.T) {
 	s := StateFile{
 		Name: "n1", ListAt: time.Second, Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour, By: "x"}},
@@ -30,27 +30,27 @@
 		t.Fatal(err)
 	}
 	if got, err := Decode(good); err != nil || !reflect.DeepEqual(got, s) {
-		t.Fatalf("%v %v", got, err)
+		t.Fatalf("the unchanged state file: %v, error %v", got, err)
 	}
 	for n := range good {
-		if _, err := Decode(good[:n]); !errors.Is(err, ErrNotStateFile) && !errors.Is(err, ErrTorn) {
-			t.Errorf("the first %d bytes: %v, want not a state file, or a torn one", n, err)
+		if _, err := Decode(good[:n]); !errors.Is(err, ErrNotStateFile) && !errors.Is(err, ErrCorrupt) {
+			t.Errorf("the first %d bytes: %v, want ErrNotStateFile or ErrCorrupt", n, err)
 		}
 		bad := bytes.Clone(good)
 		bad[n] ^= 1
 		if got, err := Decode(bad); err == nil && !reflect.DeepEqual(got, s) {
-			t.Errorf("with byte %d altered it passes as %v", n, got)
+			t.Errorf("with byte %d altered: decoded as %v without an error", n, got)
 		}
 	}
 	for _, v := range []string{"0", "1", "999"} {
 		other := bytes.Replace(good, []byte(magic+" 2"), []byte(magic+" "+v), 1)
 		if _, err := Decode(other); !errors.Is(err, ErrVersion) {
-			t.Errorf("version %s: %v", v, err)
+			t.Errorf("version %s: %v, want ErrVersion", v, err)
 		}
 	}
 }
 
-// Whatever a file holds, it is refused or is a state file that can be written again.
+// Any data is either rejected or decoded to a state that can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	good, _ := Encode(StateFile{
 		Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: 1}}, List: json.RawMessage(`{}`),
@@ -67,19 +67,19 @@
 		if err != nil {
 			return
 		}
-		again, err := Encode(s)
+		encoded, err := Encode(s)
 		if err != nil {
-			t.Fatalf("%+v: %v", s, err)
+			t.Fatalf("%+v cannot be encoded: %v", s, err)
 		}
-		got, err := Decode(again)
+		got, err := Decode(encoded)
 		if err != nil || got.Name != s.Name || got.ListAt != s.ListAt || len(got.Maintenance) != len(s.Maintenance) {
-			t.Errorf("%+v became %+v: %v", s, got, err)
+			t.Errorf("%+v encoded and decoded: %+v, error %v", s, got, err)
 		}
 	})
 }
 
-// The file system fails to read another process's state file for a moment. It is read again, although it has not changed:
-// it may hold an operator's call.
+// The file system temporarily fails to read another process's state file. The file must be read again although it has
+// not changed, because it may have an operator's call.
 func TestStateFileIsReadAgainAfterFailure(t *testing.T) {
 	dir := t.TempDir()
 	writer := openDir(t, dir)
@@ -92,12 +92,12 @@
 		return nil, &fs.PathError{Op: "read", Path: path, Err: syscall.EIO}
 	}
 	if list := reader.ReadChanged(); len(list) != 0 {
-		t.Errorf("%d files were read", len(list))
+		t.Errorf("%d files were read in spite of the failure, want 0", len(list))
 	}
 	reader.readFile = os.ReadFile
 	for _, want := range []int{1, 0} {
 		if list := reader.ReadChanged(); len(list) != want {
-			t.Errorf("%d files were read, want %d", len(list), want)
+			t.Errorf("%d files were read after the failure, want %d", len(list), want)
 		}
 	}
 }
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -17,62 +17,65 @@
 )
 
 const (
-	// pollInterval is the time between two polls of other processes' state files. A call at one process binds all
-	// within a second.
+	// pollInterval is the time between two polls of other processes' state files. It lets a call to one process take
+	// effect in all of them within a second.
 	pollInterval = 100 * time.Millisecond
-	// syncTimeout is how long a caller waits for files to be read or written; a maintenance call does so twice.
+	// syncTimeout is how long sync waits for files to be read and written. A maintenance call waits up to twice that,
+	// once before and once after the call takes effect.
 	syncTimeout = 300 * time.Millisecond
-	// writeErrorInterval is the time between two log lines while the state file cannot be written.
+	// writeErrorInterval is the minimum time between two log lines while the state file cannot be written.
 	writeErrorInterval = 10 * time.Second
-	// checkpointLifetime is how old a checkpoint may be: its rates hold for a few rebalances of a second each.
+	// checkpointLifetime is the age from which a checkpoint is not restored: its rates are valid for a few rebalances
+	// of one second each.
 	checkpointLifetime = 5 * time.Second
 )
 
 // msgNotWritten is the log message for a state file that could not be written.
 const msgNotWritten = "state file not written"
 
-var errSyncTimeout = errors.New("operator: state files not read and written in time")
+var errSyncTimeout = errors.New("operator: timed out waiting for state files to be read and written")
 
-// Coordinator is what a Store notifies. None of its methods may block.
+// Coordinator is the coordinator that a Store notifies and queries. None of its methods may block.
 type Coordinator interface {
-	// SetMaintenance replaces the replicas that are out. The register must not be changed any more.
+	// SetMaintenance replaces the register of maintenance calls. The caller must not change the register afterwards.
 	SetMaintenance(maintenance.Register)
-	// HasEndpoint reports whether a replica is listed.
+	// HasEndpoint reports whether a replica is in the endpoint list.
 	HasEndpoint(id string) bool
-	// CheckReady returns nil where the coordinator is ready for queries, else why not.
+	// CheckReady returns nil if the coordinator is ready for queries, else an error with the reason.
 	CheckReady() error
-	// SetLimitsShared says whether another process of the coordinator serves beside it, so that limits hold for both.
+	// SetLimitsShared sets whether another process of the coordinator serves beside this one, so that both share the
+	// coordinator's limits.
 	SetLimitsShared(bool)
 }
 
-// Store holds what the processes of a coordinator have to know of each other. It is the Handler of an AdminServer. Use
-// NewStore, set Coordinator and EncodeList, call NotifyCoordinator, then start Run. The methods that have no other rule
-// may be called from any goroutine.
+// Store holds the state that the processes of a coordinator share. It is the Handler of an AdminServer. Create it with
+// NewStore, set Coordinator and EncodeList, call NotifyCoordinator, then start Run. Methods may be called from any
+// goroutine unless their comment says otherwise.
 type Store struct {
-	Name        string               // of the coordinator; state files of another one are not used
-	Coordinator Coordinator          // is notified of other processes' calls
+	Name        string               // of the coordinator; state files of other coordinators are ignored
+	Coordinator Coordinator          // is notified of calls to this and to other processes
 	Clock       func() time.Duration // wall clock, since the Unix epoch
-	StateDir    *StateDir            // nil where nothing is shared with other processes
+	StateDir    *StateDir            // nil if nothing is shared with other processes
 
-	// EncodeList returns the endpoint list, in discovery's form, and the discovery address that it came from. Run
-	// calls it some time after ListChanged. Nil where SetList alone brings lists.
+	// EncodeList returns the endpoint list, in discovery's form, and the address of the discovery service that it came
+	// from. Run calls it some time after ListChanged. It is nil if lists are only set with SetList.
 	EncodeList func() (discovery string, list json.RawMessage, err error)
 
-	syncs chan chan struct{} // requests to Run to read and write files now; each is closed when that is done
+	syncs chan chan struct{} // requests to Run to read and write files now; Run closes each when it is done
 
 	mu        sync.Mutex
-	own       StateFile // what this process leaves, with what it has merged
-	unsaved   bool      // own has changed since it was written
-	listDirty bool      // the endpoint list has changed since it was encoded
+	own       StateFile // this process's state, including what it has merged from others
+	unsaved   bool      // own has changed since it was last written
+	listDirty bool      // the endpoint list has changed since it was last encoded
 
-	// Only Run uses these.
-	nextEncoding time.Duration // until then the endpoint list is not encoded again
+	// Only Run uses the following fields.
+	nextEncoding time.Duration // earliest instant at which the endpoint list is encoded again
 	peers        peerWatch     // whether another process serves
 	writeErrorAt time.Duration // when a failed write was last logged; 0 for never
-	leftOut      []string      // what the last state file lacks, for it would be over the limit
+	leftOut      []string      // parts that the last state file written lacks because of the size limit
 }
 
-// NewStore returns a Store that begins with what other processes have left. dir is nil where nothing is shared.
+// NewStore returns a Store that starts with the state that other processes stored. dir is nil if nothing is shared.
 func NewStore(name string, dir *StateDir, clock func() time.Duration) *Store {
 	s := &Store{
 		Name: name, StateDir: dir, Clock: clock, syncs: make(chan chan struct{}),
@@ -86,13 +89,14 @@
 	return s
 }
 
-// InheritedList returns the latest endpoint list that another process left, in discovery's form, and the discovery
-// address that it came from; nil where there is none. It has to be called before Run.
+// InheritedList returns the latest endpoint list that another process stored, in discovery's form, and the address of
+// the discovery service that it came from. The list is nil if there is none. InheritedList must be called before Run.
 func (s *Store) InheritedList() (list json.RawMessage, discovery string) {
 	return s.own.List, s.own.Discovery
 }
 
-// Checkpoint returns what another process had last learned, unless it is too old. It has to be called before Run.
+// Checkpoint returns the latest checkpoint of another process, if that is younger than checkpointLifetime. It must be
+// called before Run.
 func (s *Store) Checkpoint() (c scatter.Checkpoint, ok bool) {
 	if latest := s.own.Checkpoint; latest != nil && s.Clock()-latest.At < checkpointLifetime {
 		return *latest, true
@@ -100,45 +104,45 @@
 	return c, false
 }
 
-// SetCheckpoint stores what this process has learned for a new one.
+// SetCheckpoint stores this process's checkpoint for a new process.
 func (s *Store) SetCheckpoint(c scatter.Checkpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.own.Checkpoint, s.unsaved = &c, true
 }
 
-// NotifyCoordinator notifies the coordinator of what other processes have left. It is called once, before the
-// coordinator runs.
+// NotifyCoordinator passes the maintenance calls that other processes stored to the coordinator. It is called once,
+// before the coordinator runs.
 func (s *Store) NotifyCoordinator() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notify()
 }
 
-// notify gives the coordinator the present register. It is called with the lock held, so that registers arrive in
-// order.
+// notify passes a copy of the current register to the coordinator. The caller holds the lock, so that registers arrive
+// in order.
 func (s *Store) notify() { s.Coordinator.SetMaintenance(maps.Clone(s.own.Maintenance)) }
 
-// merge takes over what is later in other processes' state files, and reports whether the register has changed. It is
-// called with the lock held, or before Run.
+// merge takes over newer maintenance calls, checkpoints and endpoint lists from other processes' state files, and
+// reports whether the register has changed. The caller holds the lock, or calls it before Run.
 func (s *Store) merge(others []StateFile) (registerChanged bool) {
 	for _, o := range others {
 		if o.Name != s.Name {
-			slog.Warn(msgNotUsed, "coordinator", o.Name, logmsg.KeyError, "it is another coordinator's")
+			slog.Warn(msgNotUsed, "coordinator", o.Name, logmsg.KeyError, "state file belongs to another coordinator")
 			continue
 		}
 		registerChanged = s.own.Maintenance.Merge(o.Maintenance) || registerChanged
 		if c := o.Checkpoint; c != nil && (s.own.Checkpoint == nil || c.At > s.own.Checkpoint.At) {
 			s.own.Checkpoint = c
 		}
-		if o.ListAt > s.own.ListAt { // also one that was left out: an older list is not to pass for the latest
+		if o.ListAt > s.own.ListAt { // even if its list was left out: an older list must not count as the latest
 			s.own.ListAt, s.own.List, s.own.Discovery = o.ListAt, o.List, o.Discovery
 		}
 	}
 	return registerChanged
 }
 
-// Run reads and writes files until ctx is done. It is called once; its caller owns the goroutine.
+// Run reads and writes files until ctx is done. It blocks and is called once, in a goroutine of the caller's.
 func (s *Store) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -157,7 +161,8 @@
 	}
 }
 
-// syncFiles reads what other processes have written and writes what has changed here.
+// syncFiles reads the state files that other processes have changed, and writes this process's own if its state has
+// changed.
 func (s *Store) syncFiles() {
 	if s.StateDir == nil {
 		return
@@ -178,11 +183,11 @@
 	}
 	if !slices.Equal(leftOut, s.leftOut) {
 		s.leftOut = leftOut
-		slog.Warn("state file written without what is over its limit", "left_out", strings.Join(leftOut, ", "))
+		slog.Warn("state file written without the parts over its size limit", "left_out", strings.Join(leftOut, ", "))
 	}
 }
 
-// mergeAndTake merges other processes' state files, and returns the own one and whether it has to be written.
+// mergeAndTake merges other processes' state files, and returns this process's own and whether it must be written.
 func (s *Store) mergeAndTake(others []StateFile) (own StateFile, unsaved bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,15 +196,15 @@
 		s.notify()
 	}
 	if s.unsaved {
-		s.own.Maintenance.Prune(s.Clock()-callBackLifetime, s.StateDir.hasOut)
+		s.own.Maintenance.Prune(s.Clock()-callBackLifetime, s.StateDir.isOutElsewhere)
 	}
 	own, unsaved = s.own, s.unsaved
 	own.Maintenance, s.unsaved = maps.Clone(own.Maintenance), false
 	return own, unsaved
 }
 
-// writeFailed has the state file written again at the next poll. A disk that stays full would fill the log with a line
-// for each poll, so only some failures are logged.
+// writeFailed makes the next poll write the state file again. It logs a failure at most every writeErrorInterval,
+// because a disk that stays full would otherwise fill the log with a line for each poll.
 func (s *Store) writeFailed(err error) {
 	if now := s.Clock(); s.writeErrorAt == 0 || now-s.writeErrorAt >= writeErrorInterval {
 		s.writeErrorAt = now
@@ -210,7 +215,7 @@
 	s.mu.Unlock()
 }
 
-// sync has Run read and write files now, and waits for syncTimeout at most.
+// sync makes Run read and write files now, and waits until that is done, for at most syncTimeout.
 func (s *Store) sync() error {
 	done, timeout := make(chan struct{}), time.After(syncTimeout)
 	for requests := s.syncs; ; {
--- a/internal/operator/store_test.go
+++ b/internal/operator/store_test.go
@@ -19,11 +19,11 @@
 	"harepass/internal/decide/scatter"
 )
 
-// fakeCoordinator lists the replicas a and b, and keeps what it was notified of.
+// fakeCoordinator is a Coordinator whose endpoint list has the replicas a and b. It records its notifications.
 type fakeCoordinator struct {
 	mu       sync.Mutex
-	register maintenance.Register // the latest
-	shared   []bool               // all, in order
+	register maintenance.Register // the latest one
+	shared   []bool               // all values set, in order
 }
 
 func (c *fakeCoordinator) SetMaintenance(r maintenance.Register) {
@@ -39,7 +39,7 @@
 	c.shared = append(c.shared, shared)
 }
 
-// out lists the replicas that are out.
+// out returns the ids of the replicas that are out for maintenance.
 func (c *fakeCoordinator) out() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,17 +52,17 @@
 	return strings.Join(ids, " ")
 }
 
-// process is a process of a coordinator.
+// process is a simulated process of a coordinator.
 type process struct {
 	*Store
 	coordinator *fakeCoordinator
-	end         func() // ends it and waits for that
+	end         func() // ends the process and waits until Run has returned
 }
 
-// wallClock is the wall clock; in a synctest bubble that of the bubble.
+// wallClock returns the time since the Unix epoch; within a synctest bubble, by the bubble's clock.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// openDir opens a state directory for a process that starts now.
+// openDir opens a state directory as a process that starts now.
 func openDir(t *testing.T, dir string) *StateDir {
 	d, err := OpenStateDir(dir, time.Now())
 	if err != nil {
@@ -71,7 +71,7 @@
 	return d
 }
 
-// startProcess starts a process of a coordinator on a directory.
+// startProcess starts a process of the coordinator name with the state directory dir.
 func startProcess(t *testing.T, dir, name string) process {
 	s := NewStore(name, openDir(t, dir), wallClock)
 	p := process{Store: s, coordinator: &fakeCoordinator{}}
@@ -84,9 +84,10 @@
 	return p
 }
 
-// Two processes of a coordinator run side by side during an upgrade. A replica taken out at the old one is out at the
-// new one from its start; a call at either binds the other within two polls; and it stays when a process ends. What
-// was learned is handed on while it is new. Another coordinator's process takes nothing over.
+// Two processes of a coordinator run side by side during an upgrade. A replica that the old process took out is out in
+// the new one from its start. A call to either process takes effect in the other within two polls, and stays in effect
+// after a process ends. A checkpoint is taken over while it is recent. A process of another coordinator takes over
+// nothing.
 func TestCallsBindBothProcesses(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -95,7 +96,7 @@
 			t.Helper()
 			start := time.Now()
 			if err := f(id, "test"); (err == nil) != ok || time.Since(start) > time.Second {
-				t.Errorf("%s: %v after %v", id, err, time.Since(start))
+				t.Errorf("call for %s: error %v after %v", id, err, time.Since(start))
 			}
 		}
 		call(old.StartMaintenance, "a", true)
@@ -103,7 +104,7 @@
 		call(old.StartMaintenance, "nobody", false)
 		var notListed *NotListedError
 		if err := old.EndMaintenance("nobody", "test"); !errors.As(err, &notListed) || notListed.ID != "nobody" {
-			t.Errorf("%v, want that nobody is not listed", err)
+			t.Errorf("%v, want a NotListedError for the id nobody", err)
 		}
 		old.SetList("d:1", json.RawMessage(`{"index":7}`))
 		old.SetCheckpoint(scatter.Checkpoint{At: old.Clock(), WarmedUpRate: 3})
@@ -111,45 +112,45 @@
 
 		fresh := startProcess(t, dir, "n1")
 		if list, from := fresh.InheritedList(); string(list) != `{"index":7}` || from != "d:1" {
-			t.Errorf("found %s from %s", list, from)
+			t.Errorf("the new process found the list %s from %s", list, from)
 		}
 		if m, ok := fresh.Checkpoint(); !ok || m.WarmedUpRate != 3 {
-			t.Errorf("checkpoint %+v, %t", m, ok)
+			t.Errorf("the new process found the checkpoint %+v, %t", m, ok)
 		}
 		synctest.Wait()
 		if got := fresh.coordinator.out(); got != "a" {
-			t.Errorf("the new process begins with %q out", got)
+			t.Errorf("the new process starts with %q out, want a", got)
 		}
 		call(fresh.StartMaintenance, "b", true)
 		time.Sleep(2 * pollInterval)
 		if got := old.coordinator.out(); got != "a b" {
-			t.Errorf("the old one has %q out", got)
+			t.Errorf("the old process has %q out, want a b", got)
 		}
-		call(old.EndMaintenance, "b", true) // the new one has not polled yet when it is called
+		call(old.EndMaintenance, "b", true) // before the new process has polled
 		call(fresh.EndMaintenance, "a", true)
 		time.Sleep(2 * pollInterval)
 		if got := old.coordinator.out() + "|" + fresh.coordinator.out(); got != "|" {
-			t.Errorf("still out: %q", got)
+			t.Errorf("still out in the old and the new process: %q", got)
 		}
 		old.end()
 		call(fresh.StartMaintenance, "a", true)
 		fresh.end()
 		time.Sleep(checkpointLifetime)
-		stranger, third := startProcess(t, dir, "n2"), startProcess(t, dir, "n1")
+		otherCoordinator, third := startProcess(t, dir, "n2"), startProcess(t, dir, "n1")
 		if _, ok := third.Checkpoint(); ok {
-			t.Error("an old checkpoint passes for a new one")
+			t.Error("a checkpoint older than checkpointLifetime was taken over")
 		}
 		synctest.Wait()
-		if got := stranger.coordinator.out() + "|" + third.coordinator.out(); got != "|a" {
-			t.Errorf("another coordinator and a third process: %q", got)
+		if got := otherCoordinator.coordinator.out() + "|" + third.coordinator.out(); got != "|a" {
+			t.Errorf("out in another coordinator's process and in the third process: %q, want |a", got)
 		}
-		stranger.end()
+		otherCoordinator.end()
 		third.end()
 	})
 }
 
-// Two processes serve at the same time and share the coordinator's limits. Both have to know, and the one that is
-// left has to know when it is alone. The file of a process that ended long ago says nothing.
+// Two processes that serve at the same time share the coordinator's limits. Both must be notified of that, and the
+// remaining one must be notified when the other has ended. The file of a process that ended long ago must be ignored.
 func TestBothProcessesKnowThatLimitsAreShared(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -181,8 +182,8 @@
 	})
 }
 
-// The directory holds files that are torn, empty, too large or no files at all. They are left out, and the rest is
-// used.
+// The directory has entries that are incomplete, empty or too large files, or not files at all. These must be ignored,
+// and the valid file used.
 func TestUnreadableStateFilesAreLeftOut(t *testing.T) {
 	dir := t.TempDir()
 	good, err := Encode(StateFile{Name: "n1", Maintenance: maintenance.Register{"a": {Out: true, At: time.Hour}}})
@@ -202,12 +203,12 @@
 	p := startProcess(t, dir, "n1")
 	defer p.end()
 	if err := p.StartMaintenance("b", "test"); err != nil || p.coordinator.out() != "a b" {
-		t.Errorf("out: %q, %v", p.coordinator.out(), err)
+		t.Errorf("out: %q, error %v, want a b", p.coordinator.out(), err)
 	}
 }
 
-// The directory is removed while a process runs. A call binds all the same, and the log gets one line, not one for
-// each poll.
+// The directory is removed while a process runs. A maintenance call must still take effect, and the failure must be
+// logged once, not at each poll.
 func TestCallBindsThoughStateFileCannotBeWritten(t *testing.T) {
 	var log bytes.Buffer
 	before := slog.Default()
@@ -220,19 +221,19 @@
 			t.Fatal(err)
 		}
 		if err := p.StartMaintenance("a", "test"); err != nil || p.coordinator.out() != "a" {
-			t.Errorf("%v, out: %q", err, p.coordinator.out())
+			t.Errorf("error %v, out: %q, want a", err, p.coordinator.out())
 		}
 		time.Sleep(5 * time.Second)
 		p.end()
 	})
 	if n := strings.Count(log.String(), msgNotWritten); n != 1 {
-		t.Errorf("%d lines", n)
+		t.Errorf("%d log lines for the failed writes, want 1", n)
 	}
 }
 
-// A coordinator of a large site has an endpoint list that does not fit into a state file. The operators' calls are written
-// all the same, and hold in the next process; before, the file stayed as it was when it last fitted. The list that it had
-// then is not taken for the latest.
+// A coordinator of a large site has an endpoint list that does not fit into a state file. The operators' calls must
+// still be written and take effect in the next process; formerly the file stayed as it was when it last fitted. The
+// older list in that file must not count as the latest.
 func TestCallsOutliveListOverLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir := t.TempDir()
@@ -252,15 +253,16 @@
 			t.Errorf("out in the next process: %q, want a", out)
 		}
 		if list, discovery := next.InheritedList(); list != nil || discovery != "" {
-			t.Errorf("the next process begins with the list %.40s of %q", list, discovery)
+			t.Errorf("the next process starts with the list %.40s of %q, want none", list, discovery)
 		}
 		next.end()
 	})
 }
 
-// A process that took a replica out was killed, and left its state file. The next process calls the replica back, and
-// hours later another call comes, when the call back is as old as those that are forgotten. The process after that one
-// reads both files: the replica stays in service, for the first file's call is not the last one.
+// The first process takes a replica out, is killed, and leaves its state file. The second process ends the replica's
+// maintenance. Hours later it gets a call for another replica, when the entry of the first replica is old enough to be
+// pruned. The third process reads both files: the first replica must stay in service, because the second file has the
+// later call for it.
 func TestCalledBackReplicaStaysInBesideOldStateFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir := t.TempDir()
