--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,30 +1,30 @@
-// Package buffer holds the read buffer of a connection.
+// Package buffer provides the read buffer of a connection.
 package buffer
 
 import "io"
 
 const (
-	// initialSize is the size of a new buffer in bytes: most messages fit in one read.
+	// initialSize is the initial size of a buffer in bytes. Most messages fit into one read of that size.
 	initialSize = 4 << 10
-	// maxIdleSize is the size in bytes up to which an empty buffer is kept for the next message.
+	// maxIdleSize is the size in bytes up to which an empty buffer keeps its memory for the next message.
 	maxIdleSize = 64 << 10
 )
 
-// Buffer holds the bytes that a connection has brought and that have not been consumed. It grows as needed. The zero
-// value is ready for use. It is for one goroutine at a time.
+// Buffer holds the bytes that were read from a connection and have not been consumed. It grows as needed. The zero
+// value is ready for use. It must not be used by several goroutines at once.
 type Buffer struct {
-	data       []byte // all of the memory
-	start, end int    // data[start:end] is not consumed
+	data       []byte // the allocated memory
+	start, end int    // data[start:end] is the unconsumed part
 }
 
-// Bytes returns what is not consumed. It is valid until the next call of Consume or Fill.
+// Bytes returns the unconsumed bytes. The slice is valid until the next call of Consume or Fill.
 func (b *Buffer) Bytes() []byte { return b.data[b.start:b.end] }
 
-// Len returns the number of bytes that are not consumed.
+// Len returns the number of unconsumed bytes.
 func (b *Buffer) Len() int { return b.end - b.start }
 
-// Consume drops the first n bytes; n is at most Len. An empty buffer gives a large memory back, so that one large
-// message does not take its memory for the connection's life.
+// Consume drops the first n unconsumed bytes; n must be at most Len. A buffer that becomes empty releases its memory if
+// that is larger than maxIdleSize, so that one large message does not occupy memory for the connection's lifetime.
 func (b *Buffer) Consume(n int) {
 	b.start += n
 	if b.start != b.end {
@@ -36,8 +36,8 @@
 	}
 }
 
-// Fill reads once from r and returns what that read returned. Memory grows only where no more can be read otherwise,
-// so it is in proportion to what has arrived, not to a length that a message claims.
+// Fill reads once from r and returns the result of that read. The buffer grows only if it is full of unconsumed bytes,
+// so its size is in proportion to the data that has arrived, not to the length that a message claims to have.
 func (b *Buffer) Fill(r io.Reader) (n int, err error) {
 	if b.end == len(b.data) {
 		b.makeSpace()
@@ -47,7 +47,7 @@
 	return n, err
 }
 
-// makeSpace moves what is not consumed to the front, or doubles a buffer that is full with it.
+// makeSpace moves the unconsumed bytes to the front or, if they fill the whole buffer, doubles its size.
 func (b *Buffer) makeSpace() {
 	if b.start > 0 {
 		b.end = copy(b.data, b.data[b.start:b.end])
--- a/internal/buffer/buffer_test.go
+++ b/internal/buffer/buffer_test.go
@@ -7,8 +7,8 @@
 	"testing/iotest"
 )
 
-// A buffer is filled and consumed in turn, by whole and by short reads. What is left is always what came in and was not
-// consumed.
+// A buffer is filled and consumed alternately, with full and with short reads. Its contents must always be the bytes
+// that were read and not consumed.
 func FuzzBuffer(f *testing.F) {
 	f.Add([]byte{200, 100, 3, 200, 200, 7, 255, 0, 255, 255}, true)
 	f.Add(bytes.Repeat([]byte{255, 1}, 300), false)
@@ -35,7 +35,7 @@
 				want = want[n:]
 			}
 			if !bytes.Equal(b.Bytes(), want) || b.Len() != len(want) {
-				t.Fatalf("step %d: %d bytes, want %d", i, b.Len(), len(want))
+				t.Fatalf("step %d: unconsumed bytes differ: got %d bytes, want %d", i, b.Len(), len(want))
 			}
 		}
 	})
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,9 +1,9 @@
-// Package socket asks the kernel what a socket holds, at once and without reading it.
+// Package socket queries the state of a socket from the kernel, without blocking and without reading from the socket.
 //
-// A deadline that has passed says that this process is late, not that nothing came. A process that was suspended finds
-// both when it goes on: the timer that has run out, and bytes that arrived in time. These functions tell the two apart.
-// They may be called from any goroutine, also while another one reads the socket. They report nothing (false) where the
-// kernel cannot be asked: for a connection that is no socket, or that is closed.
+// An expired read deadline does not prove that no data arrived in time, because this process itself may be late. When a
+// suspended process resumes, it finds both the expired timer and data that arrived in time. These functions tell
+// whether such data is there. They may be called from any goroutine, even while another one reads the socket. They
+// return false if the kernel cannot be queried, because a connection is not a socket or is closed.
 package socket
 
 import (
@@ -20,17 +20,18 @@
 	pollRdHup  = 0x2000 // POLLRDHUP
 )
 
-// HasUnread reports whether bytes, the peer's end of stream or an error can be read from a connection.
+// HasUnread reports whether data, the peer's end of stream or an error can be read from a connection.
 func HasUnread(c net.Conn) bool { return poll(c, pollIn) != 0 }
 
-// PeerClosed reports whether the peer has closed at least its sending side, or the connection is reset, whatever the
-// peer sent before that and nobody has read yet.
+// PeerClosed reports whether the peer has closed at least its sending side, or the connection was reset. It does so
+// even while data that the peer sent before is still unread.
 func PeerClosed(c net.Conn) bool { return poll(c, pollRdHup)&(pollRdHup|pollHangUp|pollErr) != 0 }
 
-// HasPendingConn reports whether a connection waits to be accepted.
+// HasPendingConn reports whether a connection waits in a listener's backlog to be accepted.
 func HasPendingConn(l net.Listener) bool { return poll(l, pollIn)&pollIn != 0 }
 
-// poll returns which of some events, or of the errors that the kernel adds, a connection or listener has.
+// poll returns which of the given events, or of the error events that the kernel always reports, have occurred on a
+// connection or listener. It returns 0 if the kernel cannot be queried.
 func poll(c any, events int16) (occurred int16) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -51,10 +52,11 @@
 	revents int16
 }
 
-// pollDescriptor is poll for a descriptor. It does not block, so the scheduler need not know of the call.
+// pollDescriptor is poll for a file descriptor. The system call does not block, so it is made without notifying the Go
+// scheduler.
 func pollDescriptor(fd uintptr, events int16) int16 {
 	p := pollFd{fd: int32(fd), events: events}
-	var timeout syscall.Timespec // 0: at once
+	var timeout syscall.Timespec // 0: return immediately
 	const descriptors = 1
 	n, _, errno := syscall.RawSyscall6(syscall.SYS_PPOLL,
 		uintptr(unsafe.Pointer(&p)), descriptors, uintptr(unsafe.Pointer(&timeout)), 0, 0, 0)
