--- a/internal/lifecycle/drain.go
+++ b/internal/lifecycle/drain.go
@@ -19,7 +19,7 @@
 	// MaxKillDelay is the time from the end of AcceptAfterTerm to the earliest kill by the platform, which is thus
 	// 3.7 s after SIGTERM. If the longest deadline of all classes is shorter, it takes the place of MaxKillDelay.
 	MaxKillDelay = 3 * time.Second
-	// maxKillMargin is the longest time between the last answer's due time and the earliest kill.
+	// maxKillMargin is the longest time from the moment at which the last answer is due to the earliest kill.
 	maxKillMargin = 100 * time.Millisecond
 )
 
@@ -44,15 +44,15 @@
 	}
 }
 
-// drain ends the process after every accepted query is answered, including those that still arrive while clients learn
-// that this coordinator is ending. The steps are:
+// drain answers every accepted query, including those that still arrive while clients learn that this coordinator is
+// ending, and then ends the process. The steps are:
 //
 //  1. The coordinator starts to drain: it is no longer ready, and each query, open or new, is answered by
 //     lastAnswerAfter.
 //  2. New connections are still accepted for AcceptAfterTerm. This step is skipped if the platform holds the listener:
 //     new connections are then left to the process that takes over, from SIGTERM on.
-//  3. The listeners are closed. From now on each connection closes after its next answer, but no connection is closed
-//     without an answer, because clients still use theirs and another coordinator may not be ready yet.
+//  3. The listeners are closed. From now on each connection closes after its next answer. This step closes no
+//     connection without an answer, because clients still use theirs and another coordinator may not be ready yet.
 //  4. At closeIdleAfter, connections without an open request are closed. The others close after their answers; drain
 //     waits for these.
 //  5. The coordinator stops.
