--- a/internal/opensearch/caller.go
+++ b/internal/opensearch/caller.go
@@ -13,44 +13,44 @@
 	"harepass/internal/http1"
 )
 
-// Scheme names the replicas that offer the API.
+// Scheme is the core.Endpoint.Scheme of replicas that offer the API.
 const Scheme = "opensearch"
 
-// Caller sends attempts to replicas that offer the API. It is a core.Caller. Its exported fields are to be set before
-// the first Call. All methods are for any goroutine, and none blocks.
+// Caller sends attempts to replicas that offer the API. It implements core.Caller. Its exported fields must be set
+// before the first Call. Any goroutine may call its methods, and none of them blocks.
 type Caller struct {
-	// Reporter takes the outcome of each attempt.
+	// Reporter receives the outcome of each attempt.
 	Reporter core.AttemptReporter
-	// Config maps the classes of queries from other fronts to indices: see requestFor for a class without one.
+	// Config maps the classes of queries from other fronts to indices; requestFor handles a class without an index.
 	Config *Config
-	// MaxConns is how many connections may be open at once, to all replicas; 0 for no limit. Half of them are for
-	// requests, as many may be idle.
+	// MaxConns limits the open connections to all replicas together; 0 means no limit. Half of them may carry requests,
+	// and as many may be idle.
 	MaxConns int
-	// ConnectTimeout is how long a connection may take to be opened.
+	// ConnectTimeout bounds the time to open a connection.
 	ConnectTimeout time.Duration
 	// KeepAlive is the time after which replicas close idle connections.
 	KeepAlive time.Duration
 	// Dial opens a connection; nil for plain TCP.
 	Dial http1.Dialer
 
-	mu        sync.Mutex               // guards all below; nothing blocks under it
-	slots     chan struct{}            // holds one for each connection in use; nil for no limit. Set by the first Call
+	mu        sync.Mutex               // guards all fields below; no code blocks while holding it
+	slots     chan struct{}            // one element per connection in use; nil for no limit. Set by the first Call
 	idleCount int                      // idle connections of all replicas
 	replicas  map[string]*replicaConns // by replica id
 	sent      map[*core.Attempt]*sentAttempt
 
-	withoutIndex map[string]bool // classes that were logged for want of an index
+	withoutIndex map[string]bool // classes whose lack of an index has been logged
 }
 
 // sentAttempt is an attempt that has not ended.
 type sentAttempt struct {
 	cancel    context.CancelFunc
 	cancelled bool          // Cancel was called
-	client    *http1.Client // its connection; nil before it has one
+	client    *http1.Client // connection of the attempt; nil until it has one
 }
 
-// Call implements core.Caller. The API has no call of several parts: each attempt has a request and a goroutine of its
-// own. The goroutine ends with its attempt, at the latest when Cancel ends that, and reports it.
+// Call implements core.Caller. The API has no call of several parts, so each attempt has its own request and goroutine.
+// The goroutine reports the attempt's outcome and ends, at the latest when Cancel cancels the attempt.
 func (caller *Caller) Call(to core.Endpoint, attempts []*core.Attempt) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// Cancel implements core.Caller. The API cannot take a request back: its connection is closed, by the attempt's goroutine
-// or, at a second Cancel, before Cancel returns.
+// Cancel implements core.Caller. The API cannot withdraw a request, so cancelling an attempt closes its connection: the
+// first Cancel leaves that to the attempt's goroutine, a second Cancel closes the connection before it returns.
 func (caller *Caller) Cancel(at *core.Attempt) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -85,7 +85,7 @@
 	s.cancelled = true
 }
 
-// setClient notes the connection of an attempt.
+// setClient records the connection of an attempt, for a second Cancel to close.
 func (caller *Caller) setClient(at *core.Attempt, c *http1.Client) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -94,8 +94,8 @@
 	}
 }
 
-// CloseIdleConnections implements core.Caller. The replica is forgotten, since it may never be called again; attempts
-// that are out go on, and their connections are closed after them.
+// CloseIdleConnections implements core.Caller. It also forgets the replica, which may never be called again. Attempts
+// in progress continue, and their connections are closed when the attempts end.
 func (caller *Caller) CloseIdleConnections(replica string) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -111,7 +111,7 @@
 	delete(caller.replicas, replica)
 }
 
-// Close closes all idle connections. It cancels no attempt and waits for none.
+// Close closes all idle connections. It neither cancels attempts nor waits for them.
 func (caller *Caller) Close() {
 	caller.mu.Lock()
 	var ids []string
@@ -124,7 +124,7 @@
 	}
 }
 
-// send makes one request and returns the outcome of its attempt, with the value if there is one.
+// send makes the request of one attempt, and returns its outcome and its value if there is one.
 func (caller *Caller) send(ctx context.Context, conns *replicaConns, to core.Endpoint, at *core.Attempt) (
 	scatter.Outcome, []byte) {
 	for _, slots := range []chan struct{}{conns.slots, caller.slots} {
@@ -143,7 +143,7 @@
 		return connectOutcome(ctx, err), nil
 	}
 	caller.setClient(at, c)
-	req, ok := caller.requestFor(at, to.Address) // after the connect, since the request tells the time that is left
+	req, ok := caller.requestFor(at, to.Address) // after the connect, since the request contains the remaining time
 	if !ok || !at.Begin() {
 		caller.keepIdle(conns, at, c)
 		return scatter.NotSent, nil
@@ -159,9 +159,9 @@
 	return recordAnswer(at, m)
 }
 
-// sendWithoutVersion sends a search again as its client has worded it, after the replica has found a fault in the one
-// that asks for the shard's version too. A 400 is the client's answer then. A search that was refused so has not run,
-// and its class may run twice in any case.
+// sendWithoutVersion sends a search again as its client worded it, after the replica answered 400 to the search that
+// also requests the shard's version. A 400 to the client's own search is the answer to the client. A second send is
+// safe: a search refused with 400 has not run, and its class may run twice anyway.
 func (caller *Caller) sendWithoutVersion(ctx context.Context, conns *replicaConns, c *http1.Client, to core.Endpoint,
 	at *core.Attempt) (scatter.Outcome, []byte) {
 	s, ok := at.Origin.(*search)
@@ -179,8 +179,8 @@
 	return recordPlainAnswer(at, m)
 }
 
-// connectOutcome returns the outcome of an attempt without a connection. A cancelled attempt, or a process without free
-// descriptors (EMFILE), says nothing of the replica.
+// connectOutcome returns the outcome of an attempt that got no connection. It is NotSent if the attempt was cancelled
+// or the process has no free descriptors (EMFILE), since neither says anything about the replica.
 func connectOutcome(ctx context.Context, err error) scatter.Outcome {
 	if ctx.Err() != nil || errors.Is(err, syscall.EMFILE) {
 		return scatter.NotSent
@@ -188,14 +188,14 @@
 	return scatter.ConnectFailed
 }
 
-// requestOutcome returns the outcome of an attempt whose request got no answer that could be read. written reports
-// whether the request's last byte was written: the replica cannot have run it before.
+// requestOutcome returns the outcome of an attempt whose request got no readable answer. written reports whether the
+// request's last byte was written; before that byte, the replica cannot have run the request.
 func requestOutcome(ctx context.Context, written bool, err error) scatter.Outcome {
 	var unreadable *http1.Error
 	switch {
 	case ctx.Err() != nil:
 		return scatter.Cancelled
-	case errors.As(err, &unreadable): // the replica runs and has answered
+	case errors.As(err, &unreadable): // the replica is running and has answered
 		return scatter.Errored
 	case !written:
 		return scatter.ConnectFailed
--- a/internal/opensearch/first_phase.go
+++ b/internal/opensearch/first_phase.go
@@ -9,19 +9,20 @@
 	"harepass/internal/http1"
 )
 
-// This file builds the request of a search's first phase and reads the response, in the API's public terms. The version
-// of a shard is a stats aggregation over all of its documents, whatever the query: the first phase asks for it with the
-// exact number of hits and no hit; a full search whose value is to be cached asks for it beside its hits. One search
-// sees one state of a shard, so hits and version belong together.
+// This file builds the request of a search's first phase and reads the response, using only public features of the API.
+// The version of a shard is a stats aggregation over all of its documents, whatever the query matches. The first phase
+// requests the version and the exact number of hits, but no hits. A full search whose value is to be cached requests
+// the version together with its hits. One search sees one state of a shard, so its hits and version belong together.
 
-// The names of the aggregations. A client's own cannot meet them: the front takes none.
+// Names of the aggregations. A client's own aggregations cannot collide with them, since the front accepts none.
 const (
 	allDocumentsAgg = "harepass_all"
 	versionAgg      = "harepass_version"
 )
 
-// twoPhaseBodies returns the search of a first phase, and the full search that asks for the shard's version too. body
-// is the search of an index without a first phase, versionField the numeric field that holds a document's version.
+// twoPhaseBodies returns the search of a first phase, and the full search that also requests the shard's version. body
+// is the search as sent to an index without a first phase; versionField is the numeric field that holds a document's
+// version.
 func twoPhaseBodies(versionField string, body map[string]json.RawMessage) (firstPhase, versioned []byte) {
 	stats := map[string]any{"stats": map[string]string{"field": versionField}}
 	allDocuments := map[string]any{"global": struct{}{}, "aggs": map[string]any{versionAgg: stats}}
@@ -29,9 +30,9 @@
 
 	full := maps.Clone(body)
 	full["aggs"] = aggs
-	versioned, _ = json.Marshal(full) // raw parts of what was JSON: cannot fail
+	versioned, _ = json.Marshal(full) // raw values of decoded JSON: cannot fail
 
-	firstPhase, _ = json.Marshal(map[string]json.RawMessage{ // raw parts of what was JSON: cannot fail
+	firstPhase, _ = json.Marshal(map[string]json.RawMessage{ // raw values of decoded JSON: cannot fail
 		"query":            body["query"],
 		"size":             json.RawMessage("0"),
 		"track_total_hits": json.RawMessage("true"),
@@ -40,7 +41,7 @@
 	return firstPhase, versioned
 }
 
-// versionedAnswer is what evidenceOf reads of a replica's answer.
+// versionedAnswer has the fields of a replica's answer that evidenceOf reads.
 type versionedAnswer struct {
 	TimedOut   bool         `json:"timed_out"`
 	Terminated bool         `json:"terminated_early"`
@@ -51,14 +52,14 @@
 	Aggregations map[string]json.RawMessage `json:"aggregations"`
 }
 
-// speaksForShard reports whether the answer covers all documents of its shard. A negative number of failures is not the
-// API's; it passes here, and completeSearch makes an error of an attempt with such an answer to a search.
+// speaksForShard reports whether the answer covers all documents of its shard. A negative number of failures does not
+// occur in the API; it passes here, but completeSearch makes the attempt an error if a search gets such an answer.
 func (a *versionedAnswer) speaksForShard() bool {
 	return !a.TimedOut && !a.Terminated && a.Hits != nil && a.Shards != nil &&
 		a.Shards.Failed <= 0 && a.Shards.Total != 0 && a.Shards.Total == a.Shards.Successful
 }
 
-// exactMatches returns the number of matches, and -1 where the answer does not give it exactly.
+// exactMatches returns the number of matches, or -1 if the answer does not give it exactly.
 func (a *versionedAnswer) exactMatches() int64 {
 	if t := a.Hits.Total; t != nil && t.Relation == countExact {
 		return t.Value
@@ -66,7 +67,7 @@
 	return -1
 }
 
-// version returns the version of the shard, and false where the answer gives none that can be relied on.
+// version returns the version of the shard; ok is false if the answer has no version that can be relied on.
 func (a *versionedAnswer) version() (v twophase.Version, ok bool) {
 	var all struct {
 		Documents *int64 `json:"doc_count"`
@@ -79,7 +80,7 @@
 		return v, false
 	}
 	if all.Version.Count != *all.Documents {
-		return v, false // a document without a version, or with several, could change unseen
+		return v, false // a change of a document without a version, or with several, could go unnoticed
 	}
 	if *all.Documents == 0 {
 		return v, true
@@ -95,8 +96,8 @@
 	return v, true
 }
 
-// evidenceOf reads what a replica's answer proves of its shard. What the answer does not say, says wrongly or says of
-// a share of the shard only proves nothing.
+// evidenceOf returns what a replica's answer proves about its shard. Anything that the answer omits, gives in a wrong
+// form, or gives for only a share of the shard proves nothing.
 func evidenceOf(m *http1.Message) twophase.Evidence {
 	var answer versionedAnswer
 	if m.Status != http.StatusOK || json.Unmarshal(m.Body, &answer) != nil || !answer.speaksForShard() {
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -13,22 +13,22 @@
 	"harepass/internal/http1"
 )
 
-// Front takes the API's requests from clients. Its exported fields are to be set before the first request.
+// Front serves the API to clients. Its exported fields must be set before the first request.
 type Front struct {
-	// Config is the configuration file, checked. Reconfigure replaces it.
+	// Config is the configuration file, accepted by Config.Check. Reconfigure replaces it.
 	Config *Config
 	// Coordinator admits and executes the queries.
 	Coordinator *core.Coordinator
-	// Clock is the coordinator's.
+	// Clock is the coordinator's clock.
 	Clock core.Clock
-	// Version is the build of this program, for clients that ask what they speak to.
+	// Version is the build of this program; about returns it to clients.
 	Version string
 
-	replacement atomic.Pointer[Config] // what Reconfigure was given last; nil before
+	replacement atomic.Pointer[Config] // last argument of Reconfigure; nil before the first call
 }
 
-// Reconfigure has requests that come from now on served by another checked configuration, which must not be changed any
-// more. It is for any goroutine.
+// Reconfigure replaces the configuration for requests that arrive from now on. c must have been accepted by
+// Config.Check and must not change any more. Any goroutine may call Reconfigure.
 func (f *Front) Reconfigure(c *Config) { f.replacement.Store(c) }
 
 // config returns the configuration in force.
@@ -39,16 +39,16 @@
 	return f.Config
 }
 
-// apiRequest is a client's request, with its target taken apart.
+// apiRequest is a client's request with its target parsed.
 type apiRequest struct {
 	*http1.Message
-	path       []string // segments of the path, unescaped; a path without any has one empty segment
+	path       []string // unescaped segments of the path; the root path has one empty segment
 	params     url.Values
 	clientLeft <-chan struct{} // closed when the server has seen the client leave; Message.ClientLeft asks the system
 }
 
 // Handle answers one request. clientLeft is closed when the client has closed its connection. Handle blocks until the
-// final answer, and is for any goroutine.
+// final answer. Any goroutine may call it.
 func (f *Front) Handle(req *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 	r, err := parseTarget(req, clientLeft)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return m
 }
 
-// parseTarget takes the target of a request apart.
+// parseTarget splits the target of a request into path segments and parameters.
 func parseTarget(req *http1.Message, clientLeft <-chan struct{}) (*apiRequest, error) {
 	path, query, _ := strings.Cut(req.Target, "?")
 	params, err := url.ParseQuery(query)
@@ -80,7 +80,7 @@
 	return &apiRequest{Message: req, path: segments, params: params, clientLeft: clientLeft}, nil
 }
 
-// indent lays out an answer's body for a person.
+// indent formats the JSON body of an answer for a human reader.
 func indent(m *http1.Message) {
 	var out bytes.Buffer
 	if json.Indent(&out, m.Body, "", "  ") == nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// route answers a request by its path.
+// route calls the handler for the request's path.
 func (f *Front) route(r *apiRequest) (*http1.Message, error) {
 	switch segments, last := len(r.path), len(r.path)-1; {
 	case segments == 1 && r.path[0] == "":
@@ -113,8 +113,7 @@
 	return &methodError{target: r.Target, method: r.Method, allowed: allowed}
 }
 
-// checkParams returns an error unless each of the request's parameters is among those that have an effect or among the
-// ignored ones.
+// checkParams returns an error if the request has a parameter that is neither in effective nor in ignored.
 func (r *apiRequest) checkParams(effective, ignored []string) error {
 	for name := range r.params {
 		if !slices.Contains(effective, name) && !slices.Contains(ignored, name) {
@@ -125,7 +124,7 @@
 	return nil
 }
 
-// about names the program, for clients that ask at their start.
+// about returns the name and version of the program, which clients request when they start.
 func (f *Front) about(r *apiRequest) (*http1.Message, error) {
 	if err := r.checkMethod(http.MethodGet, http.MethodHead); err != nil {
 		return nil, err
@@ -135,7 +134,7 @@
 		"tagline": "piste map queries by an OpenSearch-style API"}), nil
 }
 
-// health tells whether the coordinator is ready, by the status code too.
+// health reports whether the coordinator is ready, by the status code too.
 func (f *Front) health(r *apiRequest) (*http1.Message, error) {
 	if err := r.checkMethod(http.MethodGet, http.MethodHead); err != nil {
 		return nil, err
--- a/internal/opensearch/front_query.go
+++ b/internal/opensearch/front_query.go
@@ -15,10 +15,10 @@
 	"harepass/internal/http1"
 )
 
-// A search and a document take one way: the head of the request is checked, the coordinator's admission is asked, the
-// body is parsed, the query is executed. Admission is asked before the body is parsed, so that shedding load is cheap.
+// A search and a document go through the same steps: check the head of the request, ask the coordinator to admit it,
+// parse the body, execute the query. Admission comes before parsing the body, so that shedding load is cheap.
 
-// Reasons of a query that was given up, promising nothing.
+// Error reasons of a failed query. They promise nothing about what was executed.
 const (
 	searchFailedReason   = "too few sections answered in time"
 	documentFailedReason = "the report may or may not be stored"
@@ -53,7 +53,7 @@
 		q.Index, q.EmptyValue = ix.name, emptyHits
 	}
 	q.Parts = ix.parts(s.shards)
-	if len(q.Parts) == 0 { // nothing can match
+	if len(q.Parts) == 0 { // no shard can match
 		return searchReply(s, q, core.Answer{Complete: true}, 0), nil
 	}
 	a, err := f.execute(q, r.clientLeft, searchFailedReason)
@@ -63,8 +63,8 @@
 	return searchReply(s, q, a, f.Clock()-startedAt), nil
 }
 
-// storeDocument answers a request that stores a document, under an id that the front gives (INDEX/_doc, POST only) or
-// the client's own.
+// storeDocument answers a request that stores a document, under an id that the front assigns (INDEX/_doc, POST only) or
+// under the client's own.
 func (f *Front) storeDocument(r *apiRequest) (*http1.Message, error) {
 	allowed := []string{http.MethodPost, http.MethodPut}
 	if len(r.path) == 2 {
@@ -103,7 +103,7 @@
 	return documentReply(doc, a), nil
 }
 
-// indexAndTenant returns the index of a name, and the tenant of the request's client.
+// indexAndTenant returns the index with the given name, and the tenant of the request's client.
 func (f *Front) indexAndTenant(r *apiRequest, index string) (ix *Index, tenant string, err error) {
 	if tenant, err = f.tenant(r.Header); err != nil {
 		return nil, "", err
@@ -115,8 +115,9 @@
 	return ix, tenant, nil
 }
 
-// tenant returns the tenant of the client, which Config.ClientTenants has under the user of basic authentication, else
-// under the X-Opaque-Id. This tells clients apart; it does not prove who they are.
+// tenant returns the client's tenant in Config.ClientTenants, which names the client by the user of basic
+// authentication or, without one, by the X-Opaque-Id header. This distinguishes clients; it does not prove who they
+// are.
 func (f *Front) tenant(h textproto.MIMEHeader) (string, error) {
 	if len(f.config().ClientTenants) == 0 {
 		return "", nil
@@ -134,7 +135,7 @@
 	return tenant, nil
 }
 
-// admit asks the coordinator's admission, and returns a rejectedError if it sheds the load.
+// admit asks the coordinator to admit a query, and returns a rejectedError if it sheds the load.
 func (f *Front) admit(a overload.Arrival) error {
 	if admitted, retryAfter := f.Coordinator.Admit(a); !admitted {
 		return &rejectedError{retryAfter}
@@ -143,7 +144,7 @@
 }
 
 // newQuery returns the core's query for an admitted request, without its body and parts. timeout is the client's own;
-// 0, or one beyond the class's deadline, leaves the query that deadline.
+// if it is 0 or longer than the class's deadline, the class's deadline applies.
 func (f *Front) newQuery(r *apiRequest, ix *Index, tenant string, timeout time.Duration) *core.Query {
 	if timeout == 0 || timeout > ix.deadline {
 		timeout = ix.deadline
@@ -159,7 +160,7 @@
 	}
 }
 
-// parts returns a part for each of the shards, with the shard's share of their weight.
+// parts returns one part for each of the shards, weighted by the shard's share of their total weight.
 func (ix *Index) parts(shards []int) (parts []core.Part) {
 	sum := 0.0
 	for _, shard := range shards {
@@ -171,8 +172,8 @@
 	return parts
 }
 
-// execute has the coordinator execute a query, and returns its answer if it was served. failedReason is what the
-// client of a query that was given up is told.
+// execute has the coordinator execute a query, and returns its answer if it was served, else an error for the client.
+// failedReason is the reason that the client gets if the query failed.
 func (f *Front) execute(q *core.Query, clientLeft <-chan struct{}, failedReason string) (core.Answer, error) {
 	switch a := f.Coordinator.Execute(q, clientLeft); a.Status {
 	case core.Rejected:
--- a/internal/opensearch/replica_answer.go
+++ b/internal/opensearch/replica_answer.go
@@ -9,15 +9,15 @@
 	"harepass/internal/http1"
 )
 
-// rejectionTypes are the types of errors that say that a thread pool's queue was full, so that the request never began.
-// Other errors with status 429, a tripped circuit breaker for one, can come when a share of it has run.
+// rejectionTypes are the error types that report that a thread pool's queue was full, so the request never began. Other
+// errors with status 429, such as a tripped circuit breaker, can occur after some of the request has run.
 var rejectionTypes = map[string]bool{
 	typeRejectedExecution:                     true,
 	"es_rejected_execution_exception":         true,
 	"opensearch_rejected_execution_exception": true,
 }
 
-// replicaAnswer is what outcomeOf reads of a replica's answer.
+// replicaAnswer has the fields of a replica's answer that outcomeOf reads.
 type replicaAnswer struct {
 	Error struct {
 		Type string `json:"type"`
@@ -28,13 +28,13 @@
 	Result   string          `json:"result"`
 }
 
-// recordAnswer sets the attempt's evidence, if it asked for any, and the status of a fault that the replica has found in
-// the request, and returns its outcome and value.
+// recordAnswer returns the outcome and the value of an attempt. It also sets the attempt's evidence if the attempt
+// requests it, and the status of a fault that the replica found in the request.
 //
-// A search that asks for evidence has an aggregation of the coordinator's own beside the client's query, so a 400 may
-// be the fault of either, and must not reach the client as if the client had worded all of it. In a first phase it
-// proves nothing: the part is sent in full next. In a full search WithVersion it is an error of the attempt; the Caller
-// sends that search once more as the client has worded it, before it comes to that.
+// A search that requests evidence has an aggregation that the coordinator added to the client's query. A 400 may report
+// a fault of either, so it must not reach the client as if the client had worded the whole search. In a first phase a
+// 400 proves nothing, and the part is sent in full next. In a full search WithVersion a 400 is an error of the attempt;
+// Caller.send avoids that error by first sending the search again as the client worded it.
 func recordAnswer(at *core.Attempt, m *http1.Message) (scatter.Outcome, []byte) {
 	if !at.FirstPhase && !at.WithVersion {
 		return recordPlainAnswer(at, m)
@@ -46,7 +46,8 @@
 	return outcomeOf(m, false)
 }
 
-// recordPlainAnswer does what recordAnswer does, for the answer to a request without anything of the coordinator's own.
+// recordPlainAnswer records the answer to a request to which the coordinator added nothing: it sets the status of a
+// fault that the replica found in the request, and returns the outcome and the value of the attempt.
 func recordPlainAnswer(at *core.Attempt, m *http1.Message) (scatter.Outcome, []byte) {
 	outcome, value := outcomeOf(m, at.Origin != nil)
 	if outcome == scatter.Succeeded && m.Status >= http.StatusBadRequest {
@@ -55,9 +56,9 @@
 	return outcome, value
 }
 
-// outcomeOf returns what a replica's answer makes of an attempt, and its value. A search answer that the replica
-// itself does not call complete is an error. clientWorded says that the request is the client's own: what a replica
-// finds wrong with it is its final answer, since other replicas would find the same.
+// outcomeOf returns the outcome and the value that a replica's answer gives an attempt. A search answer that the
+// replica itself does not mark as complete is an error. clientWorded means that the client worded the request: a fault
+// that the replica finds in such a request is the final answer, since other replicas would find the same.
 func outcomeOf(m *http1.Message, clientWorded bool) (scatter.Outcome, []byte) {
 	var answer replicaAnswer
 	if json.Unmarshal(m.Body, &answer) != nil {
@@ -66,7 +67,7 @@
 	switch {
 	case m.Status == http.StatusTooManyRequests && rejectionTypes[answer.Error.Type]:
 		return scatter.Rejected, nil
-	case m.Status == http.StatusConflict && answer.Error.Type == typeVersionConflict: // the document is stored already
+	case m.Status == http.StatusConflict && answer.Error.Type == typeVersionConflict: // the document is already stored
 		return scatter.Succeeded, m.Body
 	case clientWorded && m.Status == http.StatusBadRequest && answer.Error.Type != "":
 		return scatter.Succeeded, m.Body
@@ -78,7 +79,7 @@
 	return scatter.Errored, nil
 }
 
-// completeSearch reports whether the replica calls its answer to a search complete.
+// completeSearch reports whether the replica marks its answer to a search as complete.
 func (a *replicaAnswer) completeSearch() bool {
 	return len(a.Hits) > 0 && !a.TimedOut && a.Shards != nil && a.Shards.Failed == 0
 }
--- a/internal/opensearch/replica_conns.go
+++ b/internal/opensearch/replica_conns.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// maxConnsPerReplica is how many connections to a replica may be in use; each carries one request at a time.
+	// maxConnsPerReplica is the maximum number of connections in use to one replica; each carries one request at a
+	// time.
 	maxConnsPerReplica = 16
 
-	// maxAnswerBytes is the longest body of a replica's answer. No response time-out applies to one: it is the only
-	// answer on its connection, so a slow one holds up no other, and its attempt's time-out ends it.
+	// maxAnswerBytes is the maximum body size of a replica's answer. No response time-out applies to an answer: it is
+	// the only one on its connection, so a slow answer delays no other, and the attempt's time-out ends it.
 	maxAnswerBytes = 1 << 20
 
-	// idleTimeoutShare is how long an idle connection is used again, as a fraction of Caller.KeepAlive, after which
-	// replicas close it: a later request might meet the close.
+	// idleTimeoutShare is the fraction of Caller.KeepAlive for which an idle connection may be reused. Replicas close
+	// idle connections after KeepAlive, and a later request could cross that close.
 	idleTimeoutShare = 0.8
 )
 
-// replicaConns are the connections to a replica. Caller.mu guards idle.
+// replicaConns are the connections to one replica. Caller.mu guards idle.
 type replicaConns struct {
-	slots chan struct{} // holds one for each connection in use
-	idle  []idleConn    // the connection used last stands last
+	slots chan struct{} // one element for each connection in use
+	idle  []idleConn    // the most recently used connection is last
 }
 
-// idleConn is an open connection without a request.
+// idleConn is an open connection that carries no request.
 type idleConn struct {
 	client    *http1.Client
 	idleSince time.Time
 }
 
-// connsTo returns the connections to a replica. It is called under the lock.
+// connsTo returns the connections to a replica. Its first call creates the maps and slots of the Caller. The caller
+// must hold Caller.mu.
 func (caller *Caller) connsTo(replica string) *replicaConns {
 	if caller.replicas == nil {
 		caller.replicas = map[string]*replicaConns{}
@@ -50,8 +52,8 @@
 	return conns
 }
 
-// connect takes an idle connection to an address that can be used again, or opens one. The error is that of the
-// connection, or the end of ctx.
+// connect returns a reusable idle connection to an address, or opens a new one. The error is the connection's, or ctx's
+// if ctx ends first.
 func (caller *Caller) connect(ctx context.Context, conns *replicaConns, address string) (*http1.Client, error) {
 	for {
 		c, ok := caller.takeIdle(conns)
@@ -70,12 +72,12 @@
 	return c, c.Connect(ctx)
 }
 
-// idleTimeout is how long an idle connection is used again.
+// idleTimeout is how long an idle connection may be reused.
 func (caller *Caller) idleTimeout() time.Duration {
 	return time.Duration(float64(caller.KeepAlive) * idleTimeoutShare)
 }
 
-// takeIdle takes the idle connection that was used last; ok is false where there is none.
+// takeIdle removes and returns the most recently used idle connection; ok is false if there is none.
 func (caller *Caller) takeIdle(conns *replicaConns) (c idleConn, ok bool) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
@@ -89,13 +91,13 @@
 	return c, true
 }
 
-// keepIdle keeps an attempt's connection for the next request. It is closed if its replica was forgotten meanwhile, or if
-// there are as many idle connections as allowed.
+// keepIdle keeps an attempt's connection for the next request. It closes the connection if CloseIdleConnections has
+// forgotten the replica since, or if the number of idle connections is at its limit.
 func (caller *Caller) keepIdle(conns *replicaConns, at *core.Attempt, c *http1.Client) {
 	caller.mu.Lock()
 	defer caller.mu.Unlock()
 	if s := caller.sent[at]; s != nil {
-		s.client = nil // a later Cancel of the attempt must not close it under another one
+		s.client = nil // a later Cancel of this attempt must not close the connection under another attempt
 	}
 	if caller.replicas[at.ReplicaID] != conns || caller.slots != nil && caller.idleCount >= cap(caller.slots) {
 		c.Close()
--- a/internal/opensearch/replica_request.go
+++ b/internal/opensearch/replica_request.go
@@ -15,10 +15,11 @@
 	"harepass/internal/logmsg"
 )
 
-// requestFor builds the request of an attempt to a replica at an address, with the time that is left as the request's
-// time-out. A query of another front goes to the index of its class. ok is false where no index has the class: the
-// attempt ends as NotSent then, as every attempt of that class at replicas that offer the API does. That is counted, and
-// logged once for each class; it is mended by an index of that class in the configuration file.
+// requestFor builds the request that sends an attempt to a replica's address, with the attempt's remaining time as the
+// request's time-out. A query from another front goes to the index of its class. If no index has the class, ok is
+// false: the attempt ends as NotSent, as does every attempt of that class at replicas that offer the API. reportNoIndex
+// counts each such attempt and logs the first one of each class. The remedy is an index of that class in the
+// configuration file.
 func (caller *Caller) requestFor(at *core.Attempt, address string) (req *http1.Message, ok bool) {
 	switch origin := at.Origin.(type) {
 	case *search:
@@ -37,7 +38,7 @@
 	return req, true
 }
 
-// bodyFor returns the body of an attempt, by its phase.
+// bodyFor returns the body for an attempt's phase.
 func (s *search) bodyFor(at *core.Attempt) []byte {
 	switch {
 	case at.FirstPhase:
@@ -48,7 +49,7 @@
 	return s.body
 }
 
-// translate builds the request of an attempt of a query that came from another front.
+// translate builds the request of an attempt whose query came from another front.
 func (caller *Caller) translate(at *core.Attempt) (req *http1.Message, ok bool) {
 	ix := caller.Config.indexOfClass(at.Class)
 	if ix == nil {
@@ -70,7 +71,8 @@
 // attemptsWithoutIndex counts the attempts that were not sent because no index has their class.
 var attemptsWithoutIndex = counters.New("attempts_withheld", "no_index")
 
-// reportNoIndex counts an attempt that cannot be sent for want of an index, and logs the first one of its class.
+// reportNoIndex counts an attempt that cannot be sent because no index has its class, and logs the first one of each
+// class.
 func (caller *Caller) reportNoIndex(class string) {
 	attemptsWithoutIndex.Inc()
 	caller.mu.Lock()
@@ -103,7 +105,7 @@
 		url.PathEscape(doc.id), doc.shard, remainingMillis(at)), doc.source)
 }
 
-// remainingMillis is what is left of an attempt's time-out, in milliseconds; at least 1, as the API knows no less.
+// remainingMillis returns the remaining time of an attempt in milliseconds; at least 1, the API's minimum.
 func remainingMillis(at *core.Attempt) int64 { return max(1, at.Remaining().Milliseconds()) }
 
 func jsonRequest(method, target string, body []byte) *http1.Message {
--- a/internal/opensearch/search.go
+++ b/internal/opensearch/search.go
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// search is a client's search of an index: which shards it needs, and what their replicas are sent.
+// search is a client's search of an index: which shards it needs, and what their replicas receive.
 type search struct {
 	index          *Index
 	sectionField   string        // field of a document that names its section
 	shards         []int         // shards that can have hits, in ascending order
-	from           int           // hits before the wanted page
-	size           int           // hits on the wanted page
-	partialAllowed bool          // the client takes an answer that lacks shards
-	timeout        time.Duration // the client's own; 0 if it gives none
-
-	body           []byte // search that each replica is sent
-	firstPhaseBody []byte // search of the first phase; nil where the index has none
-	versionedBody  []byte // body that asks for the shard's version too; nil where the index has no first phase
+	from           int           // hits before the requested page
+	size           int           // hits on the requested page
+	partialAllowed bool          // the client accepts an answer that lacks shards
+	timeout        time.Duration // time-out that the client gave; 0 if it gave none
+
+	body           []byte // search that each replica receives
+	firstPhaseBody []byte // search of the first phase; nil if the index has none
+	versionedBody  []byte // body that also requests the shard's version; nil if the index has no first phase
 }
 
 const (
-	defaultSize     = 10    // hits on a page if the client does not say, the API's own default
-	maxResultWindow = 10000 // the largest from + size, the API's own default
+	defaultSize     = 10    // hits on a page if the client gives no size; the API's own default
+	maxResultWindow = 10000 // the largest from + size; the API's own default
 )
 
-// searchParams are the URL parameters of a search that have an effect; Handle reads pretty.
+// searchParams are the URL parameters that have an effect on a search; Handle reads pretty.
 var searchParams = []string{"q", "from", "size", "timeout", "allow_partial_search_results", "preference", "pretty"}
 
-// ignoredSearchParams are the URL parameters of a search that clients of the API send by habit. They are accepted
-// without effect: a search names one index, without wildcards, has no aggregations, and asks for an exact number of
-// hits by track_total_hits in its body only.
+// ignoredSearchParams are the URL parameters that clients of the API send with a search by habit. They are accepted
+// without effect: a search names one index, without wildcards, has no aggregations, and requests an exact number of
+// hits only by track_total_hits in its body.
 var ignoredSearchParams = []string{"track_total_hits", "ignore_unavailable", "allow_no_indices", "expand_wildcards",
 	"typed_keys"}
 
-// searchKeys are the keys that the body of a search may have. Aggregations are not among them, so a client's own
-// cannot meet those of the first phase.
+// searchKeys are the keys that the body of a search may have. Aggregations are not among them, so a client's
+// aggregations cannot collide with those of the first phase.
 var searchKeys = []string{"query", "from", "size", "timeout", "track_total_hits", "_source"}
 
-// parseSearch reads a search of an index from its parameters and body. Its errors are the client's.
+// parseSearch parses a search of an index from its parameters and body. Its errors are for the client.
 func (c *Config) parseSearch(ix *Index, params url.Values, data []byte) (*search, error) {
 	s := &search{index: ix, sectionField: c.SectionField, size: defaultSize, partialAllowed: true}
 	body, err := searchBody(params, data)
@@ -57,18 +57,18 @@
 	if err := s.parseOptions(params, body); err != nil {
 		return nil, err
 	}
-	// Each replica is asked for all that could be among the wanted hits.
+	// Each replica has to return every hit that could be on the requested page.
 	body["from"], body["size"] = json.RawMessage("0"), json.RawMessage(strconv.Itoa(s.from+s.size))
-	delete(body, "timeout")        // each attempt has its own, in the path
-	s.body, _ = json.Marshal(body) // raw parts of what was JSON: cannot fail
+	delete(body, "timeout")        // each attempt has its own, as a URL parameter
+	s.body, _ = json.Marshal(body) // raw values of decoded JSON: cannot fail
 	if ix.TwoPhase != nil {
 		s.firstPhaseBody, s.versionedBody = twoPhaseBodies(ix.TwoPhase.VersionField, body)
 	}
 	return s, nil
 }
 
-// searchBody reads the body of a search. It has a query in any case: the parameter q goes ahead of the body's own, and
-// a search without a query matches all.
+// searchBody parses the body of a search. The result always has a query: the parameter q overrides the body's query,
+// and a search without a query matches all documents.
 func searchBody(params url.Values, data []byte) (map[string]json.RawMessage, error) {
 	body := map[string]json.RawMessage{}
 	if len(bytes.TrimSpace(data)) > 0 {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// parsePreference returns the shards that a preference of the form _shards:1,2 names, and nil for all shards. Other
-// preferences choose among replicas, which is for the decisions to do.
+// parsePreference returns the shards that a preference of the form _shards:1,2 names, or nil, meaning all shards, for
+// any other preference. Other preferences choose among replicas, which the coordinator does itself.
 func parsePreference(v string) ([]int, error) {
 	list, ok := strings.CutPrefix(v, "_shards:")
 	if !ok {
@@ -128,7 +128,7 @@
 	return shards, nil
 }
 
-// parseOptions reads what stands in the parameters or, unless there, in the body.
+// parseOptions reads options from the parameters or, if not there, from the body.
 func (s *search) parseOptions(params url.Values, body map[string]json.RawMessage) error {
 	get := func(key string) string {
 		if params.Has(key) {
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// parseWindowBound reads a bound of the result window, from or size; fallback is its value where the client gives none.
-// A bound is at most maxResultWindow, so that the sum of two cannot overflow.
+// parseWindowBound parses a bound of the result window, from or size; fallback is the value if the client gives none. A
+// bound may be at most maxResultWindow, so that the sum of two bounds cannot overflow.
 func parseWindowBound(key, v string, fallback int) (int, error) {
 	if v == "" {
 		return fallback, nil
@@ -180,11 +180,11 @@
 	return badRequestf(typeIllegalArgument, "result window is too large: from + size is over [%d]", maxResultWindow)
 }
 
-// maxTimeout bounds a time-out, so that no number of units overflows; the class's deadline is far below it.
+// maxTimeout bounds a client's time-out, so that no number of units overflows. A class's deadline is far below it.
 const maxTimeout = 24 * time.Hour
 
-// timeUnits are the units of the API's time values. A suffix stands before any other that it ends in: 12ms ends in s as
-// well as in ms, so ms is tried first.
+// timeUnits are the units of the API's time values. A suffix comes before any shorter suffix in which it ends: 12ms
+// ends in both ms and s, so ms is tried first.
 var timeUnits = []struct {
 	suffix string
 	unit   time.Duration
@@ -193,7 +193,7 @@
 	{"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour},
 }
 
-// parseTimeout reads a time-out of the API; 0 stands for none given.
+// parseTimeout parses a time-out in the form of the API. It returns 0 if the client gave none.
 func parseTimeout(v string) (time.Duration, error) {
 	if v == "" || v == "-1" {
 		return 0, nil
@@ -204,7 +204,7 @@
 			if err != nil || n == 0 {
 				break
 			}
-			// At most one unit beyond maxTimeout: 4000000000d, whose nanoseconds overflow, becomes 2d.
+			// The result exceeds maxTimeout by at most one unit: 4000000000d, whose nanoseconds overflow, becomes 2d.
 			return min(time.Duration(n), maxTimeout/u.unit+1) * u.unit, nil
 		}
 	}
--- a/internal/opensearch/shard_set.go
+++ b/internal/opensearch/shard_set.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// This file finds the shards whose documents a search's query can match. It reads what a query says of the section
-// field; what stands in other clauses is for the replicas. It may find too many shards, never too few.
+// This file determines the shards whose documents a search's query can match. It evaluates what a query requires of the
+// section field and leaves other clauses to the replicas. The result may contain too many shards, never too few.
 
-// maxQueryDepth is how many queries within queries a search may have.
+// maxQueryDepth is how deeply the queries of a search may be nested.
 const maxQueryDepth = 20
 
-// leafQueries are the kinds of query whose content is for the replicas alone, unless it is about the section field.
+// leafQueries are the kinds of query whose content only replicas read, unless it is about the section field.
 var leafQueries = []string{"match_all", "match", "match_phrase", "match_phrase_prefix", "multi_match", "query_string",
 	"simple_query_string", "term", "terms", "range", "exists", "prefix", "wildcard", "regexp", "fuzzy", "ids",
 	"geo_bounding_box", "geo_distance", "geo_polygon", "geo_shape"}
@@ -23,7 +23,7 @@
 type shardSet struct {
 	// contains reports whether a shard is in the set.
 	contains func(shard int) bool
-	// exact says that the query matches all documents of these shards, so that its negation matches none of them.
+	// exact means that the query matches all documents of these shards, so that its negation matches none of them.
 	exact bool
 }
 
@@ -36,15 +36,15 @@
 
 func noShard(int) bool { return false }
 
-// narrow takes the shards that do not fulfil a condition out of the set.
+// narrow removes the shards that do not fulfil a condition from the set.
 func (s *shardSet) narrow(condition func(shard int) bool) {
 	before := s.contains
 	s.contains = func(shard int) bool { return before(shard) && condition(shard) }
 }
 
-// parseQuery checks a query and returns the shards that can have hits for it. Its error is the client's: an unknown
-// kind of query, one that is malformed, or queries nested too deep. sectionField is the field that names a document's
-// section; depth is how many queries the query stands in.
+// parseQuery checks a query and returns the shards that can have hits for it. Its error is for the client: an unknown
+// kind of query, a malformed query, or queries nested too deeply. sectionField is the field that names a document's
+// section; depth is the number of queries that enclose this one.
 func parseQuery(sectionField string, raw json.RawMessage, depth int) (shardSet, error) {
 	var query map[string]json.RawMessage
 	if json.Unmarshal(raw, &query) != nil || len(query) != 1 {
@@ -54,7 +54,7 @@
 	if depth > maxQueryDepth {
 		return shardSet{}, badRequestf(typeIllegalArgument, "queries are nested deeper than [%d]", maxQueryDepth)
 	}
-	for kind, content := range query { // the only one
+	for kind, content := range query { // exactly one
 		var fields map[string]json.RawMessage
 		if json.Unmarshal(content, &fields) != nil || fields == nil {
 			return shardSet{}, badRequestf(typeParsing, "[%s] query malformed, no start_object after query name", kind)
@@ -78,8 +78,9 @@
 	return shardSet{contains: anyShard}, nil
 }
 
-// parseBoolQuery checks a bool query and returns its shards: those of all its must and filter clauses, without those
-// that a must_not clause rules out as a whole. A should clause rules nothing out, since others can match in its place.
+// parseBoolQuery checks a bool query and returns its shards: those in all its must and filter clauses, without those
+// that a must_not clause excludes entirely. A should clause excludes nothing, since another clause can match in its
+// place.
 func parseBoolQuery(sectionField string, clauses map[string]json.RawMessage, depth int) (shardSet, error) {
 	set := exactly(anyShard)
 	for occurrence, raw := range clauses {
@@ -113,7 +114,7 @@
 	return set, nil
 }
 
-// boolClauses reads the clauses of one occurrence of a bool query: a list of queries, or one without a list.
+// boolClauses returns the clauses of one occurrence of a bool query, which is a list of queries or a single query.
 func boolClauses(raw json.RawMessage) ([]json.RawMessage, error) {
 	if !bytes.HasPrefix(bytes.TrimSpace(raw), []byte("[")) {
 		return []json.RawMessage{raw}, nil
@@ -125,7 +126,7 @@
 	return queries, nil
 }
 
-// parseTermQuery returns the shard of a term query on the section field, in the short or the long form of the API.
+// parseTermQuery returns the shard of a term query on the section field, in the API's short or long form.
 func parseTermQuery(raw json.RawMessage) (shardSet, error) {
 	var long struct {
 		Value *json.RawMessage `json:"value"`
@@ -165,7 +166,7 @@
 	}
 	set := exactly(anyShard)
 	for name, r := range bounds {
-		if name == "boost" { // concerns scores only
+		if name == "boost" { // affects scores only
 			continue
 		}
 		within, known := rangeBounds[name]
@@ -181,7 +182,7 @@
 	return set, nil
 }
 
-// rangeBounds are the conditions of a range query, by the name of the bound.
+// rangeBounds are the conditions of a range query, by the bound's name.
 var rangeBounds = map[string]func(shard, bound int) bool{
 	"gte": func(shard, bound int) bool { return shard >= bound },
 	"gt":  func(shard, bound int) bool { return shard > bound },
@@ -189,7 +190,7 @@
 	"lt":  func(shard, bound int) bool { return shard < bound },
 }
 
-// parseSection reads the number of a section, which clients also write as a string.
+// parseSection parses the number of a section, which clients may also send as a string.
 func parseSection(raw json.RawMessage) (shard int, err error) {
 	shard, err = strconv.Atoi(strings.Trim(string(raw), `"`))
 	if err != nil {
