--- a/internal/opensearch/config.go
+++ b/internal/opensearch/config.go
@@ -14,40 +14,40 @@
 )
 
 // Config is the configuration file of the API's front and of the replicas that offer the API. LoadConfig reads it;
-// Check has to accept it before it is used.
+// Check must accept it before use.
 type Config struct {
 	// Listen is the address that the front listens on, host:port.
 	Listen string `yaml:"listen"`
-	// Inventory is the path of the replicas' inventory; a relative one starts at the file's own folder.
+	// Inventory is the path of the replicas' inventory. A relative path starts at the configuration file's own folder.
 	Inventory string `yaml:"inventory"`
-	// Group is the group of a YAML inventory that lists the replicas; empty stands for "all".
+	// Group is the group of a YAML inventory that lists the replicas; empty means "all".
 	Group string `yaml:"group"`
-	// Settings is the path of the settings, for where no platform gives them; a relative one starts at the file's own
-	// folder.
+	// Settings is the path of the settings, for deployments where no platform provides them. A relative path starts at
+	// the configuration file's own folder.
 	Settings string `yaml:"settings"`
-	// SectionField is the field of a document that names its section; "section" if the file does not say.
+	// SectionField is the field of a document that names its section; "section" if the file gives none.
 	SectionField string `yaml:"section_field"`
-	// DefaultIndex is the index that a search without an index goes to; empty where each search has to name one.
+	// DefaultIndex is the index for searches that name none. If it is empty, each search must name an index.
 	DefaultIndex string `yaml:"all"`
 	// Indices are the indices that clients may name, by name.
 	Indices map[string]*Index `yaml:"indices"`
-	// ClientTenants are the tenants, by the client that a request names. Where it is empty, any client may send
-	// requests, and they are of no tenant.
+	// ClientTenants maps the client that a request names to its tenant. If it is empty, any client may send requests,
+	// and the requests have no tenant.
 	ClientTenants map[string]string `yaml:"callers"`
 }
 
 // Index maps an index of the API to shards and a class.
 type Index struct {
-	// Class is the class of the index's queries, by its name in the settings.
+	// Class is the name in the settings of the class of the index's queries.
 	Class string `yaml:"class"`
-	// TakesDocuments has the index take documents and no searches.
+	// TakesDocuments makes the index accept documents and no searches.
 	TakesDocuments bool `yaml:"reports"`
-	// ShardRange has two entries: the first and the last shard of the index. Check fills in all shards where the file
+	// ShardRange has two entries: the first and the last shard of the index. Check fills in all shards if the file
 	// gives none.
 	ShardRange []int `yaml:"sections"`
-	// Weights are the weights of shards in an answer, relative to each other; a shard without an entry weighs 1.
+	// Weights are the weights of shards in an answer, relative to each other; a shard without an entry has weight 1.
 	Weights map[int]float64 `yaml:"weights"`
-	// TwoPhase has the index's searches sent in two phases; nil has them sent in one.
+	// TwoPhase makes the front send the index's searches in two phases; nil means one phase.
 	TwoPhase *TwoPhase `yaml:"two_phase"`
 
 	name     string        // the key in Config.Indices; set by Check
@@ -55,17 +55,17 @@
 	holdsAll bool          // the file gives no range of shards; set by Check
 }
 
-// TwoPhase has the searches of an index begin with a cheap first phase that finds which shards matter.
+// TwoPhase makes the searches of an index begin with a cheap first phase that finds out which shards matter.
 type TwoPhase struct {
-	// VersionField is a numeric field of the index's documents. Each change of a document gives it a value above all
-	// others in its shard.
+	// VersionField is a numeric field of the index's documents. Each change of a document must set it to a value above
+	// all others in the document's shard.
 	VersionField string `yaml:"version"`
 }
 
-// ErrEmptyFile is the cause of LoadConfig's FileError for a file without any key.
+// ErrEmptyFile is the cause in LoadConfig's FileError for a file without any key.
 var ErrEmptyFile = errors.New("empty file")
 
-// FileError is the error of LoadConfig for a file that was read but is no configuration file.
+// FileError is the error of LoadConfig for a file that could be read but is not a configuration file.
 type FileError struct {
 	Path string // of the file
 	Err  error  // ErrEmptyFile, or the YAML decoder's error: malformed YAML, a wrong type or an unknown key
@@ -77,8 +77,8 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Err }
 
-// LoadConfig reads the configuration file at a path. Its error is one line: that of the system if the file cannot be
-// read, else a FileError.
+// LoadConfig reads the configuration file at a path. Its error is one line: the system's if the file cannot be read,
+// else a FileError.
 func LoadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -101,11 +101,11 @@
 	return c, nil
 }
 
-// oneLine joins the lines of a text.
+// oneLine replaces each run of white space in a text, line breaks included, with one space.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// TwoPhaseClasses returns the classes of which some index has a first phase, in the same order at every start: the core
-// numbers them in this order. It is to be called after Check.
+// TwoPhaseClasses returns the classes of the indices that have a first phase. The order is the same at every start,
+// since the core numbers the classes in it. Check must be called first.
 func (c *Config) TwoPhaseClasses() (classes []string) {
 	for _, ix := range c.Indices {
 		if ix.TwoPhase != nil && !slices.Contains(classes, ix.Class) {
@@ -116,8 +116,8 @@
 	return classes
 }
 
-// indexOfClass returns the index that stands for a class whose query came from another front: the first by name. It is
-// nil where no index has the class.
+// indexOfClass returns the index for queries of a class that came from another front: the first one by name. It returns
+// nil if no index has the class.
 func (c *Config) indexOfClass(class string) *Index {
 	var found *Index
 	for _, ix := range c.Indices {
@@ -136,5 +136,5 @@
 	return 1
 }
 
-// holds reports whether a shard is one of the index's.
+// holds reports whether the index has a shard.
 func (ix *Index) holds(shard int) bool { return shard >= ix.ShardRange[0] && shard <= ix.ShardRange[1] }
--- a/internal/opensearch/config_check.go
+++ b/internal/opensearch/config_check.go
@@ -9,7 +9,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// The errors of Check that concern no single entry of the file.
+// Errors of Check that concern the file rather than one of its entries.
 var (
 	ErrNoListenAddress = errors.New("no listen address")
 	ErrNoIndices       = errors.New("no indices")
@@ -29,8 +29,8 @@
 	return &EntryError{Entry: entry, Reason: fmt.Sprintf(format, args...)}
 }
 
-// CheckedCopy returns a copy of c that is checked against other settings. c stays as it is, since requests may be served
-// by it. The errors are those of Check.
+// CheckedCopy returns a copy of c that is checked against other settings. c does not change, since requests may be
+// reading it. The errors are those of Check.
 func (c *Config) CheckedCopy(s scatter.Settings, shards int) (*Config, error) {
 	next := *c
 	next.Indices = map[string]*Index{}
@@ -44,9 +44,9 @@
 	return &next, nil
 }
 
-// Check checks the file against the settings; shards is the number of shards. It fills in what the file leaves to the
-// settings, and has to be called before the first request, and not after it: CheckedCopy is for other settings. Its
-// error is ErrNoListenAddress, ErrNoIndices or an EntryError.
+// Check checks the file against the settings, and fills in what the file leaves to the settings; shards is the number
+// of shards. It must be called before the first request, and not after it; CheckedCopy checks against other settings.
+// Its error is ErrNoListenAddress, ErrNoIndices or an EntryError.
 func (c *Config) Check(s scatter.Settings, shards int) error {
 	if c.Listen == "" {
 		return ErrNoListenAddress
@@ -74,12 +74,13 @@
 	return nil
 }
 
-// validIndexName reports whether clients can name an index so in a path: a leading underscore is the API's own.
+// validIndexName reports whether clients can use a name for an index in a path. The API reserves names with a leading
+// underscore.
 func validIndexName(name string) bool {
 	return name != "" && !strings.ContainsAny(name, "/,*?\"<>| ") && !strings.HasPrefix(name, "_")
 }
 
-// check checks an index whose name is set, and takes over its class's deadline.
+// check checks an index whose name is set, and copies its class's deadline into it.
 func (ix *Index) check(classes []scatter.Class, shards int) error {
 	entry := "index " + ix.name
 	i := slices.IndexFunc(classes, func(k scatter.Class) bool { return k.Name == ix.Class })
@@ -97,8 +98,8 @@
 	return ix.checkShards(entry, shards)
 }
 
-// checkTwoPhase checks the first phase, if there is one. It is for searches of an idempotent class: both phases
-// reach the replicas of a shard.
+// checkTwoPhase checks the first phase, if there is one. A first phase is only for searches of an idempotent class,
+// since both phases reach the replicas of a shard.
 func (ix *Index) checkTwoPhase(entry string, class scatter.Class) error {
 	switch t := ix.TwoPhase; {
 	case t == nil:
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// checkShards checks the range of shards and their weights. An index for which the file gives no range has all shards
-// that there are by the settings in force.
+// checkShards checks the range of shards and their weights. An index without a range in the file has all shards of the
+// settings in force.
 func (ix *Index) checkShards(entry string, shards int) error {
 	ix.holdsAll = ix.holdsAll || len(ix.ShardRange) == 0
 	if ix.holdsAll {
--- a/internal/opensearch/document.go
+++ b/internal/opensearch/document.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// maxDocumentID is the longest id of a document, in bytes: the API's own limit.
+// maxDocumentID is the maximum length of a document's id in bytes, the API's own limit.
 const maxDocumentID = 512
 
 // document is a client's document for an index that takes documents.
 type document struct {
 	index      *Index
 	shard      int           // shard that stores the document
-	id         string        // id of the document; empty until the front gives it one
-	createOnly bool          // the document may not replace one with the same id
+	id         string        // id of the document; empty until the front assigns one
+	createOnly bool          // the document must not replace one with the same id
 	source     []byte        // the document's JSON, as the client sent it
-	timeout    time.Duration // the client's own; 0 if it gives none
+	timeout    time.Duration // time-out that the client gave; 0 if it gave none
 }
 
-// documentParams are the URL parameters of a document that have an effect; Handle reads pretty.
+// documentParams are the URL parameters that have an effect on a document; Handle reads pretty.
 var documentParams = []string{"timeout", "routing", "op_type", "pretty"}
 
-// ignoredDocumentParams are the URL parameters of a document that clients of the API send by habit. They are accepted
-// without effect: when a document can be searched, and on how many copies, is for the replicas alone.
+// ignoredDocumentParams are the URL parameters that clients of the API send with a document by habit. They are accepted
+// without effect: the replicas alone decide when a document can be searched, and on how many copies.
 var ignoredDocumentParams = []string{"refresh", "wait_for_active_shards"}
 
-// parseDocument reads a document for an index from its path (INDEX/_doc, INDEX/_doc/ID or INDEX/_create/ID), parameters
-// and body. Its errors are the client's.
+// parseDocument parses a document for an index from its path (INDEX/_doc, INDEX/_doc/ID or INDEX/_create/ID),
+// parameters and body. Its errors are for the client.
 func (c *Config) parseDocument(ix *Index, path []string, params url.Values, data []byte) (*document, error) {
 	opType := params.Get("op_type")
 	doc := &document{index: ix, source: data}
@@ -50,7 +50,8 @@
 	return doc, nil
 }
 
-// shardOfDocument returns the shard that a document's section field or, unless there, the routing parameter names.
+// shardOfDocument returns the shard that the document's section field names or, if the document lacks that field, the
+// shard that the routing parameter names.
 func (c *Config) shardOfDocument(ix *Index, params url.Values, data []byte) (shard int, err error) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil || fields == nil {
--- a/internal/opensearch/document_answer.go
+++ b/internal/opensearch/document_answer.go
@@ -9,10 +9,10 @@
 	"harepass/internal/http1"
 )
 
-// resultCreated is the result of a document that is new, in the API's words.
+// resultCreated is the API's result value for a new document.
 const resultCreated = "created"
 
-// documentAnswer is the body that tells a client that its document is stored, on the wire.
+// documentAnswer is the wire form of the answer to a client whose document is stored.
 type documentAnswer struct {
 	Index       string      `json:"_index"`
 	ID          string      `json:"_id"`
@@ -23,9 +23,9 @@
 	PrimaryTerm int64       `json:"_primary_term"`
 }
 
-// documentReply is the answer to a document that was served: 201 for a new one, 200 for one that replaced another, and
-// replicaFault's for one that the replica found at fault. A replica that offers the API words the body itself; for
-// other replicas the document counts as new.
+// documentReply builds the answer to a served document: status 201 for a new document, 200 for one that replaced
+// another, and the answer of replicaFault if the replica found a fault. A replica that offers the API words the body
+// itself; for other replicas the document counts as new.
 func documentReply(doc *document, a core.Answer) *http1.Message {
 	if m := replicaFault(a); m != nil {
 		return m
@@ -51,8 +51,8 @@
 	})
 }
 
-// replicaFault returns the answer to a request in which a replica that offers the API has found a fault, as the replica
-// words it. It is nil where none has.
+// replicaFault returns the answer to a request in which a replica that offers the API found a fault, in the replica's
+// wording, or nil if none did.
 func replicaFault(a core.Answer) *http1.Message {
 	for i, status := range a.Faults {
 		if status != 0 {
--- a/internal/opensearch/errors.go
+++ b/internal/opensearch/errors.go
@@ -14,7 +14,7 @@
 	"harepass/internal/http1"
 )
 
-// The API's types of errors that the front gives.
+// The API's error types that the front uses.
 const (
 	typeIllegalArgument   = "illegal_argument_exception"
 	typeParsing           = "parsing_exception"
@@ -29,7 +29,7 @@
 	typeVersionConflict   = "version_conflict_engine_exception"
 )
 
-// replier is an error that knows its answer to the client. Each error that the front gives a client is one.
+// replier is an error that builds its own answer to the client. Every error that the front returns to a client is one.
 type replier interface {
 	error
 	reply() *http1.Message
@@ -38,13 +38,14 @@
 // errorReply returns the answer to a request that ended in an error.
 func errorReply(err error) *http1.Message {
 	var r replier
-	if !errors.As(err, &r) { // no path of the front gives such an error
+	if !errors.As(err, &r) { // not reached: every error of the front is a replier
 		r = &apiError{http.StatusInternalServerError, typeSearchPhase, err.Error()}
 	}
 	return r.reply()
 }
 
-// apiError is what is wrong with a request, or what became of it, in the API's own terms. The client is told all of it.
+// apiError describes, in the API's own terms, what is wrong with a request or why it failed. The client receives all of
+// it.
 type apiError struct {
 	status    int
 	errorType string
@@ -60,7 +61,7 @@
 	Reason string `json:"reason"`
 }
 
-// errorEnvelope is the body in which the API tells any error but a wrong method.
+// errorEnvelope is the body of every error answer of the API, except that for a wrong method.
 type errorEnvelope struct {
 	Error struct {
 		RootCause []cause `json:"root_cause"`
@@ -77,47 +78,48 @@
 	return jsonReply(e.status, env)
 }
 
-// badRequestf returns the error of a request that has to be changed before it is sent again.
+// badRequestf returns the error of a request that the client has to change before it sends it again.
 func badRequestf(errorType, format string, args ...any) error {
 	return &apiError{http.StatusBadRequest, errorType, fmt.Sprintf(format, args...)}
 }
 
-// rejectedError is the error of a request that was rejected, with the promise that a retry is harmless.
+// rejectedError is the error of a rejected request. It promises that a retry is harmless.
 type rejectedError struct {
 	retryAfter time.Duration
 }
 
 const rejectedReason = "rejected by the coordinator: a retry is harmless, try again later"
 
-// Error says when to retry.
+// Error gives the time to wait before a retry.
 func (e *rejectedError) Error() string { return fmt.Sprintf("rejected, retry after %v", e.retryAfter) }
 
-// reply rounds the pause up: the API's Retry-After takes whole seconds only, and 0 would be no pause.
+// reply rounds the wait up to whole seconds, at least 1: the API's Retry-After takes no fractions, and 0 would be no
+// wait.
 func (e *rejectedError) reply() *http1.Message {
 	m := (&apiError{http.StatusTooManyRequests, typeRejectedExecution, rejectedReason}).reply()
 	m.Header.Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(e.retryAfter.Seconds())))))
 	return m
 }
 
-// failedError returns the error of a query that was given up, promising nothing. Its status is 500 since clients of
-// the API take 502, 503 and 504 for an invitation to send the request again.
+// failedError returns the error of a failed query, which promises nothing about what was executed. Its status is 500,
+// since clients of the API take 502, 503 and 504 as an invitation to send the request again.
 func failedError(reason string) error {
 	return &apiError{http.StatusInternalServerError, typeSearchPhase, reason}
 }
 
-// methodError is the error of a request whose method its path does not take.
+// methodError is the error of a request whose path does not accept its method.
 type methodError struct {
 	target, method string
 	allowed        []string
 }
 
-// Error names the methods that are allowed.
+// Error names the allowed methods.
 func (e *methodError) Error() string {
 	return fmt.Sprintf("Incorrect HTTP method for uri [%s] and method [%s], allowed: [%s]",
 		e.target, e.method, strings.Join(e.allowed, ", "))
 }
 
-// reply has, as in the API, the text for a wrong method in the place of an envelope's error.
+// reply puts the text in the place of the envelope's error object, as the API does for a wrong method.
 func (e *methodError) reply() *http1.Message {
 	status := http.StatusMethodNotAllowed
 	m := jsonReply(status, map[string]any{"status": status, "error": e.Error()})
@@ -125,8 +127,8 @@
 	return m
 }
 
-// ErrorResponse answers a request that is not even HTTP or is too large. It is the ErrorAnswer of the server before a
-// Front, and for any goroutine.
+// ErrorResponse answers a request that is not valid HTTP or is too large. It is the ErrorAnswer of the http1.Server
+// that serves a Front. Any goroutine may call it.
 func ErrorResponse(e *http1.Error) *http1.Message {
 	errorType := typeIllegalArgument
 	if e.Status == http.StatusRequestEntityTooLarge {
@@ -138,7 +140,7 @@
 // jsonReply returns an answer with a JSON body.
 func jsonReply(status int, body any) *http1.Message {
 	data, err := json.Marshal(body)
-	if err != nil { // a raw part that is no JSON; the decoder that cut it out has ruled that out
+	if err != nil { // a raw value is not JSON; the decoder that extracted it has ruled that out
 		status = http.StatusInternalServerError
 		data = []byte(`{"error":"answer cannot be encoded","status":500}`)
 	}
--- a/internal/opensearch/search_answer.go
+++ b/internal/opensearch/search_answer.go
@@ -12,7 +12,7 @@
 	"harepass/internal/http1"
 )
 
-// searchAnswer is the body of the answer to a search, on the wire.
+// searchAnswer is the wire form of the answer to a search.
 type searchAnswer struct {
 	Took     int64       `json:"took"` // milliseconds
 	TimedOut bool        `json:"timed_out"`
@@ -20,7 +20,7 @@
 	Hits     hits        `json:"hits"`
 }
 
-// shardCounts says how many shards an answer has, on the wire.
+// shardCounts is the wire form of the number of shards in an answer, by result.
 type shardCounts struct {
 	Total      int            `json:"total"`
 	Successful int            `json:"successful"` // skipped ones included
@@ -29,14 +29,14 @@
 	Failures   []shardFailure `json:"failures,omitempty"`
 }
 
-// shardFailure is why a shard is missing in an answer, on the wire.
+// shardFailure is the wire form of the reason why an answer lacks a shard.
 type shardFailure struct {
 	Shard  int    `json:"shard"`
 	Index  string `json:"index"`
 	Reason cause  `json:"reason"`
 }
 
-// hits are the hits of a search, on the wire: of all shards in an answer to a client, of one shard in the value of a
+// hits is the wire form of the hits of a search: of all shards in an answer to a client, of one shard in the value of a
 // part.
 type hits struct {
 	Total    *hitCount         `json:"total,omitempty"`
@@ -44,24 +44,24 @@
 	Hits     []json.RawMessage `json:"hits"`
 }
 
-// hitCount is how many documents match, on the wire.
+// hitCount is the wire form of the number of matching documents.
 type hitCount struct {
 	Value    int64  `json:"value"`
 	Relation string `json:"relation"` // countExact, or countAtLeast if there may be more
 }
 
-// The relations of a hitCount to the number of documents.
+// Relations of a hitCount to the true number of matching documents.
 const (
 	countExact   = "eq"
 	countAtLeast = "gte"
 )
 
-// emptyHits is the value of a shard without any hit, as a replica would give it.
+// emptyHits is the value of a shard without any hit, in the form in which a replica gives it.
 var emptyHits = []byte(`{"total":{"value":0,"relation":"eq"},"max_score":null,"hits":[]}`)
 
-// searchReply is the answer to a search that was served: the hits of all shards, merged. If a replica found a fault in
-// the request, that is the answer. The answer is marked complete, by timed_out false and no failed shards, only if the
-// core says that it is.
+// searchReply builds the answer to a served search: the merged hits of all shards or, if a replica found a fault in the
+// request, that fault. The answer is marked complete, by timed_out false and no failed shards, only if the core reports
+// it complete.
 func searchReply(s *search, q *core.Query, a core.Answer, took time.Duration) *http1.Message {
 	if m := replicaFault(a); m != nil {
 		return m
@@ -75,7 +75,7 @@
 	})
 }
 
-// countShards says what became of each part of a query.
+// countShards counts the parts of a query by result, and lists the failed ones.
 func countShards(s *search, q *core.Query, a core.Answer) shardCounts {
 	counts := shardCounts{Total: len(q.Parts)}
 	for i, p := range q.Parts {
@@ -85,7 +85,7 @@
 			if a.Pruned[i] {
 				counts.Skipped++
 			}
-		case a.Complete: // the class counts an answer as complete without the part
+		case a.Complete: // the class counts the answer as complete without this part
 			counts.Skipped++
 		default:
 			counts.Failed++
@@ -96,13 +96,13 @@
 	return counts
 }
 
-// rankedHit is a hit as a replica gave it.
+// rankedHit is a hit in the form in which a replica gave it.
 type rankedHit struct {
 	raw   json.RawMessage
 	score *float64 // nil for a hit without a score
 }
 
-// compare orders hits by their scores, those without one first.
+// compare orders hits by ascending score; hits without a score come first.
 func (h rankedHit) compare(o rankedHit) int {
 	switch {
 	case h.score == nil && o.score == nil:
@@ -125,7 +125,7 @@
 	ranked []rankedHit
 }
 
-// mergeHits merges the values of a query's parts: best scores first, equal ones in the order of the parts.
+// mergeHits merges the values of a query's parts: highest scores first, equal scores in the order of the parts.
 func mergeHits(s *search, q *core.Query, a core.Answer) *mergedHits {
 	m := &mergedHits{total: hitCount{Relation: countExact}}
 	for i, p := range q.Parts {
@@ -137,7 +137,7 @@
 	return m
 }
 
-// page returns the hits of a page of a size that begins after the first from hits.
+// page returns at most size hits, after skipping the first from hits.
 func (m *mergedHits) page(from, size int) hits {
 	page := hits{Total: &m.total, Hits: []json.RawMessage{}}
 	for _, h := range m.ranked[min(from, len(m.ranked)):min(from+size, len(m.ranked))] {
@@ -149,7 +149,8 @@
 	return page
 }
 
-// add adds the value of a shard. Hits that are no JSON objects are left out.
+// add adds the value of a shard. A value that is not hits counts as one hit. Hits that are not JSON objects are left
+// out.
 func (m *mergedHits) add(s *search, shard int, queryID string, value []byte) {
 	var v hits
 	if !bytes.HasPrefix(value, []byte("{")) || json.Unmarshal(value, &v) != nil || v.Hits == nil {
@@ -173,7 +174,7 @@
 	}
 }
 
-// wrapValue makes one hit of a value that is not hits, as replicas give it that speak the platform's protocol.
+// wrapValue makes one hit of a value that is not hits. Replicas that speak the platform's protocol give such values.
 func wrapValue(s *search, shard int, queryID string, value []byte) rankedHit {
 	score := 1.0
 	raw, _ := json.Marshal(map[string]any{ // strings and numbers: cannot fail
