--- a/internal/opensearch/attempt_begin_test.go
+++ b/internal/opensearch/attempt_begin_test.go
@@ -13,17 +13,17 @@
 	"harepass/internal/test/fake"
 )
 
-// heldAttempt is a query of one part whose first attempt waits for its connection, before two replicas that both hold
-// its shard.
+// heldAttempt is a query of one part whose first attempt waits for its connection, and two replicas that both hold the
+// part's shard.
 type heldAttempt struct {
 	*testing.T
 	coordinator *core.Coordinator
 	calls       callers
 	dialer      *heldDialer
-	release     chan struct{} // closed to let the held connection come up
+	release     chan struct{} // closed to let the held dial return
 	endpoints   []core.Endpoint
 	fleets      []*fake.Replicas // one for each endpoint
-	first       int              // index of the endpoint whose connection is held up
+	first       int              // index of the endpoint whose dial is held
 	clientLeft  chan struct{}
 	done        chan core.Answer
 }
@@ -41,7 +41,8 @@
 	return s
 }
 
-// newHeldAttempt starts the query and returns once its first attempt waits. Connections to the other replica come up.
+// newHeldAttempt starts the query and returns once its first attempt waits for a connection. Dials to the other replica
+// are not held.
 func newHeldAttempt(t *testing.T, scheme, class string) *heldAttempt {
 	s := heldAttemptSettings()
 	c := checkedConfig(t, s, "a", map[string]*opensearch.Index{
@@ -57,7 +58,7 @@
 		fx.fleets = append(fx.fleets, fleet)
 		go serveReplica(fleet, scheme, l)
 		address := l.Addr().String()
-		fx.dialer.hold(address, fx.release) // both: the coordinator draws which one is first
+		fx.dialer.hold(address, fx.release) // both, since the coordinator picks the first replica at random
 		replica := scatter.Replica{ID: string(rune('a' + i))}
 		fx.endpoints = append(fx.endpoints, core.Endpoint{Replica: replica, Address: address, Scheme: scheme})
 	}
@@ -73,7 +74,7 @@
 	return fx
 }
 
-// expectServedAfter gives the replica of the waiting attempt a state, and expects the query to be served.
+// expectServedAfter changes the state of the waiting attempt's replica, and expects the query to be served.
 func (fx *heldAttempt) expectServedAfter(state scatter.ReplicaState) {
 	e := fx.endpoints[fx.first]
 	e.State = state
@@ -83,47 +84,47 @@
 
 func (fx *heldAttempt) expectServed() {
 	if a := <-fx.done; a.Status != core.Served {
-		fx.Errorf("the answer is %+v", a)
+		fx.Errorf("answer is %+v, want it served", a)
 	}
 }
 
-// An attempt is decided and waits for its connection. Meanwhile its replica drains or is removed, its client leaves or
-// its deadline passes. When the connection comes up at last, nothing may go out on it; a part whose client still waits
-// has gone to the other replica at once. Both kinds of replicas.
+// An attempt has been decided and waits for its connection when its replica drains or is removed, its client leaves or
+// its deadline passes. Once the connection is established, nothing may be sent on it. A part whose client is still
+// waiting goes to the other replica at once. The test covers both kinds of replicas.
 func TestAttemptWaitingForConnectionDoesNotBegin(t *testing.T) {
 	for name, tc := range map[string]struct {
-		class             string
-		meanwhile         func(fx *heldAttempt)
-		begins, elsewhere bool // the attempt is sent after all; the other replica is sent the part
+		class                string
+		event                func(fx *heldAttempt) // occurs while the attempt waits
+		begins, otherReplica bool                  // the first replica receives the part; the other one does
 	}{
-		"nothing happens": {class: "free", begins: true, meanwhile: func(*heldAttempt) {}},
-		"the replica drains": {class: "free", elsewhere: true,
-			meanwhile: func(fx *heldAttempt) { fx.expectServedAfter(scatter.Draining) }},
-		"a report's replica is removed": {class: "once", elsewhere: true,
-			meanwhile: func(fx *heldAttempt) { fx.expectServedAfter(scatter.Removed) }},
-		"the client leaves": {class: "free", meanwhile: func(fx *heldAttempt) {
+		"nothing happens": {class: "free", begins: true, event: func(*heldAttempt) {}},
+		"the replica drains": {class: "free", otherReplica: true,
+			event: func(fx *heldAttempt) { fx.expectServedAfter(scatter.Draining) }},
+		"a report's replica is removed": {class: "once", otherReplica: true,
+			event: func(fx *heldAttempt) { fx.expectServedAfter(scatter.Removed) }},
+		"the client leaves": {class: "free", event: func(fx *heldAttempt) {
 			close(fx.clientLeft)
 			<-fx.done
 		}},
-		"the deadline passes": {class: "short", meanwhile: func(fx *heldAttempt) { <-fx.done }},
+		"the deadline passes": {class: "short", event: func(fx *heldAttempt) { <-fx.done }},
 	} {
 		for _, scheme := range []string{platform.Scheme, opensearch.Scheme} {
 			t.Run(name+", "+scheme, func(t *testing.T) {
 				t.Parallel()
 				fx := newHeldAttempt(t, scheme, tc.class)
-				tc.meanwhile(fx)
+				tc.event(fx)
 				close(fx.release)
 				if tc.begins {
 					fx.expectServed()
 				}
 				fx.coordinator.Stop()
-				time.Sleep(100 * ms) // for what would still go out
+				time.Sleep(100 * ms) // time for anything that would still be sent
 				first, other := fx.fleets[fx.first].Received(), fx.fleets[1-fx.first].Received()
 				if (len(first) > 0) != tc.begins {
-					t.Errorf("the replica whose connection was held up got %q", strings.Join(first, "; "))
+					t.Errorf("replica whose dial was held received %q", strings.Join(first, "; "))
 				}
-				if (len(other) > 0) != tc.elsewhere {
-					t.Errorf("the other replica got %q", strings.Join(other, "; "))
+				if (len(other) > 0) != tc.otherReplica {
+					t.Errorf("other replica received %q", strings.Join(other, "; "))
 				}
 				fx.calls.close()
 			})
--- a/internal/opensearch/both_fronts_test.go
+++ b/internal/opensearch/both_fronts_test.go
@@ -20,11 +20,11 @@
 	"harepass/internal/test/fake"
 )
 
-// heldDialer opens connections to replicas on real sockets, and holds each up until it is released.
+// heldDialer opens connections to replicas on real sockets. A dial to a held address returns only after its release.
 type heldDialer struct {
 	mu      sync.Mutex
-	release map[string]chan struct{} // by address, closed to release; an address without an entry is not held up
-	dialed  chan string              // addresses, in the order of the dials
+	release map[string]chan struct{} // by address, closed to release its dials; an address without an entry is not held
+	dialed  chan string              // dialed addresses, in the order of the dials
 }
 
 func newHeldDialer() *heldDialer {
@@ -42,14 +42,14 @@
 	return c, err
 }
 
-// hold holds up the dials to an address until release is closed.
+// hold makes dials to an address wait until release is closed.
 func (d *heldDialer) hold(address string, release chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.release[address] = release
 }
 
-// letThrough has later dials to an address not held up.
+// letThrough makes later dials to an address return without waiting.
 func (d *heldDialer) letThrough(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,26 +67,26 @@
 	return l
 }
 
-// bothFronts is a coordinator with both fronts before two replicas of one scheme that hold all shards, on real sockets.
-// Its classes are one of each kind: free (idempotent), keyed and once (non-idempotent).
+// bothFronts is a coordinator with both fronts and two replicas of one scheme that hold all shards, on real sockets. It
+// has a class of each kind: free (idempotent), keyed and once (non-idempotent).
 type bothFronts struct {
 	*testing.T
 	coordinator *core.Coordinator
 	fleet       *fake.Replicas
 	endpoints   []core.Endpoint
-	dialer      *heldDialer       // of the connections to replicas
-	front       map[string]string // addresses, by the protocol's Scheme
-	// dialFront opens the clients' connections; nil for plain TCP.
+	dialer      *heldDialer       // dials the replicas
+	front       map[string]string // address of each front, by the Scheme of its protocol
+	// dialFront opens clients' connections to a front; nil for plain TCP.
 	dialFront func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu   sync.Mutex
-	read map[string]bool // the ids of the requests that a front has read
+	read map[string]bool // ids of the requests that a front has read
 }
 
-// frontIdleTimeout is how long a front waits, from the accepting, for the first byte of a connection.
+// frontIdleTimeout is how long a front waits for the first byte of a connection after accepting it.
 const frontIdleTimeout = 2200 * ms
 
-// recordRead notes each request that a front reads.
+// recordRead wraps a handler to record the id of each request that a front has read.
 func (fx *bothFronts) recordRead(handle http1.Handler) http1.Handler {
 	return func(req *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 		fx.mu.Lock()
@@ -97,7 +97,7 @@
 }
 
 // mayHaveCrossedClose reports whether a request that was started at an instant and got no answer may have crossed the
-// close of an idle connection: no front has read it, and the idle timeout was over.
+// close of an idle connection: no front has read it, and the idle timeout has passed.
 func (fx *bothFronts) mayHaveCrossedClose(id string, startedAt time.Time) bool {
 	fx.mu.Lock()
 	defer fx.mu.Unlock()
@@ -184,8 +184,8 @@
 	return fx.send(front, "POST", target, class, body, keys...)
 }
 
-// send sends a request as the protocol has its clients do: one that crossed the close of an idle connection is sent
-// once more, on a new one.
+// send sends a request as the protocol requires of its clients: a request that crossed the close of an idle connection
+// is sent once more, on a new connection.
 func (fx *bothFronts) send(front, method, target, class, body string, keys ...string) (status int, answer string) {
 	fx.Helper()
 	id, startedAt := fmt.Sprint(time.Now().UnixNano()), time.Now()
@@ -196,7 +196,7 @@
 	if err != nil {
 		fx.mu.Lock()
 		defer fx.mu.Unlock()
-		fx.Fatalf("%v after %v; a front has read it: %t", err, time.Since(startedAt), fx.read[id])
+		fx.Fatalf("request failed: %v after %v; read by a front: %t", err, time.Since(startedAt), fx.read[id])
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(res.Body)
@@ -206,7 +206,7 @@
 	return res.StatusCode, string(data)
 }
 
-// sendOnce sends a request on a connection of its own, which ends with the answer.
+// sendOnce sends a request on a connection of its own, which is closed after the answer.
 func (fx *bothFronts) sendOnce(id, front, method, target, class, body string, keys []string) (*http.Response, error) {
 	fx.Helper()
 	req, err := http.NewRequest(method, "http://"+fx.front[front]+target, strings.NewReader(body))
@@ -222,7 +222,8 @@
 	return client.Do(req)
 }
 
-// keysAtReplicas are the idempotency keys of the attempts that reached replicas, in order; empty where one had none.
+// keysAtReplicas returns the idempotency keys of the attempts that replicas received, in order; empty for an attempt
+// without a key.
 func (fx *bothFronts) keysAtReplicas() (keys []string) {
 	for _, line := range fx.fleet.Received() {
 		_, after, found := strings.Cut(line, " key=")
@@ -235,7 +236,7 @@
 	return keys
 }
 
-// forEachFrontAndScheme runs a test for queries of either front that go to replicas of either scheme.
+// forEachFrontAndScheme runs a test for queries through each front to replicas of each scheme.
 func forEachFrontAndScheme(t *testing.T, run func(t *testing.T, front, scheme string)) {
 	for _, front := range []string{platform.Scheme, opensearch.Scheme} {
 		for _, scheme := range []string{platform.Scheme, opensearch.Scheme} {
--- a/internal/opensearch/cancel_test.go
+++ b/internal/opensearch/cancel_test.go
@@ -11,7 +11,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// stuckConn is a connection on which no deadline comes into force.
+// stuckConn is a connection on which deadlines have no effect.
 type stuckConn struct {
 	net.Conn
 	closed atomic.Bool
@@ -24,8 +24,9 @@
 	return c.Conn.Close()
 }
 
-// An attempt that was cancelled is not given up by its connection. The second Cancel closes the connection before it
-// returns: the coordinator may send the part elsewhere then, and two attempts of it must not be out at once.
+// The connection of an attempt does not react to the first Cancel. The second Cancel closes the connection before it
+// returns: the coordinator may then send the part to another replica, and two attempts of the part must not be in
+// progress at once.
 func TestSecondCancelClosesConnection(t *testing.T) {
 	client, server := net.Pipe()
 	defer server.Close()
@@ -40,14 +41,14 @@
 	}
 	caller.Cancel(at)
 	if caller.Cancel(at); !conn.closed.Load() {
-		t.Error("the connection is open after the second Cancel")
+		t.Error("connection is open after the second Cancel, want it closed")
 	}
 	select {
 	case got := <-ended:
 		if got.outcome != scatter.Cancelled {
-			t.Errorf("the attempt ended as %v", got)
+			t.Errorf("attempt ended with outcome %v, want Cancelled", got)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the attempt did not end")
+		t.Error("attempt did not end after the second Cancel")
 	}
 }
--- a/internal/opensearch/config_test.go
+++ b/internal/opensearch/config_test.go
@@ -14,7 +14,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// badConfigs are files that LoadConfig or Check does not accept, with what the error has to say.
+// badConfigs are files that LoadConfig or Check must reject, with a text that the error must contain.
 var badConfigs = map[string]string{
 	"":                                    "empty file",
 	"listen: x\nlisten: y":                "line 2",
@@ -31,7 +31,7 @@
 	"listen: x\ncallers: {app: nobody}\nindices: {a: {class: route-lookup}}": `caller app: no tenant "nobody"`,
 }
 
-// loadAndCheck reads a file of the given text, as a program does at its start.
+// loadAndCheck loads and checks a file with the given text, as a program does when it starts.
 func loadAndCheck(t *testing.T, text string) error {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "opensearch.yaml")
@@ -45,8 +45,7 @@
 	return c.Check(settings(), shards)
 }
 
-// An operator has written a file with one mistake. The program does not start, and says in one line which entry is
-// wrong.
+// An operator's file has one mistake. The program does not start, and its error names the wrong entry in one line.
 func TestBadConfigIsNamedInOneLine(t *testing.T) {
 	for text, want := range badConfigs {
 		err := loadAndCheck(t, text)
@@ -56,7 +55,7 @@
 	}
 }
 
-// The errors of a bad file can be told apart without reading their text.
+// The errors of a bad file can be distinguished without reading their text.
 func TestConfigErrorsAreTyped(t *testing.T) {
 	for text, want := range map[string]error{
 		"":                                    opensearch.ErrEmptyFile,
@@ -79,7 +78,7 @@
 	}
 }
 
-// A first phase is for searches of an idempotent class, and has to name the field of a document's version.
+// A first phase is only for searches of an idempotent class, and must name the field that holds a document's version.
 func TestCheckTwoPhase(t *testing.T) {
 	free := scatter.Class{Name: "free", Deadline: time.Second}
 	keyed, once := free, free
@@ -88,7 +87,7 @@
 	set := scatter.Settings{Classes: []scatter.Class{free, keyed, once}}
 	for _, tc := range []struct {
 		index opensearch.Index
-		want  string // what the error has to say; empty for none
+		want  string // text that the error must contain; empty for no error
 	}{
 		{opensearch.Index{Class: "free", TwoPhase: &opensearch.TwoPhase{VersionField: "updated"}}, ""},
 		{opensearch.Index{Class: "free", TwoPhase: &opensearch.TwoPhase{}}, "two_phase has to name the field"},
@@ -101,10 +100,10 @@
 		c := &opensearch.Config{Listen: "x", Indices: map[string]*opensearch.Index{"i": &tc.index}}
 		err := c.Check(set, 4)
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%+v: %v, want %q", tc.index, err, tc.want)
+			t.Errorf("index %+v: error %v, want %q", tc.index, err, tc.want)
 		}
 		if classes := c.TwoPhaseClasses(); err == nil && (len(classes) != 1 || classes[0] != "free") {
-			t.Errorf("classes with a first phase: %q", classes)
+			t.Errorf("classes with a first phase: %q, want only free", classes)
 		}
 	}
 }
--- a/internal/opensearch/document_test.go
+++ b/internal/opensearch/document_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A document keeps the id that its client gave; one without an id gets one. The replica is told where a document of the
-// same id may not be replaced.
+// A document keeps the id that its client gave; a document without an id gets one. The replica receives whether a
+// document with the same id may be replaced.
 func TestDocumentKeepsClientID(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
 		for _, tc := range []struct{ method, path, body, want string }{
@@ -20,7 +20,7 @@
 			seen := fx.fleet.Received()
 			last := seen[len(seen)-1]
 			if status != 201 || !strings.HasPrefix(last, tc.want) || !strings.Contains(string(data), `"created"`) {
-				t.Errorf("%s %s: %d %s, replica was sent %q", tc.method, tc.path, status, data, last)
+				t.Errorf("%s %s: status %d, answer %s; replica received %q", tc.method, tc.path, status, data, last)
 			}
 		}
 	})
--- a/internal/opensearch/first_phase_test.go
+++ b/internal/opensearch/first_phase_test.go
@@ -12,13 +12,13 @@
 	"harepass/internal/http1"
 )
 
-// versionedSearch is the answer of a replica to a search that asks for the shard's version.
+// versionedSearch is a replica's answer to a search that requests the shard's version.
 const versionedSearch = `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},` +
 	`"hits":{"total":{"value":3,"relation":"eq"},"max_score":null,"hits":[]},` +
 	`"aggregations":{"harepass_all":{"doc_count":5,"harepass_version":` +
 	`{"count":5,"min":1.0,"max":9.0,"avg":4.0,"sum":20.0}}}}`
 
-// The evidence of versionedSearch, of one without an exact count, of one without a usable version, and of one that
+// Evidence of versionedSearch, of an answer without an exact count, of one without a usable version, and of one that
 // proves nothing.
 var (
 	fullEvidence = twophase.Evidence{Readable: true, Matches: 3, Versioned: true,
@@ -28,7 +28,7 @@
 	noEvidence  = twophase.Evidence{}
 )
 
-// evidenceCases are changes to versionedSearch, and what is left of its evidence.
+// evidenceCases are changes to versionedSearch, and the evidence that remains.
 var evidenceCases = []struct {
 	name, from, to string
 	want           twophase.Evidence
@@ -42,14 +42,14 @@
 	{"a copy missing", `"total":1`, `"total":2`, noEvidence},
 	{"no copy", `"total":1,"successful":1`, `"total":0,"successful":0`, noEvidence},
 	{"no hits", `"hits":{"total"`, `"hats":{"total"`, noEvidence},
-	{"torn", `"aggregations"`, "\x00", noEvidence},
+	{"malformed JSON", `"aggregations"`, "\x00", noEvidence},
 	{"a document without a version", `"count":5`, `"count":4`, unversioned},
 	{"a document with two versions", `"count":5`, `"count":6`, unversioned},
 	{"no versions", `"min":1.0,"max":9.0,"avg":4.0,"sum":20.0`, `"min":null,"max":null,"avg":null,"sum":0`,
 		unversioned},
 	{"versions that are strings", `"max":9.0`, `"max":"nine"`, unversioned},
 	{"versions beyond exact numbers", `"max":9.0`, `"max":1e300`, unversioned},
-	{"the least above the most", `"min":1.0`, `"min":10.0`, unversioned},
+	{"minimum above the maximum", `"min":1.0`, `"min":10.0`, unversioned},
 	{"no aggregation", `"harepass_all"`, `"other"`, unversioned},
 	{"an empty shard",
 		`"doc_count":5,"harepass_version":{"count":5,"min":1.0,"max":9.0,"avg":4.0,"sum":20.0}`,
@@ -57,33 +57,33 @@
 		twophase.Evidence{Readable: true, Matches: 3, Versioned: true}},
 }
 
-// A cached value is used again only where a first answer proves that its shard has not changed. What an answer does
-// not say, says wrongly or says of a share of its shard proves nothing; taken as evidence, it would keep an old value
-// alive.
+// A cached value may be reused only if a first answer proves that its shard has not changed. Anything that an answer
+// omits, gives in a wrong form, or gives for only a share of its shard proves nothing; taken as evidence, it would keep
+// an outdated value in use.
 func TestEvidenceOfReplicaAnswer(t *testing.T) {
 	for _, tc := range evidenceCases {
 		body := versionedSearch
 		if tc.from != "" {
 			if body = strings.Replace(versionedSearch, tc.from, tc.to, 1); body == versionedSearch {
-				t.Fatalf("%s changes nothing", tc.name)
+				t.Fatalf("case %s does not change the answer", tc.name)
 			}
 		}
 		if got := evidenceOf(&http1.Message{Status: 200, Body: []byte(body)}); got != tc.want {
-			t.Errorf("%s: %+v, want %+v", tc.name, got, tc.want)
+			t.Errorf("%s: evidence %+v, want %+v", tc.name, got, tc.want)
 		}
 	}
 	if got := evidenceOf(&http1.Message{Status: 500, Body: []byte(versionedSearch)}); got.Readable {
-		t.Error("an error is read for evidence")
+		t.Error("answer with status 500 is read for evidence")
 	}
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1 << 54} {
 		if (twophase.Version{Docs: 1, Max: v, Min: v, Sum: v}).Valid() {
-			t.Errorf("version %g is taken to be exact", v)
+			t.Errorf("version %g is taken to be valid", v)
 		}
 	}
 }
 
-// The first phase asks for the client's query and no hit; the versioned search is the plain one with the version asked
-// for, and nothing else.
+// The first phase requests the client's query without hits. The versioned search is the plain search that also requests
+// the version, and nothing else.
 func TestTwoPhaseBodies(t *testing.T) {
 	c := &Config{SectionField: "section"}
 	ix := &Index{name: "conditions", ShardRange: []int{0, 3}, TwoPhase: &TwoPhase{VersionField: "updated"}}
@@ -102,12 +102,12 @@
 	if fmt.Sprint(first["query"]) != fmt.Sprint(plain["query"]) || first["size"] != 0.0 ||
 		first["track_total_hits"] != true || first["_source"] != nil ||
 		!strings.Contains(string(s.firstPhaseBody), `"field":"updated"`) {
-		t.Errorf("first phase: %s", s.firstPhaseBody)
+		t.Errorf("unexpected body of the first phase: %s", s.firstPhaseBody)
 	}
 	if fmt.Sprint(versioned["aggs"]) != fmt.Sprint(first["aggs"]) || plain["aggs"] != nil {
-		t.Errorf("with the version: %s", s.versionedBody)
+		t.Errorf("unexpected versioned body: %s", s.versionedBody)
 	}
 	if delete(versioned, "aggs"); fmt.Sprint(versioned) != fmt.Sprint(plain) {
-		t.Errorf("%v and %v differ in more than the version", versioned, plain)
+		t.Errorf("versioned search %v and plain search %v differ in more than the aggregation", versioned, plain)
 	}
 }
--- a/internal/opensearch/fixture_test.go
+++ b/internal/opensearch/fixture_test.go
@@ -23,7 +23,7 @@
 
 const (
 	ms       = time.Millisecond
-	ringSize = 3 // and as many replicas, each of which holds all shards
+	ringSize = 3 // also the number of replicas; each holds all shards
 	shards   = 10
 )
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkedConfig returns a configuration file with the given indices that Check accepts.
+// checkedConfig returns a configuration with the given indices, which Check has accepted.
 func checkedConfig(
 	t *testing.T, s scatter.Settings, all string, indices map[string]*opensearch.Index) *opensearch.Config {
 	t.Helper()
@@ -60,7 +60,7 @@
 	return c
 }
 
-// callers are a Caller for each kind of replica.
+// callers has a Caller for each kind of replica.
 type callers struct {
 	frames *platform.Caller
 	api    *opensearch.Caller
@@ -75,7 +75,7 @@
 	}
 }
 
-// newCoordinator returns a coordinator before the callers; its Run is to be called.
+// newCoordinator returns a coordinator that uses the callers; the test has to call its Run.
 func (c callers) newCoordinator(
 	t *testing.T, s scatter.Settings, limits core.Limits, clock core.Clock) *core.Coordinator {
 	t.Helper()
@@ -100,7 +100,7 @@
 	c.api.Close()
 }
 
-// serveReplica serves a replica of the fleet that speaks the scheme's protocol.
+// serveReplica serves a replica of the fleet in the scheme's protocol.
 func serveReplica(fleet *fake.Replicas, scheme string, l net.Listener) {
 	if scheme == platform.Scheme {
 		fleet.ServeFrames(l)
@@ -109,8 +109,8 @@
 	}
 }
 
-// frontFixture is a coordinator with one front before replicas that speak its protocol, on a clock and a network of the
-// test's.
+// frontFixture is a coordinator with one front and replicas that speak the front's protocol, on the test's own clock
+// and network.
 type frontFixture struct {
 	t           *testing.T
 	net         fake.Network
@@ -118,10 +118,11 @@
 	coordinator *core.Coordinator
 	config      *opensearch.Config
 	client      *http.Client
-	closers     []func() // called last first
+	closers     []func() // called in reverse order
 }
 
-// newFrontFixture starts the front of a scheme. The first replicas, as many as unreachable says, refuse connections.
+// newFrontFixture starts the front of a scheme and its replicas. The first replicas, as many as unreachable says,
+// refuse connections.
 func newFrontFixture(
 	t *testing.T, scheme string, script func(shard, try int) fake.Reply, unreachable int) *frontFixture {
 	fx := &frontFixture{t: t, net: fake.Network{HalfClose: true}, fleet: &fake.Replicas{Script: script}}
@@ -157,7 +158,7 @@
 	return fx
 }
 
-// startReplicas serves the replicas but for the first unreachable ones, and gives the coordinator the list of all.
+// startReplicas serves all replicas except the first unreachable ones, and gives the coordinator the list of all.
 func (fx *frontFixture) startReplicas(scheme string, unreachable int) {
 	var endpoints []core.Endpoint
 	for i := range ringSize {
@@ -174,7 +175,7 @@
 	fx.coordinator.UpdateEndpoints("test", scatter.FullUpdate, endpoints)
 }
 
-// setWeight gives a shard of an index another weight than 1.
+// setWeight sets the weight of one shard of an index; its other shards have weight 1.
 func (fx *frontFixture) setWeight(index string, shard int, weight float64) {
 	fx.config.Indices[index].Weights = map[int]float64{shard: weight}
 }
@@ -208,7 +209,7 @@
 	return res.StatusCode, res.Header, answer
 }
 
-// withAPIFront runs a test before the API's front and replicas that offer the API.
+// withAPIFront runs a test with the API's front and replicas that offer the API.
 func withAPIFront(t *testing.T, script func(shard, try int) fake.Reply, run func(fx *frontFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -245,13 +246,14 @@
 	return list
 }
 
-// replyDelay staggers the replicas' replies, so that no two come at once and both fronts see the same order.
+// replyDelay staggers the replicas' replies, so that no two arrive at once and both fronts receive them in the same
+// order.
 func replyDelay(shard int) time.Duration { return 150*ms + time.Duration(shard)*ms }
 
-// served has all attempts served, after the shard's delay.
+// served has replicas serve every attempt, after the shard's delay.
 func served(shard, _ int) fake.Reply { return fake.Reply{Kind: fake.Serve, After: replyDelay(shard)} }
 
-// firstAttempts has the first attempts of the given shards end in another way than served.
+// firstAttempts has the first attempts of the given shards, as many as count says, end as kind; all others are served.
 func firstAttempts(count int, kind fake.Kind, of ...int) func(shard, try int) fake.Reply {
 	return func(shard, try int) fake.Reply {
 		if slices.Contains(of, shard) && try < count {
--- a/internal/opensearch/front_test.go
+++ b/internal/opensearch/front_test.go
@@ -10,8 +10,8 @@
 	"harepass/internal/test/fake"
 )
 
-// badRequest is a request that the front answers itself, with its status and type of error. A wrong method has no type;
-// its answer has an Allow header.
+// badRequest is a request that the front answers itself, with the expected status and error type. A wrong method has no
+// error type; its answer has an Allow header.
 type badRequest struct {
 	method, path, body string
 	status             int
@@ -48,11 +48,12 @@
 	{"POST", "/hazards/_doc", `{"section":10}`, 400, "mapper_parsing_exception"},
 	{"POST", "/hazards/_doc", `"text"`, 400, "mapper_parsing_exception"},
 	{"PUT", "/hazards/_create/a?op_type=index", `{"section":1}`, 400, "illegal_argument_exception"},
-	// The fixture's server takes bodies of 64 KiB (http1.DefaultLimits); the program's takes more on this front.
+	// The fixture's server accepts bodies of up to 64 KiB (http1.DefaultLimits); the program accepts larger ones on
+	// this front.
 	{"POST", "/trails/_search", strings.Repeat(" ", 70<<10), 413, "content_too_long_exception"},
 }
 
-// A request in which the front finds a fault gets the API's status and error envelope, and no replica sees it.
+// A request in which the front finds a fault gets the API's status and error envelope, and does not reach any replica.
 func TestBadRequestGetsErrorEnvelope(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
 		for _, tc := range badRequests {
@@ -66,7 +67,7 @@
 				RootCause    []struct{ Type, Reason string } `json:"root_cause"`
 			}
 			if err := json.Unmarshal(data, &envelope); err != nil {
-				t.Fatalf("%s %s: %q: %v", tc.method, tc.path, data, err)
+				t.Fatalf("%s %s: answer %q: %v", tc.method, tc.path, data, err)
 			}
 			json.Unmarshal(envelope.Error, &e)
 			ok := status == tc.status && envelope.Status == status &&
@@ -78,16 +79,17 @@
 				ok = ok && h.Get("Allow") != ""
 			}
 			if !ok {
-				t.Errorf("%s %s: %d %s, want %d %s", tc.method, tc.path, status, data, tc.status, tc.errorType)
+				t.Errorf("%s %s: status %d, answer %s; want status %d, error type %s",
+					tc.method, tc.path, status, data, tc.status, tc.errorType)
 			}
 		}
 		if seen := fx.fleet.Received(); len(seen) > 0 {
-			t.Errorf("replicas were sent %q", seen)
+			t.Errorf("replicas received %q, want nothing", seen)
 		}
 	})
 }
 
-// What a replica finds wrong with the request itself reaches the client as the replica words it.
+// A fault that a replica finds in the request itself reaches the client in the replica's wording.
 func TestReplicaFaultReachesClient(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
 		for _, tc := range []struct{ path, body, want string }{
@@ -96,27 +98,27 @@
 		} {
 			status, _, data := fx.do("POST", tc.path, tc.body, nil)
 			if status != 400 || !strings.Contains(string(data), tc.want) {
-				t.Errorf("%s: %d %s, want 400 %s", tc.path, status, data, tc.want)
+				t.Errorf("%s: status %d, answer %s; want status 400, error type %s", tc.path, status, data, tc.want)
 			}
 		}
 	})
 }
 
-// Clients ask at their start what they speak to, and load balancers whether it is ready.
+// Clients ask which program serves them when they start, and load balancers ask whether it is ready.
 func TestAboutAndHealth(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
 		for _, path := range []string{"/", "/_cluster/health"} {
 			if status, _, data := fx.do("GET", path, "", nil); status != 200 {
-				t.Errorf("%s: %d %s", path, status, data)
+				t.Errorf("%s: status %d, answer %s; want status 200", path, status, data)
 			}
 		}
 		if status, _, data := fx.do("HEAD", "/", "", nil); status != 200 || len(data) > 0 {
-			t.Errorf("HEAD: %d %q", status, data)
+			t.Errorf("HEAD: status %d, body %q; want status 200 and no body", status, data)
 		}
 	})
 }
 
-// Where the file lists clients, a request has to name one of them; basic authentication goes ahead of X-Opaque-Id.
+// If the file lists clients, a request must name one of them; basic authentication takes precedence over X-Opaque-Id.
 func TestClientHasToBeListed(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
 		fx.config.ClientTenants = map[string]string{"app": "kitakaze"}
@@ -131,20 +133,20 @@
 			{map[string]string{"Authorization": "Basic b3RoZXI6eA==", "X-Opaque-Id": "app"}, 403},
 		} {
 			if status, _, data := fx.do("GET", "/trails/_search?size=0", "", tc.header); status != tc.status {
-				t.Errorf("%v: %d %s, want %d", tc.header, status, data, tc.status)
+				t.Errorf("header %v: status %d, answer %s; want status %d", tc.header, status, data, tc.status)
 			}
 		}
 	})
 }
 
-// A client leaves while all replicas are silent. Its query ends with it: the connections to the replicas are closed,
-// and the coordinator stops at once though it waits for open queries.
+// A client leaves while no replica answers. Its query ends too: the connections to the replicas are closed, and the
+// coordinator stops at once although it waits for open queries.
 func TestQueryEndsWhenClientLeaves(t *testing.T) {
 	withAPIFront(t, firstAttempts(9, fake.NoReply, allShards()...), func(fx *frontFixture) {
 		fx.client.Timeout = 100 * ms
 		req, _ := http.NewRequest("GET", "http://front/trails/_search", nil)
 		if _, err := fx.client.Do(req); err == nil {
-			t.Error("an answer")
+			t.Error("request got an answer, want a time-out")
 		}
 		time.Sleep(ms)
 		fx.coordinator.Drain()
--- a/internal/opensearch/idempotency_key_test.go
+++ b/internal/opensearch/idempotency_key_test.go
@@ -17,8 +17,8 @@
 
 const key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
-// The first attempt of a query of a keyed class ends in one way or the other; where it was not served, a second one
-// follows. Both carry the key that the client gave, else a replica that ran the first would run the second too.
+// The first attempt of a query of a keyed class ends in one of several ways; unless it was served, a second attempt
+// follows. Both carry the client's key: otherwise a replica that ran the first attempt would also run the second.
 func TestIdempotencyKeyOnEveryAttempt(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first    fake.Reply
@@ -41,19 +41,19 @@
 					return fake.Reply{}
 				})
 				if status, answer := fx.query(front, "keyed", key); !succeeded(status) {
-					t.Errorf("%d %s", status, answer)
+					t.Errorf("status %d, answer %s; want success", status, answer)
 				}
 				want := slices.Repeat([]string{key}, tc.attempts)
 				if got := fx.keysAtReplicas(); !slices.Equal(got, want) {
-					t.Errorf("attempts came with the keys %q, want %q", got, want)
+					t.Errorf("replicas received attempts with keys %q, want %q", got, want)
 				}
 			})
 		})
 	}
 }
 
-// A replica is drained while an attempt still waits for its connection. The part goes to the other replica, with the
-// client's key; the drained one gets nothing.
+// A replica drains while an attempt still waits for its connection. The part goes to the other replica with the
+// client's key, and the draining replica receives nothing.
 func TestIdempotencyKeyMovesToAnotherReplica(t *testing.T) {
 	forEachFrontAndScheme(t, func(t *testing.T, front, scheme string) {
 		fx := newBothFronts(t, scheme, nil)
@@ -67,8 +67,8 @@
 			status, _ := fx.query(front, "keyed", key)
 			done <- status
 		}()
-		// Both replicas' dials are held up. The one that is dialed first stays so until the test ends; the other is let
-		// through, to take the part once the first is drained.
+		// Dials to both replicas are held. The first dial stays held until the test ends; dials to the other replica
+		// are then let through, so that it receives the part once the first replica drains.
 		address := <-fx.dialer.dialed
 		first := slices.IndexFunc(fx.endpoints, func(e core.Endpoint) bool { return e.Address == address })
 		fx.dialer.letThrough(fx.endpoints[1-first].Address)
@@ -76,34 +76,34 @@
 		drained.State = scatter.Draining
 		fx.coordinator.UpdateEndpoints("test", scatter.IncrementalUpdate, []core.Endpoint{drained})
 		if status := <-done; !succeeded(status) {
-			t.Errorf("status %d", status)
+			t.Errorf("status %d, want success", status)
 		}
 		if got := fx.keysAtReplicas(); !slices.Equal(got, []string{key}) {
-			t.Errorf("attempts came with the keys %q", got)
+			t.Errorf("replicas received attempts with keys %q, want the client's key once", got)
 		}
 	})
 }
 
-// A client's own retry is a query of its own, with a new id. Its key goes to the replicas as it did the first time, so
+// A client's own retry is a separate query with a new id. The replicas receive its key as they did the first time, so
 // that they can drop the repeat.
 func TestIdempotencyKeyOfClientRetry(t *testing.T) {
 	forEachFrontAndScheme(t, func(t *testing.T, front, scheme string) {
 		fx := newBothFronts(t, scheme, nil)
 		for range 2 {
 			if status, answer := fx.query(front, "keyed", key); !succeeded(status) {
-				t.Errorf("%d %s", status, answer)
+				t.Errorf("status %d, answer %s; want success", status, answer)
 			}
 		}
 		if got := fx.keysAtReplicas(); !slices.Equal(got, []string{key, key}) {
-			t.Errorf("attempts came with the keys %q", got)
+			t.Errorf("replicas received attempts with keys %q, want the client's key twice", got)
 		}
 		if seen := fx.fleet.Received(); seen[0] == seen[1] {
-			t.Errorf("both attempts are %q", seen[0])
+			t.Errorf("both attempts are %q, want different ids", seen[0])
 		}
 	})
 }
 
-// invalidKeys are the values of the idempotency header that no replica could be sent as they are.
+// invalidKeys are the values of the idempotency header that cannot be sent to a replica as they are.
 var invalidKeys = map[string][]string{
 	"none":           nil,
 	"empty":          {""},
@@ -120,47 +120,47 @@
 	"no UTF-8":       {"a\xff"},
 }
 
-// Without a key that can be passed on as it is, a query of a keyed class gets status 400 at the front, with the
-// header's name, and no replica sees it.
+// A query of a keyed class without a key that can be passed on as it is gets status 400 from the front, with the
+// header's name, and does not reach any replica.
 func TestInvalidIdempotencyKeyGetsBadRequest(t *testing.T) {
 	forEachFrontAndScheme(t, func(t *testing.T, front, scheme string) {
 		fx := newBothFronts(t, scheme, nil)
 		for name, keys := range invalidKeys {
 			status, answer := fx.query(front, "keyed", keys...)
 			if status != 400 || !strings.Contains(answer, retry.IdempotencyKeyHeader) {
-				t.Errorf("%s: %d %s", name, status, answer)
+				t.Errorf("key %s: status %d, answer %s; want status 400 and the header's name", name, status, answer)
 			}
 		}
 		if front == opensearch.Scheme {
 			status, answer := fx.query(front, "lookup")
 			if status != 400 || !strings.Contains(answer, retry.IdempotencyKeyHeader) {
-				t.Errorf("a search in a keyed class without a key: %d %s", status, answer)
+				t.Errorf("search in a keyed class without a key: status %d, answer %s", status, answer)
 			}
 		}
 		if seen := fx.fleet.Received(); len(seen) > 0 {
-			t.Errorf("replicas were sent %q", seen)
+			t.Errorf("replicas received %q, want nothing", seen)
 		}
 	})
 }
 
-// Where the class is not keyed the front ignores the header, even an invalid one, and no replica sees it.
+// In a class that is not keyed the front ignores the header, even with an invalid value, and no replica receives it.
 func TestIdempotencyKeyIgnoredInOtherClasses(t *testing.T) {
 	forEachFrontAndScheme(t, func(t *testing.T, front, scheme string) {
 		fx := newBothFronts(t, scheme, nil)
 		for _, class := range []string{"free", "once"} {
 			for _, keys := range [][]string{nil, {key}, {""}, {"a,d=1"}, {key, key}} {
 				if status, answer := fx.query(front, class, keys...); !succeeded(status) {
-					t.Errorf("%s %q: %d %s", class, keys, status, answer)
+					t.Errorf("class %s, keys %q: status %d, answer %s; want success", class, keys, status, answer)
 				}
 			}
 		}
 		if got, want := fx.keysAtReplicas(), make([]string, 10); !slices.Equal(got, want) {
-			t.Errorf("attempts came with the keys %q", got)
+			t.Errorf("replicas received attempts with keys %q, want none", got)
 		}
 	})
 }
 
-// A document's id goes to the replica as its client gave it, with the key beside it.
+// The replica receives a document's id as the client gave it, together with the key.
 func TestIdempotencyKeyBesideDocumentID(t *testing.T) {
 	fx := newBothFronts(t, opensearch.Scheme, nil)
 	for target, want := range map[string]string{
@@ -171,16 +171,16 @@
 		seen := fx.fleet.Received()
 		last := seen[len(seen)-1]
 		if status != 201 || !strings.HasPrefix(last, want) || !strings.HasSuffix(last, " key="+key) {
-			t.Errorf("%s: %d %s; the replica was sent %q", target, status, answer, last)
+			t.Errorf("%s: status %d, answer %s; replica received %q", target, status, answer, last)
 		}
 	}
 }
 
-// lateConn is a client's end of a connection whose first bytes go out only when the server has closed its end.
+// lateConn is a client's end of a connection that sends its first bytes only after the server has closed its end.
 type lateConn struct {
 	net.Conn
 	serverClosed, firstWrite sync.Once
-	written                  chan struct{} // closed when the first bytes are out; reads wait for that
+	written                  chan struct{} // closed once the first bytes are sent; reads wait for that
 }
 
 func (c *lateConn) Write(data []byte) (int, error) {
@@ -195,9 +195,9 @@
 	return c.Conn.Read(data)
 }
 
-// A front closes an idle connection while a request is on its way on it. The client sends the request once more, on a
-// new connection, and it runs once. That happens to these tests' clients where the machine gives them no time between
-// the accepting and the first byte; here it is forced.
+// A front closes an idle connection while a request is in flight on it. The client sends the request once more, on a
+// new connection, and the request runs once. This happens to the clients of these tests if the machine gives them no
+// time between the accept and the first byte; here the test forces it.
 func TestRequestCrossingIdleCloseRunsOnce(t *testing.T) {
 	forEachFrontAndScheme(t, func(t *testing.T, front, scheme string) {
 		fx := newBothFronts(t, scheme, nil)
@@ -210,10 +210,10 @@
 			return &lateConn{Conn: c, written: make(chan struct{})}, nil
 		}
 		if status, answer := fx.query(front, "keyed", key); !succeeded(status) {
-			t.Errorf("%d %s", status, answer)
+			t.Errorf("status %d, answer %s; want success", status, answer)
 		}
 		if got := fx.keysAtReplicas(); dials != 2 || !slices.Equal(got, []string{key}) {
-			t.Errorf("%d connections, attempts came with the keys %q", dials, got)
+			t.Errorf("%d connections, attempts with keys %q; want 2 connections and the key once", dials, got)
 		}
 	})
 }
--- a/internal/opensearch/parity_test.go
+++ b/internal/opensearch/parity_test.go
@@ -16,20 +16,20 @@
 	"harepass/internal/test/fake"
 )
 
-// result is what a client can tell of an answer, in one form for both fronts.
+// result is what a client observes of an answer, in one form for both fronts.
 type result struct {
 	Verdict    string // complete, partial, rejected or failed
 	Shards     []int  // in the answer
 	Values     []string
 	RetryAfter string // the header
 	Latency    time.Duration
-	Runs       []int // how often replicas ran the part, for each shard of the query
+	Runs       []int // how often replicas executed the part, for each shard of the query
 }
 
 // verdicts are the verdicts on served queries, by whether the answer is complete.
 var verdicts = map[bool]string{true: "complete", false: "partial"}
 
-// query sends a query by the front's own protocol.
+// query sends a query in the protocol of the scheme's front.
 func (fx *frontFixture) query(scheme, class string, shards []int, timeout time.Duration) (r result) {
 	startedAt := time.Now()
 	if scheme == opensearch.Scheme {
@@ -40,14 +40,14 @@
 	r.Latency = time.Since(startedAt)
 	slices.Sort(r.Shards)
 	slices.Sort(r.Values)
-	time.Sleep(10 * time.Second) // an attempt that should not be made would have been made by then
+	time.Sleep(10 * time.Second) // long enough for any attempt that should not be made
 	for _, s := range shards {
 		r.Runs = append(r.Runs, fx.fleet.Executions(s))
 	}
 	return r
 }
 
-// queryPlatform sends a query by the platform's protocol.
+// queryPlatform sends a query in the platform's protocol.
 func (fx *frontFixture) queryPlatform(class string, shards []int, timeout time.Duration) (r result) {
 	var parts []string
 	for _, s := range shards {
@@ -80,7 +80,7 @@
 	return r
 }
 
-// queryAPI sends a query by the API: a report, or a search of the class's index.
+// queryAPI sends a query through the API: a report, or a search of the class's index.
 func (fx *frontFixture) queryAPI(class string, shards []int, timeout time.Duration) result {
 	var status int
 	var h http.Header
@@ -104,12 +104,12 @@
 	case 500:
 		return result{Verdict: "failed"}
 	}
-	fx.t.Fatalf("status %d: %s", status, data)
+	fx.t.Fatalf("unexpected status %d: %s", status, data)
 	return result{}
 }
 
-// searchResult reads the answer to a search. Clients tell a partial answer by timed_out or by the failed shards, so
-// both have to say so.
+// searchResult parses the answer to a search. Some clients recognize a partial answer by timed_out, others by the
+// failed shards, so both must mark it.
 func (fx *frontFixture) searchResult(data []byte) (r result) {
 	var a searchAnswer
 	if err := json.Unmarshal(data, &a); err != nil {
@@ -117,19 +117,19 @@
 	}
 	complete := !a.TimedOut && a.Shards.Failed == 0 && a.Shards.Successful == a.Shards.Total
 	if !complete && (!a.TimedOut || a.Shards.Failed == 0 || len(a.Shards.Failures) != a.Shards.Failed) {
-		fx.t.Errorf("a partial answer that looks complete to some clients: %s", data)
+		fx.t.Errorf("partial answer looks complete to some clients: %s", data)
 	}
 	r.Verdict = verdicts[complete]
 	for _, h := range a.Hits.Hits {
 		r.Shards, r.Values = append(r.Shards, h.Source.Section), append(r.Values, h.Source.Body)
 	}
 	if a.Hits.Total.Value != len(r.Shards) || a.Shards.Successful != len(r.Shards) {
-		fx.t.Errorf("counts do not fit: %s", data)
+		fx.t.Errorf("counts do not match the hits: %s", data)
 	}
 	return r
 }
 
-// parityCase is a query and what has to become of it at either front.
+// parityCase is a query and its expected result at both fronts.
 type parityCase struct {
 	name        string
 	class       string
@@ -141,7 +141,7 @@
 	verdict    string
 	answered   int           // shards in the answer
 	maxLatency time.Duration // of the final answer
-	runs       int           // of the first shard's part; -1 for any number
+	runs       int           // executions of the first shard's part; -1 for any number
 }
 
 var parityCases = []parityCase{
@@ -185,8 +185,8 @@
 		"rejected", 0, 5 * time.Second, 0},
 }
 
-// The two fronts take one table of queries. Answers, rejections, the times of both and what the replicas were made to
-// run may not differ, whichever protocol a client and the replicas speak.
+// Both fronts receive the same table of queries. Answers, rejections, their latencies, and the parts that replicas
+// execute must not differ, whichever protocol a client and the replicas speak.
 func TestFrontsAnswerAlike(t *testing.T) {
 	for _, tc := range parityCases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -204,7 +204,7 @@
 			r := got[0]
 			if r.Verdict != tc.verdict || len(r.Shards) != tc.answered || r.Latency > tc.maxLatency ||
 				tc.runs >= 0 && r.Runs[0] != tc.runs {
-				t.Errorf("%+v, want %s of %d shards within %v, the first run %d times",
+				t.Errorf("result %+v, want %s with %d shards within %v, first part executed %d times",
 					r, tc.verdict, tc.answered, tc.maxLatency, tc.runs)
 			}
 		})
--- a/internal/opensearch/replica_answer_test.go
+++ b/internal/opensearch/replica_answer_test.go
@@ -14,13 +14,13 @@
 	"harepass/internal/http1"
 )
 
-// endedAttempt is what a Caller reports of an attempt.
+// endedAttempt is an attempt's outcome and value, as a Caller reports them.
 type endedAttempt struct {
 	outcome scatter.Outcome
 	value   string
 }
 
-// outcomeNames are the outcomes as a failed test prints them.
+// outcomeNames are the names of the outcomes in test failures.
 var outcomeNames = map[scatter.Outcome]string{
 	scatter.Succeeded:       "succeeded",
 	scatter.Errored:         "errored",
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%s with value %q", outcomeNames[e.outcome], e.value)
 }
 
-// endedAttempts takes the one outcome of each attempt.
+// endedAttempts receives the one outcome of each attempt.
 type endedAttempts chan endedAttempt
 
 func (c endedAttempts) AttemptEnded(_ *core.Attempt, outcome scatter.Outcome, value []byte) {
@@ -52,7 +52,7 @@
 )
 
 // dialAnswering returns a dialer to a replica that writes the first answer on the first connection and secondAnswer on
-// all later ones, then closes. dials counts the connections.
+// all later ones, then closes the connection. dials counts the connections.
 func dialAnswering(first string, dials *int) http1.Dialer {
 	return func(context.Context, string) (net.Conn, error) {
 		client, server := net.Pipe()
@@ -71,8 +71,8 @@
 }
 
 // A replica answers with bytes that cannot be read, with a length that no answer may have, or with more bytes than its
-// answer. That is an error of a replica that runs, not a broken connection; and what comes behind an answer is never
-// taken for the next one, which has a connection of its own.
+// answer. An unreadable answer is an error of a running replica, not a broken connection. Bytes after an answer are
+// never taken for the next answer, which has a connection of its own.
 func TestUnreadableAnswerIsNoBrokenConnection(t *testing.T) {
 	served, errored := endedAttempt{scatter.Succeeded, `{"n":1}`}, endedAttempt{outcome: scatter.Errored}
 	for _, tc := range []struct {
@@ -87,7 +87,7 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2000000000\r\n\r\n", errored},
 		{"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 20<<10), errored},
 		{strings.Replace(firstAnswer, `"hits"`, `"h\xffts"`, 1), errored},
-		{"HTTP/1.1 200 OK\r\n", endedAttempt{outcome: scatter.ConnectionReset}}, // the connection ends
+		{"HTTP/1.1 200 OK\r\n", endedAttempt{outcome: scatter.ConnectionReset}}, // the connection ends within the head
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ended, dials := make(endedAttempts, 2), 0
@@ -99,15 +99,16 @@
 				return <-ended
 			}
 			if got := call(); got != tc.want {
-				t.Errorf("%.60q: %v, want %v", tc.answer, got, tc.want)
+				t.Errorf("answer %.60q: %v, want %v", tc.answer, got, tc.want)
 			}
 			if got := call(); got != (endedAttempt{scatter.Succeeded, `{"n":2}`}) || dials != 2 {
-				t.Errorf("%.60q: the next answer is %v on connection %d", tc.answer, got, dials)
+				t.Errorf("answer %.60q: next attempt %v on connection %d, want the answer of connection 2",
+					tc.answer, got, dials)
 			}
 			caller.CloseIdleConnections("n")
 			synctest.Wait()
 			if len(caller.replicas) > 0 || len(caller.sent) > 0 || caller.idleCount > 0 || len(caller.slots) > 0 {
-				t.Errorf("%d replicas, %d attempts, %d idle and %d slots remain",
+				t.Errorf("%d replicas, %d attempts, %d idle connections and %d slots remain, want none",
 					len(caller.replicas), len(caller.sent), caller.idleCount, len(caller.slots))
 			}
 		})
@@ -115,7 +116,7 @@
 }
 
 // Only a rejection that proves that the request never began counts as one, since a rejected part may run again in any
-// class. Only an answer that the replica itself calls complete counts as served.
+// class. Only an answer that the replica itself marks as complete counts as served.
 func TestOutcomeOfReplicaAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		status int
@@ -139,13 +140,14 @@
 		{400, `{"error":{"type":"parsing_exception"},"status":400}`, scatter.Errored},
 	} {
 		if got, _ := outcomeOf(&http1.Message{Status: tc.status, Body: []byte(tc.body)}, false); got != tc.want {
-			t.Errorf("%d %s: outcome %s, want %s", tc.status, tc.body, outcomeNames[got], outcomeNames[tc.want])
+			t.Errorf("status %d, body %s: outcome %s, want %s",
+				tc.status, tc.body, outcomeNames[got], outcomeNames[tc.want])
 		}
 	}
 }
 
-// A replica finds a fault in a search. Only where the search is the client's own, without an aggregation of the
-// coordinator's, is that the client's answer.
+// A replica finds a fault in a search. This is the client's answer only if the search is the client's own, without an
+// aggregation that the coordinator added.
 func TestBadRequestOfReplicaByPhase(t *testing.T) {
 	const body = `{"error":{"type":"query_shard_exception"},"status":400}`
 	for _, tc := range []struct {
@@ -167,13 +169,13 @@
 	}
 }
 
-// httpAnswer is an answer of a replica, as bytes.
+// httpAnswer returns the bytes of a replica's answer.
 func httpAnswer(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// dialRefusingVersions returns a dialer to a replica that answers 400 to a search that asks for the shard's version, and
-// with a given answer to the search behind it on the same connection. bodies takes what it was sent.
+// dialRefusingVersions returns a dialer to a replica that answers 400 to a search that requests the shard's version,
+// and next to the following search on the same connection. bodies receives the bodies of both searches.
 func dialRefusingVersions(next string, bodies chan<- string) http1.Dialer {
 	return func(context.Context, string) (net.Conn, error) {
 		client, server := net.Pipe()
@@ -191,9 +193,9 @@
 	}
 }
 
-// A client's own bad search goes to a shard whose version is known, so the coordinator asks for the version beside it.
-// The replica's 400 may be for either. The search is sent once more as the client has worded it, and a 400 to that
-// reaches the client; it did not, and the client was told of a missing shard or of a failure.
+// A client's own faulty search goes to a shard whose version is known, so the coordinator adds a request for the
+// version. The replica's 400 may concern either. The search is sent once more as the client worded it, and a 400 to
+// that search reaches the client. Before, it did not: the client received a missing shard or a failure.
 func TestBadSearchOfVersionedShardReachesClient(t *testing.T) {
 	const fault = `{"error":{"type":"query_shard_exception"},"status":400}`
 	const found = `{"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"n":1}}`
@@ -214,10 +216,10 @@
 				index: &Index{name: "i"}, body: []byte(`{"own":1}`), versionedBody: []byte(`{"own":1,"aggs":{}}`)}}
 			caller.Call(core.Endpoint{Replica: scatter.Replica{ID: "n"}, Address: "n"}, []*core.Attempt{at})
 			if got := <-ended; got != tc.want || at.FaultStatus != tc.faultStatus || at.Evidence.Readable {
-				t.Errorf("%v with fault %d, want %v", got, at.FaultStatus, tc.want)
+				t.Errorf("attempt %v with fault status %d, want %v", got, at.FaultStatus, tc.want)
 			}
 			if first, second := <-bodies, <-bodies; first != `{"own":1,"aggs":{}}` || second != `{"own":1}` {
-				t.Errorf("the replica was sent %s and %s", first, second)
+				t.Errorf("replica received %s and %s, want the versioned and the plain body", first, second)
 			}
 			caller.CloseIdleConnections("n")
 		})
--- a/internal/opensearch/replica_fault_test.go
+++ b/internal/opensearch/replica_fault_test.go
@@ -15,7 +15,7 @@
 	"harepass/internal/platform"
 )
 
-// withAPIReplicas runs a test before the API's front and replicas that answer each request by a handler.
+// withAPIReplicas runs a test with the API's front and replicas that answer each request with a handler.
 func withAPIReplicas(t *testing.T, handle http.HandlerFunc, run func(fx *frontFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,9 +40,9 @@
 	}
 }
 
-// A replica finds a fault in a client's request: it has a document of that id, or cannot read the search. That is the
-// client's answer however the replica lays its JSON out; a document that was not stored is never told as stored, nor
-// an error as a hit.
+// A replica finds a fault in a client's request: it already has a document with that id, or cannot read the search. The
+// fault is the client's answer however the replica formats its JSON. A document that was not stored is never reported
+// as stored, nor an error as a hit.
 func TestFaultFoundByReplicaReachesClient(t *testing.T) {
 	const conflict = `{"type":"version_conflict_engine_exception","reason":"exists"}`
 	const unreadable = `{"type":"parsing_exception","reason":"unknown field"}`
@@ -63,18 +63,19 @@
 		withAPIReplicas(t, answers(tc.status, tc.body), func(fx *frontFixture) {
 			status, _, data := fx.do(tc.method, tc.path, tc.document, nil)
 			if status != tc.status || !strings.Contains(string(data), `"error":`) {
-				t.Errorf("%s %s, replica answers %d %q: client gets %d %s", tc.method, tc.path, tc.status, tc.body, status, data)
+				t.Errorf("%s %s, replica answers %d %q: client gets %d %s",
+					tc.method, tc.path, tc.status, tc.body, status, data)
 			}
 		})
 	}
 }
 
-// request is a client's request, as a front gets it.
+// request returns a client's request in the form that a front receives.
 func request(method, target, body string) *http1.Message {
 	return &http1.Message{Method: method, Target: target, Header: textproto.MIMEHeader{}, Body: []byte(body)}
 }
 
-// valueCaller serves each attempt with one value, as replicas do that speak frames.
+// valueCaller serves each attempt with one value, like replicas that speak frames.
 type valueCaller struct {
 	reporter core.AttemptReporter
 	value    string
@@ -93,8 +94,8 @@
 func (*valueCaller) Cancel(*core.Attempt)        {}
 func (*valueCaller) CloseIdleConnections(string) {}
 
-// A replica that speaks frames has a text that reads like an error of the API. It is a value like any other: the client
-// gets it as a hit, and a report counts as stored.
+// A replica that speaks frames returns a text that reads like an error of the API. It is a value like any other: the
+// client gets it as a hit, and a report counts as stored.
 func TestValueThatReadsLikeAnErrorIsNoFault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		caller := &valueCaller{value: `{"error":{"type":"x"},"status":400}`}
@@ -115,10 +116,10 @@
 		synctest.Wait()
 		search := front.Handle(request("GET", "/trails/_search", ""), nil)
 		if search.Status != 200 || !strings.Contains(string(search.Body), `"total":10`) {
-			t.Errorf("search: %d %s", search.Status, search.Body)
+			t.Errorf("search: status %d, answer %s; want status 200 and 10 hits", search.Status, search.Body)
 		}
 		if report := front.Handle(request("POST", "/hazards/_doc", `{"section":3}`), nil); report.Status != 201 {
-			t.Errorf("report: %d %s", report.Status, report.Body)
+			t.Errorf("report: status %d, answer %s; want status 201", report.Status, report.Body)
 		}
 		coordinator.Stop()
 	})
--- a/internal/opensearch/search_test.go
+++ b/internal/opensearch/search_test.go
@@ -10,7 +10,7 @@
 	"harepass/internal/test/fake"
 )
 
-// The shards that a search needs follow from its query and its preference; no other shard's replicas are sent it.
+// The shards that a search needs follow from its query and its preference. Replicas receive it for these shards only.
 func TestSearchNeedsShardsOfQueryAndPreference(t *testing.T) {
 	for _, tc := range []struct{ params, body, want string }{
 		{"", "", "[0 1 2 3 4 5 6 7 8 9]"},
@@ -31,7 +31,7 @@
 			status, _, data := fx.do("GET", "/trails/_search?size=100"+tc.params, tc.body, nil)
 			var a searchAnswer
 			if err := json.Unmarshal(data, &a); err != nil || status != 200 || a.TimedOut {
-				t.Fatalf("%s: %d %s", tc.body, status, data)
+				t.Fatalf("%s: status %d, answer %s; want a complete answer", tc.body, status, data)
 			}
 			var got []int
 			for _, h := range a.Hits.Hits {
@@ -45,24 +45,24 @@
 	}
 }
 
-// A page of hits is cut from the hits of all shards, and the replicas are asked for all that could be on it.
+// A page of hits is cut from the hits of all shards, and each replica is asked for all hits that could be on the page.
 func TestPageIsCutFromHitsOfAllShards(t *testing.T) {
 	withAPIFront(t, served, func(fx *frontFixture) {
 		_, _, data := fx.do("POST", "/_search?from=2", `{"size":3,"query":{"match_all":{}}}`, nil)
 		var a searchAnswer
 		if err := json.Unmarshal(data, &a); err != nil || len(a.Hits.Hits) != 3 || a.Hits.Total.Value != shards ||
 			a.Hits.Hits[0].ID != "d2" {
-			t.Errorf("%s", data)
+			t.Errorf("answer %s, want a page of 3 hits from d2 on", data)
 		}
 		const want = "POST /conditions/_search?preference=_shards:"
 		if seen := fx.fleet.Received(); len(seen) != shards || !strings.HasPrefix(seen[0], want) {
-			t.Errorf("replicas were sent %q", seen)
+			t.Errorf("replicas received %q, want one search for each shard", seen)
 		}
 	})
 }
 
-// Replicas fail all attempts of some shards. The class wants 70% of the weight: that goes by the shards' weights, not
-// by their number. A client that takes no partial answer is rejected whatever is missing.
+// Replicas fail all attempts of some shards. The class requires 70% of the weight: the shards' weights count, not the
+// number of shards. A client that accepts no partial answer is rejected whichever shard is missing.
 func TestMinimumFractionGoesByShardWeights(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -83,26 +83,26 @@
 				target := "/conditions/_search?allow_partial_search_results=" + tc.partialAllowed
 				status, h, data := fx.do("GET", target, "", nil)
 				if status != tc.status {
-					t.Fatalf("%d %s, want %d", status, data, tc.status)
+					t.Fatalf("status %d, answer %s; want status %d", status, data, tc.status)
 				}
 				if status == 429 {
 					if h.Get("Retry-After") != "1" {
-						t.Errorf("Retry-After %q", h.Get("Retry-After"))
+						t.Errorf("Retry-After is %q, want 1", h.Get("Retry-After"))
 					}
 					return
 				}
 				var a searchAnswer
 				if err := json.Unmarshal(data, &a); err != nil || a.TimedOut != (len(tc.failed) > 0) ||
 					a.Shards.Failed != len(tc.failed) || a.Shards.Successful != shards-len(tc.failed) {
-					t.Errorf("%s", data)
+					t.Errorf("unexpected completeness or shard counts: %s", data)
 				}
 			})
 		})
 	}
 }
 
-// A page whose bounds alone are beyond the result window is refused with 400, however their sum comes out in the
-// machine's integers, and the process goes on.
+// A page whose bounds alone are beyond the result window is refused with 400, even if their sum overflows, and the
+// process continues.
 func TestPageBeyondResultWindowIsRefused(t *testing.T) {
 	for _, tc := range []struct{ params, body string }{
 		{"?from=9223372036854775807", ""},
@@ -117,13 +117,13 @@
 	} {
 		withAPIFront(t, served, func(fx *frontFixture) {
 			if status, _, data := fx.do("POST", "/trails/_search"+tc.params, tc.body, nil); status != 400 {
-				t.Errorf("%s %s: %d %s", tc.params, tc.body, status, data)
+				t.Errorf("%s %s: status %d, answer %s; want status 400", tc.params, tc.body, status, data)
 			}
 			if seen := fx.fleet.Received(); len(seen) > 0 {
-				t.Errorf("%s %s: replicas were sent %q", tc.params, tc.body, seen)
+				t.Errorf("%s %s: replicas received %q, want nothing", tc.params, tc.body, seen)
 			}
 			if status, _, data := fx.do("GET", "/trails/_search?from=9990", "", nil); status != 200 {
-				t.Errorf("the largest page: %d %s", status, data)
+				t.Errorf("largest page: status %d, answer %s; want status 200", status, data)
 			}
 		})
 	}
