--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -1,19 +1,19 @@
-// Package logmsg holds the log messages and keys that more than one package goes by: those that a coordinator writes
-// and the tests' and operators' tools read. A message is one event, its noun first; a key is a noun, with its unit
-// where the value has none of its own.
+// Package logmsg holds the log messages and keys that more than one package uses: a coordinator writes them, and the
+// tools of tests and operators read them. A message names one event, noun first. A key is a noun, with a unit if the
+// value has none of its own.
 package logmsg
 
-// Messages about single queries and attempts. They are written at debug level, QueryEnded at info level where the query
-// failed or was late.
+// Messages about single queries and attempts. They are written at debug level, except that QueryEnded is written at
+// info level if the query failed or was late.
 const (
 	AttemptEnded    = "attempt ended"
 	AttemptWithheld = "attempt withheld"
 	ClientLeft      = "client left"
-	HandlerPanicked = "handler panicked" // at error level, with the stack: its request ended with 500
+	HandlerPanicked = "handler panicked" // at error level, with the stack; the request is answered with 500
 	QueryEnded      = "query ended"
 )
 
-// Messages about what a coordinator learns and opens, at debug level.
+// Messages about endpoint updates, connections, polls and settings of a coordinator, at debug level.
 const (
 	EndpointUpdated  = "endpoint updated"
 	ConnectionOpened = "connection opened"
@@ -25,9 +25,9 @@
 const (
 	VersionInForce = "version in force"
 
-	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired: queries are served again
-	EndpointListExpired   = "endpoint list expired"           // nothing new is sent until discovery confirms it
-	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas were taken out: queries are refused
+	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired; queries are served again
+	EndpointListExpired   = "endpoint list expired"           // it gets no new attempts until discovery confirms it
+	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas in maintenance; queries are refused
 )
 
 // Messages about the source of a resource that a reader follows.
@@ -38,7 +38,7 @@
 
 // Messages about replicas that offer the API.
 const (
-	ClassWithoutIndex = "class without index" // no query of the class is sent to such replicas
+	ClassWithoutIndex = "class without index" // the replicas have no index for a class and get none of its queries
 )
 
 // Messages about overload.
@@ -46,7 +46,7 @@
 	OverloadLevelChanged = "overload level changed"
 )
 
-// Messages about a coordinator's life, from the first listener to the end.
+// Messages about the lifecycle of a coordinator, from the first listener to the stop.
 const (
 	ListenerOpened        = "listener opened"
 	PhaseChanged          = "phase changed"
@@ -59,7 +59,7 @@
 	CoordinatorStopped    = "coordinator stopped"
 )
 
-// Messages about endpoint lists and settings that relays or another process give out.
+// Messages about endpoint lists and settings that a coordinator receives from relays or from another process.
 const (
 	EndpointListInForce   = "endpoint list in force"
 	EndpointListTakenOver = "endpoint list taken over"
@@ -98,10 +98,10 @@
 	KeyTimeLeft        = "time_left" // until the client's deadline
 	KeyParts           = "parts"
 	KeyPartsServed     = "parts_served"
-	KeyAttempts        = "attempts" // how many attempts the query had
+	KeyAttempts        = "attempts" // number of attempts of the query
 	KeyLinesSuppressed = "lines_suppressed"
 	KeyShard           = "shard"
-	KeyAttempt         = "attempt" // number of the attempt among its part's, from 0
+	KeyAttempt         = "attempt" // number of the attempt within its part, from 0
 	KeyOutcome         = "outcome"
 )
 
@@ -121,12 +121,12 @@
 const (
 	KeyReason = "reason"
 	KeyError  = "err"
-	KeyRemedy = "remedy" // what an operator can do about it
-	KeyChange = "change" // one difference that new settings make
+	KeyRemedy = "remedy" // what an operator can do about the event
+	KeyChange = "change" // one difference between old and new settings
 )
 
-// Values of KeyState, KeyStatus and KeyOutcome that readers compare with. Counters are named after statuses and
-// outcomes, and their names are wire: these values stay.
+// Values of KeyState, KeyStatus and KeyOutcome that log readers compare with. The names of counters contain statuses
+// and outcomes and are part of an external interface, so these values must not change.
 const (
 	StateReady     = "ready"
 	StatusServed   = "served"
