--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -9,10 +9,10 @@
 	"harepass/internal/socket"
 )
 
-// Dialer opens a connection to an address; nil opens one by plain TCP.
+// Dialer opens a connection to an address. A nil Dialer uses plain TCP.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Connect opens a connection, by plain TCP if d is nil.
+// Connect opens a connection with d, or by plain TCP if d is nil.
 func (d Dialer) Connect(ctx context.Context, address string) (net.Conn, error) {
 	if d != nil {
 		return d(ctx, address)
@@ -20,28 +20,29 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 }
 
-// longAgo is a deadline that ends a read or write at once.
+// longAgo is a deadline in the past, which ends a read or write at once.
 var longAgo = time.Unix(1, 0)
 
-// Client is one connection to a server, for one request and one goroutine at a time; any goroutine may call Abort. It
-// dials when it has to. Its exported fields are set before the first call.
+// Client sends requests to one server over one connection, one request at a time. Only one goroutine at a time may use
+// it, but any goroutine may call Abort. It opens the connection when a request needs one. Its exported fields must be
+// set before the first call.
 type Client struct {
-	// Address is the server's, as Dial takes it.
+	// Address is the server's address in the form that Dial expects.
 	Address string
 	// Limits bound the answers.
 	Limits Limits
 	// Dial opens the connection; nil for plain TCP.
 	Dial Dialer
 
-	conn   net.Conn                 // nil while there is none
-	reader *Reader                  // of conn
+	conn   net.Conn                 // nil while there is no connection
+	reader *Reader                  // parses the answers on conn
 	opened atomic.Pointer[net.Conn] // the connection that was opened last, for Abort; nil before the first
 }
 
-// Do sends a request and returns its answer. written reports whether the request's last byte was written: if not, the
-// server cannot have handled it. When ctx ends, so does the call. The error is that of the connection, or an *Error
-// for an answer that cannot be read. After an error the connection is closed, and so it is where more bytes have come
-// than the answer: they would be taken for the next one.
+// Do sends a request and returns its answer. written reports whether the whole request was written; if not, the server
+// cannot have handled it. The end of ctx ends the call. The error is an error of the connection, or an *Error for an
+// invalid answer. Do closes the connection after an error, after an answer with Close, when ctx has ended, and when
+// bytes follow the answer, because the next call would read them as its answer.
 func (cl *Client) Do(ctx context.Context, req *Message) (answer *Message, written bool, err error) {
 	if cl.conn == nil {
 		if err := cl.Connect(ctx); err != nil {
@@ -65,7 +66,7 @@
 	}
 }
 
-// Connect opens the connection. The error is that of dialling.
+// Connect opens the connection. The error is the one that Dial returned.
 func (cl *Client) Connect(ctx context.Context) error {
 	c, err := cl.Dial.Connect(ctx, cl.Address)
 	if err == nil {
@@ -75,17 +76,18 @@
 	return err
 }
 
-// Abort closes the connection before it returns, also while another goroutine is in Do, which then ends with an error.
+// Abort closes the connection before it returns. If another goroutine is in Do, that call ends with an error.
 func (cl *Client) Abort() {
 	if c := cl.opened.Load(); c != nil {
 		(*c).Close()
 	}
 }
 
-// Alive reports whether the idle connection may be used: nothing has come on it, not even its end.
+// Alive reports whether the idle connection can be used for a request: it is open, and neither bytes nor an end of
+// stream nor an error wait to be read from it.
 func (cl *Client) Alive() bool { return cl.conn != nil && !socket.HasUnread(cl.conn) }
 
-// Close closes the connection; the next Do opens a new one.
+// Close closes the connection. The next Do opens a new one.
 func (cl *Client) Close() {
 	if cl.conn != nil {
 		cl.conn.Close()
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -9,51 +9,52 @@
 )
 
 const (
-	// firstRequestTimeout is the time from the accepting of a connection to the first byte of its first request.
+	// firstRequestTimeout bounds the time from accepting a connection to the first byte of its first request.
 	firstRequestTimeout = 2200 * time.Millisecond
-	// requestTimeout is the time from a request's first byte to its last; for a connection's first request it runs from
-	// the accepting.
+	// requestTimeout bounds the time from a request's first byte to its last. For the first request of a connection it
+	// runs from accepting the connection.
 	requestTimeout = 2500 * time.Millisecond
-	// keepAliveTimeout is how long a connection may be idle between two requests. It is long, so that a close seldom
-	// crosses a request; MaxIdle bounds how many are idle.
+	// keepAliveTimeout bounds how long a connection may be idle between two requests. It is long, so that the server
+	// rarely closes a connection while a request is on the way; MaxIdle bounds the number of idle connections.
 	keepAliveTimeout = time.Minute
-	// lateReadGrace is the time in which bytes are read that came before a deadline. A process that was held up finds
-	// its deadline over although they came in time.
+	// lateReadGrace is the time allowed after a deadline for reading bytes that arrived before it. A process that was
+	// suspended or starved of CPU sees an expired deadline although the bytes arrived in time.
 	lateReadGrace = 50 * time.Millisecond
 )
 
-// connState is how far a connection is. It moves forward only, under the server's lock: so a request is either read
-// before the decision to close, and answered, or not read at all.
+// connState is the state of a connection. It only moves forward, under the server's lock, so that a request is either
+// read before the server decides to close the connection, and answered, or not read at all.
 type connState int
 
 const (
-	connOpen    connState = iota // requests are read
-	connClosing                  // our side is shut; what still comes is discarded
+	connOpen    connState = iota // the server reads requests
+	connClosing                  // the server has shut its sending side, and discards the bytes that still arrive
 	connClosed                   // the socket is closed
 )
 
-// conn is a connection of a server. Its fields below Conn and server are under the server's lock; acceptedAt does not
-// change once the connection is served.
+// conn is a connection of a server. The server's lock guards all fields except Conn and server; acceptedAt does not
+// change after the goroutines of the connection have started.
 type conn struct {
 	net.Conn
 	server *Server
 
 	state       connState
 	acceptedAt  time.Time
-	closeReason *counters.Counter // of whoever has asked the reader to close it; nil for nobody
-	idleElement *list.Element     // its place among the server's idle connections; nil where it is not among them
+	closeReason *counters.Counter // the reason of a close requested by requestClose; nil for none
+	idleElement *list.Element     // the connection's element in the server's idle list; nil if it is not listed
 
-	openRequests     int       // requests between their first byte and their answer
+	openRequests     int       // requests whose first byte was read and that are not answered
 	completeRequests int       // those of openRequests that were read completely
-	used             bool      // some request was read completely
-	lastActivity     time.Time // when it was accepted, last became idle, or began a request
+	used             bool      // at least one request was read completely
+	lastActivity     time.Time // when the connection was accepted, last became idle, or last began a request
 
-	queuedBytes int  // size of the requests that wait behind the one that is being answered
-	overflowed  bool // more came than may wait there: the next answer is the last one
+	queuedBytes int  // size of the requests that wait behind the one being answered
+	overflowed  bool // more requests arrived than may wait: the next answer is the last one
 }
 
-// requestBegan notes a request's first byte, and sets the deadline for its last. False means that the connection is
-// being closed: the request is not read, and its client sends it again on another connection.
+// requestBegan records that a request's first byte was read, and sets the deadline for its last byte. It returns false
+// if the connection is being closed: the server then ignores the request, and the client sends it again on another
+// connection.
 func (c *conn) requestBegan() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -71,8 +72,9 @@
 	return true
 }
 
-// requestDeadline returns when the request that begins now has to be complete. The first byte of a connection's first
-// request may have been read late; what came with it is read all the same.
+// requestDeadline returns the time by which the request that begins now must be complete. The process may have read the
+// first byte of a connection's first request late; the deadline is at least lateReadGrace away, so that the bytes that
+// arrived with it are read as well.
 func (c *conn) requestDeadline() time.Time {
 	if c.used {
 		return c.lastActivity.Add(requestTimeout)
@@ -84,8 +86,8 @@
 	return deadline
 }
 
-// requestRead notes that a request was read completely. No deadline holds then until the next one begins. False means
-// that the connection is being closed, as with requestBegan.
+// requestRead records that a request was read completely, and clears the read deadline until the next request begins.
+// It returns false if the connection is being closed, as requestBegan does.
 func (c *conn) requestRead() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -98,7 +100,8 @@
 	return true
 }
 
-// requestAnswered notes a request's answer. Without another one the connection is idle, or closed at a shutdown.
+// requestAnswered records that a request was answered. If no other request is open, the connection becomes idle, or is
+// closed during a shutdown.
 func (c *conn) requestAnswered() {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -111,7 +114,7 @@
 	if c.state != connOpen {
 		return
 	}
-	if c.server.shuttingDown { // it was being answered when the idle ones were closed
+	if c.server.shuttingDown { // Shutdown closed only the connections that were idle when it began
 		c.beginClose(closedLastAnswer)
 		return
 	}
@@ -121,7 +124,8 @@
 	c.server.evictSurplusIdle()
 }
 
-// setIdle enters the connection among the server's idle ones, or takes it out. It is called under the lock.
+// setIdle adds the connection to the server's idle list, or removes it. Only a served connection that has brought a
+// request is added. The caller holds the server's lock.
 func (c *conn) setIdle(idle bool) {
 	if c.idleElement != nil {
 		c.server.idle.Remove(c.idleElement)
--- a/internal/http1/conn_answer.go
+++ b/internal/http1/conn_answer.go
@@ -7,11 +7,11 @@
 	"harepass/internal/counters"
 )
 
-// writeTimeout is the time in which a client has to take an answer.
+// writeTimeout bounds the time of writing an answer, in case the client reads it slowly or not at all.
 const writeTimeout = 3 * time.Second
 
-// serve answers the requests of a connection one by one, while a second goroutine reads them. It returns once the
-// connection is closed and the reader has ended.
+// serve answers the requests of a connection one by one, while a second goroutine reads them. It returns after that
+// goroutine has ended and the connection is closed.
 func (c *conn) serve() {
 	results, clientLeft := make(chan readResult, maxPipelined), make(chan struct{})
 	answered, readerEnded := make(chan struct{}), make(chan struct{})
@@ -28,13 +28,13 @@
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	c.finishClose()
-	if c.openRequests > 0 { // the connection ended before the answer
+	if c.openRequests > 0 { // the connection ended before all requests were answered
 		c.server.busyConns--
 	}
 }
 
-// answerRequests answers until an answer is the last one or the reading has ended, and returns why the connection ends;
-// nil where its close has begun already.
+// answerRequests answers queued requests until an answer is the last one or reading has ended. It returns the reason of
+// the close, or nil if the close has already begun.
 func (c *conn) answerRequests(results <-chan readResult, clientLeft <-chan struct{}) (reason *counters.Counter) {
 	for {
 		r := <-results
@@ -56,8 +56,8 @@
 	}
 }
 
-// answerReadError answers a request that could not be read, and returns why the connection ends; nil where its close
-// has begun already.
+// answerReadError handles the error that ended reading. It answers a request that was invalid or took too long, and
+// returns the reason of the close, or nil if the close has already begun.
 func (c *conn) answerReadError(err error) (reason *counters.Counter) {
 	var fault *Error
 	switch {
@@ -72,8 +72,8 @@
 	return closedByClient
 }
 
-// writeAnswer writes an answer, and reports whether the client's system has taken all of it. It sets Close for the last
-// answer of a connection that is drained or overflowed.
+// writeAnswer writes an answer, and reports whether the socket accepted all of it within writeTimeout. It sets Close if
+// the server is draining or if the connection has overflowed, because the answer is then the connection's last.
 func (c *conn) writeAnswer(answer *Message) bool {
 	c.server.mu.Lock()
 	answer.Close = answer.Close || c.server.draining || c.overflowed
--- a/internal/http1/conn_close.go
+++ b/internal/http1/conn_close.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// lingerTimeout is the time in which a client that is still sending may notice the end of its connection.
+	// lingerTimeout is the time that a client that is still sending has to notice the end of its connection.
 	lingerTimeout = 400 * time.Millisecond
-	// maxLingerBytes bounds what is read of such a client.
+	// maxLingerBytes bounds the bytes that discard reads from such a client.
 	maxLingerBytes = 1 << 20
 )
 
-// errClosing is why a connection is not read any more once its close has begun.
+// errClosing ends the reading of requests on a connection whose close has begun.
 var errClosing = errors.New("http1: the connection is being closed")
 
-// requestClose has the reader close an idle connection if it finds no request. Only the reader knows whether one has
-// come: its bytes may still be in the socket, or be read and not yet announced by requestBegan. It is called under the
-// lock.
+// requestClose asks the reader to close an idle connection unless a request has arrived. Only the reader can tell: the
+// request's bytes may still be in the socket, or the reader may have read them without having called requestBegan yet.
+// The caller holds the server's lock.
 func (c *conn) requestClose(reason *counters.Counter) {
 	if c.state != connOpen || c.openRequests > 0 {
 		return
@@ -31,8 +31,8 @@
 	c.SetReadDeadline(time.Now())
 }
 
-// closeIdle closes a connection on which no request came until its deadline. It is called by the reader, under the
-// lock.
+// closeIdle closes a connection on which no request arrived before the read deadline. The reader calls it, and holds
+// the server's lock.
 func (c *conn) closeIdle() {
 	switch {
 	case c.closeReason != nil:
@@ -44,9 +44,10 @@
 	}
 }
 
-// beginClose shuts our side of an open connection; the reader discards what still comes, for a bounded time. A socket
-// that is closed over unread bytes sends a reset, which destroys an answer on its way to the client: the client sees a
-// broken connection after its request was handled. With all bytes read there is no reset. It is called under the lock.
+// beginClose shuts the server's sending side of an open connection. The reader then discards the bytes that still
+// arrive, for up to lingerTimeout. Closing a socket that holds unread bytes would send a reset, which destroys an
+// answer on its way to the client: the client would see a broken connection after its request was handled. The caller
+// holds the server's lock.
 func (c *conn) beginClose(reason *counters.Counter) {
 	if c.state != connOpen {
 		return
@@ -63,7 +64,7 @@
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// finishClose closes the socket. It is called under the lock.
+// finishClose closes the socket, and removes the connection from the server. The caller holds the server's lock.
 func (c *conn) finishClose() {
 	if c.state == connClosed {
 		return
@@ -74,16 +75,16 @@
 	c.server.evicted = slices.DeleteFunc(c.server.evicted, func(o *conn) bool { return o == c })
 }
 
-// isClosing reports whether the connection's close has begun.
+// isClosing reports whether the close of the connection has begun or finished.
 func (c *conn) isClosing() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.state != connOpen
 }
 
-// discard reads what the client still sends, up to maxLingerBytes and until the present deadline. It reports whether
-// the client has left: the reading ended before the limit, and not by the deadline. A close of our own
-// socket counts as leaving too.
+// discard reads and drops the bytes that the client still sends, up to maxLingerBytes and until the current read
+// deadline. It reports whether the client has left, which is so if reading ended before that limit and not by the
+// deadline. It also reports true if the server has closed the socket itself.
 func (c *conn) discard() (left bool) {
 	n, err := io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 	if n > 0 {
--- a/internal/http1/conn_read.go
+++ b/internal/http1/conn_read.go
@@ -8,8 +8,8 @@
 	"harepass/internal/socket"
 )
 
-// maxPipelined is how many requests may wait behind the one that is being answered. Their size together is bounded by
-// one body more.
+// maxPipelined is the number of requests that may wait behind the one being answered. Their total size is bounded by
+// the limit of one body, except that a single request may always wait.
 const maxPipelined = 16
 
 // readResult is a request, or the error that ended the reading.
@@ -18,7 +18,7 @@
 	err error
 }
 
-// size is what a request holds while it waits, in bytes.
+// size returns the memory in bytes that a request's target and body take while it waits.
 func (r readResult) size() int {
 	if r.req == nil {
 		return 0
@@ -26,9 +26,9 @@
 	return len(r.req.Target) + len(r.req.Body)
 }
 
-// readRequests reads requests until the connection ends, and closes clientLeft if its client has ended it. It goes on
-// while a request is answered, for only so a client that leaves is noticed. It returns once answered is closed and what
-// the client still sends after that is discarded.
+// readRequests reads requests until the connection ends, and closes clientLeft if the client ended it. It keeps reading
+// while a request is being answered, because reading is the only way to notice that the client leaves. It returns after
+// answered was closed and the bytes that the client sent after that were discarded.
 func (c *conn) readRequests(results chan<- readResult, clientLeft chan<- struct{}, answered <-chan struct{}) {
 	if c.queueRequests(results) {
 		close(clientLeft)
@@ -37,8 +37,8 @@
 	c.discard()
 }
 
-// queueRequests hands requests on until the reading ends, or until there are more than may wait; then it discards the
-// rest. It reports whether the client has left.
+// queueRequests reads requests and queues them for answering until reading ends. If more arrive than may wait, it
+// discards all further bytes. It reports whether the client has left.
 func (c *conn) queueRequests(results chan<- readResult) (clientHasLeft bool) {
 	r := NewRequestReader(c.server.Limits)
 	for {
@@ -55,19 +55,19 @@
 	}
 }
 
-// endsByClient reports whether a reading error says that the client has left: it is no fault in a request, no deadline,
-// and no close of our own.
+// endsByClient reports whether a read error means that the client has left, because the error is neither a fault in a
+// request nor an expired deadline nor the server's own close.
 func endsByClient(err error) bool {
 	var fault *Error
 	return err != nil && !errors.Is(err, errClosing) && !errors.Is(err, os.ErrDeadlineExceeded) &&
 		!errors.As(err, &fault)
 }
 
-// readRequest reads one request. The error is errClosing, an *Error for a request that cannot be read or took too long,
-// or that of the connection.
+// readRequest reads one request. The error is errClosing, an *Error for a request that is invalid or took too long, or
+// an error of the connection.
 func (c *conn) readRequest(r *Reader) (*Message, error) {
-	w := &beginningReader{conn: c}
-	if !r.Idle() && !w.requestBegan() { // it was pipelined behind the last one
+	w := &firstByteReader{conn: c}
+	if !r.Idle() && !w.requestBegan() { // a pipelined request has begun: its first bytes came with the previous one
 		return nil, errClosing
 	}
 	req, err := r.Read(w)
@@ -88,10 +88,11 @@
 	return req, err
 }
 
-// extendDeadline reports whether the reading goes on after a deadline. A process that was held up (SIGSTOP, a starved
-// core) finds the deadline over although a request came in time; to close then would lose the request, and the client
-// would see a reset. So the socket is asked once more: bytes that are in it are read, however late this process is.
-// Without any, an idle connection is closed.
+// extendDeadline reports whether reading continues after the read deadline expired. A process that was suspended
+// (SIGSTOP) or starved of CPU finds the deadline expired although a request arrived in time. Closing the connection
+// then would lose the request, and the client would see a reset. extendDeadline therefore checks the socket for unread
+// bytes, and sets a new deadline after lateReadGrace if there are any, however late the process is. Otherwise it closes
+// an idle connection.
 func (c *conn) extendDeadline(idle bool) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -107,9 +108,9 @@
 	return false
 }
 
-// enqueue hands a request on to be answered, and reports whether there was capacity for it to wait. Once there was
-// none, there is none for the rest of the connection. The send under the lock never blocks: the reader, its caller, is
-// the only sender, and there is space in the channel, which receiving can only add to.
+// enqueue queues a request or a read error for answering, and reports whether the queue had capacity for it. After the
+// first one without capacity, it rejects all others on the connection. The send under the lock never blocks: the
+// connection's reader, which calls enqueue, is the only sender, and the channel has free space, which can only grow.
 func (c *conn) enqueue(results chan<- readResult, r readResult) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -124,20 +125,20 @@
 	return true
 }
 
-// beginningReader reads from a connection and notes a request's first byte, which may be that of an empty line before
-// it.
-type beginningReader struct {
+// firstByteReader reads one request from a connection, and calls conn.requestBegan at the first byte. That byte may
+// belong to an empty line before the request.
+type firstByteReader struct {
 	conn  *conn
-	begun bool
+	begun bool // requestBegan was called
 }
 
-func (w *beginningReader) requestBegan() bool {
+func (w *firstByteReader) requestBegan() bool {
 	w.begun = true
 	return w.conn.requestBegan()
 }
 
-// Read implements io.Reader. The error is errClosing where a request begins while the connection is being closed.
-func (w *beginningReader) Read(p []byte) (int, error) {
+// Read implements io.Reader. The error is errClosing if the first byte arrives while the connection is being closed.
+func (w *firstByteReader) Read(p []byte) (int, error) {
 	n, err := w.conn.Conn.Read(p)
 	if n > 0 && !w.begun && !w.requestBegan() {
 		return 0, errClosing
--- a/internal/http1/eviction.go
+++ b/internal/http1/eviction.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	// stalledAfter is the time without a complete request after which a connection goes before all others when one
-	// has to make way.
+	// stalledAfter is the time without a complete request after which a connection is evicted before all others.
 	stalledAfter = 500 * time.Millisecond
-	// newConnGrace is the time in which a new connection is not evicted: its first byte may be on the way.
+	// newConnGrace protects a new connection from eviction, because its first byte may be on the way.
 	newConnGrace = 50 * time.Millisecond
 )
 
-// evictionRank orders connections that may be evicted; lower ones go first.
+// evictionRank orders connections that may be evicted. Those with the lowest rank are evicted first.
 type evictionRank int
 
 const (
-	rankStalled evictionRank = iota // for long without a complete request, or without any
-	rankIdle                        // used, and idle
-	rankNew                         // no request has come yet
+	rankStalled evictionRank = iota // no first request, or an incomplete request, for at least stalledAfter
+	rankIdle                        // idle after a request
+	rankNew                         // no request has begun, for less than stalledAfter
 )
 
-// capacity returns how many connections there may be now. It is called under the lock.
+// capacity returns the present limit on connections. The caller holds the server's lock.
 func (s *Server) capacity() int {
 	switch {
 	case s.MaxConns == 0:
@@ -37,19 +36,19 @@
 	return min(s.MaxConns, s.Capacity())
 }
 
-// connCount returns how many connections there are. Evicted ones count until they are closed, so the bound on
-// descriptors holds. It is called under the lock.
+// connCount returns the number of connections. Evicted ones count until their sockets are closed, so that the bound on
+// descriptors holds. The caller holds the server's lock.
 func (s *Server) connCount() int { return len(s.conns) + len(s.evicted) }
 
-// canAcceptNone reports whether there is no capacity for another connection, and none could be evicted for it.
+// canAcceptNone reports whether there is no capacity for another connection and none can be evicted for it.
 func (s *Server) canAcceptNone() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connCount() >= s.capacity() && len(s.evicted) == 0 && s.evictionCandidate() == nil
 }
 
-// makeCapacity reports whether there is capacity for one more connection, and else has one evicted. Its caller asks
-// again until there is.
+// makeCapacity reports whether there is capacity for one more connection, and begins an eviction if there is none. The
+// caller calls it again until it returns true.
 func (s *Server) makeCapacity() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,15 +59,15 @@
 	return false
 }
 
-// hasCapacity reports whether there is capacity for one more connection, as there always is in a shutdown. Connections
-// whose close has begun do not count. It is called under the lock.
+// hasCapacity reports whether there is capacity for one more connection. During a shutdown there always is. Connections
+// whose close has begun do not count. The caller holds the server's lock.
 func (s *Server) hasCapacity() bool {
-	return len(s.conns)+s.undecidedEvictions() < s.capacity() || s.shuttingDown
+	return len(s.conns)+s.pendingEvictions() < s.capacity() || s.shuttingDown
 }
 
-// evictOne evicts a connection, unless the eviction of another one is undecided. It is called under the lock.
+// evictOne evicts a connection, unless the eviction of another one is pending. The caller holds the server's lock.
 func (s *Server) evictOne() {
-	if s.undecidedEvictions() > 0 {
+	if s.pendingEvictions() > 0 {
 		return
 	}
 	if candidate := s.evictionCandidate(); candidate != nil {
@@ -76,9 +75,10 @@
 	}
 }
 
-// undecidedEvictions returns how many evicted connections are open yet: their readers will close them, or have read a
-// request and keep them, and then another one has to go. It is called under the lock.
-func (s *Server) undecidedEvictions() (n int) {
+// pendingEvictions returns the number of evicted connections that are still open. The reader of such a connection
+// either closes it, or has read a request and cancels the eviction, so that another connection must be evicted instead.
+// The caller holds the server's lock.
+func (s *Server) pendingEvictions() (n int) {
 	for _, c := range s.evicted {
 		if c.state == connOpen {
 			n++
@@ -87,8 +87,8 @@
 	return n
 }
 
-// EvictExcess evicts connections at once as far as there are more than the present capacity. It is for a caller whose
-// Capacity has fallen.
+// EvictExcess evicts connections at once until no more than the present capacity are left, or no other may be evicted.
+// It is for callers whose Capacity has fallen.
 func (s *Server) EvictExcess() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,16 +102,17 @@
 	s.cutLingering(s.capacity())
 }
 
-// evictSurplusIdle evicts the connection that has been idle for longest, where more than MaxIdle are. Clients that ask
-// once and stay would else hold so many that none is left for new ones. It is called under the lock.
+// evictSurplusIdle evicts the connection that has been idle for the longest time if more than MaxIdle are idle.
+// Otherwise clients that send one request and stay connected could leave no capacity for new connections. The caller
+// holds the server's lock.
 func (s *Server) evictSurplusIdle() {
 	if s.MaxIdle > 0 && s.idle.Len() > s.MaxIdle {
 		s.evict(s.idle.Front().Value.(*conn), closedSurplus)
 	}
 }
 
-// evictionCandidate returns the connection that makes way first: the lowest rank, and in it the longest without
-// activity; nil where none may. It is called under the lock.
+// evictionCandidate returns the connection to evict next: the one without activity for the longest time among those of
+// the lowest rank. It returns nil if no connection may be evicted. The caller holds the server's lock.
 func (s *Server) evictionCandidate() (candidate *conn) {
 	var lowest evictionRank
 	for c := range s.conns {
@@ -126,9 +127,9 @@
 	return candidate
 }
 
-// evictionRank returns a connection's rank, and whether it may be evicted. One with a complete request may not, nor
-// one whose request is coming in or may be on the way: a flood of connections displaces itself. It is called under
-// the lock.
+// evictionRank returns a connection's rank, and whether it may be evicted. A connection may not be evicted while it has
+// a complete request, nor while a request is being received or may be on the way. Clients that flood the server with
+// connections therefore displace only each other. The caller holds the server's lock.
 func (c *conn) evictionRank() (rank evictionRank, evictable bool) {
 	waited := time.Since(c.lastActivity)
 	switch {
@@ -146,10 +147,11 @@
 	return rankIdle, true
 }
 
-// evict has a connection make way. It is called under the lock.
+// evict removes a connection from those that are served, and closes it, or asks its reader to close it if it is idle.
+// The caller holds the server's lock.
 func (s *Server) evict(c *conn, reason *counters.Counter) {
 	s.remove(c)
-	if c.openRequests > 0 { // part of a request, which has stalled
+	if c.openRequests > 0 { // an incomplete request, which has stalled
 		c.beginClose(reason)
 	} else {
 		c.requestClose(reason)
@@ -159,7 +161,7 @@
 	}
 }
 
-// cancelEviction keeps an evicted connection on which a request has come. It is called under the lock.
+// cancelEviction restores an evicted connection on which a request has arrived. The caller holds the server's lock.
 func (s *Server) cancelEviction(c *conn) {
 	if i := slices.Index(s.evicted, c); i >= 0 {
 		s.evicted = slices.Delete(s.evicted, i, i+1)
@@ -167,8 +169,8 @@
 	}
 }
 
-// cutLingering closes the sockets of evicted connections that linger in the state closing, the oldest eviction first,
-// while there are more than limit connections. It is called under the lock.
+// cutLingering closes the sockets of evicted connections that are still in the state closing, while there are more than
+// limit connections. It begins with the oldest eviction. The caller holds the server's lock.
 func (s *Server) cutLingering(limit int) {
 	for _, c := range slices.Clone(s.evicted) {
 		if s.connCount() <= limit {
--- a/internal/http1/handler_panic.go
+++ b/internal/http1/handler_panic.go
@@ -8,12 +8,13 @@
 	"harepass/internal/logmsg"
 )
 
-// A panic in a handler is that of one request: the handler's goroutine holds no lock that others need, and what it has
-// changed is the request's own. The request ends with 500, its connection after that, and the process goes on. A panic
-// anywhere else ends the process, for its state cannot be trusted any more: in the coordinator's goroutine, in those of
-// connections, and in what handlers call under a lock, whose owner has to see to that (loadshed.Shedder).
+// A panic in a handler affects one request only: the handler's goroutine holds no lock that other goroutines need, and
+// has changed only the state of its request. The request is answered with 500, its connection ends after that, and the
+// process continues. Any other panic ends the process, because its state can no longer be trusted: a panic in the
+// coordinator's goroutine, in the goroutines of connections, or in code that handlers call under a lock. The owner of
+// such a lock must ensure that (loadshed.Shedder does).
 
-// callHandler returns the handler's answer to a request, or 500 where the handler panics.
+// callHandler returns the handler's answer to a request, or an answer with status 500 if the handler panics.
 func (c *conn) callHandler(req *Message, clientLeft <-chan struct{}) (answer *Message) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -9,39 +9,39 @@
 	"harepass/internal/socket"
 )
 
-// Limits bound what a peer may send, in bytes.
+// Limits bound the size in bytes of the messages that a peer may send.
 type Limits struct {
-	// Head bounds the start line with the header fields, and the trailer of a body in chunks.
+	// Head bounds the start line and header fields together, and separately the trailer of a body in chunks.
 	Head int
 	// Body bounds the body.
 	Body int
 }
 
-// DefaultLimits are those of the platform's protocol.
+// DefaultLimits are the limits of the platform's protocol.
 var DefaultLimits = Limits{Head: 16 << 10, Body: 64 << 10}
 
 // Message is a request or an answer.
 type Message struct {
-	// Method is a request's method; empty for an answer.
+	// Method is the method of a request; empty for an answer.
 	Method string
-	// Target is a request's target; empty for an answer.
+	// Target is the target of a request; empty for an answer.
 	Target string
-	// Status is an answer's status code; 0 for a request.
+	// Status is the status code of an answer; 0 for a request.
 	Status int
-	// Header are the header fields, by their canonical names.
+	// Header holds the header fields by canonical name.
 	Header textproto.MIMEHeader
 	// Body is the complete body.
 	Body []byte
-	// Close says that the connection ends after this message.
+	// Close reports that the sender ends the connection after this message.
 	Close bool
 
-	client   net.Conn  // the connection that a request came on; nil for other messages
-	readAt   time.Time // when a request was read completely; zero for other messages
-	omitBody bool      // it answers a HEAD: the length is told, the body left out
+	client   net.Conn  // the connection on which the server read this request; nil for other messages
+	readAt   time.Time // when the server had read this request completely; zero for other messages
+	omitBody bool      // the message answers a HEAD request: it states the body's length without the body
 }
 
-// QueuedFor returns the time since a request was read completely; 0 for other messages. A pipelined request waits for
-// the answers before its own.
+// QueuedFor returns the time since the server read this request completely; 0 for other messages. A pipelined request
+// waits until the requests before it are answered.
 func (m *Message) QueuedFor() time.Duration {
 	if m.readAt.IsZero() {
 		return 0
@@ -49,12 +49,12 @@
 	return time.Since(m.readAt)
 }
 
-// ClientLeft asks the system whether the client that sent a request has closed its side since. It does not wait for the
-// goroutine that reads the connection, which may not have been scheduled yet.
+// ClientLeft reports whether the client that sent this request has closed its side of the connection since. It asks the
+// kernel, because the goroutine that reads the connection may not have been scheduled yet.
 func (m *Message) ClientLeft() bool { return m.client != nil && socket.PeerClosed(m.client) }
 
-// Append appends a request or an answer to b, and returns it. All but a GET request state their length, also where it
-// is 0; the Body of a GET has to be empty. Header fields come in no fixed order.
+// Append appends the encoded message to b and returns the extended slice. Every message except a GET request states its
+// length, even a length of 0; the Body of a GET request must be empty. The order of the header fields is not fixed.
 func (m *Message) Append(b []byte) []byte {
 	if m.Method != "" {
 		b = fmt.Appendf(b, "%s %s HTTP/1.1\r\n", m.Method, m.Target)
@@ -79,16 +79,16 @@
 	return append(b, m.Body...)
 }
 
-// Error is a fault in what a peer sent.
+// Error is a fault in a message that a peer sent.
 type Error struct {
-	Status int    // the status code that answers it
-	Text   string // what is wrong
+	Status int    // the status code of the answer to the message
+	Text   string // what is wrong with the message
 }
 
-// Error returns the text after the package's name.
+// Error returns Text with the package name as prefix.
 func (e *Error) Error() string { return "http1: " + e.Text }
 
-// malformed returns an Error for a message that cannot be read.
+// malformed returns an *Error with status 400 for a message that does not follow the syntax.
 func malformed(format string, args ...any) error {
 	return &Error{StatusBadRequest, fmt.Sprintf(format, args...)}
 }
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -7,14 +7,14 @@
 	"harepass/internal/buffer"
 )
 
-// readerState is how far a Reader is into a message.
+// readerState is the part of a message that a Reader parses next.
 type readerState int
 
 const (
 	inHead    readerState = iota // start line and header fields
 	inBody                       // a body of known length
-	inSize                       // the line before a chunk
-	inChunk                      // a chunk and its line end
+	inSize                       // the line with a chunk's size
+	inChunk                      // a chunk and the line end after it
 	inTrailer                    // the lines after the last chunk
 	untilEnd                     // a body that ends with the connection
 )
@@ -22,19 +22,19 @@
 // crlf ends every line.
 const crlf = "\r\n"
 
-// Reader reads the messages of one connection. It is a state machine: Parse goes as far as the bytes at hand allow, in
-// whatever pieces they come. After an error it is not to be used.
+// Reader reads the messages of one connection. It is a state machine: Parse advances as far as the received bytes
+// allow, however they are split across reads. A Reader must not be used after it has returned an error.
 type Reader struct {
-	// Buffer holds the bytes that have come and are not parsed yet.
+	// Buffer holds the received bytes that are not parsed yet.
 	Buffer buffer.Buffer
 
 	limits        Limits
-	readsAnswers  bool // it reads answers rather than requests
+	readsAnswers  bool // the messages are answers; false for requests
 	state         readerState
-	msg           *Message // the message under way; nil until its head is complete
-	bytesSearched int      // first bytes of Buffer that were searched, and hold no line end
-	remaining     int      // bytes of the body or chunk that have not come
-	trailerBytes  int      // size of the trailer's lines so far
+	msg           *Message // the message being parsed; nil until its head is complete
+	bytesSearched int      // how many bytes at the start of Buffer were already searched for line ends
+	remaining     int      // bytes of the body or chunk that have not been received
+	trailerBytes  int      // size of the trailer lines parsed so far, without their line ends
 }
 
 // NewRequestReader returns a Reader of requests.
@@ -43,11 +43,11 @@
 // NewAnswerReader returns a Reader of answers.
 func NewAnswerReader(l Limits) *Reader { return &Reader{limits: l, readsAnswers: true} }
 
-// Idle reports that no part of a message has come.
+// Idle reports whether no byte of a next message has been received.
 func (r *Reader) Idle() bool { return r.state == inHead && r.Buffer.Len() == 0 }
 
-// Read returns the next message from c. The error is an *Error for what cannot be read, io.EOF at the end of the
-// connection between two messages, io.ErrUnexpectedEOF at its end within one, or c's.
+// Read returns the next message from c. The error is an *Error for an invalid message, io.EOF if the connection ends
+// between two messages, io.ErrUnexpectedEOF if it ends within one, or else the error that c returned.
 func (r *Reader) Read(c io.Reader) (*Message, error) {
 	for {
 		if m, err := r.Parse(); m != nil || err != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// finishAtEnd returns what the connection's end makes of the message under way: a body that lasts until there is
-// complete, any other message is cut off.
+// finishAtEnd returns the result of Read after c returned err. If the connection has ended, a message whose body lasts
+// until the end of the connection is complete, and any other message in progress is truncated.
 func (r *Reader) finishAtEnd(err error) (*Message, error) {
 	if err == io.EOF && r.state == untilEnd {
 		m := r.msg
@@ -73,10 +73,10 @@
 	return nil, err
 }
 
-// Parse returns the next message if all of it is in the buffer, and else nil. The error is an *Error.
+// Parse returns the next message, or nil while the buffer does not hold all of it. The error is an *Error.
 func (r *Reader) Parse() (*Message, error) {
 	for {
-		var incomplete bool // the state needs bytes that have not come
+		var incomplete bool // the state needs bytes that have not been received
 		var err error
 		switch r.state {
 		case inHead:
@@ -103,7 +103,7 @@
 	}
 }
 
-// takeLine returns the next line without its line end and consumes it; ok is false while it is incomplete.
+// takeLine consumes the next line and returns it without its line end; ok is false while the line is incomplete.
 func (r *Reader) takeLine() (text string, ok bool, err error) {
 	b := r.Buffer.Bytes()
 	i, err := r.findLineEnd(b, r.limits.Head)
@@ -116,8 +116,8 @@
 	return text, true, nil
 }
 
-// findLineEnd returns where the next line end is in b; -1 while it has not come. It has to come within limit bytes,
-// however the bytes come in.
+// findLineEnd returns the index in b of the next line's LF, or -1 while it has not been received. The LF must be among
+// the first limit bytes of b; the result does not depend on how the bytes are split across reads.
 func (r *Reader) findLineEnd(b []byte, limit int) (int, error) {
 	window := b[:min(len(b), limit)]
 	i := bytes.IndexByte(window[r.bytesSearched:], '\n')
--- a/internal/http1/reader_body.go
+++ b/internal/http1/reader_body.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// takeBody moves what has come of a body or chunk into the message, and goes to the next state once it is complete;
-// incomplete is true before.
+// takeBody moves the received bytes of the body or chunk from the buffer into the message, and changes to the state
+// next when the body or chunk is complete; incomplete is true until then.
 func (r *Reader) takeBody(next readerState) (incomplete bool, err error) {
 	n := min(r.remaining, r.Buffer.Len())
 	r.msg.Body = append(r.msg.Body, r.Buffer.Bytes()[:n]...)
@@ -19,7 +19,7 @@
 	return false, nil
 }
 
-// parseChunkSize parses the line before a chunk. A size of 0 ends the chunks.
+// parseChunkSize parses the line with a chunk's size. A size of 0 marks the last chunk.
 func (r *Reader) parseChunkSize() (incomplete bool, err error) {
 	line, ok, err := r.takeLine()
 	if !ok {
@@ -39,7 +39,7 @@
 	return false, nil
 }
 
-// parseChunk takes a chunk and the line end behind it.
+// parseChunk moves a chunk into the message, and checks and consumes the line end after it.
 func (r *Reader) parseChunk() (incomplete bool, err error) {
 	if r.remaining > 0 {
 		return r.takeBody(inChunk)
@@ -56,7 +56,7 @@
 	return false, nil
 }
 
-// parseTrailer skips the lines behind the last chunk, up to an empty one.
+// parseTrailer skips the lines after the last chunk, up to and including an empty line.
 func (r *Reader) parseTrailer() (incomplete bool, err error) {
 	line, ok, err := r.takeLine()
 	if !ok {
@@ -71,7 +71,7 @@
 	return false, nil
 }
 
-// takeUntilEnd moves what has come of a body that ends with the connection into the message.
+// takeUntilEnd moves the received bytes of a body that ends with the connection into the message.
 func (r *Reader) takeUntilEnd() (incomplete bool, err error) {
 	if len(r.msg.Body)+r.Buffer.Len() > r.limits.Body {
 		return false, &Error{StatusContentTooLarge, "body too large"}
--- a/internal/http1/reader_head.go
+++ b/internal/http1/reader_head.go
@@ -12,14 +12,14 @@
 const (
 	version11 = "HTTP/1.1"
 	version10 = "HTTP/1.0"
-	// startLineWords is how many words a start line has. An answer's last one, the reason, may be missing.
+	// startLineWords is the number of words in a start line. An answer may omit the last one, the reason phrase.
 	startLineWords = 3
 )
 
-// parseHead parses start line and header fields once all of them are there; incomplete is true before.
+// parseHead parses the start line and the header fields; incomplete is true until all of them have been received.
 func (r *Reader) parseHead() (incomplete bool, err error) {
 	b := r.Buffer.Bytes()
-	for r.bytesSearched <= 1 && bytes.HasPrefix(b, []byte(crlf)) { // empty lines before a request are skipped
+	for r.bytesSearched <= 1 && bytes.HasPrefix(b, []byte(crlf)) { // skip empty lines before a message
 		r.Buffer.Consume(len(crlf))
 		b, r.bytesSearched = r.Buffer.Bytes(), 0
 	}
@@ -41,7 +41,7 @@
 	return false, r.parseFraming(bytes.Contains(start, []byte(version10)))
 }
 
-// findHeadEnd returns how many bytes the head has with the empty line that ends it; 0 while it is incomplete.
+// findHeadEnd returns the size of the head in bytes, including the empty line that ends it; 0 while it is incomplete.
 func (r *Reader) findHeadEnd(b []byte) (end int, err error) {
 	for {
 		at, err := r.findLineEnd(b, r.limits.Head)
@@ -55,7 +55,7 @@
 	}
 }
 
-// parseStartLine parses the first line of a request or an answer into the message.
+// parseStartLine parses the first line of a request or an answer into m.
 func (m *Message) parseStartLine(line string, answer bool) error {
 	words := strings.SplitN(line, " ", startLineWords)
 	version := words[0]
@@ -75,7 +75,7 @@
 	return m.parseRequestLine(words[0], words[1])
 }
 
-// parseStatus parses the status code of an answer.
+// parseStatus parses the status code of an answer into m.
 func (m *Message) parseStatus(word string) error {
 	status, err := strconv.Atoi(word)
 	if err != nil || len(word) != statusDigits || status < firstStatus {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// parseRequestLine checks the method and the target of a request.
+// parseRequestLine stores the method and the target of a request in m, and checks their characters.
 func (m *Message) parseRequestLine(method, target string) error {
 	m.Method, m.Target = method, target
 	if method == "" || strings.ContainsFunc(method, func(c rune) bool { return c < 'A' || c > 'Z' }) {
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// parseFields parses header fields. net/textproto takes folded lines; readers differ on them, so they are rejected.
+// parseFields parses header fields. It rejects folded lines, which net/textproto accepts, because HTTP implementations
+// interpret them differently.
 func parseFields(fields []byte) (textproto.MIMEHeader, error) {
 	for line := range bytes.Lines(fields) {
 		if line[0] == ' ' || line[0] == '\t' {
@@ -111,8 +112,9 @@
 	return h, nil
 }
 
-// parseFraming finds out how the body ends. Whatever two readers could take differently is rejected: one of them would
-// take a part of the body for the next request. oldVersion is for HTTP/1.0.
+// parseFraming determines from the header fields how the body ends, and whether the connection ends with the message.
+// It rejects framing that two readers could interpret differently, because one of them would read a part of the body as
+// the next request. oldVersion reports that the message is HTTP/1.0.
 func (r *Reader) parseFraming(oldVersion bool) error {
 	m := r.msg
 	lengths, coding := m.Header["Content-Length"], m.Header["Transfer-Encoding"]
@@ -139,12 +141,12 @@
 	return nil
 }
 
-// hasNoBody reports whether an answer has no body by its status code, whatever its header fields say.
+// hasNoBody reports whether the status code rules out a body, regardless of the header fields.
 func (m *Message) hasNoBody() bool {
 	return m.Status < firstFinalStatus || m.Status == StatusNoContent || m.Status == StatusNotModified
 }
 
-// parseLength parses the lengths that a head gives for the body; they have to agree.
+// parseLength parses the values of Content-Length, which must all be equal.
 func (r *Reader) parseLength(lengths []string) error {
 	n, err := strconv.ParseUint(lengths[0], 10, 31)
 	if err != nil || strings.HasPrefix(lengths[0], "+") {
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// hasToken reports whether one of a field's values lists a token.
+// hasToken reports whether one of the values of a header field lists token, ignoring case.
 func hasToken(values []string, token string) bool {
 	for _, v := range values {
 		for t := range strings.SplitSeq(v, ",") {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -15,58 +15,58 @@
 )
 
 const (
-	// acceptBackoff is the wait before a further connection is accepted, after a failure or while none can be.
+	// acceptBackoff is the wait before the next accept after a failure, or while there is no capacity for a connection.
 	acceptBackoff = 10 * time.Millisecond
-	// acceptLogInterval is the least time between two log lines on accepting: failures come in thousands.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts, which can occur in thousands.
 	acceptLogInterval = 10 * time.Second
-	// evictionCheckInterval is the wait for the reader of a connection that is being evicted.
+	// evictionCheckInterval is the interval at which Serve checks whether an eviction has made capacity.
 	evictionCheckInterval = time.Millisecond
-	// backlogGrace is the time to accept a further connection of the backlog once the listener is to be closed.
+	// backlogGrace is the time to accept another connection from the backlog before the listener is closed.
 	backlogGrace = 50 * time.Millisecond
-	// shutdownRequestGrace is the time in which the first request has to begin on a connection that is accepted during
-	// the shutdown.
+	// shutdownRequestGrace is the time in which the first request must begin on a connection that is accepted during a
+	// shutdown.
 	shutdownRequestGrace = 50 * time.Millisecond
 )
 
-// Handler answers a request. It is called by a goroutine of the request's connection. clientLeft is closed when the
-// client leaves before its answer, which is of no use then.
+// Handler answers a request. A goroutine of the request's connection calls it. The server closes clientLeft when the
+// client leaves before it has the answer, which is then useless.
 type Handler func(req *Message, clientLeft <-chan struct{}) *Message
 
-// Server serves the connections of one listener. Its exported fields are set before Serve.
+// Server serves the connections of one listener. Its exported fields must be set before Serve is called.
 type Server struct {
 	// Handler answers the requests.
 	Handler Handler
 	// Limits bound the requests.
 	Limits Limits
-	// ErrorAnswer answers a request that cannot be read; nil for the error's text as plain text.
+	// ErrorAnswer returns the answer to an invalid request; nil answers with the error's text as plain text.
 	ErrorAnswer func(*Error) *Message
-	// MaxConns is how many connections there may be at once; 0 for no limit. One without a complete request is evicted
-	// for the next.
+	// MaxConns is the maximum number of connections; 0 for no limit. At the limit, a connection without a complete
+	// request is evicted for a new one.
 	MaxConns int
-	// Capacity returns how many connections there may be at present, if that is less than MaxConns. It is called under
-	// the server's lock and must not block. nil for MaxConns.
+	// Capacity returns the present limit on connections, if that is lower than MaxConns; nil for MaxConns alone. It is
+	// called under the server's lock and must not block. It has no effect if MaxConns is 0.
 	Capacity func() int
-	// MaxIdle is how many connections may be idle after a request; 0 for no limit. The one that has been idle for
-	// longest is evicted first.
+	// MaxIdle is the maximum number of connections that are idle after a request; 0 for no limit. Beyond it, the
+	// connection that has been idle for the longest time is evicted.
 	MaxIdle int
 
-	serving sync.WaitGroup // the connections' goroutines
+	serving sync.WaitGroup // the goroutines of the connections
 
 	mu           sync.Mutex
-	conns        map[*conn]struct{} // all but the evicted ones
-	evicted      []*conn            // connections that close for others, until they are closed; oldest first
-	idle         *list.List         // used connections of conns without an open request, the longest idle first
+	conns        map[*conn]struct{} // connections that are neither evicted nor closed
+	evicted      []*conn            // evicted connections until their sockets are closed, the oldest eviction first
+	idle         *list.List         // those of conns that are used and have no open request, the longest idle first
 	busyConns    int                // connections with an open request
 	draining     bool               // every answer is the last one of its connection
 	shuttingDown bool               // no connection stays open without a request
 }
 
-// Serve accepts connections until the listener is closed, by CloseListener or by its owner, and returns nil or the
-// error of closing it. It is called once. The connections go on after it has returned.
+// Serve accepts connections until CloseListener or the owner closes the listener, and returns nil or the error of
+// closing it. It must be called only once. The accepted connections are still served after it has returned.
 func (s *Server) Serve(l net.Listener) error {
 	var loggedAt time.Time
 	for {
-		for s.canAcceptNone() { // new connections wait in the backlog
+		for s.canAcceptNone() { // new connections wait in the listener's backlog
 			time.Sleep(acceptBackoff)
 		}
 		c, err := l.Accept()
@@ -78,7 +78,7 @@
 			continue
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return l.Close()
-		case err != nil: // there are no descriptors left, or the client has left already
+		case err != nil: // the process has no descriptors left, or the client has already left
 			countAcceptFailed.Inc()
 			if time.Since(loggedAt) > acceptLogInterval {
 				loggedAt = time.Now()
@@ -94,22 +94,22 @@
 	}
 }
 
-// CloseListener has Serve accept the connections that wait in the backlog, and then close the listener and return. To
-// close it at once would reset those connections, and lose the requests that they have brought. CloseListener does not
-// wait for that: Serve's return shows it.
+// CloseListener makes Serve accept the connections that wait in the backlog, and then close the listener and return.
+// Closing the listener at once would reset those connections and lose the requests that they have sent. CloseListener
+// does not wait for the listener to be closed; the return of Serve shows that it is.
 func (s *Server) CloseListener(l net.Listener) {
 	if !setAcceptDeadline(l, 0) {
 		l.Close()
 	}
 }
 
-// setAcceptDeadline bounds the wait for the next connection, and reports whether the listener can do so.
+// setAcceptDeadline bounds the wait for the next connection, and reports whether the listener supports deadlines.
 func setAcceptDeadline(l net.Listener, wait time.Duration) bool {
 	d, ok := l.(interface{ SetDeadline(time.Time) error })
 	return ok && d.SetDeadline(time.Now().Add(wait)) == nil
 }
 
-// start serves a connection.
+// start registers a connection and starts the goroutine that serves it.
 func (s *Server) start(c *conn) {
 	countAccepted.Inc()
 	c.acceptedAt = time.Now()
@@ -122,30 +122,30 @@
 	}
 	s.cutLingering(s.capacity())
 	s.conns[c] = struct{}{}
-	if s.shuttingDown { // it waited in the backlog: its request has come, or is on the way
+	if s.shuttingDown { // the connection waited in the backlog: its request has arrived or is on the way
 		c.SetReadDeadline(c.acceptedAt.Add(shutdownRequestGrace))
 	}
 	s.serving.Go(c.serve)
 }
 
-// BusyConns returns how many connections have a request under way.
+// BusyConns returns the number of connections that have a request between its first byte and its answer.
 func (s *Server) BusyConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.busyConns
 }
 
-// Drain makes every further answer the last one of its connection.
+// Drain makes every answer from now on the last one of its connection.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
 }
 
-// Shutdown drains the server, closes the idle connections, and returns once all others have ended. The listener has to
-// be closed before, and Serve to have returned. A connection that Serve accepts meanwhile has shutdownRequestGrace for
-// its request, but Shutdown may have returned before it ends. A connection on which a request has come that was not
-// read yet is not idle: it ends with the answer.
+// Shutdown drains the server, closes the idle connections, and returns after all connections have ended. Before the
+// call the listener must be closed and Serve must have returned. If Serve still accepts a connection, its first request
+// must begin within shutdownRequestGrace, and Shutdown may return before that connection ends. A connection with an
+// unread request is not idle: it ends after the answer.
 func (s *Server) Shutdown() {
 	s.Drain()
 	s.mu.Lock()
@@ -157,13 +157,13 @@
 	s.serving.Wait()
 }
 
-// remove takes a connection out of those that are served. It is called under the lock.
+// remove removes a connection from conns and from the idle list. The caller holds the server's lock.
 func (s *Server) remove(c *conn) {
 	c.setIdle(false)
 	delete(s.conns, c)
 }
 
-// errorAnswer returns the answer to a request that cannot be read.
+// errorAnswer returns the answer to a request that fails with e.
 func (s *Server) errorAnswer(e *Error) *Message {
 	if s.ErrorAnswer != nil {
 		return s.ErrorAnswer(e)
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,6 +1,6 @@
 package http1
 
-// The status codes that this program sends, or tells apart.
+// Status codes that this program sends, or treats differently from others.
 const (
 	StatusOK                   = 200
 	StatusCreated              = 201
@@ -26,9 +26,9 @@
 const (
 	// firstStatus is the lowest status code.
 	firstStatus = 100
-	// firstFinalStatus is the lowest status code that ends an exchange: after a lower one another answer follows.
+	// firstFinalStatus is the lowest status code of a final answer: an answer with a lower code is followed by another.
 	firstFinalStatus = 200
-	// statusDigits is how many digits a status code has.
+	// statusDigits is the number of digits in a status code.
 	statusDigits = 3
 )
 
