--- a/internal/http1/bad_clients_test.go
+++ b/internal/http1/bad_clients_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A request that cannot be read gets its status code, and the connection ends.
+// An invalid request is answered with the status code of its fault, and the connection ends.
 func TestInvalidRequestsAreAnswered(t *testing.T) {
 	const post = "POST / HTTP/1.1\r\n"
 	for text, want := range map[string]string{
@@ -27,48 +27,48 @@
 		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 300) + "\r\n":                "HTTP/1.1 431 ",
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			here, there := net.Pipe()
+			client, accepted := net.Pipe()
 			s := &Server{Limits: small, Handler: func(*Message, <-chan struct{}) *Message { panic("handled") }}
-			s.start(&conn{Conn: there, server: s})
-			go here.Write([]byte(text))
-			got, _ := io.ReadAll(here)
+			s.start(&conn{Conn: accepted, server: s})
+			go client.Write([]byte(text))
+			got, _ := io.ReadAll(client)
 			if !strings.HasPrefix(string(got), want) || !strings.Contains(string(got), "Connection: close\r\n") {
-				t.Errorf("%q: %q", text, got)
+				t.Errorf("invalid request %q: client read %q, want the fault's status and Connection: close", text, got)
 			}
 			s.Shutdown()
 		})
 	}
 }
 
-// A bad client gets an error or a close within 3 s of connecting, whatever it does: it says nothing, sends half a
-// request, or sends a byte now and then without end.
+// A client that sends nothing, half a request, or single bytes without end gets an error answer or a close within 3 s
+// of connecting.
 func TestBadClientsAreClosedInTime(t *testing.T) {
-	for _, tc := range []struct{ each, want string }{
+	for _, tc := range []struct{ text, want string }{
 		{"", ""},
-		{"\r\n", ""}, // empty lines, which are let pass before a request
+		{"\r\n", ""}, // empty lines without end, which the server skips before a request
 		{"POST / HTTP/1.1\r\n", "HTTP/1.1 408 "},
 		{"POST / HTTP/1.1\r\nContent-Length: 60\r\n\r\n", "HTTP/1.1 408 "},
 		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 408 "},
 		{"G", "HTTP/1.1 408 "},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			here, there := net.Pipe()
+			client, accepted := net.Pipe()
 			s := &Server{Limits: small, Handler: func(*Message, <-chan struct{}) *Message { panic("handled") }}
 			began := time.Now()
-			s.start(&conn{Conn: there, server: s})
+			s.start(&conn{Conn: accepted, server: s})
 			go func() {
-				for text := tc.each; text != ""; time.Sleep(100 * time.Millisecond) {
-					if _, err := here.Write([]byte(text)); err != nil {
+				for text := tc.text; text != ""; time.Sleep(100 * time.Millisecond) {
+					if _, err := client.Write([]byte(text)); err != nil {
 						return
 					}
-					if text = text[:min(1, len(text))]; tc.each == "\r\n" {
-						text = tc.each
+					if text = text[:min(1, len(text))]; tc.text == "\r\n" {
+						text = tc.text
 					}
 				}
 			}()
-			got, _ := io.ReadAll(here)
+			got, _ := io.ReadAll(client)
 			if took := time.Since(began); !strings.HasPrefix(string(got), tc.want) || took > 3*time.Second {
-				t.Errorf("%q: %q after %v", tc.each, got, took)
+				t.Errorf("client that sends %q: read %q and the end after %v, want it within 3s", tc.text, got, took)
 			}
 			s.Shutdown()
 			time.Sleep(time.Second)
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// An answer without a length ends with its connection. A server fails half-way and its connection is reset: what came
-// before is no answer.
+// The body of an answer without a length lasts until the connection ends. If the server fails halfway and the
+// connection is reset, the client must not accept the part received before the reset as an answer.
 func TestResetIsNoEndOfAnAnswer(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,7 +31,7 @@
 		cl := &Client{Address: l.Addr().String(), Limits: small}
 		m, written, err := cl.Do(t.Context(), &Message{Method: "GET", Target: "/"})
 		if !written || (err != nil) != reset {
-			t.Errorf("reset %t: %+v, %v", reset, m, err)
+			t.Errorf("connection reset %t: answer %+v, error %v; want an error only for a reset", reset, m, err)
 		}
 		l.Close()
 	}
--- a/internal/http1/close_test.go
+++ b/internal/http1/close_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// closeDecisions have a server decide to close its one idle connection, and return once it has.
+// closeDecisions make a server decide to close its only idle connection. Each returns after the decision was made.
 var closeDecisions = map[string]func(t *testing.T, s *Server, dial dialer, l net.Listener){
 	"shutdown": func(t *testing.T, s *Server, _ dialer, l net.Listener) {
 		l.Close()
@@ -22,8 +22,8 @@
 		s.mu.Lock()
 		s.MaxIdle = 1
 		s.mu.Unlock()
-		c, h := dial()
-		sendFirstRequest(t, c, h)
+		c, pc := dial()
+		sendFirstRequest(t, c, pc)
 		waitForEviction(t, s)
 	},
 	"evicted": func(t *testing.T, s *Server, dial dialer, _ net.Listener) {
@@ -35,9 +35,9 @@
 	},
 }
 
-// A request arrives on an idle connection in the moment in which the server decides to close it: its bytes are read,
-// and the server does not know of them yet. A close now would lose a request that was read. It is answered; the
-// connection ends with the answer at a shutdown, and stays open where it was to be evicted.
+// A request arrives on an idle connection while the server decides to close it: the read has received the bytes but has
+// not returned them yet. Closing the connection now would lose the request. The request must be answered. At a shutdown
+// the connection ends after the answer; a connection that was to be evicted stays open.
 func TestRequestThatCrossesACloseIsAnswered(t *testing.T) {
 	for name, decide := range closeDecisions {
 		t.Run(name, func(t *testing.T) {
@@ -47,39 +47,39 @@
 				return &Message{Status: 200}
 			}}
 			dial, l := serveWithPauses(t, s)
-			c, h := dial()
-			sendFirstRequest(t, c, h)
+			c, pc := dial()
+			sendFirstRequest(t, c, pc)
 			waitForIdle(t, s, 1)
 			before := handled.Load()
 			c.Write([]byte(request))
-			<-h.paused // it was read, and the server does not know of it
+			<-pc.paused // the read has received the request and has not returned it yet
 			decide(t, s, dial, l)
 			others := handled.Load()
-			h.proceed <- struct{}{}
+			pc.proceed <- struct{}{}
 			m, err := NewAnswerReader(small).Read(c)
 			if err != nil || m.Status != 200 || m.Close != (name == "shutdown") {
-				t.Errorf("the client got %+v, %v", m, err)
+				t.Errorf("answer %+v, error %v; want status 200, and Close only at a shutdown", m, err)
 			}
 			if n := handled.Load() - others; n != 1 || others-before > 1 {
-				t.Errorf("%d requests were handled, want the one that was read", n)
+				t.Errorf("%d requests handled after the decision to close, want only the one that was read", n)
 			}
 			l.Close()
 			go s.Shutdown()
 			waitForShutdown(t, s)
 			if more, err := io.ReadAll(c); len(more) > 0 || err != nil {
-				t.Errorf("after the answer came %q, %v; want a clean end", more, err)
+				t.Errorf("after the answer the client read %q, error %v; want the end of the connection", more, err)
 			}
-			s.Shutdown() // whatever was read has been handled after this
+			s.Shutdown() // after this every request that was read has been handled
 			if n := handled.Load() - others; n != 1 {
-				t.Errorf("%d requests were handled in the end", n)
+				t.Errorf("%d requests handled by the end of the shutdown, want 1", n)
 			}
 		})
 	}
 }
 
-// The server closes a connection while bytes of the client are unread in its socket. A close over unread bytes sends
-// a reset, which would destroy the answer on its way. The client gets all of the answer and a clean end, on each path
-// that ends a connection.
+// The server closes a connection while its socket holds unread bytes from the client. Closing such a socket sends a
+// reset, which would destroy the answer on its way. On each path that ends a connection, the client must get the whole
+// answer and an end without a reset.
 func TestCloseOverUnreadBytesResetsNoAnswer(t *testing.T) {
 	for name, first := range map[string]string{
 		"the client asked for it": "GET /x HTTP/1.1\r\nConnection: close\r\n\r\n",
@@ -98,28 +98,29 @@
 				return &Message{Status: e.Status, Body: []byte(strings.Repeat("v", 200))}
 			}}
 			dial, l := serveWithPauses(t, s)
-			c, h := dial()
+			c, pc := dial()
 			c.Write([]byte(first))
-			<-h.paused
-			h.proceed <- struct{}{}
+			<-pc.paused
+			pc.proceed <- struct{}{}
 			<-reached
 			if name == "a draining server" {
 				s.Drain()
 			}
-			c.Write([]byte("GET /half")) // the next read stops with this
+			c.Write([]byte("GET /half")) // the server's next read receives this and pauses
 			if name != "an invalid request" {
-				<-h.paused
+				<-pc.paused
 			}
 			c.Write([]byte("and more that is not read for now"))
-			time.Sleep(20 * time.Millisecond) // it is in the server's socket
+			time.Sleep(20 * time.Millisecond) // the bytes reach the server's socket
 			close(answer)
-			time.AfterFunc(50*time.Millisecond, func() { h.proceed <- struct{}{}; h.proceed <- struct{}{} })
+			time.AfterFunc(50*time.Millisecond, func() { pc.proceed <- struct{}{}; pc.proceed <- struct{}{} })
 			got, err := io.ReadAll(c)
 			if err != nil || !strings.HasSuffix(string(got), "vvvv") {
-				t.Errorf("the client got %d bytes, then %v; want the answer and a clean end", len(got), err)
+				t.Errorf("the client read %d bytes, error %v; want the whole answer and an end without a reset",
+					len(got), err)
 			}
-			for range 10 { // whatever else is read
-				h.proceed <- struct{}{}
+			for range 10 { // lets all further reads return
+				pc.proceed <- struct{}{}
 			}
 			l.Close()
 			s.Shutdown()
@@ -127,8 +128,8 @@
 	}
 }
 
-// One connection's answer is being written when the shutdown begins, and another connection is accepted after that,
-// from the backlog. Neither may stay open and go on taking requests.
+// When the shutdown begins, the server is writing an answer on one connection, and another connection is accepted from
+// the backlog after that. Neither may stay open and accept further requests.
 func TestNoConnectionStaysOpenAfterShutdown(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,9 +141,9 @@
 		handled.Add(1)
 		return &Message{Status: 200}
 	}}
-	c, there := acceptedPair(t, l)
+	c, firstSocket := acceptedPair(t, l)
 	defer c.Close()
-	slow := &slowConn{there, make(chan struct{}, 10), make(chan struct{})}
+	slow := &slowConn{firstSocket, make(chan struct{}, 10), make(chan struct{})}
 	first := &conn{Conn: slow, server: s}
 	s.start(first)
 	c.Write([]byte(request))
@@ -150,23 +151,23 @@
 	var wg sync.WaitGroup
 	wg.Go(s.Shutdown)
 	waitForShutdown(t, s)
-	late, accepted := acceptedPair(t, l)
+	late, secondSocket := acceptedPair(t, l)
 	defer late.Close()
-	second := &conn{Conn: accepted, server: s}
+	second := &conn{Conn: secondSocket, server: s}
 	s.start(second)
 	close(slow.proceed)
 	for end := time.Now().Add(5 * time.Second); !(first.isClosing() && second.isClosing()) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	for who, c := range map[string]net.Conn{"answered at the shutdown": c, "accepted at the shutdown": late} {
+	for which, c := range map[string]net.Conn{"answered at the shutdown": c, "accepted at the shutdown": late} {
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		c.Write([]byte(request))
 		if _, err := io.ReadAll(c); err != nil && !errors.Is(err, net.ErrClosed) {
-			t.Errorf("%s: the connection ends with %v", who, err)
+			t.Errorf("connection %s: read ended with error %v, want the end of the connection", which, err)
 		}
 	}
 	wg.Wait()
 	if n := handled.Load(); n != 1 {
-		t.Errorf("%d requests were handled after the shutdown", n-1)
+		t.Errorf("%d requests handled after the shutdown began, want 0", n-1)
 	}
 }
--- a/internal/http1/eviction_test.go
+++ b/internal/http1/eviction_test.go
@@ -14,7 +14,7 @@
 	"harepass/internal/test/fake"
 )
 
-// dial connects a client to the server that listens as s in memory.
+// dial connects a client to the server that listens under the address s in the in-memory network.
 func dial(t *testing.T, memory *fake.Network) net.Conn {
 	t.Helper()
 	c, err := memory.Dial(context.Background(), "s")
@@ -24,8 +24,8 @@
 	return c
 }
 
-// A server has as many connections as it may, and another client connects. The idle connection is evicted, and the
-// busy one stays; nothing is evicted before.
+// When another client connects to a server with MaxConns connections, the idle connection is evicted and the busy one
+// stays open. No connection is evicted before that.
 func TestFullServerEvictsTheIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var memory fake.Network
@@ -36,7 +36,7 @@
 		}}
 		go s.Serve(l)
 		var conns []net.Conn
-		ends := func(i int) bool {
+		hasEnded := func(i int) bool {
 			conns[i].SetReadDeadline(time.Now().Add(time.Millisecond))
 			_, err := conns[i].Read(make([]byte, 1))
 			return err == io.EOF
@@ -45,16 +45,16 @@
 			c := dial(t, &memory)
 			conns = append(conns, c)
 			time.Sleep(time.Second)
-			if i == 0 { // the first is busy, so the second goes, but not before there is a third
+			if i == 0 { // makes the first connection busy, so that the second is evicted once a third arrives
 				c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 				synctest.Wait()
 			}
-			if i == 1 && (ends(0) || ends(1)) {
-				t.Error("a connection was evicted with no need")
+			if i == 1 && (hasEnded(0) || hasEnded(1)) {
+				t.Error("connection evicted although MaxConns was not exceeded")
 			}
 		}
-		if ends(0) || !ends(1) || ends(2) {
-			t.Error("the second connection should have made way, and no other")
+		if hasEnded(0) || !hasEnded(1) || hasEnded(2) {
+			t.Error("wrong connection evicted, or none; want only the second one evicted")
 		}
 		for _, c := range conns {
 			c.Close()
@@ -64,8 +64,9 @@
 	})
 }
 
-// Clients connect in a flood and send nothing, or half a request. They are evicted themselves: not a connection that
-// has brought a request before, nor one whose request is being handled, nor a request that has only just begun.
+// Many clients connect at a high rate and send nothing or half a request. The server evicts their connections. It does
+// not evict a connection that has brought a request before, one whose request is being handled, or one whose request
+// has only just begun.
 func TestFloodOfConnectionsDisplacesItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var memory fake.Network
@@ -86,21 +87,21 @@
 		alive := func(c net.Conn) bool {
 			c.SetReadDeadline(time.Now().Add(time.Millisecond))
 			_, err := io.Copy(io.Discard, c)
-			return err != nil // else its end
+			return err != nil // io.Copy returns nil if the connection has ended
 		}
 		idle, slow := join("GET / HTTP/1.1\r\n\r\n"), join("GET /slow HTTP/1.1\r\n\r\n")
-		alive(idle) // reads its answer
+		alive(idle) // reads the answer, so that the connection is idle
 		half := join("GET / HT")
 		var flood []net.Conn
 		for i := range 30 {
 			time.Sleep(stalledAfter / 10)
 			flood = append(flood, join([]string{"", "POST / "}[i%2]))
 			if i == 1 && !alive(half) {
-				t.Error("a request that has just begun was evicted")
+				t.Error("connection evicted although its request had just begun")
 			}
 		}
 		if !alive(idle) || !alive(slow) || alive(half) || alive(flood[0]) {
-			t.Error("the flood did not displace itself")
+			t.Error("wrong connections evicted: want the stalled ones evicted, and the idle and the busy one open")
 		}
 		for _, c := range append(flood, idle, slow, half) {
 			c.Close()
@@ -110,8 +111,8 @@
 	})
 }
 
-// The first request of a new connection may be on the way: the connection is not evicted for the next one. An idle
-// connection goes before it, though that has brought a request.
+// A new connection is not evicted for the next one, because its first request may be on the way. An idle connection is
+// evicted before it, although the idle one has brought a request.
 func TestNewConnectionIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var memory fake.Network
@@ -123,16 +124,16 @@
 		connect := func() {
 			c := dial(t, &memory)
 			wg.Go(func() {
-				time.Sleep(newConnGrace / 2) // its first byte is on the way
+				time.Sleep(newConnGrace / 2) // the first byte arrives after a delay below newConnGrace
 				c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 				if m, err := NewAnswerReader(small).Read(c); err == nil && m.Status == 200 {
 					answered.Add(1)
 				}
-				c.Read(make([]byte, 1)) // it stays
+				c.Read(make([]byte, 1)) // the client stays connected
 				c.Close()
 			})
 		}
-		for range 5 { // each round fills the server anew
+		for range 5 { // each round fills the server again
 			for range 3 {
 				connect()
 			}
@@ -140,7 +141,7 @@
 			synctest.Wait()
 		}
 		if n := answered.Load(); n != 15 {
-			t.Errorf("%d of 15 were answered", n)
+			t.Errorf("%d requests answered, want 15", n)
 		}
 		l.Close()
 		time.Sleep(2 * keepAliveTimeout)
@@ -149,8 +150,8 @@
 	})
 }
 
-// Clients that send one request and stay do not pile up. The connection that has been idle for longest is evicted, no
-// busy one and none that is new.
+// Connections of clients that send one request and stay connected do not accumulate. The connection that has been idle
+// for the longest time is evicted; busy and new connections are not.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var memory fake.Network
@@ -189,26 +190,26 @@
 	})
 }
 
-// 60 clients connect to a server for 8, and none closes. However many are evicted at once, those that are still being
-// closed count as connections, so that the bound on descriptors holds.
+// 60 clients connect to a server with MaxConns 8, and none closes its connection. Evicted connections that are still
+// being closed count as connections, however many there are, so that the bound on descriptors holds.
 func TestEvictedConnectionsCount(t *testing.T) {
 	s := &Server{Limits: small, MaxConns: 8, Handler: answerOK}
 	l := serveOnLoopback(t, s)
-	most := 0
+	maxOpen := 0
 	for i := range 60 {
 		c := connect(t, l)
 		defer c.Close()
 		fmt.Fprint(c, request)
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		if m, err := NewAnswerReader(small).Read(c); err != nil || m.Status != 200 {
-			t.Errorf("connection %d: %+v, %v", i, m, err)
+			t.Errorf("connection %d: answer %+v, error %v; want status 200", i, m, err)
 		}
 		s.mu.Lock()
-		most = max(most, len(s.conns)+len(s.evicted))
+		maxOpen = max(maxOpen, len(s.conns)+len(s.evicted))
 		s.mu.Unlock()
 	}
-	if most > s.MaxConns+1 {
-		t.Errorf("there are %d connections, %d may be", most, s.MaxConns)
+	if maxOpen > s.MaxConns+1 {
+		t.Errorf("%d connections at once, want at most one more than MaxConns = %d", maxOpen, s.MaxConns)
 	}
 	l.Close()
 	s.Shutdown()
--- a/internal/http1/handler_panic_test.go
+++ b/internal/http1/handler_panic_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A request makes its handler panic. It is answered with 500, and its connection ends with that; requests on other
-// connections, open ones and new ones, are served as before.
+// A request whose handler panics is answered with 500, and its connection ends after that answer. Requests on other
+// connections, existing and new, are served as before.
 func TestHandlerPanicEndsOneRequest(t *testing.T) {
 	inHandler, proceed := make(chan struct{}), make(chan struct{})
 	s := &Server{Limits: DefaultLimits, Handler: func(req *Message, _ <-chan struct{}) *Message {
@@ -30,7 +30,7 @@
 		io.WriteString(c, request)
 		answer, err := io.ReadAll(c)
 		if err != nil {
-			t.Errorf("%.12q: %v", request, err)
+			t.Errorf("request %.12q: reading the answer failed: %v", request, err)
 		}
 		return string(answer)
 	}
@@ -40,15 +40,15 @@
 	before := countHandlerPanicked.Value()
 	answer := exchange("GET /panic HTTP/1.1\r\n\r\nGET /x HTTP/1.1\r\n\r\n")
 	if !strings.HasPrefix(answer, "HTTP/1.1 500 ") || strings.Count(answer, "HTTP/1.1") != 1 {
-		t.Errorf("the request that panics is answered with %q", answer)
+		t.Errorf("request whose handler panics: client read %q, want a single answer with status 500", answer)
 	}
 	if n := countHandlerPanicked.Value() - before; n != 1 {
-		t.Errorf("%d panics counted", n)
+		t.Errorf("%d panics counted, want 1", n)
 	}
 	close(proceed)
 	for _, answer := range []string{<-waiting, exchange("GET /x HTTP/1.1\r\nConnection: close\r\n\r\n")} {
 		if !strings.HasPrefix(answer, "HTTP/1.1 200 ") {
-			t.Errorf("another request is answered with %q", answer)
+			t.Errorf("request on another connection: client read %q, want status 200", answer)
 		}
 	}
 	l.Close()
--- a/internal/http1/pipeline_test.go
+++ b/internal/http1/pipeline_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A client sends requests one behind the other and leaves while the first is handled. The handler is told so, however
-// many wait behind it, and the handlers of those are told from the start.
+// A client sends pipelined requests and leaves while the first is being handled. The server closes clientLeft for that
+// handler, however many requests wait behind it. For the handlers of those requests it is closed from the start.
 func TestClientThatLeavesIsNoticed(t *testing.T) {
 	for _, behind := range []int{0, 1, 3, maxPipelined + 40} {
 		var handled, unaware atomic.Int32
@@ -40,18 +40,19 @@
 		}
 		c.Close()
 		if !<-noticed {
-			t.Errorf("%d requests behind: it was not noticed that the client had left", behind)
+			t.Errorf("%d waiting requests: clientLeft not closed within 5s after the client left", behind)
 		}
 		l.Close()
 		s.Shutdown()
 		if n := unaware.Load(); n > 0 {
-			t.Errorf("%d requests behind: %d handlers began after the client had left, and were not told", behind, n)
+			t.Errorf("%d waiting requests: clientLeft not closed for %d handlers that ran after the client left",
+				behind, n)
 		}
 	}
 }
 
-// A client shuts its own side after its request, as some do that send one request only, and waits. It may have left
-// or may not: the request is handled as one whose client has left, and the answer is written all the same.
+// A client shuts its sending side after its request and waits for the answer, as some clients of a single request do.
+// The server cannot tell whether the client has left: it closes clientLeft for the handler and still writes the answer.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	s := &Server{Limits: small, Handler: func(_ *Message, clientLeft <-chan struct{}) *Message {
 		<-clientLeft
@@ -63,7 +64,7 @@
 		c.Write([]byte(request))
 		c.(*net.TCPConn).CloseWrite()
 		if m, err := NewAnswerReader(small).Read(c); err != nil || m.Status != 200 {
-			t.Fatalf("the answer is %+v, %v", m, err)
+			t.Fatalf("answer %+v, error %v; want status 200 for a half-closed client", m, err)
 		}
 		c.Close()
 	}
@@ -71,8 +72,8 @@
 	s.Shutdown()
 }
 
-// A client sends many requests at once. As many as may wait are answered; where more come, the next answer says that
-// it is the last one, and arrives.
+// A client sends many requests at once. Up to maxPipelined of them are all answered. If more arrive, the next answer
+// announces the end of the connection, and it still reaches the client.
 func TestTooManyPipelinedRequestsEndWithAnAnswer(t *testing.T) {
 	s := &Server{Limits: small, Handler: func(*Message, <-chan struct{}) *Message {
 		time.Sleep(time.Millisecond)
@@ -86,16 +87,17 @@
 		for !last && answers < n {
 			m, err := r.Read(c)
 			if err != nil || m.Status != 200 {
-				t.Fatalf("%d at once: after %d answers %+v, %v", n, answers, m, err)
+				t.Fatalf("%d requests at once: after %d answers got %+v, error %v; want status 200", n, answers, m, err)
 			}
 			answers, last = answers+1, m.Close
 		}
 		if last != (n > maxPipelined) {
-			t.Errorf("%d at once: %d answers, the last one says so: %t", n, answers, last)
+			t.Errorf("%d requests at once: %d answers, last one with Close: %t; want Close only if too many were sent",
+				n, answers, last)
 		}
 		if last {
 			if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-				t.Errorf("%d at once: it ends with %v", n, err)
+				t.Errorf("%d requests at once: read after the last answer ended with %v, want EOF", n, err)
 			}
 		}
 		c.Close()
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -9,33 +9,33 @@
 	"testing"
 )
 
-// small are limits that test messages reach.
+// small are limits low enough for test messages to exceed them.
 var small = Limits{Head: 256, Body: 64}
 
-// pieces gives text in pieces whose sizes follow a pattern.
-type pieces struct {
+// splitReader reads text in pieces whose sizes follow a pattern, or in one piece if there is no pattern.
+type splitReader struct {
 	text  []byte
-	sizes []byte
-	n     int // pieces given so far
+	sizes []byte // the pattern; each value gives a size of 1 to 40 bytes
+	reads int    // number of reads so far
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if len(p.text) == 0 {
+func (s *splitReader) Read(b []byte) (int, error) {
+	if len(s.text) == 0 {
 		return 0, io.EOF
 	}
-	size := len(p.text)
-	if len(p.sizes) > 0 {
-		size = min(size, 1+int(p.sizes[p.n%len(p.sizes)])%40)
-		p.n++
+	size := len(s.text)
+	if len(s.sizes) > 0 {
+		size = min(size, 1+int(s.sizes[s.reads%len(s.sizes)])%40)
+		s.reads++
 	}
-	n := copy(b[:min(len(b), size)], p.text)
-	p.text = p.text[n:]
+	n := copy(b[:min(len(b), size)], s.text)
+	s.text = s.text[n:]
 	return n, nil
 }
 
-// readAll returns in words what a Reader makes of text: its messages, and the error that ended the reading.
+// readAll describes the result of reading text with r: each message, and the error that ended the reading.
 func readAll(r *Reader, text string, sizes []byte) (out []string) {
-	src := &pieces{text: []byte(text), sizes: sizes}
+	src := &splitReader{text: []byte(text), sizes: sizes}
 	for {
 		m, err := r.Read(src)
 		var fault *Error
@@ -49,20 +49,20 @@
 	}
 }
 
-// requestScript writes requests, valid and not, and says of each what a Reader has to make of it.
+// requestScript writes valid and invalid requests, and records the result that a Reader must return for each.
 type requestScript struct {
 	text   strings.Builder
-	want   []string // in the words of readAll
-	broken bool     // the last request ends the reading
+	want   []string // the expected result of readAll, without the final EOF
+	broken bool     // the last request ends the reading with an error
 }
 
-// fails says that the last request ends the reading with a status code or an error.
+// fails records that the last request must end the reading with a status code or an error.
 func (s *requestScript) fails(want string) { s.want, s.broken = append(s.want, want), true }
 
-// requestKinds is how many kinds of request add knows.
+// requestKinds is the number of kinds of request that add can append.
 const requestKinds = 18
 
-// add appends request i, of a kind; n sets the size of its body or what is wrong with it.
+// add appends request i of the given kind. n sets the size of the body or selects the fault of an invalid request.
 func (s *requestScript) add(i int, kind byte, n int) {
 	body := strings.Repeat("b", n)
 	head := fmt.Sprintf("POST /%d HTTP/1.1\r\nHost: h\r\n", i)
@@ -83,7 +83,7 @@
 	case 13:
 		fmt.Fprintf(&s.text, "%sContent-Length: %d\r\n\r\n%s", head, n+1, body)
 		s.fails("unexpected EOF")
-	case 17: // no HTTP at all
+	case 17: // not HTTP
 		fmt.Fprintf(&s.text, "\x16\x03\x01%s\r\n\r\n", body)
 		s.fails("400")
 	default:
@@ -102,7 +102,7 @@
 	s.text.WriteString("0\r\nX-Sum: 1\r\n\r\n")
 }
 
-// addInvalid appends a request whose header fields, lengths or chunks are invalid, or too large.
+// addInvalid appends a request whose header fields, lengths or chunks are invalid or too large.
 func (s *requestScript) addInvalid(kind byte, head, body string, n int) {
 	chunked := head + "Transfer-Encoding: chunked\r\n"
 	invalid := map[byte]struct{ status, text string }{
@@ -115,10 +115,10 @@
 		9:  {"400", fmt.Sprintf("%s\r\n2\r\nabc\r\n", chunked)},
 		10: {"400", fmt.Sprintf("%sX: y\r\n folded\r\n\r\n", head)},
 		11: {"501", fmt.Sprintf("%sTransfer-Encoding: gzip\r\n\r\n", head)},
-		// Lengths that are wrong, negative or huge, of bodies that come all the same.
+		// A body with an invalid, negative or huge length.
 		14: {"400", fmt.Sprintf("%sContent-Length: %s\r\n\r\n%s", head,
 			[]string{"-1", "+2", "1 2", "0x9", "", "99999999999999999999"}[n%6], body)},
-		// A body of 60 MB, with its length and without.
+		// A body of 60 MB, with a length or in chunks.
 		15: {"413", fmt.Sprintf("%s%s\r\n\r\n%s", head, []string{"Content-Length: 60000000",
 			"Transfer-Encoding: chunked\r\n\r\n3938700"}[n%2], body)},
 		16: {"400", fmt.Sprintf("%s\r\n-%X\r\n%s\r\n", chunked, n, body)}, // a chunk of negative size
@@ -127,8 +127,8 @@
 	s.fails(invalid.status)
 }
 
-// FuzzReader reads random requests, valid and not, in random pieces, against a model that says of each request by
-// itself what a Reader has to make of it.
+// FuzzReader reads random sequences of valid and invalid requests in reads of random size, and compares the results
+// with those that requestScript expects for each request.
 func FuzzReader(f *testing.F) {
 	for kind := range byte(requestKinds) {
 		f.Add([]byte{0, 3, kind, 9, 1, 20}, []byte{kind})
@@ -146,13 +146,13 @@
 		}
 		text := script.text.String()
 		if got := readAll(NewRequestReader(small), text, sizes); fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%q in pieces %v:\n got %q\nwant %q", text, sizes, got, want)
+			t.Errorf("requests %q in reads of sizes %v:\n got %q\nwant %q", text, sizes, got, want)
 		}
 	})
 }
 
-// FuzzBytes checks that any bytes mean the same in any pieces, that limits are kept, and that a message which is read,
-// written and read again is the same one.
+// FuzzBytes checks that the result of reading any bytes does not depend on how they are split across reads, that the
+// body limit is kept, and that a message stays the same when it is read, written and read again.
 func FuzzBytes(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET / HTTP/1.0\r\n\r\n"), []byte{0})
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\nuntil the end"), []byte{3})
@@ -160,33 +160,33 @@
 		"2\r\nhi\r\n0\r\n\r\nHTTP/1.1 204 \r\n\r\n"), []byte{1})
 	f.Fuzz(func(t *testing.T, text, sizes []byte) {
 		for _, newReader := range []func(Limits) *Reader{NewRequestReader, NewAnswerReader} {
-			joined, split := readAll(newReader(small), string(text), nil), readAll(newReader(small), string(text), sizes)
-			if fmt.Sprint(joined) != fmt.Sprint(split) {
-				t.Errorf("joined %q\nsplit %q", joined, split)
+			whole, split := readAll(newReader(small), string(text), nil), readAll(newReader(small), string(text), sizes)
+			if fmt.Sprint(whole) != fmt.Sprint(split) {
+				t.Errorf("results differ:\n   in one read %q\nin split reads %q", whole, split)
 			}
 			m, err := newReader(small).Read(bytes.NewReader(text))
 			if err != nil {
 				continue
 			}
 			if len(m.Body) > small.Body {
-				t.Errorf("a body of %d bytes", len(m.Body))
+				t.Errorf("message with a body of %d bytes, which exceeds the limit", len(m.Body))
 			}
-			checkWrittenAgain(t, m, newReader(DefaultLimits))
+			checkRoundTrip(t, m, newReader(DefaultLimits))
 		}
 	})
 }
 
-// checkWrittenAgain writes a message that was read, and checks that it is the same when it is read again.
-func checkWrittenAgain(t *testing.T, m *Message, r *Reader) {
+// checkRoundTrip writes a message that was read, reads it again, and checks that it is the same.
+func checkRoundTrip(t *testing.T, m *Message, r *Reader) {
 	m.Header.Del("Content-Length")
 	m.Header.Del("Transfer-Encoding")
 	m.Header.Del("Connection")
 	if m.Method == "GET" || m.Status == 204 || m.Status == 304 || m.Status > 0 && m.Status < 200 {
 		m.Body = nil
 	}
-	again, err := r.Read(bytes.NewReader(m.Append(nil)))
-	if err != nil || again.Method != m.Method || again.Target != m.Target || again.Status != m.Status ||
-		!bytes.Equal(again.Body, m.Body) {
-		t.Errorf("%+v written and read again: %+v, %v", m, again, err)
+	reread, err := r.Read(bytes.NewReader(m.Append(nil)))
+	if err != nil || reread.Method != m.Method || reread.Target != m.Target || reread.Status != m.Status ||
+		!bytes.Equal(reread.Body, m.Body) {
+		t.Errorf("message %+v changed when written and read again: %+v, error %v", m, reread, err)
 	}
 }
--- a/internal/http1/server_fuzz_test.go
+++ b/internal/http1/server_fuzz_test.go
@@ -14,8 +14,9 @@
 	"harepass/internal/test/fake"
 )
 
-// FuzzServer plays one client's connection step by step against a model of its states: idle, reading a request,
-// handling it, ended. Each request gets one answer, in order, and only when it is handled.
+// FuzzServer runs random steps on one client connection and compares the result with a model of the connection's
+// states: idle, reading a request, handling it, ended. Each request must get one answer, in order, and only after the
+// handler has handled it.
 func FuzzServer(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 0, 1, 2})
 	f.Add([]byte{0, 0, 1, 1, 2, 2, 3})
@@ -26,132 +27,132 @@
 	f.Add([]byte{0, 1, 4, 2, 5, 0})
 	f.Add([]byte{7, 7, 0, 7, 1, 2, 7, 5})
 	f.Add([]byte{0, 1, 0, 5, 2})
-	f.Add([]byte{0, 1, 0, 1, 3}) // the client leaves behind two requests
+	f.Add([]byte{0, 1, 0, 1, 3}) // the client leaves after sending two requests
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		synctest.Test(t, func(t *testing.T) { playServer(t, steps[:min(len(steps), 60)]) })
+		synctest.Test(t, func(t *testing.T) { runServerSteps(t, steps[:min(len(steps), 60)]) })
 	})
 }
 
-// playServer plays the steps of one connection, and checks what the client got.
-func playServer(t *testing.T, steps []byte) {
-	p := newServerPlay(t, steps)
+// runServerSteps runs the steps on one connection, and checks what the client received.
+func runServerSteps(t *testing.T, steps []byte) {
+	s := newServerScenario(t, steps)
 	for _, step := range steps {
-		if !p.model.open {
+		if !s.model.open {
 			break
 		}
-		p.step(step)
+		s.step(step)
 	}
-	p.end()
-	p.check()
+	s.end()
+	s.check()
 }
 
-// connModel is what has to be true of a connection.
+// connModel is the expected state of a connection.
 type connModel struct {
-	begun, complete, handled int           // requests that were begun, sent completely, and answered
-	clientLeft               int           // handlers that are told that the client has left
+	begun, complete, handled int           // numbers of requests that were begun, sent completely, and answered
+	clientLeft               int           // number of handlers whose clientLeft must be closed
 	draining                 bool          // every answer is the last one
-	stalled                  bool          // a request was begun and not finished in time
-	timedOut                 bool          // the client gets a 408
-	blank                    bool          // an empty line was sent, and no request after it
+	stalled                  bool          // a request was begun and not completed in time
+	timedOut                 bool          // the client must receive a 408
+	blank                    bool          // an empty line was sent, and no complete request after it
 	open                     bool          // the connection is open
-	idle                     time.Duration // since the last answer
+	idle                     time.Duration // time since the last answer, in steps of wait
 }
 
-// serverPlay is a server with one client, and the model of their connection.
-type serverPlay struct {
+// serverScenario is a server with one client, and the model of their connection.
+type serverScenario struct {
 	t          *testing.T
 	steps      []byte
 	model      connModel
 	server     *Server
 	listener   net.Listener
-	served     chan error // Serve's result
-	finish     chan struct{}
-	clientLeft int // handlers that were told that the client has left
+	served     chan error    // receives the result of Serve
+	finish     chan struct{} // each token lets one handler answer
+	clientLeft int           // number of handlers whose clientLeft was closed
 	client     net.Conn
-	answers    strings.Builder // all that the client has read
-	ended      chan struct{}   // closed when the client has read the connection's end
+	answers    strings.Builder // all bytes that the client has read
+	ended      chan struct{}   // closed when the client has read the end of the connection
 }
 
-// newServerPlay starts the server and connects the client. A handler answers when finish gets a token, or when the
-// client leaves.
-func newServerPlay(t *testing.T, steps []byte) *serverPlay {
+// newServerScenario starts the server and connects the client. A handler answers when it receives a token from finish,
+// or when the client leaves.
+func newServerScenario(t *testing.T, steps []byte) *serverScenario {
 	var memory fake.Network
-	p := &serverPlay{t: t, steps: steps, model: connModel{open: true}, listener: memory.Listen("s"),
+	s := &serverScenario{t: t, steps: steps, model: connModel{open: true}, listener: memory.Listen("s"),
 		served: make(chan error), finish: make(chan struct{}), ended: make(chan struct{})}
-	p.server = &Server{Limits: small, Handler: func(req *Message, clientLeft <-chan struct{}) *Message {
+	s.server = &Server{Limits: small, Handler: func(req *Message, clientLeft <-chan struct{}) *Message {
 		select {
-		case <-p.finish:
+		case <-s.finish:
 		case <-clientLeft:
-			p.clientLeft++
+			s.clientLeft++
 		}
 		return &Message{Status: 200, Header: textproto.MIMEHeader{}, Body: []byte(req.Target)}
 	}}
-	go func() { p.served <- p.server.Serve(p.listener) }()
+	go func() { s.served <- s.server.Serve(s.listener) }()
 	var err error
-	if p.client, err = memory.Dial(context.Background(), "s"); err != nil {
+	if s.client, err = memory.Dial(context.Background(), "s"); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		io.Copy(&p.answers, p.client)
-		close(p.ended)
+		io.Copy(&s.answers, s.client)
+		close(s.ended)
 	}()
-	return p
+	return s
 }
 
-// write sends text. It does not wait for the server, which reads one request ahead and lets the rest wait.
-func (p *serverPlay) write(text string) {
-	go p.client.Write([]byte(text))
+// write sends text from the client. It does not wait for the server, which may read the text later.
+func (s *serverScenario) write(text string) {
+	go s.client.Write([]byte(text))
 	synctest.Wait()
 }
 
-// step plays one step, where the model allows it.
-func (p *serverPlay) step(step byte) {
-	m := &p.model
+// step runs one step if the model allows it in its present state.
+func (s *serverScenario) step(step byte) {
+	m := &s.model
 	switch step % 8 {
-	case 0: // the first half of a request; two may be under way
+	case 0: // the client sends the first half of a request, while fewer than two complete ones are unanswered
 		if m.begun == m.complete && m.complete-m.handled < 2 && !m.stalled {
-			p.write(fmt.Sprintf("GET /%d HTTP/1.1\r\n", m.begun))
+			s.write(fmt.Sprintf("GET /%d HTTP/1.1\r\n", m.begun))
 			m.begun++
 		}
-	case 1: // the rest of it
+	case 1: // the client sends the second half of the request
 		if m.begun > m.complete && !m.stalled {
-			p.write("\r\n")
+			s.write("\r\n")
 			m.complete++
 			m.blank = false
 		}
 	case 2:
-		p.finishHandler()
-	case 3: // the client leaves; what is being handled is told, what waits behind it does not run
-		p.client.Close()
+		s.finishHandler()
+	case 3: // the client leaves: clientLeft is closed for the running handler, and waiting requests are not handled
+		s.client.Close()
 		synctest.Wait()
 		if m.complete > m.handled && !m.stalled {
 			m.clientLeft = 1
 		}
 		m.open = false
 	case 4:
-		p.server.Drain()
+		s.server.Drain()
 		m.draining = true
 	case 5:
-		p.wait()
-	case 6: // a long wait means nothing to what is being handled
+		s.wait()
+	case 6: // a long wait does not affect a request that is being handled
 		if m.begun == m.complete && m.complete > m.handled {
 			time.Sleep(time.Hour)
 		}
-	case 7: // an empty line before a request means nothing, but has to be followed by one
+	case 7: // the server skips an empty line before a request, but the request must follow in time
 		if m.begun == m.handled {
-			p.write("\r\n")
+			s.write("\r\n")
 			m.blank = true
 		}
 	}
 }
 
-// finishHandler lets a handler answer.
-func (p *serverPlay) finishHandler() {
-	m := &p.model
+// finishHandler lets the running handler answer, and checks that the last answer ends the connection.
+func (s *serverScenario) finishHandler() {
+	m := &s.model
 	if m.complete == m.handled {
 		return
 	}
-	p.finish <- struct{}{}
+	s.finish <- struct{}{}
 	synctest.Wait()
 	m.handled++
 	m.idle = 0
@@ -159,13 +160,14 @@
 	if m.open = !m.draining && (!m.stalled || m.complete > m.handled); !m.open {
 		time.Sleep(lingerTimeout)
 		synctest.Wait()
-		p.checkEnded("the last answer did not end the connection")
+		s.checkEnded("connection still open after its last answer")
 	}
 }
 
-// wait is longer than half a request may take, and than a connection may wait for its first one.
-func (p *serverPlay) wait() {
-	m := &p.model
+// wait lets requestTimeout and lingerTimeout pass, which is longer than the server waits for the rest of a request, or
+// for the first request of a connection.
+func (s *serverScenario) wait() {
+	m := &s.model
 	time.Sleep(requestTimeout + lingerTimeout)
 	synctest.Wait()
 	m.idle += requestTimeout + lingerTimeout
@@ -173,46 +175,46 @@
 	m.timedOut = m.stalled && m.complete == m.handled
 	keptAlive := m.handled > 0 && !m.stalled && !m.blank && m.idle < keepAliveTimeout
 	if m.open = m.complete > m.handled || keptAlive; !m.open {
-		p.checkEnded("still open after the timeouts")
+		s.checkEnded("connection still open after its timeouts")
 	}
 }
 
-// checkEnded checks that the client has seen the connection's end.
-func (p *serverPlay) checkEnded(fault string) {
+// checkEnded checks that the client has read the end of the connection.
+func (s *serverScenario) checkEnded(fault string) {
 	select {
-	case <-p.ended:
+	case <-s.ended:
 	default:
-		p.t.Fatalf("%v: %s", p.steps, fault)
+		s.t.Fatalf("steps %v: %s", s.steps, fault)
 	}
 }
 
-// end ends the connection and the server.
-func (p *serverPlay) end() {
-	close(p.finish)
+// end closes the connection and shuts the server down.
+func (s *serverScenario) end() {
+	close(s.finish)
 	synctest.Wait()
-	p.client.Close()
-	p.listener.Close()
-	p.server.Shutdown()
-	<-p.ended
-	if err := <-p.served; err != nil {
-		p.t.Error(err)
+	s.client.Close()
+	s.listener.Close()
+	s.server.Shutdown()
+	<-s.ended
+	if err := <-s.served; err != nil {
+		s.t.Error(err)
 	}
 }
 
-// check checks what the handlers were told, and what the client has read.
-func (p *serverPlay) check() {
-	m := &p.model
-	if p.clientLeft != m.clientLeft {
-		p.t.Errorf("%v: %d handlers were told that the client left, want %d", p.steps, p.clientLeft, m.clientLeft)
+// check checks for how many handlers clientLeft was closed, and which answers the client has read.
+func (s *serverScenario) check() {
+	m := &s.model
+	if s.clientLeft != m.clientLeft {
+		s.t.Errorf("steps %v: clientLeft closed for %d handlers, want %d", s.steps, s.clientLeft, m.clientLeft)
 	}
-	r, src := NewAnswerReader(small), strings.NewReader(p.answers.String())
+	r, src := NewAnswerReader(small), strings.NewReader(s.answers.String())
 	for i := 0; i < m.handled; i++ {
 		answer, err := r.Read(src)
 		if err != nil || string(answer.Body) != fmt.Sprintf("/%d", i) {
-			p.t.Fatalf("%v: answer %d is %+v, %v", p.steps, i, answer, err)
+			s.t.Fatalf("steps %v: answer %d is %+v, error %v", s.steps, i, answer, err)
 		}
 	}
 	if answer, err := r.Read(src); m.timedOut != (err == nil && answer.Status == 408) {
-		p.t.Errorf("%v: at the end %+v, %v; want a 408: %t", p.steps, answer, err, m.timedOut)
+		s.t.Errorf("steps %v: after the answers got %+v, error %v; want a 408: %t", s.steps, answer, err, m.timedOut)
 	}
 }
--- a/internal/http1/sockets_test.go
+++ b/internal/http1/sockets_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// request is a request that has no body.
+// request is a request without a body.
 const request = "GET /x HTTP/1.1\r\n\r\n"
 
-// answerOK is a Handler.
+// answerOK is a Handler that answers every request with status 200.
 func answerOK(*Message, <-chan struct{}) *Message { return &Message{Status: 200} }
 
 // serveOnLoopback runs a server on a loopback socket, and returns its listener.
@@ -33,12 +33,12 @@
 	return c
 }
 
-// pausedConn is the server's end of a real connection. Each read that has brought bytes pauses before it returns them:
-// so bytes that were read, and that the server does not know of yet, can be had at will.
+// pausedConn is the server's end of a TCP connection. Each read that has received bytes pauses before it returns them,
+// so that a test can run code while bytes have left the socket but the server has not seen them.
 type pausedConn struct {
 	*net.TCPConn
-	paused  chan struct{} // gets a token for each read that has brought something
-	proceed chan struct{} // a token lets one such read return
+	paused  chan struct{} // gets a token from each read that has received bytes
+	proceed chan struct{} // each token lets one such read return
 }
 
 func (c *pausedConn) Read(p []byte) (int, error) {
@@ -50,7 +50,7 @@
 	return n, err
 }
 
-// pausingListener accepts connections as pausedConn.
+// pausingListener accepts each connection as a pausedConn, and sends that to accepted.
 type pausingListener struct {
 	net.Listener
 	accepted chan *pausedConn
@@ -69,7 +69,8 @@
 // dialer connects a client, and returns both ends of the connection.
 type dialer func() (net.Conn, *pausedConn)
 
-// serveWithPauses runs a server on loopback, and returns a dialer for it.
+// serveWithPauses runs a server on a loopback socket whose connections are pausedConns. It returns a dialer for the
+// server, and the listener.
 func serveWithPauses(t *testing.T, s *Server) (dialer, net.Listener) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,21 +90,21 @@
 	}, l
 }
 
-// sendFirstRequest sends one request and reads its answer. The connection is idle after that.
-func sendFirstRequest(t *testing.T, c net.Conn, h *pausedConn) {
-	h.proceed <- struct{}{}
+// sendFirstRequest sends one request and reads its answer. The connection becomes idle after that.
+func sendFirstRequest(t *testing.T, c net.Conn, pc *pausedConn) {
+	pc.proceed <- struct{}{}
 	c.Write([]byte(request))
 	if m, err := NewAnswerReader(small).Read(c); err != nil || m.Status != 200 || m.Close {
-		t.Fatalf("first answer %+v, %v", m, err)
+		t.Fatalf("first answer %+v, error %v; want status 200 without Close", m, err)
 	}
-	<-h.paused
+	<-pc.paused
 }
 
-// waitTimeout bounds a wait for a server's state. It is long, so that a busy machine fails no test.
+// waitTimeout bounds the wait for a state of the server. It is long, so that no test fails because the machine is busy.
 const waitTimeout = 20 * time.Second
 
-// waitUntil waits until a condition on the server's state holds, which is read under the lock. The test ends as failed
-// where it does not within waitTimeout.
+// waitUntil waits until a condition on the server's state holds, and fails the test if that takes longer than
+// waitTimeout. It calls holds under the server's lock.
 func waitUntil(t *testing.T, s *Server, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -114,7 +115,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s: not within %v", what, waitTimeout)
+	t.Fatalf("%s: condition does not hold within %v", what, waitTimeout)
 }
 
 // waitForIdle waits until the server has n idle connections.
@@ -132,7 +133,7 @@
 // waitForShutdown waits until the server's shutdown has begun.
 func waitForShutdown(t *testing.T, s *Server) {
 	t.Helper()
-	waitUntil(t, s, "the begin of the shutdown", func() bool { return s.shuttingDown })
+	waitUntil(t, s, "the start of the shutdown", func() bool { return s.shuttingDown })
 }
 
 // acceptedPair connects a client to a listener, and returns both ends of the connection.
@@ -146,10 +147,11 @@
 	return client, server.(*net.TCPConn)
 }
 
-// slowConn is the server's end of a connection whose writes return only when they are let.
+// slowConn is the server's end of a TCP connection. Each write sends its bytes at once, and returns only when proceed
+// has a token or is closed.
 type slowConn struct {
 	*net.TCPConn
-	written chan struct{} // gets a token for each write
+	written chan struct{} // gets a token from each write that has sent its bytes
 	proceed chan struct{}
 }
 
