--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -43,7 +43,7 @@
 // NewAnswerReader returns a Reader of answers.
 func NewAnswerReader(l Limits) *Reader { return &Reader{limits: l, readsAnswers: true} }
 
-// Idle reports whether no byte of a next message has been received.
+// Idle reports whether no byte of the next message has been received.
 func (r *Reader) Idle() bool { return r.state == inHead && r.Buffer.Len() == 0 }
 
 // Read returns the next message from c. The error is an *Error for an invalid message, io.EOF if the connection ends
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -143,9 +143,9 @@
 }
 
 // Shutdown drains the server, closes the idle connections, and returns after all connections have ended. Before the
-// call the listener must be closed and Serve must have returned. If Serve still accepts a connection, its first request
-// must begin within shutdownRequestGrace, and Shutdown may return before that connection ends. A connection with an
-// unread request is not idle: it ends after the answer.
+// call the listener must be closed and Serve must have returned. If Serve nevertheless accepts a connection, the first
+// request on it must begin within shutdownRequestGrace, and Shutdown may return before that connection ends. A
+// connection with an unread request is not idle: it ends after the answer.
 func (s *Server) Shutdown() {
 	s.Drain()
 	s.mu.Lock()
--- a/internal/logmsg/logmsg.go
+++ b/internal/logmsg/logmsg.go
@@ -26,7 +26,7 @@
 	VersionInForce = "version in force"
 
 	EndpointListConfirmed = "endpoint list confirmed"         // after it had expired; queries are served again
-	EndpointListExpired   = "endpoint list expired"           // it gets no new attempts until discovery confirms it
+	EndpointListExpired   = "endpoint list expired"           // no new attempts by it until discovery confirms it
 	ShardsUncovered       = "shards uncovered by maintenance" // all their replicas in maintenance; queries are refused
 )
 
