--- a/internal/decide/scatter/attempts.go
+++ b/internal/decide/scatter/attempts.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// retryDelayShare is the wait before a part's third attempt and later ones, as a share of the latency objective: two
-// failures in a row say that the part's shard is overloaded or lost. A probe counts as an attempt.
+// retryDelayShare is the delay before a part's third attempt and later ones, as a share of the latency objective: two
+// failures in a row mean that the part's shard is overloaded or lost. A probe counts as an attempt.
 const retryDelayShare = 0.2
 
-// mayAttempt reports whether another attempt of a part may begin now: within its class's limit, the retry budget,
-// and the class's idempotency. The first one always may.
+// mayAttempt reports whether another attempt of a part may begin now. The first one always may. A later one has to keep
+// to its class's limit on attempts, to the retry budget, and, if the part may have run, to the class's idempotency.
 func (m *Machine) mayAttempt(p *part) bool {
 	if len(p.attempts) == 0 {
 		return true
@@ -20,8 +20,8 @@
 		(!p.mayHaveRun || m.now <= c.RetryPolicy().RetryableUntil(p.firstSent))
 }
 
-// sendPart sends an attempt of a part, and where a probe is due, that probe beside it. Without hedged requests the
-// probe takes its place.
+// sendPart sends an attempt of a part and, if a probe is due, that probe as well. Without hedged requests the probe
+// replaces the attempt.
 func (m *Machine) sendPart(p *part) {
 	r, probed := m.pickReplica(p, false), m.dueProbe(p)
 	if probed != nil {
@@ -33,8 +33,8 @@
 	}
 }
 
-// send begins an attempt of a part at a replica. Replicas drop what they have not begun by the time-out: before the
-// objective that is the objective, after it the end of the query.
+// send begins an attempt of a part at a replica. The time-out ends at the objective, or at the end of the query once
+// the objective has passed. Replicas drop parts that they have not begun by then.
 func (m *Machine) send(p *part, r *replica) {
 	if m.capacityFraction(r, m.now) < 1 {
 		r.slowStart.tokens--
@@ -48,7 +48,7 @@
 	}
 	if !m.idleConnections.trusts(at.connectionIdle) {
 		at.connectionIdle = 0
-		m.do(CloseIdleConnections{Replica: r.ID}) // so that the part opens a fresh connection
+		m.do(CloseIdleConnections{Replica: r.ID}) // so that the part opens a new connection
 	}
 	r.lastUsed = m.now
 	m.attach(at)
@@ -62,7 +62,7 @@
 	m.do(Send{Part: p.ID, Replica: r.ID, Timeout: max(until-m.now, time.Microsecond)})
 }
 
-// onAttemptEnded takes the outcome of an attempt; only the first one of each counts.
+// onAttemptEnded processes the outcome of an attempt. Only the first outcome of each attempt counts.
 func (m *Machine) onAttemptEnded(e AttemptEnded) {
 	p := m.queries.parts[e.Part]
 	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.attempts) || p.attempts[e.Attempt].ended {
@@ -84,8 +84,8 @@
 	}
 }
 
-// cancelAttempts ends the wait for a part's attempts, but for probes, whose outcome is wanted. A part without
-// attempts out is forgotten.
+// cancelAttempts cancels a part's outstanding attempts, except those at ejected replicas: these are probes, whose
+// outcome is needed. A part without outstanding attempts is forgotten.
 func (m *Machine) cancelAttempts(p *part) {
 	for _, at := range p.attempts {
 		if m.settings.Cancellation && !at.ended && !at.cancelled && !at.toEjected {
@@ -102,7 +102,7 @@
 	m.do(CancelAttempt{Part: at.part.ID, Attempt: at.number})
 }
 
-// attach enters a new attempt with its replica, its part and its call.
+// attach registers a new attempt with its replica, its part and its call.
 func (m *Machine) attach(at *attempt) {
 	r, p := at.replica, at.part
 	at.call = m.openCall(r)
@@ -123,7 +123,7 @@
 	p.outstandingCount++
 }
 
-// detach enters the end of an attempt; neverRan says that it is proven not to have run.
+// detach records the end of an attempt. neverRan means that the attempt is proven not to have run.
 func (at *attempt) detach(neverRan bool) {
 	at.ended, at.neverRan = true, neverRan
 	r, p := at.replica, at.part
@@ -139,7 +139,7 @@
 	}
 }
 
-// openCall is the call of this step to a replica that one more part can still join; nil if there is none.
+// openCall returns the call of this step to a replica that one more part can still join; nil if there is none.
 func (m *Machine) openCall(r *replica) *call {
 	c := r.lastCall
 	if c == nil || c.step != m.step || c.outstanding == 0 || c.size >= m.settings.PartsPerCall {
--- a/internal/decide/scatter/ejection.go
+++ b/internal/decide/scatter/ejection.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// faultsToEject is how many faults in a row eject a replica: a single one may be bad luck. As many in one class
+	// faultsToEject is how many faults in a row eject a replica: a single one may be chance. As many class faults
 	// exclude the class.
 	faultsToEject = 2
-	// maxAvoidBackoffs is the longest time for which a replica is avoided, as a multiple of maxProbeBackoff.
+	// maxAvoidBackoffs bounds how long a replica is avoided, as a multiple of maxProbeBackoff.
 	maxAvoidBackoffs = 10
 )
 
-// recordClassFault counts a fault of one class at a replica; several in a row keep the replica from the first
-// choices for the class, for longer with each further one.
+// recordClassFault counts a fault of one class at a replica. From faultsToEject in a row on, the replica is not among
+// the first choices for the class, for a time that grows with the number of faults.
 func (m *Machine) recordClassFault(r *replica, c *class) {
 	h := &r.classHealth[c.index]
 	h.consecutiveFaults++
@@ -19,21 +19,22 @@
 	h.excludedUntil = m.now + scale(m.classes.tightest, maxProbeBackoff*backoffs)
 }
 
-// fleetBackoff is a backoff as it grows with the fleet: the attempts of all coordinators add up, and would keep an
+// fleetBackoff scales a backoff with the size of the fleet: the attempts of all coordinators add up, and would keep an
 // overloaded replica overloaded.
 func (m *Machine) fleetBackoff(backoff time.Duration) time.Duration {
 	longest := scale(m.classes.tightest, maxAvoidBackoffs*maxProbeBackoff)
 	return min(scale(backoff, m.placement.fleetFactor), longest)
 }
 
-// avoid keeps a replica from the first choices for a backoff of fleetBackoff; in a small fleet for none of it.
+// avoid keeps a replica from the first choices for a backoff that fleetBackoff has returned. A small fleet does not
+// avoid replicas, and one with a fleetFactor below 2 avoids them for a part of the backoff only.
 func (m *Machine) avoid(r *replica, backoff time.Duration) {
 	until := m.now + scale(backoff, min(1, m.placement.fleetFactor-1))
 	r.health.avoidUntil = max(r.health.avoidUntil, until)
 }
 
-// eject takes a replica out of the ready ones; for one that is ejected already, a failed probe doubles the backoff
-// before the next. at is the attempt that showed the fault, nil where it was none.
+// eject removes a replica from the usable ones. If the replica is already ejected, a failed probe doubles the backoff
+// before the next one. at is the attempt that showed the fault; nil if there was none.
 func (m *Machine) eject(r *replica, at *attempt) {
 	h := &r.health
 	if !h.ejected {
@@ -49,8 +50,9 @@
 	h.nextProbe = m.nextProbeAfter(r, backoff)
 }
 
-// reinstate makes an ejected replica ready again, as one that has joined, and in slow start if its process may be a new
-// one. Half of the backoff between probes remains: one that flaps waits longer each time.
+// reinstate makes an ejected replica usable again, with its siblings' latency ratio as for a new one, and in slow start
+// if its process may be new. The backoff between probes is only halved, so that a replica that fails repeatedly waits
+// longer each time.
 func (m *Machine) reinstate(r *replica) {
 	h := &r.health
 	m.replicas.setEjected(r, false)
--- a/internal/decide/scatter/events.go
+++ b/internal/decide/scatter/events.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Event is something that the caller of a Machine tells it.
+// Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
-// UpdateKind tells what an EndpointUpdate holds.
+// UpdateKind is the kind of an EndpointUpdate.
 type UpdateKind int
 
 // The kinds of update.
@@ -13,13 +13,13 @@
 	IncrementalUpdate UpdateKind = iota // changed replicas only
 	FullUpdate                          // all replicas
 	CachedUpdate                        // all replicas, as last known before a restart
-	FailedUpdate                        // a request for the list failed, or the subscription broke
+	FailedUpdate                        // a request for the list failed, or the subscription was lost
 )
 
-// ReplicaState is a replica's standing in the endpoint list.
+// ReplicaState is a replica's state in the endpoint list.
 type ReplicaState int
 
-// The standings.
+// The states.
 const (
 	Ready ReplicaState = iota
 	Draining
@@ -30,9 +30,9 @@
 type Replica struct {
 	ID           string
 	RingPosition int
-	Zone         string // the Machine does not read it
+	Zone         string // not read by the Machine
 	State        ReplicaState
-	StartedAt    time.Duration // its process's last start; 0 for long ago
+	StartedAt    time.Duration // when its process last started; 0 for long ago
 }
 
 // Outcome is how an attempt ended.
@@ -42,8 +42,8 @@
 const (
 	Succeeded       Outcome = iota
 	Errored                 // may have run
-	Rejected                // for want of capacity; never ran
-	TimedOut                // may have run, or may run yet
+	Rejected                // for lack of capacity; never ran
+	TimedOut                // may have run, or may still run
 	ConnectFailed           // never ran
 	ConnectionReset         // may have run
 	Cancelled               // may have run
@@ -54,24 +54,24 @@
 func (o Outcome) neverRan() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
 
 type (
-	// EndpointUpdate brings the list of replicas, changes of it, or the notice that it could not be had.
+	// EndpointUpdate carries the list of replicas, changes to it, or the notice that it could not be obtained.
 	EndpointUpdate struct {
 		Kind     UpdateKind
 		Replicas []Replica
 	}
-	// QueryArrived opens a query; its parts follow in the same step. Number ties them together.
+	// QueryArrived opens a query. Its parts follow in the same step and carry the same Number.
 	QueryArrived struct {
 		ID              string
 		Number          int64
 		Class           string
 		Tenant          string
-		Expires         time.Duration // when the client gives this request up
-		Parts           int           // how many follow; the Machine does not read it
-		IsRetry         bool          // the client has sent it before
-		RequireComplete bool          // the client takes no answer in part
+		Expires         time.Duration // when the client gives up this request
+		Parts           int           // how many parts follow; not read by the Machine
+		IsRetry         bool          // the client has sent this query before
+		RequireComplete bool          // the client accepts no partial answer
 	}
-	// PartArrived brings one part of the query of that number. Deferred parts count for admission and for what can
-	// still come in, but are not sent before their PartReleased.
+	// PartArrived adds a part to the query with its Number. Deferred parts count for admission and for the weight that
+	// the query can still reach, but are not sent before their PartReleased.
 	PartArrived struct {
 		ID       string
 		Number   int64
@@ -79,25 +79,26 @@
 		Weight   float64 // share of the query's weight; those of all parts sum to 1
 		Deferred bool
 	}
-	// PartReleased ends the deferral of a part. Resolved tells that the caller has its value by other means: it
-	// counts as served, sent or not, and whatever attempt of it is out is cancelled.
+	// PartReleased ends the deferral of a part. Resolved means that the caller has the part's value by other means: the
+	// part counts as served, whether it was sent or not, and its outstanding attempts are cancelled.
 	PartReleased struct {
 		ID       string
 		Resolved bool
 	}
-	// AttemptEnded brings the one outcome of an attempt.
+	// AttemptEnded reports the outcome of an attempt. Each attempt has one.
 	AttemptEnded struct {
 		Part    string
 		Attempt int
-		Replica string // the Machine does not read it: the attempt has one
+		Replica string // not read by the Machine, which knows the attempt's replica
 		Outcome Outcome
 		Latency time.Duration
 	}
-	// QueryCancelled tells that a client has left; nothing is owed for its query any more.
+	// QueryCancelled reports that a client has left. Its query needs no answer any more.
 	QueryCancelled struct{ ID string }
-	// QueryExpired tells that the caller can hold a query no longer: it is to be ended now, as at the end of its time.
+	// QueryExpired reports that the caller can hold a query no longer. The Machine ends the query now, as at the end of
+	// its time.
 	QueryExpired struct{ ID string }
-	// TimerFired answers a SetTimer.
+	// TimerFired reports that the timer of the last SetTimer has fired.
 	TimerFired struct{}
 )
 
--- a/internal/decide/scatter/hedging.go
+++ b/internal/decide/scatter/hedging.go
@@ -5,30 +5,31 @@
 const (
 	// hedgeShare is the share of parts that may get a hedged request.
 	hedgeShare = 0.15
-	// maxSavedHedges is how many hedged requests may accumulate unused: about the parts in flight at one replica when
-	// it fails.
+	// maxSavedHedges is how many unused hedged requests may accumulate: about the number of parts in flight at one
+	// replica when it fails.
 	maxSavedHedges = 10.0
-	// lastPartsWeight is the served weight of a query from which on its overdue parts are relieved without an
-	// allowance: without these last parts the others would have been served in vain.
+	// lastPartsWeight is the served weight of a query from which on its overdue parts are relieved without a token of
+	// the allowance: if these last parts fail, the work for the other parts is wasted.
 	lastPartsWeight = 0.85
-	// minLostShare is the least share of lostPart's means that is waited for in a large fleet, where each coordinator
-	// finds an unresponsive replica by a query of its own.
+	// minLostShare is the least share of lostPart's meanTimes that a coordinator waits for in a large fleet, where each
+	// coordinator finds an unresponsive replica with a query of its own.
 	minLostShare = 0.5
 )
 
-// relieveOverdue does what an overdue part calls for. Without hedged requests an attempt that may be cancelled for a
-// retry is cancelled, and the retry goes out when it has ended. Else another part of the query is sent where not all
-// are needed, or a hedged request of the same part. An allowance of tokens bounds all of this. No token is needed for a
-// query's last parts, for cancelling an attempt at an ejected replica, and for what is sent beside an attempt that
-// could be cancelled, but whose part may not be retried. A hedged request is bounded by the retry budget too. Each
-// attempt is relieved once at most.
+// relieveOverdue handles a part whose only outstanding attempt is overdue; it relieves each attempt at most once.
+// Without hedged requests, it cancels an attempt that may be cancelled for a retry, and the retry is sent when that has
+// ended. Otherwise it sends another part of the query if the query does not need all of them, or else a hedged request
+// of the same part, which the retry budget bounds too.
+// An allowance of tokens bounds all of this. No token is needed for what is sent for a query's last parts, for
+// cancelling an attempt at an ejected replica, and for what is sent beside an attempt that could be cancelled but whose
+// part may not be retried.
 func (m *Machine) relieveOverdue(p *part) {
 	c := p.query.class
 	if p.outstandingCount != 1 || m.now >= p.query.endBy {
 		return
 	}
 	at := p.lastAttempt()
-	if m.now-at.sentAt < c.overdueAfter { // isLate is never sooner, and costs more
+	if m.now-at.sentAt < c.overdueAfter { // isLate is never true before, and costs more
 		return
 	}
 	mayCancel := m.mayCancelForRetry(at)
@@ -46,8 +47,8 @@
 	m.sendRelief(p, at, needsNoToken)
 }
 
-// sendRelief sends, beside an overdue attempt, another part of its query, or where all have been sent a hedged
-// request of its own part.
+// sendRelief sends another part of the query beside an overdue attempt, or, if none is left to send, a hedged request
+// of the same part.
 func (m *Machine) sendRelief(p *part, overdue *attempt, needsNoToken bool) {
 	target := p.query.unselectedPart()
 	if target == nil {
@@ -67,9 +68,10 @@
 	m.send(target, r)
 }
 
-// mayCancelForRetry reports whether an overdue attempt may be cancelled for a retry, where hedged requests are not
-// allowed: one at an ejected replica, or, while the allowance lasts, one that has taken so long that it will not be
-// answered. A part that may not run twice is waited for.
+// mayCancelForRetry reports whether an overdue attempt may be cancelled for a retry, which replaces hedged requests
+// where these are not allowed. It may be cancelled if it is at an ejected replica, or, while the allowance lasts, if it
+// has taken so long that no answer is expected. In the latter case only parts of Idempotent classes are cancelled;
+// others are waited for, as they may not run twice.
 func (m *Machine) mayCancelForRetry(at *attempt) bool {
 	if m.settings.Hedging || !m.settings.Cancellation {
 		return false
@@ -82,7 +84,7 @@
 	return at.part.query.class.Idempotency == Idempotent && !at.excused && !m.hedges.empty() && m.isLate(at, lost)
 }
 
-// unselectedPart is a part of the query that has not been asked for and could be; nil where there is none.
+// unselectedPart returns a part of the query that is not selected and may be sent; nil if there is none.
 func (q *query) unselectedPart() *part {
 	i := slices.IndexFunc(q.parts, func(p *part) bool { return !p.selected && !p.leftOut && !p.Deferred })
 	if i < 0 {
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// pollTicks is how many ticks lie between two looks at open queries.
+	// pollTicks is the number of ticks between two checks of open queries.
 	pollTicks = 4
-	// minPollInterval is the least time between two such looks, also where ticks are shorter or not known.
+	// minPollInterval is the least time between two such checks, for ticks that are shorter or not known.
 	minPollInterval = time.Millisecond
-	// stalledShare is the share of the tightest latency objective by which a timer may fire late before the
-	// coordinator itself counts as stalled.
+	// stalledShare is the share of the tightest latency objective by which a timer may fire late before the coordinator
+	// itself counts as stalled.
 	stalledShare = 0.1
-	// randomStream is the second half of the seed.
+	// randomStream is the second half of the generator's seed.
 	randomStream = 0x756d62
 )
 
-// Machine decides for one coordinator. Use New. It is for one goroutine at a time.
+// Machine makes the decisions of one coordinator. Create it with New. It is not safe for concurrent use.
 type Machine struct {
 	settings Settings
 	random   *rand.Rand
 
-	now     time.Duration // of the present step
+	now     time.Duration // time of the present step
 	step    int           // number of the present step
-	actions []Action      // that the present step has asked for so far
+	actions []Action      // requested so far by the present step
 	timer   timer
-	stalled bool // this step came late: the coordinator itself stood still
+	stalled bool // this step came late because the coordinator itself was stalled
 
 	classes   classTable
 	quotas    map[string]*quota // by tenant
@@ -39,23 +39,23 @@
 	queries   queryTable
 
 	traffic         trafficRates
-	loadFactor      float64 // how long parts have taken of late, as a multiple of their classes' means; 1 is usual
+	loadFactor      float64 // recent latency of parts, as a multiple of the mean of class and replica; 1 is usual
 	lastSuccess     time.Duration
 	idleConnections idleTrust
 	responses       responseWatch
 	retries         retryBudget
 	hedges          allowance
 	probes          allowance
-	healthFixed     bool // no replica's health or latency ratio changes any more in this step
+	healthFixed     bool // no replica's health or latency ratio changes in the rest of this step
 	examined        examined
 	scratch         scratch
 }
 
-// examined counts what was looked at, for tests: a changed entry of the endpoint list may cost no more than what it
-// concerns.
+// examined counts the replicas and shards that were visited, for tests: the cost of a changed entry of the endpoint
+// list may depend only on the replicas and shards that the change affects.
 type examined struct{ replicas, shards int }
 
-// scratch is memory that is used again by each computation of a shard's shares, by holder.
+// scratch holds buffers that each computation of a shard's shares reuses. Lists are by holder, order is by class.
 type scratch struct {
 	equal, capacity, keys []float64
 	ready                 []bool
@@ -63,18 +63,18 @@
 	order                 []*class
 }
 
-// allowance is a bucket of tokens that traffic fills: a fraction of a token for each part that arrives, up to a limit.
+// allowance is a token bucket that traffic fills: each part that arrives adds a fraction of a token, up to a limit.
 type allowance struct {
 	tokens float64
-	limit  float64 // tokens that may be saved
-	rate   float64 // tokens that one part brings
+	limit  float64 // the most tokens that may accumulate
+	rate   float64 // tokens that one part adds
 }
 
 func (b *allowance) partArrived() { b.tokens = min(b.limit, b.tokens+b.rate) }
 func (b *allowance) empty() bool  { return b.tokens < 1 }
 func (b *allowance) take()        { b.tokens-- }
 
-// New returns a Machine with nothing in hand, or a *SettingError.
+// New returns a Machine that knows no queries or replicas, or a *SettingError.
 func New(seed uint64, s Settings) (*Machine, error) {
 	m := &Machine{
 		random:          rand.New(rand.NewPCG(seed, randomStream)),
@@ -90,8 +90,8 @@
 	return m, m.Configure(s)
 }
 
-// Configure checks settings and goes by them from the next step on. On an error, a *SettingError, nothing has
-// changed.
+// Configure validates settings and applies them from the next step on. If it returns an error, a *SettingError, nothing
+// has changed.
 func (m *Machine) Configure(s Settings) error {
 	if err := s.validate(); err != nil {
 		return err
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Step takes what happened at now and returns what to do, in order.
+// Step processes the events that have happened by now, and returns the actions to carry out, in order.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
 	m.now, m.actions, m.healthFixed = now, nil, false
 	m.step++
@@ -125,7 +125,7 @@
 	return m.actions
 }
 
-// apply takes one event.
+// apply processes one event.
 func (m *Machine) apply(e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
@@ -152,7 +152,8 @@
 	}
 }
 
-// advanceQueries admits what has arrived in this step and does for every open query what is due.
+// advanceQueries decides on the admission of queries that arrived in this step, and advances every open query that is
+// not idle.
 func (m *Machine) advanceQueries() {
 	for _, q := range m.queries.open {
 		if !q.admissionDecided {
@@ -167,15 +168,15 @@
 	m.queries.open = slices.DeleteFunc(m.queries.open, func(q *query) bool { return q.closed })
 }
 
-// do asks for an action.
+// do requests an action from the caller.
 func (m *Machine) do(a Action) { m.actions = append(m.actions, a) }
 
-// timer is the last SetTimer that was asked for.
+// timer is the state of the last SetTimer.
 type timer struct {
-	at time.Duration // when it fires; 0 where none is set
+	at time.Duration // when it fires; 0 if none is set
 }
 
-// delay is by how much a timer is late, negative before it is due; 0 where none is set.
+// delay returns how late the timer is: negative before it is due, and 0 if none is set.
 func (t *timer) delay(now time.Duration) time.Duration {
 	if t.at == 0 {
 		return 0
@@ -185,7 +186,7 @@
 
 func (t *timer) clear() { t.at = 0 }
 
-// setTimer asks to be called when the next thing is due, and every few ticks while queries are open.
+// setTimer requests a timer for the next time at which something is due, and every few ticks while queries are open.
 func (m *Machine) setTimer() {
 	due := m.shares.nextRebalance
 	sooner := func(times ...time.Duration) {
@@ -209,8 +210,8 @@
 	}
 }
 
-// scale multiplies a span of time.
+// scale multiplies a duration by a factor.
 func scale(d time.Duration, f float64) time.Duration { return time.Duration(float64(d) * f) }
 
-// mod is x modulo n, never negative.
+// mod returns x modulo n, never negative.
 func mod(x, n int) int { return ((x % n) + n) % n }
--- a/internal/decide/scatter/outcomes.go
+++ b/internal/decide/scatter/outcomes.go
@@ -6,51 +6,53 @@
 )
 
 const (
-	// probesToReinstate is how many probes in a row have to be served well: one quick part is chance.
+	// probesToReinstate is how many probes in a row have to succeed before a replica is reinstated: a single quick part
+	// may be chance.
 	probesToReinstate = 3
-	// probeRatio is how many times its siblings' latency a probe may take.
+	// probeRatio is the longest latency of a successful probe, as a multiple of what the replica's siblings take.
 	probeRatio = 2.0
 
-	// maxRejectionBackoffs bounds for how long a replica that rejects is avoided, as a multiple of minProbeBackoff.
+	// maxRejectionBackoffs bounds how long a replica that rejects parts is avoided, as a multiple of minProbeBackoff.
 	maxRejectionBackoffs = 2
-	// restartBackoffs is the least time in which a process is taken to restart, as a multiple of minProbeBackoff.
+	// restartBackoffs is the least time that a process is assumed to need for a restart, as a multiple of
+	// minProbeBackoff.
 	restartBackoffs = 2
-	// rejectionBackoff is the backoff after a rejection, in latency objectives of its class, for each rejection in
-	// a row.
+	// rejectionBackoff is the backoff after a rejection, as a share of its class's latency objective, for each
+	// rejection in a row.
 	rejectionBackoff = 0.1
 )
 
-// health is what attempts and probes have shown of a replica.
+// health is the state of a replica that attempts and probes have shown.
 type health struct {
 	ejected        bool
 	ejectedAt      time.Duration
-	probeSuccesses int           // probes served well in a row
-	probeBackoff   time.Duration // before the next probe; each failed probe doubles it
+	probeSuccesses int           // successful probes in a row
+	probeBackoff   time.Duration // backoff before the next probe; each failed probe doubles it
 	nextProbe      time.Duration
 
 	consecutiveFaults     int // errors, resets and unanswered attempts in a row, whatever their class
 	consecutiveRejections int
 	lastSuccess           time.Duration
-	rejectingUntil        time.Duration // it has rejected parts: until then it is picked for nothing but probes
-	avoidUntil            time.Duration // until then it is not among the first choices; only large fleets avoid
-	failsFast             bool          // attempts fail at once, rather than being slow or unanswered
+	rejectingUntil        time.Duration // it has rejected parts: until then it gets only probes
+	avoidUntil            time.Duration // until then it is not among the first choices; used in large fleets only
+	failsFast             bool          // attempts fail at once instead of being slow or unanswered
 	lastFailure           time.Duration // when an attempt last failed at once
 	lastError             time.Duration // when it last answered with an error; 0 for never
 	lastReset             time.Duration // when a connection to it was last found broken
-	idleBeforeReset       time.Duration // how long the connection that broke last had been unused
-	mayHaveRestarted      bool          // connections failed: what returns may be a new process
+	idleBeforeReset       time.Duration // how long the connection that last broke had been unused
+	mayHaveRestarted      bool          // connections failed: the process that answers next may be a new one
 }
 
-// classHealth is what attempts of one class have shown of a replica.
+// classHealth is the state of a replica that attempts of one class have shown.
 type classHealth struct {
-	consecutiveFaults int           // of the class, in a row
+	consecutiveFaults int           // class faults in a row
 	excludedUntil     time.Duration // until then it is not among the first choices for the class
 	lastSuccess       time.Duration
-	lastUnanswered    time.Duration // when an attempt that it had left unanswered for long was given up; 0 for never
+	lastUnanswered    time.Duration // when an attempt that was unanswered for long was last given up; 0 for never
 }
 
-// recordOutcome draws from an attempt's outcome what it says of its replica. Failures that come quickly never look like
-// speed, and no time counts in which the coordinator itself was stalled.
+// recordOutcome updates the state of a replica by the outcome of an attempt. Failures that come quickly never count as
+// low latency. A latency is capped at the replica's mean if the coordinator itself was stalled meanwhile.
 func (m *Machine) recordOutcome(r *replica, c *class, at *attempt, e AttemptEnded) {
 	m.refreshSharesOf(r)
 	seconds := e.Latency.Seconds()
@@ -76,17 +78,18 @@
 	}
 }
 
-// failed notes a failure that came at once; the replica fails fast if it is not the first fault in a row. It is to
-// be called before the fault is counted.
+// failed records a failure that came at once. The replica fails fast if this is not the first fault in a row, so failed
+// has to be called before the fault is counted.
 func (h *health) failed(now time.Duration) {
 	h.failsFast, h.lastFailure = h.consecutiveFaults > 0, now
 }
 
-// recordSuccess takes a served part's latency, in seconds. A probe counts towards the replica's reinstatement.
+// recordSuccess processes a served part with its latency in seconds. At an ejected replica the part counts as a probe
+// towards its reinstatement.
 func (m *Machine) recordSuccess(r *replica, c *class, at *attempt, seconds float64) {
 	h := &r.health
 	h.lastSuccess, r.classHealth[c.index].lastSuccess, m.lastSuccess = m.now, m.now, m.now
-	m.traffic.served += math.Floor(m.capacityFraction(r, m.now)) // by those that are warmed up
+	m.traffic.served += math.Floor(m.capacityFraction(r, m.now)) // counts warmed up replicas only
 	h.consecutiveFaults, h.consecutiveRejections, h.avoidUntil = 0, 0, 0
 	r.classHealth[c.index].consecutiveFaults, r.classHealth[c.index].excludedUntil = 0, 0
 	c.samples.add(seconds)
@@ -105,8 +108,9 @@
 	r.latencyRatio += ratioGain * (seconds/c.meanLatency - r.latencyRatio)
 }
 
-// decideRestart decides what a broken connection meant, once a part that was sent after it is served. Where that took
-// long, the process may be a new one; else a connection that had been unused was dropped.
+// decideRestart decides, when a part sent after a broken connection is served, why the connection broke. If the part
+// was sent more than restartTime after the break, the process may be a new one. Otherwise, if the connection had been
+// unused, it was dropped for that.
 func (m *Machine) decideRestart(r *replica, at *attempt) {
 	h := &r.health
 	if !h.mayHaveRestarted || h.ejected || at.sentAt < h.lastReset {
@@ -120,8 +124,8 @@
 	}
 }
 
-// countProbe takes a probe's latency, in seconds, and reports whether the replica has recovered. After a good
-// probe the next one may follow at once.
+// countProbe processes a probe's latency, in seconds, and reports whether the replica has recovered. A slow probe
+// counts as failed. After a successful probe the next one may follow at once.
 func (m *Machine) countProbe(r *replica, c *class, at *attempt, seconds float64) (recovered bool) {
 	if seconds > probeRatio*c.meanLatency*medianRatio(r.siblings)/m.capacityFraction(r, m.now) {
 		m.eject(r, at)
@@ -135,7 +139,8 @@
 	return true
 }
 
-// recordRejection takes a rejection for want of capacity: a full queue cannot meet the objective, and is load.
+// recordRejection processes a rejection for lack of capacity. A part in a full queue cannot meet the objective, so the
+// rejection also counts as load, at a latency of the objective.
 func (m *Machine) recordRejection(r *replica, c *class) {
 	h := &r.health
 	h.consecutiveRejections++
@@ -148,7 +153,7 @@
 	c.meanLatency += meanGain * max(0, objective-c.meanLatency)
 }
 
-// recordConnectFailure ejects a replica at once: nobody is there, and who comes back may be a new process.
+// recordConnectFailure ejects a replica at once: no process accepts connections, and the next one to do so may be new.
 func (m *Machine) recordConnectFailure(r *replica, at *attempt) {
 	h := &r.health
 	h.idleBeforeReset, h.mayHaveRestarted = 0, true
@@ -156,8 +161,8 @@
 	m.eject(r, at)
 }
 
-// recordReset takes the loss of a connection with all that was on it as one fault. If the process has ended, it refuses
-// the next connection.
+// recordReset counts the loss of a connection, with all attempts on it, as one fault. If the process has ended, the
+// next connection fails.
 func (m *Machine) recordReset(r *replica, at *attempt) {
 	h := &r.health
 	if at.sentAt < h.lastReset {
@@ -168,8 +173,9 @@
 	m.recordFault(r, at)
 }
 
-// recordUnanswered takes an attempt that was given up. Silence for long is a fault of the replica, or of the class
-// there if the replica answered others meanwhile; else it is load that served parts do not show.
+// recordUnanswered processes an attempt that was given up. One that was cancelled at an ejected replica is a failed
+// probe. A long silence is a fault of the replica, or a class fault if the replica has answered other classes since.
+// Otherwise the attempt's time counts as load, which the latencies of served parts do not show.
 func (m *Machine) recordUnanswered(r *replica, c *class, at *attempt, took time.Duration, seconds float64) {
 	unresponsive := took >= m.lateAfter(r, c, unresponsivePart) && !at.excused && !m.stalled
 	h := &r.classHealth[c.index]
@@ -189,7 +195,7 @@
 	}
 }
 
-// recordFault counts an error or a silence; several in a row eject the replica.
+// recordFault counts an error, a reset or an unanswered attempt; faultsToEject in a row eject the replica.
 func (m *Machine) recordFault(r *replica, at *attempt) {
 	r.health.consecutiveFaults++
 	if r.health.consecutiveFaults >= faultsToEject {
@@ -197,6 +203,6 @@
 	}
 }
 
-// restartTime is the least time in which a process is taken to restart: one that answers sooner after a broken
-// connection is the same process.
+// restartTime returns the least time that a process is assumed to need for a restart: a process that answers sooner
+// after a broken connection is the same one.
 func (m *Machine) restartTime() time.Duration { return restartBackoffs * m.minProbeBackoff() }
--- a/internal/decide/scatter/outlier_detection.go
+++ b/internal/decide/scatter/outlier_detection.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// slowRatio is how many times its siblings' median latency ratio makes a replica an outlier.
+	// slowRatio is the multiple of its siblings' median latency ratio beyond which a replica is an outlier.
 	slowRatio = 3.0
-	// noLookDue is how long no look is due where no attempt is outstanding: longer than any attempt takes.
+	// noLookDue is the time to the next check if no attempt is outstanding: longer than any attempt takes.
 	noLookDue = 24 * time.Hour
 )
 
-// responseWatch says when outstanding attempts are to be looked at next.
+// responseWatch schedules the next check of outstanding attempts.
 type responseWatch struct {
-	nextLook   time.Duration // before then no outstanding attempt can show its replica to be unresponsive
-	rebalances int           // the rebalance that this is of
+	nextLook   time.Duration // before then no outstanding attempt can show that its replica is unresponsive
+	rebalances int           // count of rebalances at the last check
 }
 
-// watch takes a new attempt into account.
+// watch schedules the next check early enough for a new attempt.
 func (w *responseWatch) watch(at *attempt) { w.nextLook = min(w.nextLook, at.unresponsiveFrom()) }
 
-// unresponsiveFrom is from when on an attempt can show its replica to be unresponsive.
+// unresponsiveFrom returns the time from which an attempt can show that its replica is unresponsive.
 func (at *attempt) unresponsiveFrom() time.Duration {
 	return at.sentAt + scale(at.part.query.class.overdueAfter, unresponsivePart.overdueTimes)
 }
 
-// detectOutliers ejects the unresponsive replicas, and at each periodic rebalance the slow ones. An unresponsive
-// replica has had a part for long, and has answered nothing since that was sent, though others have.
+// detectOutliers ejects unresponsive replicas and, at each periodic rebalance, slow ones. A replica is unresponsive if
+// an attempt has been outstanding there for long, and it has answered nothing since that was sent although others have.
 func (m *Machine) detectOutliers() {
 	for _, r := range m.replicasToWatch() {
 		for _, at := range r.attempts {
@@ -40,17 +40,17 @@
 	}
 }
 
-// isUnresponsive reports whether an attempt shows a usable replica to be unresponsive.
+// isUnresponsive reports whether an attempt shows that a usable replica is unresponsive.
 func (m *Machine) isUnresponsive(r *replica, at *attempt) bool {
 	out, c := m.now-at.sentAt, at.part.query.class
-	return out > scale(c.overdueAfter, unresponsivePart.overdueTimes) && // lateAfter is no sooner
+	return out > scale(c.overdueAfter, unresponsivePart.overdueTimes) && // lateAfter is never shorter, and costs more
 		r.usable() && !at.cancelled && !at.excused &&
 		r.health.lastSuccess < at.sentAt && m.lastSuccess > at.sentAt &&
 		out > m.lateAfter(r, c, unresponsivePart)
 }
 
-// replicasToWatch lists the replicas that this step may eject: those with attempts out, none before the first of these
-// has been out for long, and at a periodic rebalance all.
+// replicasToWatch returns the replicas that this step may eject: all at a periodic rebalance, otherwise those with
+// outstanding attempts, and none until the first of these attempts has been outstanding for long.
 func (m *Machine) replicasToWatch() []*replica {
 	periodic, w := m.shares.due(m.now), &m.responses
 	if !periodic && !m.stalled && !m.shares.dirty && w.rebalances == m.shares.rebalances && m.now <= w.nextLook {
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// probeShare is the share of parts that may be probes: ejected replicas may not take over a coordinator's traffic.
+	// probeShare is the share of parts that may be probes. It keeps probes of ejected replicas from taking over a
+	// coordinator's traffic.
 	probeShare = 0.15
-	// maxSavedProbes is how many probes may be saved up.
+	// maxSavedProbes is how many unused probes may accumulate.
 	maxSavedProbes = 3
-	// fleetProbeRate is how many first probes a second an ejected replica gets from all coordinators together.
+	// fleetProbeRate is how many first probes per second an ejected replica gets from all coordinators together.
 	fleetProbeRate = 25.0
-	// firstProbeBackoff is the backoff before the first probe, in tightest latency objectives.
+	// firstProbeBackoff is the backoff before the first probe, as a multiple of the tightest latency objective.
 	firstProbeBackoff = 0.2
-	// maxProbeBackoff is the longest backoff, in tightest latency objectives. Each failed probe doubles the backoff.
+	// maxProbeBackoff is the longest backoff, as a multiple of the tightest latency objective. Each failed probe
+	// doubles the backoff.
 	maxProbeBackoff = 2.0
 )
 
-// minProbeBackoff is the backoff before the first probe of an ejected replica.
+// minProbeBackoff returns the backoff before the first probe of an ejected replica.
 func (m *Machine) minProbeBackoff() time.Duration {
 	return scale(m.classes.tightest, firstProbeBackoff)
 }
 
-// dueProbe is an ejected replica that is to be probed with a first attempt of a part; nil where there is none. Classes
-// that may not run twice do not probe. Without hedged requests a probe takes the place of the part's own attempt. At
-// most one part in as many as its shard has holders is a probe then, and only parts of classes that allow partial
-// answers, if some class does.
+// dueProbe returns the ejected replica that is to be probed with the first attempt of a part; nil if there is none.
+// Parts of NonIdempotent classes, which may not run twice, are never probes. Without hedged requests a probe replaces
+// the part's own attempt. Then on average at most one part in as many as its shard has holders is a probe, and if some
+// class allows partial answers, only parts of such classes are.
 func (m *Machine) dueProbe(p *part) *replica {
 	c, holders := p.query.class, m.shardOf(p.Shard).subsetHolders()
 	if m.probes.empty() || len(p.attempts) > 0 || c.Idempotency == NonIdempotent {
@@ -47,9 +49,8 @@
 	return nil
 }
 
-// nextProbeAfter is when this coordinator may probe an ejected replica next, after a backoff. In a fleet whose
-// coordinators know their ordinals, each has a time slot of its own, so that all of them together keep to
-// fleetProbeRate.
+// nextProbeAfter returns when this coordinator may next probe an ejected replica, after a backoff. In a fleet whose
+// coordinators know their ordinals, each has its own time slot, so that all of them together keep to fleetProbeRate.
 func (m *Machine) nextProbeAfter(r *replica, backoff time.Duration) time.Duration {
 	place := m.place()
 	if !place.HasPeers() {
--- a/internal/decide/scatter/replica.go
+++ b/internal/decide/scatter/replica.go
@@ -8,41 +8,41 @@
 	"harepass/internal/decide/subsetting"
 )
 
-// replica is what the machine knows of one entry of the endpoint list.
+// replica is the state of one entry of the endpoint list.
 type replica struct {
 	Replica
 	number   int        // in order of first listing
-	listedBy int        // number of the endpoint update that named it last
-	siblings []*replica // those that hold a shard in common with it, in order of first listing
+	listedBy int        // number of the endpoint update that last contained it
+	siblings []*replica // replicas that hold a shard in common with it, in order of first listing
 
 	subsetKey float64           // decides whether it is in this coordinator's subset
-	offset    subsetting.Offset // of this coordinator among those that keep it
+	offset    subsetting.Offset // of this coordinator among those whose subsets contain it
 	hasOffset bool              // offset has been set
 
 	latencyRatio float64 // its latency, as a multiple of the mean one of each class
 	siblingRatio memo    // the median latency ratio of its siblings
 
 	attempts  []*attempt // outstanding
-	openCalls int        // calls with attempts outstanding
+	openCalls int        // calls with outstanding attempts
 	lastCall  *call
-	lastUsed  time.Duration // when an attempt last began or ended there; 0 for never
+	lastUsed  time.Duration // when an attempt there last began or ended; 0 for never
 
 	health      health
 	classHealth []classHealth // by class index
 	slowStart   slowStart
 
-	busy           bool          // it is listed as busy
-	removedAt      time.Duration // since when it is listed as removed; 0 if it is not
-	removalPending bool          // it is among those that may be forgotten in time
+	busy           bool          // it is in replicaTable.busy
+	removedAt      time.Duration // when it was first seen as removed; 0 if it is not removed
+	removalPending bool          // it is in replicaTable.removed
 }
 
-// usable reports whether a replica takes part in the routing shares: the list has it as Ready, and it is not ejected.
+// usable reports whether a replica takes part in the routing shares: it is listed as Ready and is not ejected.
 func (r *replica) usable() bool { return r.State == Ready && !r.health.ejected }
 
 // byListing orders replicas by when they were first listed.
 func byListing(x, y *replica) int { return cmp.Compare(x.number, y.number) }
 
-// replicaTable holds all replicas that are known.
+// replicaTable holds all known replicas.
 type replicaTable struct {
 	all           []*replica // in order of first listing
 	byID          map[string]*replica
@@ -50,12 +50,12 @@
 	lastNumber    int
 	listedReady   int        // listed as Ready, ejected or not
 	usable        int        // listed as Ready and not ejected
-	busy          []*replica // with attempts outstanding now or since the last dropIdle; in order of first listing
-	removed       []*replica // that may be forgotten in time
-	siblingsStale bool       // some replica's siblings are not those by the ring
+	busy          []*replica // with attempts outstanding now or since the last dropIdle, in order of first listing
+	removed       []*replica // that pruneRemoved may forget later
+	siblingsStale bool       // some replica's siblings are not those that the ring gives
 }
 
-// count counts the replicas for which a condition holds.
+// count returns the number of replicas for which a condition holds.
 func (t *replicaTable) count(holds func(*replica) bool) (n float64) {
 	for _, r := range t.all {
 		if holds(r) {
@@ -65,7 +65,7 @@
 	return n
 }
 
-// add enters a replica that was not listed before. It counts as removed until update says what it is.
+// add inserts a replica that was not listed before. Its state is Removed until update sets the listed one.
 func (t *replicaTable) add(e Replica, classes int) *replica {
 	t.lastNumber++
 	r := &replica{
@@ -77,13 +77,13 @@
 	t.all = append(t.all, r)
 	t.ring.add(r)
 	r.siblings = t.ring.siblings(r)
-	for _, o := range r.siblings { // r comes last in their order
+	for _, o := range r.siblings { // r was listed last, so it goes to the end
 		o.siblings = append(o.siblings, r)
 	}
 	return r
 }
 
-// update takes over what the endpoint list says of a replica.
+// update applies an entry of the endpoint list to its replica.
 func (t *replicaTable) update(r *replica, e Replica) {
 	was := r.Replica
 	moved := mod(was.RingPosition, t.ring.size) != mod(e.RingPosition, t.ring.size)
@@ -106,7 +106,7 @@
 	}
 }
 
-// markRemoved notes since when a replica is listed as removed.
+// markRemoved records when a replica was first seen as removed, or that it is not removed.
 func (t *replicaTable) markRemoved(r *replica, now time.Duration) {
 	if r.State != Removed {
 		r.removedAt = 0
@@ -122,7 +122,7 @@
 	}
 }
 
-// forget takes a replica out of everything.
+// forget deletes a replica from the table, from the ring and from its siblings' lists.
 func (t *replicaTable) forget(r *replica) {
 	for _, o := range r.siblings {
 		o.siblings = slices.DeleteFunc(o.siblings, func(x *replica) bool { return x == r })
@@ -132,12 +132,12 @@
 	t.ring.remove(r)
 }
 
-// setEjected enters whether a replica is ejected.
+// setEjected sets whether a replica is ejected.
 func (t *replicaTable) setEjected(r *replica, ejected bool) {
 	t.change(r, func() { r.health.ejected = ejected })
 }
 
-// change applies a change of what makes a replica usable, and keeps the count of those that are.
+// change applies a change that may affect whether a replica is usable, and updates the count of usable replicas.
 func (t *replicaTable) change(r *replica, change func()) {
 	if r.usable() {
 		t.usable--
@@ -148,7 +148,7 @@
 	}
 }
 
-// markBusy enters a replica that has an attempt outstanding.
+// markBusy adds a replica that has an outstanding attempt to the busy replicas.
 func (t *replicaTable) markBusy(r *replica) {
 	if !r.busy {
 		r.busy = true
@@ -156,7 +156,7 @@
 	}
 }
 
-// dropIdle takes the replicas without attempts out of those that are busy.
+// dropIdle removes replicas without outstanding attempts from the busy replicas.
 func (t *replicaTable) dropIdle() {
 	t.busy = slices.DeleteFunc(t.busy, func(r *replica) bool {
 		r.busy = len(r.attempts) > 0
@@ -164,7 +164,7 @@
 	})
 }
 
-// relateAll finds the siblings of all replicas anew.
+// relateAll recomputes the siblings of all replicas.
 func (t *replicaTable) relateAll() {
 	for _, r := range t.all {
 		r.siblings = t.ring.siblings(r)
@@ -172,13 +172,13 @@
 	t.siblingsStale = false
 }
 
-// insertInOrder enters a replica into a list in order of first listing.
+// insertInOrder inserts a replica into a list in order of first listing.
 func insertInOrder(list []*replica, r *replica) []*replica {
 	i, _ := slices.BinarySearchFunc(list, r, byListing)
 	return slices.Insert(list, i, r)
 }
 
-// removeInOrder takes a replica out of such a list.
+// removeInOrder removes a replica from a list in order of first listing.
 func removeInOrder(list []*replica, r *replica) []*replica {
 	if i, found := slices.BinarySearchFunc(list, r, byListing); found {
 		return slices.Delete(list, i, i+1)
--- a/internal/decide/scatter/retry_budget.go
+++ b/internal/decide/scatter/retry_budget.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// retryBudget bounds the attempts that a coordinator begins beyond the first of each part, as a share of its recent
+// retryBudget limits retries, the attempts beyond the first of each part, to a share of the coordinator's recent
 // traffic, so that retries cannot multiply an overload.
 type retryBudget struct {
-	limit   *RetryBudget    // from the settings; nil where retries are not bounded
+	limit   *RetryBudget    // from the settings; nil if retries are not bounded
 	arrived []time.Duration // queries and parts within the window, oldest first
 	retried []time.Duration // attempts beyond the first within the window, oldest first
 }
@@ -29,8 +29,8 @@
 	return float64(len(b.retried)+1) <= limit
 }
 
-// expire drops what has left the window. At its very edge both are counted against the coordinator: a retry still
-// counts, an arrival no longer does.
+// expire drops entries that have left the window. An entry exactly at the edge counts against the coordinator: a retry
+// still counts, an arrival no longer does.
 func (b *retryBudget) expire(now time.Duration) {
 	if b.limit == nil {
 		b.arrived, b.retried = nil, nil
