--- a/internal/decide/scatter/actions.go
+++ b/internal/decide/scatter/actions.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Action is something that a Machine asks its caller to do, at the time of the step and in order.
+// Action is a request from a Machine to its caller, to be carried out at the time of the step and in order.
 type Action interface{ isAction() }
 
 type (
-	// Send starts the next attempt of a part; attempts of a part count from 0. Sends of one step to one replica share
-	// calls.
+	// Send starts the next attempt of a part. The attempts of a part are numbered from 0. Sends of one step to the same
+	// replica share calls.
 	Send struct {
 		Part    string
 		Replica string
-		Timeout time.Duration // until the answer is due by the objective; after that, until the query is ended
+		Timeout time.Duration // until the objective or, after that, until the end of the query
 	}
 	// CancelAttempt stops waiting for an attempt.
 	CancelAttempt struct {
@@ -23,18 +23,18 @@
 		Query    string
 		Complete bool
 	}
-	// Reject rejects a query: trying again is harmless. RetryAfter is 0 for no advice.
+	// Reject rejects a query: the client may safely try again. RetryAfter is 0 for no advice.
 	Reject struct {
 		Query      string
 		RetryAfter time.Duration
 	}
-	// Fail gives a query up, promising nothing.
+	// Fail ends a query without an answer and without the promise that trying again is harmless.
 	Fail struct{ Query string }
 	// CloseIdleConnections closes the idle connections to a replica.
 	CloseIdleConnections struct{ Replica string }
-	// Subscribe asks for the endpoint list and its changes.
+	// Subscribe requests the endpoint list and its changes.
 	Subscribe struct{}
-	// SetTimer asks for a TimerFired event, in the place of any that was asked for before.
+	// SetTimer requests a TimerFired event and replaces any earlier request.
 	SetTimer struct{ After time.Duration }
 )
 
--- a/internal/decide/scatter/admission.go
+++ b/internal/decide/scatter/admission.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// Admission goes by pressure: a query's predicted latency as a share of its latency objective.
+// Admission depends on pressure: a query's predicted latency as a share of its latency objective.
 const (
-	overQuotaPressure = 0.25 // from here on, traffic beyond its tenant's quota is rejected
-	shedFrom          = 0.4  // from here on, queries are shed at random, with a probability that grows
-	shedAll           = 0.7  // up to here, where the probability is maxShed
+	overQuotaPressure = 0.25 // above this, queries beyond their tenant's quota are rejected
+	shedFrom          = 0.4  // above this, queries are shed at random, with a probability that grows from 0
+	shedAll           = 0.7  // where the probability would reach 1, did maxShed not cap it
 
-	// maxShed is the largest share of queries that is shed at random; the others keep the prediction up to date.
+	// maxShed is the highest probability of shedding a query at random; the other queries keep the prediction up to
+	// date.
 	maxShed = 0.9
-	// maxTimeShare is the largest share of its remaining time that an admitted query is predicted to need.
+	// maxTimeShare is the largest share of its remaining time that an admitted query may be predicted to need.
 	maxTimeShare = 0.9
 
-	// From skipLowWeightFrom on, parts of little weight are left out of queries that may be answered in part. Up to
-	// skipLowWeightAll the limit grows to maxLowWeight, in mean weights of the query's parts.
+	// Above a pressure of skipLowWeightFrom, low-weight parts are left out of queries that allow partial answers. The
+	// weight limit grows from 0, would reach 1 at skipLowWeightAll, and is capped at maxLowWeight, as multiples of the
+	// mean weight of the query's parts.
 	skipLowWeightFrom = 0.25
 	skipLowWeightAll  = 0.4
 	maxLowWeight      = 0.9
 
-	// A shard is overloaded where a part is predicted to take overloadedFrom of the objective. Of the parts that can be
-	// left out there, skipOverloaded are.
+	// A shard is overloaded if a part there is predicted to take at least overloadedFrom of the objective. A part that
+	// can be left out there is, with a probability of skipOverloaded.
 	overloadedFrom = 0.9
 	skipOverloaded = 0.9
 )
 
-// How far a tenant may run ahead of its quota.
+// The burst of a tenant's quota.
 const (
-	quotaBurstSeconds = 2.0 // in seconds of its quota
-	minQuotaBurst     = 5.0 // in queries: where one coordinator's part of a quota is small, a few meet by chance
+	quotaBurstSeconds = 2.0 // in seconds of the quota
+	minQuotaBurst     = 5.0 // in queries: a few arrive together by chance where a coordinator's quota is small
 )
 
 // quota is a token bucket for a tenant's queries at this coordinator.
 type quota struct {
-	rate      float64 // tokens a second; 0 for no quota
-	burst     float64 // tokens that may be saved
+	rate      float64 // tokens per second; 0 for no quota
+	burst     float64 // the most tokens that may accumulate
 	tokens    float64
 	updatedAt time.Duration
 }
 
-// newQuota is a full bucket for a tenant's queries a second at this coordinator.
+// newQuota returns a full bucket for a tenant's rate at this coordinator, in queries per second.
 func newQuota(rate float64) *quota {
 	burst := max(rate*quotaBurstSeconds, minQuotaBurst)
 	return &quota{rate: rate, burst: burst, tokens: burst}
 }
 
-// withRate is the bucket at another rate, with what was saved so far. A nil quota is new.
+// withRate returns the bucket at another rate, with the tokens saved so far. For a nil quota it returns a full bucket.
 func (b *quota) withRate(rate float64) *quota {
 	next := newQuota(rate)
 	if b != nil {
@@ -58,8 +60,8 @@
 	return next
 }
 
-// take takes a token for a query, if there is one, and reports whether the query lies within the quota. A client's
-// retry takes none: it belongs to a query that was counted.
+// take takes a token for a query if there is one, and reports whether the query is within the quota. A client's retry
+// takes no token, because its query has been counted before.
 func (b *quota) take(now time.Duration, isRetry bool) (within bool) {
 	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.updatedAt).Seconds())
 	b.updatedAt = now
@@ -70,8 +72,8 @@
 	return within
 }
 
-// admit rejects a query that cannot meet its objective, sheds load with growing pressure, and leaves out of an admitted
-// query the parts that it can be answered without.
+// admit rejects a query that cannot meet its objective, sheds load as pressure grows, and leaves out the parts of an
+// admitted query that its answer can do without.
 func (m *Machine) admit(q *query) {
 	q.admissionDecided = true
 	q.normalizeWeights()
@@ -85,7 +87,7 @@
 	m.skipParts(q, pressure)
 }
 
-// decideShed decides whether a query is rejected: because it cannot be in time, because its tenant is beyond its
+// decideShed decides whether a query is rejected: because it is predicted to be late, because its tenant is beyond its
 // quota, or at random.
 func (m *Machine) decideShed(q *query, pressure float64) bool {
 	remaining := float64(q.answerDue - m.now)
@@ -101,17 +103,17 @@
 	return probability > 0 && m.random.Float64() < min(probability, maxShed)
 }
 
-// relaxPrediction counts a rejected query as one sample at the initial latency: rejected queries bring no samples of
-// their own, and the prediction would stay as high as it is.
+// relaxPrediction lowers the prediction after a rejection, as if the query had brought one sample at the initial
+// latency. Rejected queries bring no samples of their own, so the prediction would otherwise stay high.
 func (m *Machine) relaxPrediction(c *class) {
 	m.loadFactor -= meanGain * max(0, m.loadFactor-1)
 	initial := initialLatency * c.LatencyObjective.Seconds()
 	c.meanLatency += meanGain * (min(c.meanLatency, initial) - c.meanLatency)
 }
 
-// skipParts leaves out the parts of unavailable shards, where an answer in part will do without them, and, as far as
-// half way to the least answer, light parts and those of overloaded shards. A query that needs an unavailable shard
-// is given up.
+// skipParts leaves out parts of unavailable shards if a partial answer without them is allowed. It also leaves out
+// low-weight parts and parts of overloaded shards, but at most until the remaining weight is halfway between the
+// complete and the minimum fraction. A query that needs an unavailable shard is given up.
 func (m *Machine) skipParts(q *query, pressure float64) {
 	byWeight := slices.Clone(q.parts)
 	slices.SortStableFunc(byWeight, func(x, y *part) int { return cmp.Compare(x.Weight, y.Weight) })
@@ -132,15 +134,15 @@
 	}
 }
 
-// sparesOverloadedShard decides whether a part is left out for its shard's load. Some still go there, to learn when the
-// load is over.
+// sparesOverloadedShard decides whether a part is left out because its shard is overloaded. Some parts are still sent
+// there, to detect the end of the overload.
 func (m *Machine) sparesOverloadedShard(p *part) bool {
 	objective := p.query.class.LatencyObjective.Seconds()
 	return m.expectedLatency(p) > overloadedFrom*objective && m.random.Float64() < skipOverloaded
 }
 
-// shardUnavailable reports whether all holders of a part's shard are being avoided: the part would add to an
-// overload and wait there in vain. A coordinator of a small fleet always tries.
+// shardUnavailable reports whether all holders of a part's shard are being avoided: the part would add to an overload
+// and wait there without being served. A coordinator of a small fleet always tries.
 func (m *Machine) shardUnavailable(p *part) bool {
 	open := func(r *replica) bool { return m.now >= r.health.avoidUntil }
 	return m.placement.fleetFactor > 1 && !slices.ContainsFunc(m.shardOf(p.Shard).readyHolders, open)
--- a/internal/decide/scatter/arrivals.go
+++ b/internal/decide/scatter/arrivals.go
@@ -19,7 +19,7 @@
 	m.queries.add(q)
 }
 
-// onPartArrived adds a part to its query. A deferred part is no load on its shard yet.
+// onPartArrived adds a part to its query. A deferred part does not count as load on its shard yet.
 func (m *Machine) onPartArrived(e PartArrived) {
 	q := m.queries.byNumber[e.Number]
 	if q == nil {
@@ -37,7 +37,8 @@
 	m.retries.countArrival(m.now)
 }
 
-// onPartReleased lets a deferred part go out, or takes a part as served whose value the caller has by other means.
+// onPartReleased allows a deferred part to be sent, or marks a part as served whose value the caller has by other
+// means.
 func (m *Machine) onPartReleased(e PartReleased) {
 	p := m.queries.parts[e.ID]
 	if p == nil || p.served || p.query.closed {
@@ -53,7 +54,7 @@
 	}
 }
 
-// markServed takes a part's value as in: no attempt of it is waited for any more.
+// markServed records that a part's value has arrived, and cancels its outstanding attempts.
 func (m *Machine) markServed(p *part) {
 	p.served = true
 	p.query.servedWeight += p.Weight
--- a/internal/decide/scatter/checkpoint.go
+++ b/internal/decide/scatter/checkpoint.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Checkpoint is what a Machine has learned, to be handed on to another one of the same coordinator that goes by the
-// same clock: a new version of the program would else meet replicas that are in slow start, ejected or overloaded
-// as if for the first time. Instants are on the coordinator's clock. The JSON names are stored data and stay as
-// they are.
+// Checkpoint is what a Machine has learned. It is passed on to another Machine of the same coordinator that uses the
+// same clock. Without it, a new version of the program would send to replicas that are in slow start, ejected or
+// overloaded as if it knew nothing of them. Instants are on the coordinator's clock. The JSON names are part of the
+// stored format and must not change.
 type Checkpoint struct {
 	At           time.Duration `json:"at"`
-	WarmedUpRate float64       `json:"warm"`    // parts a second served by each warmed up replica
-	DemandRate   float64       `json:"asked"`   // parts a second of admitted queries for each ready replica
-	Intervals    float64       `json:"refills"` // rebalance intervals that these rates are of
-	LoadFactor   float64       `json:"strain"`  // how much longer than their classes' means parts take
-	// IdleLimit is how long connections had been unused that were lost.
+	WarmedUpRate float64       `json:"warm"`    // parts per second served by each warmed up replica
+	DemandRate   float64       `json:"asked"`   // parts per second of admitted queries for each usable replica
+	Intervals    float64       `json:"refills"` // rebalance intervals over which these rates were observed
+	LoadFactor   float64       `json:"strain"`  // recent latency of parts, as a multiple of what class and replica take
+	// IdleLimit is the shortest time that lost connections had been unused.
 	IdleLimit time.Duration       `json:"idle_limit"`
 	Classes   []ClassCheckpoint   `json:"classes"`
 	Replicas  []ReplicaCheckpoint `json:"replicas"`
@@ -34,7 +34,7 @@
 // ReplicaCheckpoint is what was learned of a replica. Lists are by class, in the order of Checkpoint.Classes.
 type ReplicaCheckpoint struct {
 	ID                    string        `json:"id"`
-	StartedAt             time.Duration `json:"since"` // of the process that this was learned of
+	StartedAt             time.Duration `json:"since"` // start of the process that this was learned of
 	LatencyRatio          float64       `json:"ratio"`
 	SlowStartFrom         time.Duration `json:"cold_from,omitempty"`
 	Ejected               bool          `json:"suspect,omitempty"`
@@ -59,13 +59,13 @@
 	ClassLastUnanswered    []time.Duration `json:"lost_at,omitempty"`
 }
 
-// ShardCheckpoint is a shard's traffic by class, in parts a rebalance interval.
+// ShardCheckpoint is a shard's traffic by class, in parts per rebalance interval.
 type ShardCheckpoint struct {
 	Number int       `json:"no"`
 	Rates  []float64 `json:"rates"`
 }
 
-// Checkpoint is what the Machine has learned. The caller may keep it.
+// Checkpoint returns what the Machine has learned. The result shares no memory with the Machine.
 func (m *Machine) Checkpoint() Checkpoint {
 	c := Checkpoint{
 		At:           m.now,
@@ -126,12 +126,11 @@
 	}
 }
 
-// Restore takes over what another Machine had learned of the classes and replicas that this one knows, so the
-// endpoint list is to be given before; it is for one that has learned nothing yet. A replica that has been started
-// since is not the one that was known. Figures that cannot have been learned are left out. Open queries and what is
-// saved up of budgets are not handed on.
+// Restore takes over what another Machine has learned of the classes and replicas that this one knows, so the endpoint
+// list has to be passed to Step before. It is for a Machine that has learned nothing yet. Figures of a replica that has
+// restarted since are skipped, and so are impossible figures. Open queries and saved tokens are not passed on.
 func (m *Machine) Restore(c Checkpoint) {
-	from := make([]int, len(m.classes.list)) // a class's index in the checkpoint; negative where it is not there
+	from := make([]int, len(m.classes.list)) // a class's index in the checkpoint; negative if it is missing
 	for i, k := range m.classes.list {
 		from[i] = slices.IndexFunc(c.Classes, func(saved ClassCheckpoint) bool { return saved.Name == k.Name })
 		if from[i] >= 0 {
@@ -173,15 +172,15 @@
 	c.updateQuantiles()
 }
 
-// appliesTo reports whether a checkpoint is of the same process and has figures for each of its classes.
+// appliesTo reports whether a checkpoint is of the replica's present process and has figures for each of its classes.
 func (saved *ReplicaCheckpoint) appliesTo(r *replica, classes int) bool {
 	return r.StartedAt <= saved.StartedAt && isPositive(saved.LatencyRatio) &&
 		len(saved.ClassConsecutiveFaults) == classes && len(saved.ClassExcludedUntil) == classes &&
 		len(saved.ClassLastSuccess) == classes && len(saved.ClassLastUnanswered) == classes
 }
 
-// restoreReplica takes over what was learned of a replica. Nothing of what may be sent in slow start is saved up: the
-// other coordinator may still be sending.
+// restoreReplica takes over what was learned of a replica. Slow start begins without tokens, because the other Machine
+// may still be sending.
 func (m *Machine) restoreReplica(r *replica, saved ReplicaCheckpoint, from []int) {
 	m.replicas.setEjected(r, saved.Ejected)
 	r.latencyRatio = saved.LatencyRatio
@@ -208,17 +207,17 @@
 	r.slowStart.tokens, r.slowStart.updatedAt = 0, m.now
 }
 
-// isPositive reports whether a latency or ratio could have been learned.
+// isPositive reports whether a latency or a ratio is one that can have been learned.
 func isPositive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
 
 func isNoLatency(x float64) bool { return !isPositive(x) }
 
-// isRate reports whether a rate could have been learned.
+// isRate reports whether a rate is one that can have been learned.
 func isRate(x float64) bool { return x == 0 || isPositive(x) }
 
 func isNoRate(x float64) bool { return !isRate(x) }
 
-// byClass lists a figure of a replica's health by class.
+// byClass returns one figure of a replica's health for each class.
 func byClass[T any](list []classHealth, of func(classHealth) T) []T {
 	figures := make([]T, 0, len(list))
 	for _, h := range list {
@@ -227,7 +226,7 @@
 	return figures
 }
 
-// byClass is a replica's health by class, from the lists of its figures, which have the same length.
+// byClass returns a replica's health by class, from its lists of figures, which have the same length.
 func (saved *ReplicaCheckpoint) byClass() []classHealth {
 	list := make([]classHealth, len(saved.ClassConsecutiveFaults))
 	for i := range list {
--- a/internal/decide/scatter/completeness.go
+++ b/internal/decide/scatter/completeness.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// answerTicks is how many ticks an answer is taken to need to its client.
+// answerTicks is how many ticks an answer is assumed to need to reach its client.
 const answerTicks = 4
 
-// continueLateBelow is the predicted latency, as a share of the objective, up to which a query that has missed its
-// objective goes on: above it, the late answer would cost other queries theirs.
+// continueLateBelow is the predicted latency, as a share of the objective, up to which a query continues after it has
+// missed its objective. Above it, the late answer would make other queries miss theirs.
 const continueLateBelow = 0.25
 
-// advance does what a query needs now: its answer, its end, missing attempts, hedged requests.
+// advance does what a query needs now: it answers or ends the query, sends missing attempts, and relieves overdue
+// parts.
 func (m *Machine) advance(q *query) {
 	complete, least := q.requiredWeights()
 	m.decidePastObjective(q)
@@ -33,8 +34,8 @@
 	}
 }
 
-// requiredWeights are the served weights from which the present round's answer is complete, and from which there may
-// be an answer at all.
+// requiredWeights returns the served weights from which the present round's answer is complete, and from which any
+// answer is allowed.
 func (q *query) requiredWeights() (complete, least float64) {
 	complete, least = q.class.CompleteFraction, min(q.minWeight, q.class.CompleteFraction)
 	if q.round == 0 {
@@ -46,8 +47,8 @@
 	return 1, least
 }
 
-// decidePastObjective ends a query at its objective, unless its class values late answers and going on costs no other
-// query its own objective.
+// decidePastObjective ends a query at its objective, unless its class gives weight to late answers and the predicted
+// latency is so low that continuing makes no other query miss its own objective.
 func (m *Machine) decidePastObjective(q *query) {
 	if q.lateDecided || m.now < q.answerDue-m.settings.TickInterval {
 		return
@@ -59,8 +60,8 @@
 	}
 }
 
-// selectParts marks the parts to ask for: the quickest that make a complete answer, and others in the place of those
-// that can no longer come.
+// selectParts marks the parts to send: the quickest ones that make a complete answer, and replacements for those that
+// can no longer be served.
 func (m *Machine) selectParts(q *query, complete float64) {
 	sum := q.servedWeight
 	var unselected []*part
@@ -87,12 +88,13 @@
 	return cmp.Compare(m.expectedLatency(x), m.expectedLatency(y))
 }
 
-// canStillCome reports whether a part's answer can still come. It cannot where no attempt is out and none may begin
-// now: not even if only the retry budget is spent, so that a query that needs the part ends at once.
+// canStillCome reports whether a part can still be served: an attempt is outstanding, or one may begin now. If it may
+// not begin, even only because the retry budget is spent, the part counts as lost, so that a query that needs it ends
+// at once.
 func (m *Machine) canStillCome(p *part) bool { return p.outstanding() || m.mayAttempt(p) }
 
-// sendMissingAttempts sends the selected parts that have no attempt out, and returns the weight that the query can
-// still reach.
+// sendMissingAttempts sends the selected parts that have no outstanding attempt, and returns the weight that the query
+// can still reach.
 func (m *Machine) sendMissingAttempts(q *query) (reachable float64) {
 	reachable = q.servedWeight
 	for _, p := range q.parts {
@@ -106,17 +108,17 @@
 	return reachable
 }
 
-// needsAttempt reports whether an attempt of a part is to begin now.
+// needsAttempt reports whether an attempt of a part has to begin now.
 func (m *Machine) needsAttempt(p *part) bool {
 	return p.selected && !p.Deferred && !p.served && !p.outstanding() && m.mayAttempt(p) &&
 		m.now < p.query.endBy && m.now >= p.notBefore
 }
 
-// endQuery answers a query in part or gives it up, where it is time, and reports whether it did.
+// endQuery answers a query in part or gives it up when that is due, and reports whether it did.
 func (m *Machine) endQuery(q *query, reachable, complete, least float64) (ended bool) {
 	over := m.now >= q.endBy
 	enough := q.servedWeight > 0 && q.servedWeight >= least-weightSlack
-	short := len(q.parts) > 0 && reachable < complete-weightSlack // the parts of a second round come a step later
+	short := len(q.parts) > 0 && reachable < complete-weightSlack // a second round has no parts until the next step
 	switch {
 	case enough && (over || m.now >= m.answerBy(q) || short && q.servedWeight >= reachable-weightSlack):
 		m.answer(q, false)
@@ -128,8 +130,8 @@
 	return false
 }
 
-// answerBy is when a query is answered with what is in: before its objective, by the time that the answer takes to its
-// client, and where a second round follows, by the time of a slow part of that round.
+// answerBy returns when a query is answered with the parts served so far: before its objective, by the time that the
+// answer takes to its client and, if a second round follows, also by the time of a slow part of that round.
 func (m *Machine) answerBy(q *query) time.Duration {
 	by := q.answerDue - answerTicks*m.settings.TickInterval
 	if q.round == 0 && q.class.SecondRoundParts > 0 {
@@ -138,7 +140,8 @@
 	return by
 }
 
-// answer answers a query from the parts served. A class with a second round stays open for its parts.
+// answer answers a query from the parts served so far. After the first of two rounds the query stays open for the parts
+// of the second.
 func (m *Machine) answer(q *query, complete bool) {
 	m.do(Answer{Query: q.ID, Complete: complete})
 	if q.round > 0 || q.class.SecondRoundParts == 0 {
@@ -152,7 +155,7 @@
 	q.servedWeight, q.parts, q.admissionDecided = 0, nil, true
 }
 
-// giveUp ends a query without an answer: rejected where the client may safely try again, else failed.
+// giveUp ends a query without an answer: it is rejected if the client may safely retry it, and fails otherwise.
 func (m *Machine) giveUp(q *query) {
 	mayHaveEffect := func(p *part) bool { return p.mayHaveRun && q.class.Idempotency != Idempotent }
 	if q.round > 0 || slices.ContainsFunc(q.parts, mayHaveEffect) {
@@ -163,7 +166,7 @@
 	m.closeQuery(q)
 }
 
-// closeQuery forgets a query and cancels its attempts.
+// closeQuery removes a query and cancels its attempts.
 func (m *Machine) closeQuery(q *query) {
 	q.closed = true
 	m.queries.remove(q)
--- a/internal/decide/scatter/endpoints.go
+++ b/internal/decide/scatter/endpoints.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// forgetAfter is how long a removed replica is remembered after it was last used.
+	// forgetAfter is how long a removed replica is remembered after its removal or its last use, whichever was later.
 	forgetAfter = time.Minute
-	// minSubscribeBackoff is the backoff after the first failed subscription, before it is spread; each failure
+	// minSubscribeBackoff is the backoff after the first failed subscription, before jitter. Each further failure
 	// doubles it.
 	minSubscribeBackoff = 500 * time.Millisecond
-	// minSubscribeRepeat is the least time after which a subscription that was not answered at all is asked for again.
+	// minSubscribeRepeat is the least time after which an unanswered subscription is requested again.
 	minSubscribeRepeat = time.Second
-	// subscribeBackoffDivisor bounds that backoff: the time for which the endpoint list holds, divided by it.
+	// subscribeBackoffDivisor bounds the backoff to the time for which the endpoint list is valid, divided by it.
 	subscribeBackoffDivisor = 4
 )
 
 // endpointList is the subscription to the endpoint list.
 type endpointList struct {
-	updates       int // so many were received
+	updates       int // how many were received
 	subscribed    bool
-	nextSubscribe time.Duration // when to subscribe next, unless subscribed
+	nextSubscribe time.Duration // when to subscribe next, if not subscribed
 	backoff       time.Duration // after the last failure; 0 after a success
 }
 
-// onEndpointUpdate takes a list of replicas, changes of it, or a failure to get it.
+// onEndpointUpdate processes a list of replicas, changes to it, or a failure to get it.
 func (m *Machine) onEndpointUpdate(e EndpointUpdate) {
 	l := &m.endpoints
 	if e.Kind == FailedUpdate {
@@ -48,8 +48,8 @@
 	}
 }
 
-// updateReplica takes over one entry. A later start under the same id is a new process: it is in slow start, and no
-// longer ejected. The backoffs of its predecessor run out by themselves.
+// updateReplica applies one entry. A later start under the same id is a new process: it is in slow start and no longer
+// ejected. The backoffs of its predecessor remain until they expire.
 func (m *Machine) updateReplica(e Replica) {
 	r := m.replicas.byID[e.ID]
 	switch {
@@ -67,14 +67,14 @@
 	r.listedBy = m.endpoints.updates
 }
 
-// setEntry enters what the list says of a replica.
+// setEntry sets what the list says about a replica.
 func (m *Machine) setEntry(r *replica, e Replica) {
 	m.examined.replicas++
 	m.replicas.update(r, e)
 	m.replicas.markRemoved(r, m.now)
 }
 
-// removeUnlisted marks the replicas as removed that a complete list did not name.
+// removeUnlisted marks replicas as removed if a complete list did not contain them.
 func (m *Machine) removeUnlisted() {
 	for _, r := range m.replicas.all {
 		if r.listedBy != m.endpoints.updates {
@@ -85,7 +85,8 @@
 	}
 }
 
-// pruneRemoved forgets replicas that were removed long ago, for a long life brings ever new ones.
+// pruneRemoved forgets replicas that were removed long ago; otherwise their number would grow as long as the Machine
+// runs.
 func (m *Machine) pruneRemoved() {
 	m.replicas.removed = slices.DeleteFunc(m.replicas.removed, func(r *replica) bool {
 		idle := len(r.attempts) == 0 && m.now-max(r.removedAt, r.lastUsed) > forgetAfter
@@ -98,7 +99,8 @@
 	})
 }
 
-// subscribe asks for the endpoint list where it has to be asked for, and again should no answer come at all.
+// subscribe requests the endpoint list if the settings say that it has to be requested, and again if no answer comes at
+// all.
 func (m *Machine) subscribe() {
 	l := &m.endpoints
 	if !m.settings.Subscribe || l.subscribed || m.now < l.nextSubscribe {
--- a/internal/decide/scatter/idle_connections.go
+++ b/internal/decide/scatter/idle_connections.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// idleTrustShare is how long an unused connection is trusted, as a share of the time after which one was lost.
+	// idleTrustShare is how long an unused connection is trusted, as a share of the idle time after which one was lost.
 	idleTrustShare = 0.7
-	// idleTrustGrowth is the growth of that time at each periodic rebalance, since what drops connections may end.
+	// idleTrustGrowth is the factor by which that time grows at each periodic rebalance, since what drops connections
+	// may have ceased to.
 	idleTrustGrowth = 1.03
-	// maxIdleTrust is how long an unused connection is trusted at most; nothing is known of any that was lost.
+	// maxIdleTrust is the longest time for which an unused connection is trusted; it applies while no lost connection
+	// is known.
 	maxIdleTrust = 24 * time.Hour
 )
 
-// wasIdleReset reports whether an ejected replica that serves right after a reset had no fault: the part went on a
-// connection that was dropped for want of use. A process that answers within restartTime
-// is taken for the same one.
+// wasIdleReset reports whether an ejected replica that serves a part soon after a reset had no fault: its connection
+// was dropped because it had been unused. A process that answers within restartTime counts as the same one.
 func (m *Machine) wasIdleReset(r *replica, at *attempt) bool {
 	h := &r.health
 	return h.mayHaveRestarted && h.idleBeforeReset >= m.minProbeBackoff() &&
 		at.sentAt-h.ejectedAt <= m.restartTime()
 }
 
-// reinstateIdleResets notes that a connection was dropped that had been unused for a time, and reinstates all replicas
-// that lost such a one.
+// reinstateIdleResets records that a connection was dropped after an idle time, and reinstates all replicas that lost a
+// connection in the same way.
 func (m *Machine) reinstateIdleResets(idle time.Duration) {
 	m.idleConnections.lostAfter(idle)
 	for _, r := range m.replicas.all {
@@ -33,16 +34,16 @@
 	}
 }
 
-// idleTrust is for how long an unused connection is trusted.
+// idleTrust is how long an unused connection is trusted.
 type idleTrust struct {
-	limit time.Duration // connections that had been unused for so long were lost
+	limit time.Duration // shortest idle time after which a connection was lost
 }
 
-// trusts reports whether a connection that has been unused for a time may be sent a part.
+// trusts reports whether a part may be sent on a connection that has been unused for a time.
 func (t *idleTrust) trusts(idle time.Duration) bool { return idle <= scale(t.limit, idleTrustShare) }
 
-// lostAfter notes that a connection was lost that had been unused for a time.
+// lostAfter records that a connection was lost after an idle time.
 func (t *idleTrust) lostAfter(idle time.Duration) { t.limit = min(t.limit, idle) }
 
-// relax lets the limit grow.
+// relax raises the limit by idleTrustGrowth.
 func (t *idleTrust) relax() { t.limit = min(scale(t.limit, idleTrustGrowth), maxIdleTrust) }
--- a/internal/decide/scatter/latency.go
+++ b/internal/decide/scatter/latency.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// initialLatency is a class's mean latency before anything was seen, as a share of its latency objective.
+	// initialLatency is a class's mean latency before there are samples, as a share of its latency objective.
 	initialLatency = 0.2
-	// meanGain is the weight of a new sample in a class's mean latency: an average over some twenty parts.
+	// meanGain is the weight of a new sample in a class's mean latency: an average over about twenty parts.
 	meanGain = 0.05
-	// ratioGain is the weight of a new sample in a replica's latency ratio: some five parts, for a coordinator sees
-	// each replica rarely.
+	// ratioGain is the weight of a new sample in a replica's latency ratio: an average over about five parts, because a
+	// coordinator sends to each replica rarely.
 	ratioGain = 0.2
 
 	// maxSamples is how many latencies a class keeps for its quantiles.
 	maxSamples = 64
-	// minSamples is how many there have to be before quantiles are taken.
+	// minSamples is how many samples a class needs before its quantiles are computed.
 	minSamples = maxSamples / 8
 	// overdueQuantile is the quantile of a class's latencies after which a part is overdue.
 	overdueQuantile = 0.95
-	// minOverdue and maxOverdue bound that time, as shares of the latency objective: before the first nothing is at
-	// stake, and after the second a hedged request has too little time left.
+	// minOverdue and maxOverdue bound that time, as shares of the latency objective: earlier than the first, the
+	// objective is not at risk; later than the second, a hedged request has too little time left.
 	minOverdue = 0.3
 	maxOverdue = 0.4
 )
 
-// classTable holds the classes of the settings, and those that open queries still have.
+// classTable holds the classes of the settings, and earlier ones that are still in use.
 type classTable struct {
 	list          []*class          // by class index
 	byName        map[string]*class // of the settings
 	tightest      time.Duration     // the shortest latency objective
-	allowsPartial bool              // some class may be answered in part
+	allowsPartial bool              // some class allows partial answers
 }
 
-// class is what the machine knows of a class of queries.
+// class is the state of a class of queries.
 type class struct {
 	Class
 	index        int
-	maxAttempts  int           // of a part, the first included
+	maxAttempts  int           // for each part, the first included
 	samples      samples       // latest latencies of served parts
-	overdueAfter time.Duration // after which a part is overdue
-	meanLatency  float64       // over all replicas, seconds
-	minService   float64       // what a part takes at least, as seen, seconds
+	overdueAfter time.Duration // an attempt is overdue when it has been outstanding for this
+	meanLatency  float64       // over all replicas, in seconds
+	minService   float64       // least time that a part takes, as observed, in seconds
 }
 
-// newClass is a class of which nothing has been learned.
+// newClass returns a class without samples.
 func newClass(c Class, maxAttempts int) *class {
 	initial := initialLatency * c.LatencyObjective.Seconds()
 	return &class{
@@ -58,10 +58,10 @@
 	}
 }
 
-// samples are the latest latencies of a class, in seconds, in a ring.
+// samples are the latest latencies of a class, in seconds, in a ring buffer.
 type samples struct {
 	values [maxSamples]float64
-	count  int // ever added
+	count  int // how many were ever added
 }
 
 func (s *samples) add(seconds float64) {
@@ -69,14 +69,14 @@
 	s.count++
 }
 
-// latest are the latencies that are still held, in the ring's order.
+// latest returns the latencies that are still held, in the order of the buffer.
 func (s *samples) latest() []float64 { return s.values[:min(s.count, maxSamples)] }
 
-// enough reports whether there are enough of them for quantiles.
+// enough reports whether there are enough samples for quantiles.
 func (s *samples) enough() bool { return s.count >= minSamples }
 
-// updateQuantiles takes the class's quantiles from its samples. Slow starts and load only make parts look dearer, so
-// the least service time ever seen is kept.
+// updateQuantiles recomputes the class's quantiles from its samples. The least service time never rises, since slow
+// starts and load can only make parts look more expensive.
 func (c *class) updateQuantiles() {
 	if !c.samples.enough() {
 		return
@@ -88,23 +88,24 @@
 	c.overdueAfter = min(max(slow, scale(c.LatencyObjective, minOverdue)), scale(c.LatencyObjective, maxOverdue))
 }
 
-// observe takes the latency of a served part, in seconds, into the class's mean.
+// observe adds the latency of a served part, in seconds, to the class's mean.
 func (c *class) observe(seconds float64) {
 	c.meanLatency += max(meanGain, 1/float64(c.samples.count)) * (seconds - c.meanLatency)
 }
 
-// observeAtLeast takes a latency, in seconds, into a replica's ratio that a part would have had at the least.
+// observeAtLeast adds a latency, in seconds, to a replica's ratio as a lower bound of what a part would have taken. It
+// never lowers the ratio.
 func (r *replica) observeAtLeast(c *class, seconds float64) {
 	r.latencyRatio += ratioGain * max(0, seconds/c.meanLatency-r.latencyRatio)
 }
 
-// memo keeps a figure for the rest of a step.
+// memo caches a value for the rest of a step.
 type memo struct {
 	step  int
 	value float64
 }
 
-// medianRatioOf is medianRatio, computed once a step where it cannot change any more.
+// medianRatioOf returns medianRatio, computed once per step as soon as it cannot change any more.
 func (m *Machine) medianRatioOf(cached *memo, some []*replica) float64 {
 	if !m.healthFixed {
 		return medianRatio(some)
@@ -115,8 +116,8 @@
 	return cached.value
 }
 
-// medianRatio is the lower median latency ratio of the ready ones of some replicas, infinite where there is none. What
-// is common to all of them is load, not a fault of one.
+// medianRatio returns the lower median of the latency ratios of the usable replicas in a list; infinity if there are
+// none. A higher latency that all of them have in common is load, not a fault of one.
 func medianRatio(some []*replica) float64 {
 	var space [16]float64
 	if list := readyRatios(some, space[:0]); len(list) > 0 {
@@ -125,7 +126,7 @@
 	return math.Inf(1)
 }
 
-// readyRatios lists the latency ratios of the ready ones of some replicas in ascending order, in the space of a list.
+// readyRatios appends the latency ratios of the usable replicas in some to list, and sorts it in ascending order.
 func readyRatios(some []*replica, list []float64) []float64 {
 	for _, r := range some {
 		if r.usable() {
@@ -136,7 +137,8 @@
 	return list
 }
 
-// adoptSiblingRatio sets a replica's latency ratio to the mean of its ready siblings, or to 1 where it has none.
+// adoptSiblingRatio sets a replica's latency ratio to the mean of its usable siblings' ratios, or to 1 if there are
+// none.
 func (r *replica) adoptSiblingRatio() {
 	r.latencyRatio = 1
 	for i, v := range readyRatios(r.siblings, nil) {
@@ -144,8 +146,8 @@
 	}
 }
 
-// lateness is a degree of being late: a part has been out for so many of its class's overdue times, and for so many
-// times what its replica's siblings take now.
+// lateness is a degree of being late. An attempt has reached it when it has been outstanding for overdueTimes as long
+// as its class's overdueAfter, and for meanTimes as long as its replica's siblings take at present.
 type lateness struct {
 	overdueTimes float64
 	meanTimes    float64
@@ -153,14 +155,14 @@
 
 // The degrees of lateness.
 var (
-	unansweredPart   = lateness{0.5, 2}  // its replica may be leaving parts of just this class unanswered
-	overduePart      = lateness{1, 2}    // calls for a hedged request
-	unresponsivePart = lateness{1.5, 3}  // its replica counts as unresponsive, if it answered nothing else meanwhile
-	lostPart         = lateness{1.5, 10} // will not be answered: a retry costs little of the objective
+	unansweredPart   = lateness{0.5, 2}  // the replica may be leaving parts of just this class unanswered
+	overduePart      = lateness{1, 2}    // a hedged request is due
+	unresponsivePart = lateness{1.5, 3}  // the replica counts as unresponsive, if it has answered nothing else since
+	lostPart         = lateness{1.5, 10} // no answer is expected: a retry costs little of the objective
 )
 
-// lateAfter is the time after which a part is late at a replica: the longer of both times, for what slows all
-// siblings is load. The second one ends at the class's deadline.
+// lateAfter returns the time after which an attempt is late at a replica: the longer of the two times of a lateness,
+// since what slows all siblings is load. The one by the siblings' latency is capped at the class's deadline.
 func (m *Machine) lateAfter(r *replica, c *class, l lateness) time.Duration {
 	usual := l.meanTimes * c.meanLatency * m.medianRatioOf(&r.siblingRatio, r.siblings)
 	usual = min(usual, c.Deadline.Seconds())
@@ -168,7 +170,7 @@
 	return max(overdue, time.Duration(usual*float64(time.Second)))
 }
 
-// isLate reports whether an attempt is late by now.
+// isLate reports whether an attempt has reached a degree of lateness.
 func (m *Machine) isLate(at *attempt, l lateness) bool {
 	return m.now-at.sentAt >= m.lateAfter(at.replica, at.part.query.class, l)
 }
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -39,7 +39,7 @@
 	queries   queryTable
 
 	traffic         trafficRates
-	loadFactor      float64 // recent latency of parts, as a multiple of the mean of class and replica; 1 is usual
+	loadFactor      float64 // recent latency of parts, as a multiple of what class and replica take; 1 is usual
 	lastSuccess     time.Duration
 	idleConnections idleTrust
 	responses       responseWatch
--- a/internal/decide/scatter/outcomes.go
+++ b/internal/decide/scatter/outcomes.go
@@ -52,7 +52,7 @@
 }
 
 // recordOutcome updates the state of a replica by the outcome of an attempt. Failures that come quickly never count as
-// low latency. A latency is capped at the replica's mean if the coordinator itself was stalled meanwhile.
+// low latency. A latency is capped at the replica's mean if the coordinator was stalled during the attempt.
 func (m *Machine) recordOutcome(r *replica, c *class, at *attempt, e AttemptEnded) {
 	m.refreshSharesOf(r)
 	seconds := e.Latency.Seconds()
--- a/internal/decide/scatter/picker.go
+++ b/internal/decide/scatter/picker.go
@@ -5,17 +5,21 @@
 	"slices"
 )
 
-// distrustFor is how long after an error a replica gets no parts that may not run twice, in tightest latency
-// objectives: an error loses such a part for good, and errors come in runs.
+// distrustFor is how long after an error a replica gets no parts that may not run twice, as a multiple of the tightest
+// latency objective: an error loses such a part for good, and errors come in series.
 const distrustFor = 8.0
 
 // eligible reports whether a replica may be picked.
 type eligible func(*replica) bool
 
-// pickReplica picks a replica for a part's next attempt; nil where there is none. It tries, in this order: ready
-// replicas that have not been tried with the part; ready ones; then, since ejection may never empty the choice, any
-// that are slow or unresponsive; last those that fail at once, after a backoff. With firstChoicesOnly, for what is sent
-// beside an overdue attempt, it tries the first kind only.
+// pickReplica picks a replica for a part's next attempt; nil if there is none. It tries these replicas in turn:
+//
+//  1. usable ones that have not been tried with the part, are not avoided, and are not excluded for its class;
+//  2. usable ones that are not avoided;
+//  3. any that have not been tried and do not fail fast, since ejection may never leave a part without a choice;
+//  4. any whose last failure at once is at least a backoff ago.
+//
+// With firstChoicesOnly, for what is sent beside an overdue attempt, it tries only the first kind.
 func (m *Machine) pickReplica(p *part, firstChoicesOnly bool) *replica {
 	s, c := m.shardOf(p.Shard), p.query.class
 	unavoided := func(r *replica) bool { return r.usable() && m.now >= r.health.avoidUntil }
@@ -42,8 +46,8 @@
 	return nil
 }
 
-// pickTrusted picks a replica for a part that may not run twice: of those that have left no part of its class
-// unanswered for a while, first those without a recent error.
+// pickTrusted picks a replica for a part that may not run twice. It considers replicas that have recently left no part
+// of the class unanswered, and prefers those without a recent error.
 func (m *Machine) pickTrusted(p *part, s *shard, fresh eligible) *replica {
 	c, distrust := p.query.class, scale(m.classes.tightest, distrustFor)
 	answers := func(r *replica) bool {
@@ -60,8 +64,8 @@
 	return m.drawReplica(p, s, answers)
 }
 
-// leavesUnanswered reports whether an attempt of a class has been out at a replica for so long that the replica may be
-// leaving parts of just that class unanswered.
+// leavesUnanswered reports whether an attempt of a class has been outstanding at a replica for so long that the replica
+// may be leaving parts of just that class unanswered.
 func (m *Machine) leavesUnanswered(r *replica, c *class) bool {
 	return slices.ContainsFunc(r.attempts, func(at *attempt) bool {
 		return at.part.query.class == c && !at.excused &&
@@ -69,10 +73,10 @@
 	})
 }
 
-// drawReplica draws one of a shard's eligible holders by the routing shares: the least of an exponential variate
-// divided by the share. A query draws one variate for each replica, so its parts meet where they can and share
-// calls. Holders with more calls out than the least loaded are left out. One beyond the subset stands in where
-// nothing in it will do.
+// drawReplica draws one of a shard's eligible holders by the routing shares: the one with the smallest quotient of an
+// exponential variate and its share. A query draws one variate for each replica, so its parts go to the same replicas
+// where possible and share calls. Holders with more outstanding calls than the least loaded one are left out. A holder
+// beyond the subset is used only if none in it is eligible.
 func (m *Machine) drawReplica(p *part, s *shard, ok eligible) *replica {
 	candidates, minCalls := m.candidates(p, s, ok)
 	shares := s.shares[p.query.class.index]
@@ -90,8 +94,8 @@
 	return best
 }
 
-// candidates lists, as indexes of a shard's holders, those that a part may be sent to, and the least number of calls
-// that any of them has out.
+// candidates returns the holders that a part may be sent to, as indexes of readyHolders, and the least number of
+// outstanding calls at any of them.
 func (m *Machine) candidates(p *part, s *shard, ok eligible) (list []int, minCalls int) {
 	minCalls = math.MaxInt
 	for i, r := range s.readyHolders {
@@ -104,7 +108,8 @@
 	return list, minCalls
 }
 
-// callsAt counts the calls out at a replica, less the one of this step that a part could still join.
+// callsAt returns the number of outstanding calls at a replica, without the one of this step that a part could still
+// join.
 func (m *Machine) callsAt(r *replica) int {
 	if m.openCall(r) != nil {
 		return r.openCalls - 1
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// minSubsetHolders is how many holders of each shard a coordinator of a large fleet sends to: one, and another
-	// beside it.
+	// minSubsetHolders is how many holders of each shard a coordinator of a large fleet sends to: two, so that there is
+	// an alternative to each.
 	minSubsetHolders = 2
-	// smallFleet is the number of coordinators up to which each meets a replica often. In larger fleets backoffs grow
-	// with the number.
+	// smallFleet is the number of coordinators up to which each of them sends to every replica often. In larger fleets
+	// backoffs grow with the number of coordinators.
 	smallFleet = 5.0
 )
 
-// placement is what this coordinator's ordinal in the fleet makes of its choices.
+// placement holds what follows from this coordinator's ordinal in the fleet.
 type placement struct {
-	subset subsetting.Subset // of the running replicas: those that this coordinator keeps
-	// fleetFactor is how much more rarely a coordinator of this fleet meets a replica than one of a small fleet; 1
-	// or more.
+	subset subsetting.Subset // the running replicas that this coordinator sends to
+	// fleetFactor is how many times more rarely a coordinator sends to a given replica in this fleet than in a small
+	// one; at least 1.
 	fleetFactor float64
-	basis       placementBasis // of the keys that replicas have
+	basis       placementBasis // of the replicas' present keys
 }
 
-// placementBasis is what the keys of all replicas go by.
+// placementBasis holds what the keys of all replicas are computed from.
 type placementBasis struct {
 	subset subsetting.Subset
 	place  subsetting.Member
 }
 
-// place is this coordinator's ordinal together with the size of the fleet. It is the zero value in a fleet that is too
-// small for its coordinators to divide the replicas among them.
+// place returns this coordinator's index and the size of the fleet. It returns the zero value if the fleet is too small
+// for its coordinators to divide the replicas among them.
 func (m *Machine) place() subsetting.Member {
 	if m.placement.fleetFactor <= 1 {
 		return subsetting.Member{}
@@ -40,7 +40,7 @@
 	return m.settingsPlace()
 }
 
-// settingsPlace is this coordinator's place by the settings.
+// settingsPlace returns this coordinator's index and the size of the fleet from the settings.
 func (m *Machine) settingsPlace() subsetting.Member {
 	return subsetting.Member{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
 }
@@ -50,7 +50,8 @@
 	return r.usable() && m.placement.subset.Contains(r.subsetKey)
 }
 
-// updatePlacement finds this coordinator's subset of the replicas that are listed as Ready, and the key of each.
+// updatePlacement recomputes this coordinator's subset of the replicas that are listed as Ready, and the key of each
+// replica whose rank or basis may have changed.
 func (m *Machine) updatePlacement() {
 	p, g := &m.placement, &m.replicas.ring
 	ring := subsetting.Ring{
@@ -73,7 +74,8 @@
 	g.unranked = g.unranked[:0]
 }
 
-// rankSlot gives the running replicas of a slot their keys, by their rank there.
+// rankSlot gives the running replicas of a slot, those listed as Ready, their keys. A key depends on the replica's rank
+// at its ring position.
 func (m *Machine) rankSlot(c *slot) {
 	c.unranked = false
 	m.examined.replicas += len(c.replicas)
@@ -95,7 +97,7 @@
 	}
 }
 
-// setKey gives a replica its key, and this coordinator its offset among those that keep the replica.
+// setKey sets a replica's key, and this coordinator's offset among those whose subsets contain the replica.
 func (m *Machine) setKey(r *replica, key float64) {
 	r.subsetKey = key
 	offset := m.placement.subset.Offset(m.place(), key)
@@ -106,7 +108,8 @@
 	r.slowStart.sequence = offset.Sequence(subsetting.Salt(r.ID))
 }
 
-// updateHolders lists a shard's holders in the order of their keys, and how many of them this coordinator sends to.
+// updateHolders lists a shard's ready holders in the order of their keys, and determines how many of them are in this
+// coordinator's subset.
 func (m *Machine) updateHolders(s *shard) {
 	s.readyHolders = s.readyHolders[:0]
 	m.replicas.ring.holders(s.number, func(r *replica) {
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -50,7 +50,8 @@
 }
 
 // nextProbeAfter returns when this coordinator may next probe an ejected replica, after a backoff. In a fleet whose
-// coordinators know their ordinals, each has its own time slot, so that all of them together keep to fleetProbeRate.
+// coordinators know their ordinals, each has its own time slot, so that all of them together stay within
+// fleetProbeRate.
 func (m *Machine) nextProbeAfter(r *replica, backoff time.Duration) time.Duration {
 	place := m.place()
 	if !place.HasPeers() {
--- a/internal/decide/scatter/reconfigure.go
+++ b/internal/decide/scatter/reconfigure.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// reconfigureRing makes the ring and all siblings those of the settings. A replica that moves on the ring between
-// two calls keeps its old siblings until the next one.
+// reconfigureRing applies the settings to the ring and to all siblings. A replica that changes its ring position
+// between two calls keeps its old siblings until the next call.
 func (m *Machine) reconfigureRing() {
 	t, s := &m.replicas, m.settings
 	if t.ring.size != s.RingSize || t.ring.replicationFactor != s.ReplicationFactor {
@@ -14,7 +14,7 @@
 	}
 }
 
-// replaceRing makes a new ring by the settings.
+// replaceRing builds a new ring from the settings.
 func (m *Machine) replaceRing() {
 	t, s := &m.replicas, m.settings
 	t.ring, t.siblingsStale = newRing(s.RingSize, s.ReplicationFactor), true
@@ -26,14 +26,14 @@
 	}
 }
 
-// reconfigureClasses makes the classes those of the settings. A class that is as it was goes on; one that
-// is altered is a new one that knows what the old one learned. One that is no longer named stays for the queries
-// under way, which keep their class, and is left out at the next change after them.
+// reconfigureClasses applies the settings to the classes. An unchanged class is kept. A changed class is replaced by a
+// new one that takes over what the old one has learned. A class that is no longer in the settings is kept for the
+// queries that still use it, and removed at the first change of settings after them.
 func (m *Machine) reconfigureClasses() {
 	s, before := m.settings, m.classes
 	used := m.classesInUse()
 	m.classes = classTable{byName: map[string]*class{}}
-	var from []int // the index that each class had; negative for none
+	var from []int // the index that each class had; negative if it is new
 	for _, c := range s.Classes {
 		k, was := before.byName[c.Name].with(c, s.MaxAttempts)
 		m.classes.list, from = append(m.classes.list, k), append(from, was)
@@ -44,7 +44,7 @@
 			m.classes.list, from = append(m.classes.list, k), append(from, k.index)
 		}
 	}
-	for i, k := range m.classes.list { // a lower limit on attempts holds for all
+	for i, k := range m.classes.list { // a lower limit on attempts applies to all
 		k.index, k.maxAttempts = i, min(k.maxAttempts, s.MaxAttempts)
 	}
 	if !inPlace(from, len(before.list)) {
@@ -58,7 +58,7 @@
 	}).LatencyObjective
 }
 
-// classesInUse are the classes of queries and parts under way.
+// classesInUse returns the classes of open queries and of parts in progress.
 func (m *Machine) classesInUse() map[*class]bool {
 	used := map[*class]bool{}
 	for _, q := range m.queries.open {
@@ -70,8 +70,8 @@
 	return used
 }
 
-// with is a class under other settings, and the index that it had, negative if there was none. A nil class is new.
-// A higher limit on attempts is not for what is under way.
+// with returns a class with other settings, and the index that it had, negative if c is nil and the class is new. A
+// higher limit on attempts does not apply to queries that are already open.
 func (c *class) with(settings Class, maxAttempts int) (_ *class, was int) {
 	if c == nil {
 		return newClass(settings, maxAttempts), -1
@@ -84,7 +84,7 @@
 	return next, c.index
 }
 
-// inPlace reports whether each of n entries stays where it was and none is new.
+// inPlace reports whether each of n entries keeps its index and none is new.
 func inPlace(from []int, n int) bool {
 	for i, was := range from {
 		if was != i {
@@ -94,7 +94,7 @@
 	return len(from) == n
 }
 
-// reorderByClass gives all lists by class a new order.
+// reorderByClass reorders all lists by class.
 func (m *Machine) reorderByClass(from []int) {
 	for _, r := range m.replicas.all {
 		r.classHealth = reorder(r.classHealth, from)
@@ -104,7 +104,7 @@
 	}
 }
 
-// reorder gives a list a new order: from has the index that each entry had, negative for a new one.
+// reorder returns a list in a new order: from holds the old index of each entry, negative for a new one.
 func reorder[T any](list []T, from []int) []T {
 	next := make([]T, len(from))
 	for i, j := range from {
@@ -115,7 +115,7 @@
 	return next
 }
 
-// reconfigureQuotas makes the quotas those of the settings' tenants, this coordinator's part of each.
+// reconfigureQuotas sets each tenant's quota to this coordinator's part of the quota in the settings.
 func (m *Machine) reconfigureQuotas() {
 	quotas := map[string]*quota{}
 	for _, t := range m.settings.Tenants {
--- a/internal/decide/scatter/ring.go
+++ b/internal/decide/scatter/ring.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// ring finds replicas and shards by their position on the ring, so that a changed entry of the endpoint list costs what
-// it and its neighbours do, however long the list is. Shard s is held by the replicas of the positions from s on, as
-// many as the replication factor, modulo the ring's size.
+// ring finds replicas and shards by their ring position, so that the cost of a changed entry of the endpoint list
+// depends on its neighbours only, not on the length of the list. Shard s is held by the replicas at the positions from
+// s on, as many positions as the replication factor, modulo the ring's size.
 type ring struct {
 	size, replicationFactor int
-	slots                   map[int]*slot // by position; positions of which nothing is known have none
-	unranked                []*slot       // the ranks of their replicas may have changed
+	slots                   map[int]*slot // by position; positions without replicas or shards may have none
+	unranked                []*slot       // those whose replicas' ranks may have changed
 }
 
 // slot is one position of the ring.
 type slot struct {
-	replicas []*replica // whatever their state, in order of first listing
-	shards   []*shard   // in use, whose first holders are here
-	unranked bool       // it is listed in ring.unranked
+	replicas []*replica // in any state, in order of first listing
+	shards   []*shard   // shards in use whose first holders are here
+	unranked bool       // it is in ring.unranked
 }
 
 func newRing(size, replicationFactor int) ring {
 	return ring{size: size, replicationFactor: replicationFactor, slots: map[int]*slot{}}
 }
 
-// at is the slot of a position, which may be any number.
+// at returns the slot of a position, which may be any number.
 func (g *ring) at(position int) *slot {
 	position = mod(position, g.size)
 	c := g.slots[position]
@@ -33,7 +33,7 @@
 	return c
 }
 
-// markUnranked notes that the ranks of a slot's replicas may have changed.
+// markUnranked records that the ranks of a slot's replicas may have changed.
 func (g *ring) markUnranked(c *slot) {
 	if !c.unranked {
 		c.unranked = true
@@ -41,21 +41,21 @@
 	}
 }
 
-// add enters a replica at its position.
+// add inserts a replica at its position.
 func (g *ring) add(r *replica) {
 	c := g.at(r.RingPosition)
 	c.replicas = insertInOrder(c.replicas, r)
 	g.markUnranked(c)
 }
 
-// remove takes a replica out of its position.
+// remove deletes a replica from its position.
 func (g *ring) remove(r *replica) {
 	c := g.at(r.RingPosition)
 	c.replicas = removeInOrder(c.replicas, r)
 	g.markUnranked(c)
 }
 
-// addShard enters a shard that comes into use.
+// addShard adds a shard at its first use.
 func (g *ring) addShard(s *shard) {
 	c := g.at(s.number)
 	c.shards = append(c.shards, s)
@@ -74,7 +74,7 @@
 	}
 }
 
-// holders calls f with each replica that may hold a shard, whatever its state; those listed as Ready are the shard's
+// holders calls f with each replica that may hold a shard, in any state; those listed as Ready are the shard's
 // readyHolders.
 func (g *ring) holders(shard int, f func(*replica)) {
 	for offset := range g.replicationFactor {
@@ -88,7 +88,7 @@
 	}
 }
 
-// siblings lists the other replicas that may hold a shard in common with one, in order of first listing.
+// siblings returns the other replicas that may hold a shard in common with r, in order of first listing.
 func (g *ring) siblings(r *replica) (list []*replica) {
 	first, count := r.RingPosition-g.replicationFactor+1, min(2*g.replicationFactor-1, g.size)
 	for offset := range count {
--- a/internal/decide/scatter/settings.go
+++ b/internal/decide/scatter/settings.go
@@ -7,13 +7,13 @@
 	"harepass/internal/decide/retry"
 )
 
-// Settings is what a coordinator knows before its first query. Instants and spans are both time.Duration; an instant is
-// a reading of any clock that only advances, with an origin of the caller's choosing.
+// Settings configures a Machine. Instants and durations are both time.Duration; an instant is a reading of any clock
+// that only advances, with an origin of the caller's choosing.
 type Settings struct {
 	Coordinators int // coordinators that share the fleet of replicas, this one included; at least 1
-	Ordinal      int // this coordinator's number among them, from 1; 0 where it is not known
+	Ordinal      int // this coordinator's number among them, from 1; 0 if it is not known
 	Classes      []Class
-	Tenants      []Tenant // none where traffic has no quotas
+	Tenants      []Tenant // none if traffic has no quotas
 
 	// RingSize is the number of positions on the ring. Shard s is held by the replicas of the positions s, s+1, up to
 	// s+ReplicationFactor-1, modulo RingSize.
@@ -21,50 +21,50 @@
 	ReplicationFactor int // from 1 to RingSize
 
 	PartsPerCall int           // parts that one call can carry; at least 1
-	TickInterval time.Duration // shortest time between two steps; 0 where they may follow at once
+	TickInterval time.Duration // shortest time between two steps; 0 if they may follow at once
 
 	MaxAttempts  int           // for each part, the first included; at least 1
 	Hedging      bool          // two attempts of a part may be outstanding at once
 	Cancellation bool          // attempts can be cancelled
-	RetryAfter   time.Duration // how long rejected clients are asked to wait; 0 if they are asked for nothing
+	RetryAfter   time.Duration // how long rejected clients are asked to wait; 0 for no advice
 
-	// OverQuotaWeight is the priority weight of traffic beyond a tenant's quota, as a share of the usual one; 1 where
-	// quotas do not matter. The machine asks only whether it is below 1.
+	// OverQuotaWeight is the priority weight of traffic beyond a tenant's quota, as a share of the usual one; 1 if
+	// quotas have no effect. The Machine only reads whether it is below 1.
 	OverQuotaWeight float64
 
-	Subscribe  bool          // the endpoint list has to be asked for
-	ListMaxAge time.Duration // how long the endpoint list holds without a subscription
-	// DrainGrace is how long a replica may be sent to after the notice that it drains or is removed. A Machine
-	// sends nothing from the notice on; the lease of the endpoint list goes by it.
+	Subscribe  bool          // the endpoint list has to be requested
+	ListMaxAge time.Duration // how long the endpoint list is valid without a subscription
+	// DrainGrace is how long a replica may still be sent to after the notice that it drains or is removed. A Machine
+	// sends nothing from the notice on; the lease of the endpoint list is derived from it.
 	DrainGrace time.Duration
 
 	SlowStart   SlowStart
-	RetryBudget *RetryBudget // nil where retries are not bounded
+	RetryBudget *RetryBudget // nil if retries are not bounded
 }
 
-// Class is one class of query.
+// Class is the settings of one class of queries.
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration // answers within this earn their full priority weight
 	Deadline         time.Duration // how long a client waits over all of its own retries; at least LatencyObjective
-	PriorityWeight   float64       // for load shedding before queries come to the Machine, which does not read it
-	LateWeight       float64       // share of the priority weight that is left between LatencyObjective and Deadline
+	PriorityWeight   float64       // for load shedding before queries reach the Machine, which does not read it
+	LateWeight       float64       // share of the priority weight of answers between LatencyObjective and Deadline
 	Idempotency      Idempotency
-	DedupWindow      time.Duration // Keyed: how long repeats are dropped, from the first attempt on
-	CompleteFraction float64       // share of the parts' weight that makes a complete answer; in (0, 1]
+	DedupWindow      time.Duration // for Keyed: how long repeats are dropped, from the first attempt on
+	CompleteFraction float64       // share of the parts' weight that makes an answer complete; in (0, 1]
 	MinFraction      float64       // least share of the weight for any answer; in [0, 1]
-	SecondRoundParts int           // parts of a second round, which follow the answer to the first; 0 for none
+	SecondRoundParts int           // parts of a second round, which follows the answer to the first; 0 for none
 }
 
-// RetryPolicy is what bounds retries of a part, and gives them their idempotency key.
+// RetryPolicy returns the policy that bounds retries of a part and determines their idempotency key.
 func (c Class) RetryPolicy() retry.Policy {
 	return retry.Policy{Idempotency: c.Idempotency, DedupWindow: c.DedupWindow}
 }
 
-// Idempotency tells how a class bears parts that run more than once.
+// Idempotency is how a class handles parts that run more than once.
 type Idempotency = retry.Idempotency
 
-// The kinds of class.
+// The kinds of Idempotency.
 const (
 	Idempotent    = retry.Idempotent
 	Keyed         = retry.Keyed
@@ -74,27 +74,27 @@
 // Tenant is a customer with a share of the traffic.
 type Tenant struct {
 	Name  string
-	Quota float64 // queries a second over all coordinators
+	Quota float64 // queries per second over all coordinators
 }
 
-// SlowStart is the rule for replicas whose process has just started. One that is sent more than OverloadFactor
-// times its present capacity for the time of Window falls over.
+// SlowStart describes replicas whose process has just started. A replica that is sent more than OverloadFactor times
+// its present capacity for the time of Window fails.
 type SlowStart struct {
 	InitialCapacity float64       // share of its capacity that a starting replica has at least; in [0, 1]
-	Duration        time.Duration // after this it has all of it; 0 for no slow start
+	Duration        time.Duration // time until it has all of it; 0 for no slow start
 	OverloadFactor  float64       // 0 for no slow start
 	Window          time.Duration
 }
 
-// RetryBudget bounds the attempts beyond the first of each part, over any Window: MinRetries, and Ratio of the queries
-// and parts that arrived.
+// RetryBudget bounds the attempts beyond the first of each part. In any Window there may be MinRetries, plus Ratio
+// times the number of queries and parts that arrived.
 type RetryBudget struct {
 	MinRetries int
 	Ratio      float64
 	Window     time.Duration
 }
 
-// SettingError says which setting no coordinator could have.
+// SettingError reports a setting that no coordinator can have.
 type SettingError struct {
 	Field string // its path in Settings
 	Value any
@@ -105,7 +105,7 @@
 	return fmt.Sprintf("scatter: impossible setting %s: %v", e.Field, e.Value)
 }
 
-// validate returns a *SettingError for the first setting that no coordinator could have.
+// validate returns a *SettingError for the first setting that no coordinator can have.
 func (s Settings) validate() error {
 	impossible := func(field string, v any) error { return &SettingError{field, v} }
 	switch {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// impossible names the first field of a class that no class could have; ok is true where there is none.
+// impossible returns the first field that no class can have; ok is true if there is none.
 func (c Class) impossible() (field string, value any, ok bool) {
 	switch {
 	case c.LatencyObjective <= 0:
--- a/internal/decide/scatter/shares.go
+++ b/internal/decide/scatter/shares.go
@@ -7,12 +7,14 @@
 )
 
 const (
-	// capShares and floorShares bound a ready replica's routing share, in equal shares of its shard's traffic.
+	// capShares and floorShares bound a usable replica's routing share, as multiples of an equal share of its shard's
+	// traffic.
 	capShares   = 1.2
 	floorShares = 0.5
-	// tieBand is how close latency ratios are, as a share, to count as equal: less than one part's own spread.
+	// tieBand is the relative difference up to which latency ratios count as equal: less than the spread of a single
+	// part's latency.
 	tieBand = 0.1
-	// rateMemory is the share of a moving rate that remains at each periodic rebalance: a memory of some five
+	// rateMemory is the share of a moving rate that remains at each periodic rebalance: a memory of about five
 	// intervals.
 	rateMemory = 0.8
 
@@ -20,42 +22,41 @@
 	rebalanceInterval = time.Second
 )
 
-// shard is what the machine knows of one shard in use.
+// shard is the state of one shard in use.
 type shard struct {
 	number int
-	// readyHolders are the holders listed as Ready, ejected or not, in the order of their keys in this coordinator's
-	// subset.
+	// readyHolders are the holders listed as Ready, ejected or not, ordered by their keys in this coordinator's subset.
 	readyHolders []*replica
-	subsetSize   int  // how many readyHolders, from the first on, are sent to while that will do
+	subsetSize   int  // how many readyHolders, from the first on, are in the subset
 	medianRatio  memo // median latency ratio of readyHolders
 
 	arrived     []float64   // parts by class since the last periodic rebalance
-	rates       []float64   // parts by class and rebalance interval, decayed
-	decays      int         // periodic rebalances that the rates have been through
+	rates       []float64   // parts by class per rebalance interval, decayed
+	decays      int         // how many periodic rebalances have been applied to rates
 	shares      [][]float64 // routing shares, by class, then holder; those of a class sum to 1
-	rebalancing int         // the rebalance that the shares are of
+	rebalancing int         // count of rebalances that the shares are from
 }
 
-// subsetHolders are the ready holders that this coordinator sends to.
+// subsetHolders returns the ready holders in this coordinator's subset.
 func (s *shard) subsetHolders() []*replica { return s.readyHolders[:s.subsetSize] }
 
 // shardTable holds the shards in use.
 type shardTable struct {
 	byNumber map[int]*shard
 	inUse    []*shard // in order of first use
-	outdated int      // how many of them have shares from before the latest rebalance
+	outdated int      // how many of them still have shares from before the latest rebalance
 }
 
-// shareState says when shares are renewed, and what those of the latest rebalance go by.
+// shareState records when shares are recomputed, and from what the latest rebalance computes them.
 type shareState struct {
-	rebalances    int           // so many there were, for whatever reason
-	periods       int           // so many periodic ones, at which rates decay
-	nextRebalance time.Duration // the next periodic one
-	dirty         bool          // the endpoint list or a replica's health has changed since the last rebalance
+	rebalances    int           // how many rebalances there were, periodic or not
+	periods       int           // how many periodic ones there were, at which rates decay
+	nextRebalance time.Duration // when the next periodic one is due
+	dirty         bool          // settings, endpoint list or a replica's health changed since the last rebalance
 	basis         shareBasis    // of the latest rebalance
 }
 
-// shareBasis is what the shares of a rebalance go by, besides latency ratios, rates and health.
+// shareBasis holds what the shares of a rebalance are computed from, besides latency ratios, rates and health.
 type shareBasis struct {
 	at    time.Duration
 	means []float64 // mean latencies by class, in seconds
@@ -64,7 +65,8 @@
 // due reports whether the next periodic rebalance is due.
 func (s *shareState) due(now time.Duration) bool { return now >= s.nextRebalance }
 
-// rebalance renews rates, quantiles and all shares.
+// rebalance makes the shares of all shards outdated; each shard's are recomputed when they are next used. A periodic
+// rebalance also updates traffic rates and quantiles, and forgets replicas that were removed long ago.
 func (m *Machine) rebalance() {
 	if m.shares.due(m.now) {
 		m.shares.nextRebalance = m.now + rebalanceInterval
@@ -86,7 +88,7 @@
 	m.shards.outdated, m.shares.basis = len(m.shards.inUse), m.currentBasis()
 }
 
-// currentBasis is the basis of a rebalance now.
+// currentBasis returns the basis of a rebalance at the present time.
 func (m *Machine) currentBasis() shareBasis {
 	b := shareBasis{at: m.now}
 	for _, c := range m.classes.list {
@@ -95,8 +97,9 @@
 	return b
 }
 
-// shardOf is a shard with its present rates and, while queries are advanced, its present shares. Between steps new
-// settings may have made the basis one of other classes.
+// shardOf returns a shard with up-to-date rates and, while queries are advanced, up-to-date shares. It refreshes no
+// shares while a rebalance is pending: between steps, new settings may have changed the classes since the basis was
+// made.
 func (m *Machine) shardOf(number int) *shard {
 	s := m.shards.byNumber[number]
 	if s == nil {
@@ -109,7 +112,7 @@
 	return s
 }
 
-// newShard enters a shard that comes into use.
+// newShard adds a shard at its first use.
 func (m *Machine) newShard(number int) *shard {
 	n := len(m.classes.list)
 	s := &shard{
@@ -127,8 +130,8 @@
 	return s
 }
 
-// refreshShares gives a shard the shares of the latest rebalance. They are those that it would have had then: whatever
-// they go by stays as it was until the next rebalance, is in the basis, or is kept by refreshSharesOf.
+// refreshShares brings a shard's shares to the latest rebalance. The result is the same as at the time of the
+// rebalance: each input is in the basis, stays unchanged until the next rebalance, or is handled by refreshSharesOf.
 func (m *Machine) refreshShares(s *shard) {
 	if s.rebalancing == m.shares.rebalances {
 		return
@@ -139,15 +142,15 @@
 	m.computeShares(s, m.shares.basis)
 }
 
-// refreshSharesOf gives a replica's shards their shares before anything of the replica changes that these go by. Where
-// a rebalance is to come in this step, it will do.
+// refreshSharesOf refreshes the shares of all shards of a replica, before a change to the replica that these shares
+// depend on. It does nothing if this step is going to rebalance anyway.
 func (m *Machine) refreshSharesOf(r *replica) {
 	if m.shards.outdated > 0 && !m.shares.dirty {
 		m.replicas.ring.shardsOf(r.RingPosition, m.refreshShares)
 	}
 }
 
-// decay takes a shard's rates through the periodic rebalances up to one.
+// decay applies the periodic rebalances up to the given count to a shard's rates.
 func (s *shard) decay(to int) {
 	for changed := true; changed && s.decays < to; s.decays++ {
 		changed = false
@@ -160,9 +163,10 @@
 	s.decays = to
 }
 
-// computeShares divides a shard's traffic among its holders, class by class, the class with the tightest objective
-// first. A class whose mean latency would exceed its objective so moves to the front, once: the slowest part
-// exceeds it exactly where some shard does.
+// computeShares divides a shard's traffic among its holders, class by class, beginning with the class of the tightest
+// objective. A class whose mean latency would exceed its objective moves to the front and the shares are computed
+// again, in all at most as many times as there are classes. It is enough to check each shard on its own: a query's
+// slowest part exceeds the objective exactly if a part at some shard does.
 func (m *Machine) computeShares(s *shard, by shareBasis) {
 	m.examined.shards++
 	m.updateHolders(s)
@@ -182,7 +186,8 @@
 	}
 }
 
-// meanLatency is the expected latency of a class at a shard by its shares, given the class's own mean; in seconds.
+// meanLatency returns the expected latency of a class at a shard under the present shares, in seconds. mean is the mean
+// latency of the class.
 func (s *shard) meanLatency(c *class, mean float64) (sum float64) {
 	for i, r := range s.readyHolders {
 		sum += s.shares[c.index][i] * r.latencyRatio * mean
@@ -190,8 +195,8 @@
 	return sum
 }
 
-// fillShares gives each holder its floor of each class, and the rest, class by class, to the holders with the lowest
-// latency ratio up to their caps.
+// fillShares gives each holder its floor of each class. It divides the rest, class by class, among the holders with the
+// lowest latency ratios, up to their caps.
 func (m *Machine) fillShares(s *shard, order []*class, at time.Duration) {
 	equal := m.equalShares(s, at)
 	rate := 0.0
@@ -211,7 +216,8 @@
 	}
 }
 
-// equalShares are equal shares of a shard's ready holders, those in slow start in proportion to their capacity.
+// equalShares returns equal shares for a shard's usable holders in the subset, except that holders in slow start get
+// shares in proportion to their capacity.
 func (m *Machine) equalShares(s *shard, at time.Duration) []float64 {
 	equal, total := resize(&m.scratch.equal, len(s.readyHolders)), 0.0
 	for i, r := range s.readyHolders {
@@ -227,8 +233,8 @@
 	return equal
 }
 
-// fillClass gives what the floors leave of a class's demand to the holders with the lowest latency ratios, as far as
-// their capacity goes.
+// fillClass divides what the floors leave of a class's demand among the holders with the lowest latency ratios, as far
+// as their capacity allows.
 func (m *Machine) fillClass(s *shard, shares, capacity []float64, demand float64) {
 	left := (1 - floorShares) * demand
 	for left > weightSlack*demand {
@@ -250,7 +256,8 @@
 	}
 }
 
-// leastLatency lists the holders with capacity whose latency ratio ties with the lowest, and their capacity together.
+// leastLatency returns the holders with capacity left whose latency ratio ties with the lowest one, and their total
+// capacity.
 func (s *shard) leastLatency(capacity []float64, tied []int) (_ []int, width float64) {
 	low := math.Inf(1)
 	for i, r := range s.readyHolders {
@@ -267,7 +274,7 @@
 	return tied, width
 }
 
-// resize gives a list of n entries, in the same memory where that is enough. The entries are whatever they were.
+// resize returns a list of n entries and reuses the list's memory if that is large enough. The entries are not cleared.
 func resize(list *[]float64, n int) []float64 {
 	*list = slices.Grow((*list)[:0], n)[:n]
 	return *list
