--- a/internal/decide/scatter/admission.go
+++ b/internal/decide/scatter/admission.go
@@ -125,7 +125,7 @@
 		hasLowWeight := p.Weight*float64(len(byWeight)) < lowWeight
 		switch {
 		case unavailable && rest >= q.minWeight-weightSlack,
-			rest > halfWay && (hasLowWeight || m.sparesOverloadedShard(p)):
+			rest > halfWay && (hasLowWeight || m.skipsOverloadedShard(p)):
 			p.leftOut, sum = true, rest
 		case unavailable:
 			m.giveUp(q)
@@ -134,9 +134,9 @@
 	}
 }
 
-// sparesOverloadedShard decides whether a part is left out because its shard is overloaded. Some parts are still sent
+// skipsOverloadedShard decides whether a part is left out because its shard is overloaded. Some parts are still sent
 // there, to detect the end of the overload.
-func (m *Machine) sparesOverloadedShard(p *part) bool {
+func (m *Machine) skipsOverloadedShard(p *part) bool {
 	objective := p.query.class.LatencyObjective.Seconds()
 	return m.expectedLatency(p) > overloadedFrom*objective && m.random.Float64() < skipOverloaded
 }
--- a/internal/decide/scatter/checkpoint.go
+++ b/internal/decide/scatter/checkpoint.go
@@ -151,7 +151,7 @@
 		}
 	}
 	for _, saved := range c.Shards {
-		if len(saved.Rates) == len(c.Classes) && !slices.ContainsFunc(saved.Rates, isNoRate) {
+		if len(saved.Rates) == len(c.Classes) && !slices.ContainsFunc(saved.Rates, isInvalidRate) {
 			m.shardOf(saved.Number).rates = reorder(saved.Rates, from)
 		}
 	}
@@ -165,7 +165,7 @@
 	if isPositive(saved.MinService) {
 		c.minService = saved.MinService
 	}
-	if slices.ContainsFunc(saved.Latencies, isNoLatency) {
+	if slices.ContainsFunc(saved.Latencies, isInvalidLatency) {
 		return
 	}
 	c.samples.count = copy(c.samples.values[:], saved.Latencies)
@@ -210,12 +210,12 @@
 // isPositive reports whether a latency or a ratio is one that can have been learned.
 func isPositive(x float64) bool { return x > 0 && !math.IsInf(x, 1) }
 
-func isNoLatency(x float64) bool { return !isPositive(x) }
+func isInvalidLatency(x float64) bool { return !isPositive(x) }
 
 // isRate reports whether a rate is one that can have been learned.
 func isRate(x float64) bool { return x == 0 || isPositive(x) }
 
-func isNoRate(x float64) bool { return !isRate(x) }
+func isInvalidRate(x float64) bool { return !isRate(x) }
 
 // byClass returns one figure of a replica's health for each class.
 func byClass[T any](list []classHealth, of func(classHealth) T) []T {
--- a/internal/decide/scatter/completeness.go
+++ b/internal/decide/scatter/completeness.go
@@ -68,7 +68,7 @@
 	for _, p := range q.parts {
 		if !p.selected && !p.leftOut {
 			unselected = append(unselected, p)
-		} else if p.selected && !p.served && m.canStillCome(p) {
+		} else if p.selected && !p.served && m.canStillBeServed(p) {
 			sum += p.Weight
 		}
 	}
@@ -88,17 +88,17 @@
 	return cmp.Compare(m.expectedLatency(x), m.expectedLatency(y))
 }
 
-// canStillCome reports whether a part can still be served: an attempt is outstanding, or one may begin now. If it may
-// not begin, even only because the retry budget is spent, the part counts as lost, so that a query that needs it ends
-// at once.
-func (m *Machine) canStillCome(p *part) bool { return p.outstanding() || m.mayAttempt(p) }
+// canStillBeServed reports whether a part can still be served: an attempt is outstanding, or one may begin now. If it
+// may not begin, even only because the retry budget is spent, the part counts as lost, so that a query that needs it
+// ends at once.
+func (m *Machine) canStillBeServed(p *part) bool { return p.outstanding() || m.mayAttempt(p) }
 
 // sendMissingAttempts sends the selected parts that have no outstanding attempt, and returns the weight that the query
 // can still reach.
 func (m *Machine) sendMissingAttempts(q *query) (reachable float64) {
 	reachable = q.servedWeight
 	for _, p := range q.parts {
-		if !p.served && !p.leftOut && m.canStillCome(p) {
+		if !p.served && !p.leftOut && m.canStillBeServed(p) {
 			reachable += p.Weight
 		}
 		if m.needsAttempt(p) {
@@ -116,14 +116,14 @@
 
 // endQuery answers a query in part or gives it up when that is due, and reports whether it did.
 func (m *Machine) endQuery(q *query, reachable, complete, least float64) (ended bool) {
-	over := m.now >= q.endBy
+	expired := m.now >= q.endBy
 	enough := q.servedWeight > 0 && q.servedWeight >= least-weightSlack
-	short := len(q.parts) > 0 && reachable < complete-weightSlack // a second round has no parts until the next step
+	cannotComplete := len(q.parts) > 0 && reachable < complete-weightSlack // a second round has no parts for one step
 	switch {
-	case enough && (over || m.now >= m.answerBy(q) || short && q.servedWeight >= reachable-weightSlack):
+	case enough && (expired || m.now >= m.answerBy(q) || cannotComplete && q.servedWeight >= reachable-weightSlack):
 		m.answer(q, false)
 		return true
-	case over || short && reachable < least-weightSlack:
+	case expired || cannotComplete && reachable < least-weightSlack:
 		m.giveUp(q)
 		return true
 	}
--- a/internal/decide/scatter/latency.go
+++ b/internal/decide/scatter/latency.go
@@ -106,29 +106,29 @@
 }
 
 // medianRatioOf returns medianRatio, computed once per step as soon as it cannot change any more.
-func (m *Machine) medianRatioOf(cached *memo, some []*replica) float64 {
+func (m *Machine) medianRatioOf(cached *memo, replicas []*replica) float64 {
 	if !m.healthFixed {
-		return medianRatio(some)
+		return medianRatio(replicas)
 	}
 	if cached.step != m.step {
-		cached.step, cached.value = m.step, medianRatio(some)
+		cached.step, cached.value = m.step, medianRatio(replicas)
 	}
 	return cached.value
 }
 
 // medianRatio returns the lower median of the latency ratios of the usable replicas in a list; infinity if there are
 // none. A higher latency that all of them have in common is load, not a fault of one.
-func medianRatio(some []*replica) float64 {
-	var space [16]float64
-	if list := readyRatios(some, space[:0]); len(list) > 0 {
-		return list[(len(list)-1)/2]
+func medianRatio(replicas []*replica) float64 {
+	var buffer [16]float64
+	if ratios := usableRatios(replicas, buffer[:0]); len(ratios) > 0 {
+		return ratios[(len(ratios)-1)/2]
 	}
 	return math.Inf(1)
 }
 
-// readyRatios appends the latency ratios of the usable replicas in some to list, and sorts it in ascending order.
-func readyRatios(some []*replica, list []float64) []float64 {
-	for _, r := range some {
+// usableRatios appends the latency ratios of the usable ones of some replicas to list, and sorts it in ascending order.
+func usableRatios(replicas []*replica, list []float64) []float64 {
+	for _, r := range replicas {
 		if r.usable() {
 			list = append(list, r.latencyRatio)
 		}
@@ -141,7 +141,7 @@
 // none.
 func (r *replica) adoptSiblingRatio() {
 	r.latencyRatio = 1
-	for i, v := range readyRatios(r.siblings, nil) {
+	for i, v := range usableRatios(r.siblings, nil) {
 		r.latencyRatio += (v - r.latencyRatio) / float64(i+1)
 	}
 }
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -28,20 +28,20 @@
 // placementBasis holds what the keys of all replicas are computed from.
 type placementBasis struct {
 	subset subsetting.Subset
-	place  subsetting.Member
+	member subsetting.Member
 }
 
-// place returns this coordinator's index and the size of the fleet. It returns the zero value if the fleet is too small
-// for its coordinators to divide the replicas among them.
-func (m *Machine) place() subsetting.Member {
+// member returns this coordinator's index and the size of the fleet. It returns the zero value if the fleet is too
+// small for its coordinators to divide the replicas among them.
+func (m *Machine) member() subsetting.Member {
 	if m.placement.fleetFactor <= 1 {
 		return subsetting.Member{}
 	}
-	return m.settingsPlace()
+	return m.settingsMember()
 }
 
-// settingsPlace returns this coordinator's index and the size of the fleet from the settings.
-func (m *Machine) settingsPlace() subsetting.Member {
+// settingsMember returns this coordinator's index and the size of the fleet from the settings.
+func (m *Machine) settingsMember() subsetting.Member {
 	return subsetting.Member{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
 }
 
@@ -59,9 +59,9 @@
 		ReplicationFactor: m.settings.ReplicationFactor,
 		Replicas:          m.replicas.listedReady,
 	}
-	p.subset = subsetting.NewSubset(m.settingsPlace(), ring, minSubsetHolders)
+	p.subset = subsetting.NewSubset(m.settingsMember(), ring, minSubsetHolders)
 	p.fleetFactor = max(1, p.subset.Fraction*float64(m.settings.Coordinators)/smallFleet)
-	basis := placementBasis{p.subset, m.place()}
+	basis := placementBasis{p.subset, m.member()}
 	if basis != p.basis {
 		p.basis = basis
 		for _, c := range g.slots {
@@ -100,7 +100,7 @@
 // setKey sets a replica's key, and this coordinator's offset among those whose subsets contain the replica.
 func (m *Machine) setKey(r *replica, key float64) {
 	r.subsetKey = key
-	offset := m.placement.subset.Offset(m.place(), key)
+	offset := m.placement.subset.Offset(m.member(), key)
 	if r.hasOffset && offset == r.offset {
 		return
 	}
--- a/internal/decide/scatter/probes.go
+++ b/internal/decide/scatter/probes.go
@@ -53,11 +53,11 @@
 // coordinators know their ordinals, each has its own time slot, so that all of them together stay within
 // fleetProbeRate.
 func (m *Machine) nextProbeAfter(r *replica, backoff time.Duration) time.Duration {
-	place := m.place()
-	if !place.HasPeers() {
+	member := m.member()
+	if !member.HasPeers() {
 		return m.now + backoff
 	}
-	members := m.placement.subset.Fraction * float64(place.FleetSize)
+	members := m.placement.subset.Fraction * float64(member.FleetSize)
 	backoff = max(backoff, subsetting.SlotPeriod(members, fleetProbeRate))
 	return r.offset.NextSlot(m.now, backoff, subsetting.Salt(r.ID))
 }
--- a/internal/decide/scatter/reconfigure.go
+++ b/internal/decide/scatter/reconfigure.go
@@ -10,7 +10,7 @@
 		m.replaceRing()
 	}
 	if t.siblingsStale {
-		t.relateAll()
+		t.updateSiblings()
 	}
 }
 
@@ -35,8 +35,8 @@
 	m.classes = classTable{byName: map[string]*class{}}
 	var from []int // the index that each class had; negative if it is new
 	for _, c := range s.Classes {
-		k, was := before.byName[c.Name].with(c, s.MaxAttempts)
-		m.classes.list, from = append(m.classes.list, k), append(from, was)
+		k, oldIndex := before.byName[c.Name].with(c, s.MaxAttempts)
+		m.classes.list, from = append(m.classes.list, k), append(from, oldIndex)
 		m.classes.byName[c.Name] = k
 	}
 	for _, k := range before.list {
@@ -72,7 +72,7 @@
 
 // with returns a class with other settings, and the index that it had, negative if c is nil and the class is new. A
 // higher limit on attempts does not apply to queries that are already open.
-func (c *class) with(settings Class, maxAttempts int) (_ *class, was int) {
+func (c *class) with(settings Class, maxAttempts int) (_ *class, oldIndex int) {
 	if c == nil {
 		return newClass(settings, maxAttempts), -1
 	}
@@ -86,8 +86,8 @@
 
 // inPlace reports whether each of n entries keeps its index and none is new.
 func inPlace(from []int, n int) bool {
-	for i, was := range from {
-		if was != i {
+	for i, oldIndex := range from {
+		if oldIndex != i {
 			return false
 		}
 	}
--- a/internal/decide/scatter/replica.go
+++ b/internal/decide/scatter/replica.go
@@ -85,9 +85,9 @@
 
 // update applies an entry of the endpoint list to its replica.
 func (t *replicaTable) update(r *replica, e Replica) {
-	was := r.Replica
-	moved := mod(was.RingPosition, t.ring.size) != mod(e.RingPosition, t.ring.size)
-	t.siblingsStale = t.siblingsStale || was.RingPosition != e.RingPosition
+	old := r.Replica
+	moved := mod(old.RingPosition, t.ring.size) != mod(e.RingPosition, t.ring.size)
+	t.siblingsStale = t.siblingsStale || old.RingPosition != e.RingPosition
 	if moved {
 		t.ring.remove(r)
 	}
@@ -95,10 +95,10 @@
 	switch {
 	case moved:
 		t.ring.add(r)
-	case was.State != e.State || was.RingPosition != e.RingPosition || was.StartedAt != e.StartedAt:
+	case old.State != e.State || old.RingPosition != e.RingPosition || old.StartedAt != e.StartedAt:
 		t.ring.markUnranked(t.ring.at(e.RingPosition))
 	}
-	if was.State == Ready {
+	if old.State == Ready {
 		t.listedReady--
 	}
 	if e.State == Ready {
@@ -164,8 +164,8 @@
 	})
 }
 
-// relateAll recomputes the siblings of all replicas.
-func (t *replicaTable) relateAll() {
+// updateSiblings recomputes the siblings of all replicas.
+func (t *replicaTable) updateSiblings() {
 	for _, r := range t.all {
 		r.siblings = t.ring.siblings(r)
 	}
--- a/internal/decide/scatter/shares.go
+++ b/internal/decide/scatter/shares.go
@@ -167,16 +167,16 @@
 // objective. A class whose mean latency would exceed its objective moves to the front and the shares are computed
 // again, in all at most as many times as there are classes. It is enough to check each shard on its own: a query's
 // slowest part exceeds the objective exactly if a part at some shard does.
-func (m *Machine) computeShares(s *shard, by shareBasis) {
+func (m *Machine) computeShares(s *shard, basis shareBasis) {
 	m.examined.shards++
 	m.updateHolders(s)
 	order := append(m.scratch.order[:0], m.classes.list...)
 	m.scratch.order = order
 	slices.SortStableFunc(order, func(x, y *class) int { return int(x.LatencyObjective - y.LatencyObjective) })
 	for range order {
-		m.fillShares(s, order, by.at)
+		m.fillShares(s, order, basis.at)
 		late := slices.IndexFunc(order, func(c *class) bool {
-			return s.meanLatency(c, by.means[c.index]) > c.LatencyObjective.Seconds()
+			return s.meanLatency(c, basis.means[c.index]) > c.LatencyObjective.Seconds()
 		})
 		if late <= 0 {
 			return
@@ -238,16 +238,16 @@
 func (m *Machine) fillClass(s *shard, shares, capacity []float64, demand float64) {
 	left := (1 - floorShares) * demand
 	for left > weightSlack*demand {
-		tied, width := s.leastLatency(capacity, m.scratch.tied[:0])
+		tied, tiedCapacity := s.leastLatency(capacity, m.scratch.tied[:0])
 		m.scratch.tied = tied
 		if len(tied) == 0 {
 			return
 		}
-		give := min(left, width)
+		give := min(left, tiedCapacity)
 		for _, i := range tied {
-			part := give * capacity[i] / width
+			part := give * capacity[i] / tiedCapacity
 			capacity[i] -= part
-			if give == width {
+			if give == tiedCapacity {
 				capacity[i] = 0
 			}
 			shares[i] += part / demand
@@ -258,7 +258,7 @@
 
 // leastLatency returns the holders with capacity left whose latency ratio ties with the lowest one, and their total
 // capacity.
-func (s *shard) leastLatency(capacity []float64, tied []int) (_ []int, width float64) {
+func (s *shard) leastLatency(capacity []float64, tied []int) (_ []int, tiedCapacity float64) {
 	low := math.Inf(1)
 	for i, r := range s.readyHolders {
 		if capacity[i] > 0 {
@@ -268,10 +268,10 @@
 	for i, r := range s.readyHolders {
 		if capacity[i] > 0 && r.latencyRatio <= low*(1+tieBand) {
 			tied = append(tied, i)
-			width += capacity[i]
+			tiedCapacity += capacity[i]
 		}
 	}
-	return tied, width
+	return tied, tiedCapacity
 }
 
 // resize returns a list of n entries and reuses the list's memory if that is large enough. The entries are not cleared.
--- a/internal/decide/scatter/slow_start.go
+++ b/internal/decide/scatter/slow_start.go
@@ -115,7 +115,7 @@
 // drawSlowStart draws a number for a replica in slow start: from the sequence for this coordinator's ordinal, or at
 // random if the ordinal is not known.
 func (m *Machine) drawSlowStart(r *replica) float64 {
-	if !m.place().HasPeers() {
+	if !m.member().HasPeers() {
 		return m.random.Float64()
 	}
 	return r.slowStart.sequence.Next(r.slowStart.tokens)
--- a/internal/decide/scatter/traffic.go
+++ b/internal/decide/scatter/traffic.go
@@ -14,8 +14,8 @@
 }
 
 // admitted counts the parts of an admitted query, divided by the number of usable replicas.
-func (t *trafficRates) admitted(parts, ready int) {
-	t.demand += float64(parts) / max(1, float64(ready))
+func (t *trafficRates) admitted(parts, usable int) {
+	t.demand += float64(parts) / max(1, float64(usable))
 }
 
 // renew ends an interval and updates the averages, given the number of warmed up replicas.
