--- a/internal/decide/scatter/admission_test.go
+++ b/internal/decide/scatter/admission_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Traffic beyond its tenant's quota is shed first when the replicas are overloaded.
+// Queries beyond their tenant's quota are shed first when the replicas are overloaded.
 func TestOverQuotaTrafficIsShedFirst(t *testing.T) {
 	s := base()
 	s.Tenants = []Tenant{{Name: "within", Quota: 100}, {Name: "beyond", Quota: 1}}
@@ -24,18 +24,19 @@
 		}
 	}
 	if rejected["within"] > 0 || rejected["beyond"] < 15 {
-		t.Errorf("rejected %v", rejected)
+		t.Errorf("queries rejected by tenant: %v", rejected)
 	}
 }
 
-// A tenant within its quota is not rejected for it, however small one coordinator's part of the quota is. Arrivals
-// are at random; the pressure lies where traffic beyond the quota is rejected and other traffic is not.
+// A tenant within its quota is not rejected for exceeding it, however small one coordinator's part of the quota is.
+// Queries arrive at random; the pressure is at a value where traffic beyond the quota is rejected and other traffic is
+// not.
 func TestQuotaIsFairForAnyNumberOfCoordinators(t *testing.T) {
 	for _, coordinators := range []int{1, 30, 90} {
 		s := base()
 		s.Coordinators, s.Tenants = coordinators, []Tenant{{Name: "x", Quota: 20}}
 		rng := rand.New(rand.NewPCG(7, uint64(coordinators)))
-		for load, most := range map[float64]float64{0.8: 0.1, 3: 0.75} { // of the quota; rejected at most
+		for load, most := range map[float64]float64{0.8: 0.1, 3: 0.75} { // load in quotas: most rejected
 			h := start(t, s, names("a")...)
 			rejected, all := 0, 400
 			for i := range int64(all) {
@@ -55,8 +56,8 @@
 	}
 }
 
-// A client has little time left: what cannot be in time is rejected at once, what can is served, and the answer or
-// the end comes before its time is up.
+// A client has little time left. A query that cannot be answered in time is rejected at once, any other is served, and
+// the answer or the end comes before the client's time is over.
 func TestClientWithLittleTime(t *testing.T) {
 	for _, tc := range []struct {
 		patience time.Duration
@@ -71,7 +72,7 @@
 		}
 		for _, x := range of[Send](acts) {
 			if x.Timeout > tc.patience {
-				t.Errorf("%v left: an attempt may take %v", tc.patience, x.Timeout)
+				t.Errorf("%v left: an attempt has a time-out of %v", tc.patience, x.Timeout)
 			}
 		}
 		ends := 0
@@ -85,8 +86,8 @@
 	}
 }
 
-// Parts given up late at replicas that serve others are load: the prediction rises though what is served looks quick,
-// and rejected queries, which bring no samples, let it fall again.
+// Parts that are given up late count as load if their replicas serve others: the prediction rises although served parts
+// look quick. Rejected queries, which bring no samples, let it fall again.
 func TestLoadFactorRisesWithUnansweredPartsAndFalls(t *testing.T) {
 	var ids []string
 	for i := range 30 {
@@ -107,14 +108,14 @@
 		}
 	}
 	if rejected < 10 {
-		t.Errorf("%d rejections under load", rejected)
+		t.Errorf("%d rejections under load, want at least 10", rejected)
 	}
 	if h.m.loadFactor > 1.2 {
 		t.Errorf("load factor %.2f after %d rejections", h.m.loadFactor, rejected)
 	}
 }
 
-// One overloaded shard rejects no query that may be answered without it.
+// One overloaded shard does not cause the rejection of a query that may be answered without it.
 func TestAdmittedByTheLeastAnswer(t *testing.T) {
 	for _, minFraction := range []float64{0.5, 1} {
 		rejected := 0
@@ -132,9 +133,8 @@
 	}
 }
 
-// Where a partial answer will do, an overloaded shard is spared most of its parts, which would come too late, but not
-// all: the others show when it has recovered. With a little less load all parts are sent, and so they are where all
-// are needed.
+// If a partial answer is allowed, most parts of an overloaded shard, which would be late, are left out. Some are still
+// sent, to show when it has recovered. With a little less load, or if all parts are needed, all parts are sent.
 func TestOverloadedShardIsSpared(t *testing.T) {
 	for _, tc := range []struct {
 		minFraction, ratio float64
@@ -160,17 +160,17 @@
 	}
 }
 
-// As load rises, parts that bring little of a wide query's weight are not asked for; with little load all are, and
-// parts of equal weight are never left out for it.
+// As load rises, low-weight parts of a query with many parts are left out. With little load all parts are sent, and
+// parts of equal weight are never left out for their weight.
 func TestLightPartsAreSkippedUnderLoad(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		base    float64 // of the class, seconds; its objective is 2
+		base    float64 // mean latency of the class, in seconds; its objective is 2
 		weights []float64
 		sent    int
 	}{
 		{"idle", 0.2, []float64{.5, .3, .1, .05, .05}, 5},
-		{"loaded", 0.75, []float64{.5, .3, .1, .05, .05}, 3}, // half of the slack is kept
+		{"loaded", 0.75, []float64{.5, .3, .1, .05, .05}, 3}, // parts are left out up to halfway to the minimum only
 		{"heavily skewed", 0.75, []float64{.7, .2, .04, .03, .03}, 2},
 		{"loaded, equal weights", 0.75, []float64{.2, .2, .2, .2, .2}, 5},
 	} {
@@ -188,10 +188,10 @@
 	}
 }
 
-// The only holder of a shard is ejected and overloaded, as when two replicas are out for maintenance and their
-// neighbour is sent everything: it times out on all of it and serves nothing in time for seconds, for what was sent
-// cannot be taken back. So queries for the shard are rejected early, and what is admitted is served in time. Of a
-// holder that is merely unresponsive nothing of the kind is known.
+// The only holder of a shard is ejected and overloaded, as when two replicas are in maintenance and their neighbour is
+// sent all of the shard's parts. It times out on all of them and serves nothing in time for seconds, because what was
+// sent cannot be taken back. So queries for the shard have to be rejected early, and what is admitted is served in
+// time. A holder that is merely unresponsive is not known to be overloaded, so all parts are sent.
 func TestOverloadedEjectedReplicaIsSpared(t *testing.T) {
 	for _, tc := range []struct {
 		what        string
--- a/internal/decide/scatter/attempts.go
+++ b/internal/decide/scatter/attempts.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// cancelAttempts cancels a part's outstanding attempts, except those at ejected replicas: these are probes, whose
-// outcome is needed. A part without outstanding attempts is forgotten.
+// cancelAttempts cancels a part's outstanding attempts if the settings allow it, except those at ejected replicas:
+// these are probes, whose outcome is needed. A part without outstanding attempts is forgotten.
 func (m *Machine) cancelAttempts(p *part) {
 	for _, at := range p.attempts {
 		if m.settings.Cancellation && !at.ended && !at.cancelled && !at.toEjected {
--- a/internal/decide/scatter/attempts_test.go
+++ b/internal/decide/scatter/attempts_test.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// What may be sent again, by class, after an attempt that may have run.
+// The class decides whether a part is sent again after an attempt.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		repeat  Idempotency
-		outcome Outcome
-		after   time.Duration
-		again   bool
+		name        string
+		idempotency Idempotency
+		outcome     Outcome
+		after       time.Duration
+		again       bool
 	}{
-		{"free after an error", Idempotent, Errored, 100 * ms, true},
-		{"guarded within its window", Keyed, ConnectionReset, 400 * ms, true},
-		{"guarded at its edge", Keyed, ConnectionReset, 500 * ms, true},
-		{"guarded past its window", Keyed, ConnectionReset, 505 * ms, false},
-		{"single shot that may have run", NonIdempotent, ConnectionReset, 100 * ms, false},
-		{"single shot that never ran", NonIdempotent, ConnectFailed, 100 * ms, true},
+		{"idempotent after an error", Idempotent, Errored, 100 * ms, true},
+		{"keyed within its window", Keyed, ConnectionReset, 400 * ms, true},
+		{"keyed at the end of its window", Keyed, ConnectionReset, 500 * ms, true},
+		{"keyed past its window", Keyed, ConnectionReset, 505 * ms, false},
+		{"non-idempotent that may have run", NonIdempotent, ConnectionReset, 100 * ms, false},
+		{"non-idempotent that never ran", NonIdempotent, ConnectFailed, 100 * ms, true},
 	} {
 		s := base()
-		s.Classes[0].Idempotency, s.Classes[0].DedupWindow = tc.repeat, 500*ms
+		s.Classes[0].Idempotency, s.Classes[0].DedupWindow = tc.idempotency, 500*ms
 		h := start(t, s, names("a", "b")...)
 		h.m.hedges.tokens = 0
 		first := of[Send](h.query("c", 0))[0]
 		acts := h.step(tc.after, ended(first.Part, 0, first.Replica, tc.outcome, tc.after))
 		if got := len(of[Send](acts)) == 1; got != tc.again {
-			t.Errorf("%s: sent again %v, want %v", tc.name, got, tc.again)
+			t.Errorf("%s: part sent again: %v, want %v", tc.name, got, tc.again)
 		}
 		if !tc.again && (len(of[Fail](acts)) != 1 || len(of[Reject](acts)) != 0) {
-			t.Errorf("%s: not failed at once: %v", tc.name, acts)
+			t.Errorf("%s: query did not fail at once: %v", tc.name, acts)
 		}
 	}
 }
@@ -49,18 +49,18 @@
 	}
 }
 
-// All replicas reject for a moment: a part does not spend its last attempt at once.
+// If all replicas reject for a moment, a part does not use its last attempt at once.
 func TestThirdAttemptWaits(t *testing.T) {
 	h := start(t, base(), names("a", "b", "c", "d")...)
 	x := of[Send](h.query("c", 0))[0]
 	y := of[Send](h.step(ms, ended(x.Part, 0, x.Replica, Rejected, ms)))
 	if len(y) != 1 {
-		t.Fatalf("the second attempt: %v", y)
+		t.Fatalf("got %v, want one second attempt", y)
 	}
 	if z := of[Send](h.step(ms, ended(x.Part, 1, y[0].Replica, Rejected, ms))); len(z) != 0 {
-		t.Errorf("the third attempt follows at once: %v", z)
+		t.Errorf("third attempt sent without delay: %v", z)
 	}
 	if z := of[Send](h.step(400*ms, TimerFired{})); len(z) != 1 {
-		t.Errorf("the third attempt never comes: %v", z)
+		t.Errorf("got %v, want one third attempt after the delay", z)
 	}
 }
--- a/internal/decide/scatter/benchmark_test.go
+++ b/internal/decide/scatter/benchmark_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkStep is what one step costs at full size, for a coordinator that has learned nothing yet.
+// BenchmarkStep measures a step at full size, for a coordinator that has learned nothing yet.
 func BenchmarkStep(b *testing.B) {
 	s := base()
 	s.Coordinators, s.RingSize, s.ReplicationFactor, s.PartsPerCall = 90, 150, 4, 8
--- a/internal/decide/scatter/checkpoint_test.go
+++ b/internal/decide/scatter/checkpoint_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// What one coordinator has learned is restored at another one, through JSON. A replica that was started since is new
-// there, and figures that cannot have been learned are left out.
+// A checkpoint of one Machine is restored at another one, through JSON. A replica that has restarted since is new
+// there, and impossible figures are skipped.
 func TestCheckpointIsRestored(t *testing.T) {
 	s := base()
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Name = "d"
 	list := EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "r1", StartedAt: 20 * sec}, {ID: "r2"}, {ID: "r3"}}}
-	learn := func(seed uint64) *Machine {
+	newMachine := func(seed uint64) *Machine {
 		a, err := New(seed, s)
 		if err != nil {
 			t.Fatal(err)
@@ -21,7 +21,7 @@
 		a.Step(100*sec, []Event{list})
 		return a
 	}
-	old := learn(1)
+	old := newMachine(1)
 	now := 100 * sec
 	for n := int64(1); n < 200; n++ {
 		now += 50 * ms
@@ -39,41 +39,41 @@
 			}
 		}
 	}
-	m := old.Checkpoint()
-	if !old.replicas.byID["r3"].health.ejected || m.WarmedUpRate == 0 || len(m.Classes[0].Latencies) == 0 {
-		t.Fatalf("nothing was learned: %+v", m)
+	saved := old.Checkpoint()
+	if !old.replicas.byID["r3"].health.ejected || saved.WarmedUpRate == 0 || len(saved.Classes[0].Latencies) == 0 {
+		t.Fatalf("the checkpoint holds nothing learned: %+v", saved)
 	}
-	data, err := json.Marshal(m)
+	data, err := json.Marshal(saved)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again Checkpoint
-	if err := json.Unmarshal(data, &again); err != nil || !reflect.DeepEqual(again, m) {
+	var decoded Checkpoint
+	if err := json.Unmarshal(data, &decoded); err != nil || !reflect.DeepEqual(decoded, saved) {
 		t.Fatalf("%v: %s", err, data)
 	}
 
 	list.Replicas[0].StartedAt = 90 * sec // restarted
-	fresh := learn(2)
-	fresh.Restore(again)
+	fresh := newMachine(2)
+	fresh.Restore(decoded)
 	got := fresh.Checkpoint()
-	got.At = m.At
-	if !reflect.DeepEqual(got.Classes, m.Classes) || got.WarmedUpRate != m.WarmedUpRate ||
-		got.Intervals != m.Intervals || !reflect.DeepEqual(got.Shards, m.Shards) ||
-		!reflect.DeepEqual(got.Replicas[1:], m.Replicas[1:]) {
-		t.Errorf("recalled\n%+v, remembered\n%+v", got, m)
+	got.At = saved.At
+	if !reflect.DeepEqual(got.Classes, saved.Classes) || got.WarmedUpRate != saved.WarmedUpRate ||
+		got.Intervals != saved.Intervals || !reflect.DeepEqual(got.Shards, saved.Shards) ||
+		!reflect.DeepEqual(got.Replicas[1:], saved.Replicas[1:]) {
+		t.Errorf("restored\n%+v, saved\n%+v", got, saved)
 	}
 	if r := fresh.replicas.byID["r1"]; r.slowStart.from != 90*sec || r.health.lastSuccess != 0 {
-		t.Errorf("a replica that was started anew is known as it was: %+v", r)
+		t.Errorf("the state of a restarted replica was restored: %+v", r)
 	}
 
-	again.Classes[0].MeanLatency, again.WarmedUpRate = -1, -1
-	again.Replicas[1].LatencyRatio, again.Replicas[2].ClassExcludedUntil = 0, nil
-	doubtful := learn(3)
-	doubtful.Restore(again)
-	if r := doubtful.replicas.byID["r3"]; doubtful.classes.byName["c"].meanLatency <= 0 ||
-		doubtful.traffic.warmedUpRate < 0 || doubtful.replicas.byID["r2"].latencyRatio == 0 ||
+	decoded.Classes[0].MeanLatency, decoded.WarmedUpRate = -1, -1
+	decoded.Replicas[1].LatencyRatio, decoded.Replicas[2].ClassExcludedUntil = 0, nil
+	partial := newMachine(3)
+	partial.Restore(decoded)
+	if r := partial.replicas.byID["r3"]; partial.classes.byName["c"].meanLatency <= 0 ||
+		partial.traffic.warmedUpRate < 0 || partial.replicas.byID["r2"].latencyRatio == 0 ||
 		r.health.ejected || len(r.classHealth) != 2 {
-		t.Error("figures that cannot be were taken over")
+		t.Error("impossible figures were restored")
 	}
-	doubtful.Step(101*sec, nil)
+	partial.Step(101*sec, nil)
 }
--- a/internal/decide/scatter/completeness_test.go
+++ b/internal/decide/scatter/completeness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A query has one final answer before its client's time is up, and nothing is sent after it.
+// A query gets one final answer before its client's time is over, and no part is sent after it.
 func TestQueryEndsInTimeWhenNothingAnswers(t *testing.T) {
 	for _, list := range [][]Replica{nil, names("a", "b")} {
 		h := start(t, base(), list...)
@@ -16,47 +16,47 @@
 		for h.now < until {
 			n := len(of[Reject](acts)) + len(of[Fail](acts)) + len(of[Answer](acts))
 			if finals > 0 && len(of[Send](acts)) > 0 {
-				t.Error("sent after the final answer")
+				t.Error("part sent after the final answer")
 			}
 			finals += n
 			acts = h.step(5*ms, TimerFired{})
 		}
 		if finals != 1 {
-			t.Errorf("%d replicas: %d final answers before the time was up", len(list), finals)
+			t.Errorf("%d replicas: %d final answers before the client's time was over, want 1", len(list), finals)
 		}
 	}
 }
 
-// A query whose time is over, or as good as over, when it comes ends in that step, and nothing is sent.
+// A query whose time is over on arrival, or nearly over, ends in that step, and no part is sent.
 func TestExpiredQueryEndsAtOnce(t *testing.T) {
 	for _, left := range []time.Duration{-sec, 0, 5 * ms} {
 		h := start(t, base(), names("a")...)
 		acts := h.step(0, QueryArrived{ID: "q", Number: 9, Class: "c", Expires: h.now + left},
 			PartArrived{ID: "p", Number: 9, Weight: 1})
 		if len(of[Reject](acts)) != 1 || len(of[Send](acts)) != 0 {
-			t.Errorf("%v left: %v", left, acts)
+			t.Errorf("%v left: got %v, want one rejection and no send", left, acts)
 		}
 		acts = h.step(5*ms, QueryCancelled{ID: "q"})
 		if len(acts) != 0 && (len(of[Reject](acts)) > 0 || len(of[Send](acts)) > 0) {
-			t.Errorf("%v left, afterwards: %v", left, acts)
+			t.Errorf("%v left, after the cancellation: %v", left, acts)
 		}
 	}
-	h := start(t, base(), names("a")...) // the answer comes in the very step in which the client's time ends
+	h := start(t, base(), names("a")...) // the part is served in the step in which the client's time ends
 	x := of[Send](h.query("c", 0))[0]
 	acts := h.step(6*sec, ended(x.Part, 0, "a", Succeeded, 6*sec), TimerFired{})
 	if n := len(of[Answer](acts)) + len(of[Reject](acts)) + len(of[Fail](acts)); n != 1 {
-		t.Errorf("%d final answers: %v", n, acts)
+		t.Errorf("%d final answers, want 1: %v", n, acts)
 	}
 }
 
-// An answer is complete only from the complete fraction on, and there is none under the minimum fraction.
+// An answer is complete from the complete fraction on, and there is none below the minimum fraction.
 func TestAnswerSaysWhetherItIsComplete(t *testing.T) {
 	for _, tc := range []struct {
 		name                          string
 		completeFraction, minFraction float64
 		served                        int
 		answer                        bool
-		whole                         bool
+		complete                      bool
 	}{
 		{"all needed, one missing", 1, 1, 3, false, false},
 		{"all needed, all in", 1, 1, 4, true, true},
@@ -79,8 +79,8 @@
 			all = append(all, h.step(5*ms, TimerFired{})...)
 		}
 		ans := of[Answer](all)
-		if got := len(ans) == 1; got != tc.answer || got && ans[0].Complete != tc.whole {
-			t.Errorf("%s: answers %v", tc.name, ans)
+		if got := len(ans) == 1; got != tc.answer || got && ans[0].Complete != tc.complete {
+			t.Errorf("%s: got answers %v", tc.name, ans)
 		}
 	}
 }
@@ -92,20 +92,20 @@
 	x := of[Send](h.query("c", 0))[0]
 	acts := h.step(ms, ended(x.Part, 0, "a", Succeeded, ms))
 	if a := of[Answer](acts); len(a) != 1 || !a[0].Complete {
-		t.Fatalf("first round: %v", acts)
+		t.Fatalf("first round: got %v, want one complete answer", acts)
 	}
 	acts = h.step(5*ms, PartArrived{ID: "second", Number: 1, Shard: 0, Weight: 1})
 	y := of[Send](acts)
 	if len(y) != 1 {
-		t.Fatalf("second round sent %v", acts)
+		t.Fatalf("second round: got %v, want one send", acts)
 	}
 	acts = h.step(ms, ended("second", 0, "a", Succeeded, ms))
 	if a := of[Answer](acts); len(a) != 1 || !a[0].Complete {
-		t.Fatalf("second round: %v", acts)
+		t.Fatalf("second round: got %v, want one complete answer", acts)
 	}
 }
 
-// A client that takes nothing less than a complete answer gets no partial one, where another client does.
+// A client that requires a complete answer gets no partial one, while another client does.
 func TestRequireComplete(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		s := base()
@@ -115,18 +115,18 @@
 			PartArrived{ID: "p0", Number: 1, Shard: 0, Weight: 0.8}, PartArrived{ID: "p1", Number: 1, Shard: 1, Weight: 0.2})
 		h.step(100*ms, ended("p0", 0, "r1", Succeeded, 100*ms), ended("p0", 0, "r2", Succeeded, 100*ms))
 		var answers []Answer
-		for range 500 { // until past the client's time
+		for range 500 { // until after the client's time
 			answers = append(answers, of[Answer](h.step(20*ms))...)
 		}
 		if got := len(answers) == 1 && !answers[0].Complete; got == whole {
-			t.Errorf("whole wanted %v: answers %v", whole, answers)
+			t.Errorf("complete answer required: %v: got answers %v", whole, answers)
 		}
 	}
 }
 
-// Weights come rounded, and 48 of 0.020833 miss 1 by more than the slack of sums: each summary over 48 shards was
-// answered as a partial one, with all of its parts served. With all parts in, a query is complete, and the minimum is
-// met by as many parts as with exact weights. A sum that is further off is no rounding.
+// Weights arrive rounded, and 48 weights of 0.020833 miss 1 by more than weightSlack: each summary over 48 shards was
+// answered as partial with all of its parts served. With all parts served a query is complete, and the minimum takes as
+// many parts as with exact weights. A sum that is further off is no rounding error.
 func TestRoundedWeights(t *testing.T) {
 	for _, tc := range []struct {
 		parts, in int
@@ -166,12 +166,12 @@
 			note(h.m.Step(h.now, nil))
 		}
 		if got := fmt.Sprint(answers); got != tc.want {
-			t.Errorf("%d of %d parts of %v: answers %s, want %s", tc.in, tc.parts, tc.weight, got, tc.want)
+			t.Errorf("%d of %d parts of weight %v: answers %s, want %s", tc.in, tc.parts, tc.weight, got, tc.want)
 		}
 	}
 }
 
-// A part that can no longer come is replaced at once by one that had not been asked for.
+// A part that can no longer be served is replaced at once by one that had not been selected.
 func TestLostPartIsReplaced(t *testing.T) {
 	s := base()
 	s.Classes[0].CompleteFraction, s.MaxAttempts = 0.75, 1
@@ -179,11 +179,11 @@
 	sends := of[Send](h.query("c", 0, 1, 2, 3))
 	more := of[Send](h.step(ms, ended(sends[0].Part, 0, sends[0].Replica, Errored, ms)))
 	if len(more) != 1 || more[0].Part == sends[0].Part {
-		t.Errorf("the lost part is followed by %v, want the other part", more)
+		t.Errorf("after the lost part got %v, want the other part", more)
 	}
 }
 
-// A first round that may be answered in part leaves its second round the time that a slow part takes.
+// A first round that allows a partial answer leaves its second round the time of a slow part.
 func TestFirstRoundLeavesTimeForTheSecond(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction, s.Classes[0].SecondRoundParts, s.Classes[0].LateWeight = 0.4, 1, 0
@@ -196,19 +196,19 @@
 		acts = f.step(5*ms, TimerFired{})
 	}
 	if left := asked + 1900*ms - f.now; left < scale(s.Classes[0].LatencyObjective, minOverdue)-10*ms {
-		t.Fatalf("the first round's answer leaves %v before the objective", left)
+		t.Fatalf("the first round's answer leaves only %v before the objective", left)
 	}
 	acts = f.step(5*ms, PartArrived{ID: "next", Number: f.n, Weight: 1})
 	if len(of[Send](acts)) != 1 {
-		t.Fatalf("the second round is not sent: %v", acts)
+		t.Fatalf("second round: got %v, want one send", acts)
 	}
 	acts = f.step(200*ms, ended("next", 0, of[Send](acts)[0].Replica, Succeeded, 200*ms))
 	if got := of[Answer](acts); len(got) != 1 || got[0].Complete {
-		t.Errorf("second round: %v", acts)
+		t.Errorf("second round: got %v, want one partial answer", acts)
 	}
 }
 
-// The client's time runs until the answer reaches it: a partial answer does not go out at the very objective.
+// The client's time includes the answer's way to it: a partial answer is sent some ticks before the objective.
 func TestPartialAnswerLeavesTimeForItsWay(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction = 0.5
@@ -221,6 +221,6 @@
 		acts = h.step(5*ms, TimerFired{})
 	}
 	if got := h.now - asked; got > 2*sec-15*ms || got < 1900*ms {
-		t.Errorf("answered in part after %v, the objective being 2 s", got)
+		t.Errorf("partial answer after %v, want 1.9 s to 1.985 s", got)
 	}
 }
--- a/internal/decide/scatter/coordinators_test.go
+++ b/internal/decide/scatter/coordinators_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// coordinators are those of a large fleet in virtual time. Each has a machine of its own that knows of the others
-// nothing but their number. They share replicas, one to a ring position, that serve each part after a time.
+// coordinators are those of a large fleet in virtual time. Each has its own machine and knows only the number of the
+// others. They share replicas, one at each ring position, that serve each part after a time.
 type coordinators struct {
 	now      time.Duration
 	all      []*coordinator
-	service  func(replica string) (Outcome, time.Duration) // negative where nothing is answered
+	service  func(replica string) (Outcome, time.Duration) // negative if the replica does not answer
 	onSend   func(replica string)
-	onEnd    func(query string, took time.Duration) // for those served
+	onEnd    func(query string, took time.Duration) // called for each answered query
 	due      fleetEvents
 	queries  int64
 	arrivals map[string]time.Duration
@@ -72,7 +72,7 @@
 		switch x := act.(type) {
 		case SetTimer:
 			heap.Push(&f.due, fleetEvent{f.now + x.After, TimerFired{}, r})
-		case CancelAttempt: // what is cancelled goes on at its replica
+		case CancelAttempt: // a cancelled part still runs at its replica
 			ended := AttemptEnded{Part: x.Part, Attempt: x.Attempt, Outcome: Cancelled, Latency: 200 * ms}
 			heap.Push(&f.due, fleetEvent{f.now, ended, r})
 		case Answer:
@@ -91,8 +91,8 @@
 	}
 }
 
-// run sends a query for so many shards in a row once every gap, each time to another coordinator, beginning with the
-// first shard and going round.
+// run sends a query every gap for span, each to another coordinator. A query needs the given number of consecutive
+// shards; the first one advances from query to query around the ring.
 func (f *coordinators) run(span, gap time.Duration, shards, ringSize int) {
 	for until := f.now + span; f.now < until; {
 		next := f.now + gap
@@ -116,15 +116,15 @@
 	}
 }
 
-// A replica that starts is sent at most what the slow start rule allows by all coordinators together, and yet as much
-// as it can do: each coordinator meets it rarely, so that complete tokens saved by each one would leave it idle while
-// its siblings carry its load. So it is with hundreds of coordinators, of which most have just started too.
+// A replica in slow start is sent at most what the slow start rule allows, by all coordinators together, and still as
+// much as it can serve. Each coordinator sends to it rarely, so whole tokens saved by each one would leave it idle
+// while its siblings carry its load. The same holds for hundreds of coordinators of which most have just started too.
 func TestFleetUsesReplicaInSlowStart(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		coordinators, fresh, replicas int
 		gap                           time.Duration // between queries, a part for each replica
-		capacity                      float64       // parts a second of a warmed-up replica, which has more than one core
+		capacity                      float64       // parts per second of a warmed up replica with several cores
 	}{
 		{80, 0, 6, 10 * ms, 150},
 		{300, 0, 30, 25 * ms, 90},
@@ -152,7 +152,7 @@
 		}
 		fresh := newCoordinators(t, tc.coordinators, s)
 		for i := range tc.fresh {
-			f.all[i].machine = fresh.all[i].machine // what is out of the old one ends as unknown to the new
+			f.all[i].machine = fresh.all[i].machine // the new machine does not know the old one's outstanding attempts
 		}
 		f.updateAll(FullUpdate, list...)
 		f.run(8*sec, tc.gap, tc.replicas, tc.replicas)
@@ -165,30 +165,30 @@
 			allowed := s.SlowStart.OverloadFactor * ramp(sent[from]) * tc.capacity * s.SlowStart.Window.Seconds()
 			worst = max(worst, float64(i-from+1)/allowed)
 		}
-		// Of what it can do for certain in the 8 s, or of what there is for it, where that is less.
+		// A share of what the replica can certainly serve in the 8 s, or of the demand for it if that is less.
 		least := 0.55 * min(tc.capacity*ramp(list[0].StartedAt+4*sec), 1/tc.gap.Seconds()) * 8
-		t.Logf("%d coordinators, %d fresh: %d parts, %.0f wanted; at worst %.2f of what overloads it",
+		t.Logf("%d coordinators, %d fresh: %d parts, want %.0f; at worst %.2f of the overload",
 			tc.coordinators, tc.fresh, len(sent), least, worst)
 		if worst > slowStartSafety {
-			t.Errorf("%d coordinators, %d fresh: a window brought %.2f of what overloads it", tc.coordinators, tc.fresh, worst)
+			t.Errorf("%d coordinators, %d fresh: a window brought %.2f of the overload", tc.coordinators, tc.fresh, worst)
 		}
 		if float64(len(sent)) < least {
-			t.Errorf("%d coordinators, %d fresh: %d parts in 8 s, %.0f at least could be served",
+			t.Errorf("%d coordinators, %d fresh: %d parts in 8 s, want at least %.0f",
 				tc.coordinators, tc.fresh, len(sent), least)
 		}
 	}
 }
 
-// Two of a shard's three holders fall silent, and more is asked of the third than it can do. What it takes all the
-// same waits past its objective and is work done for nobody: hundreds of coordinators, each of which meets it every
-// few seconds, have to ask for less together. Their queries for other shards go on, and those that it can serve are
-// served.
+// Two of a shard's three holders fall silent, and the third gets more parts than it can serve. Parts that it accepts
+// beyond its capacity are served after their objective, when no query needs them any more. So hundreds of coordinators,
+// each of which sends to it every few seconds, have to send less together. Their queries for other shards continue, and
+// those that the replica can serve are served.
 func TestLastHolderIsNotOverloaded(t *testing.T) {
 	t.Parallel()
 	const (
 		replicas, shards = 30, 5
-		service          = time.Second / 80 // of a part, one at a time
-		queue            = 450 * ms         // of work, and full beyond it
+		service          = time.Second / 80 // for one part; parts are served one at a time
+		queue            = 450 * ms         // work that may wait; beyond it parts are rejected
 	)
 	f := newCoordinators(t, 300, Settings{
 		RingSize: replicas, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms,
@@ -212,7 +212,7 @@
 		return Succeeded, free[replica] - f.now
 	}
 	f.updateAll(FullUpdate, list...)
-	f.run(4*sec, 3*ms, shards, replicas) // 55 parts a second for each replica
+	f.run(4*sec, 3*ms, shards, replicas) // 55 parts per second for each replica
 	silent["r1"], silent["r2"] = true, true
 	f.run(4*sec, 3*ms, shards, replicas)
 	begun, served := f.queries, map[bool]int{}
@@ -220,25 +220,25 @@
 		var n int64
 		if fmt.Sscanf(query, "q%d", &n); n > begun && took <= 380*ms {
 			first := int(n) * 11 % replicas
-			served[first >= replicas-shards+1 || first <= 1]++ // it needs shard 0 or 1, whose last holders are r0 and r3
+			served[first >= replicas-shards+1 || first <= 1]++ // needs shard 0 or 1, whose last holders are r0 and r3
 		}
 	}
 	f.run(8*sec, 3*ms, shards, replicas)
-	asked := 8 * 333 / replicas // from each shard
+	asked := 8 * 333 / replicas // queries that start at each shard
 	hard, easy := float64(served[true])/float64(6*asked), float64(served[false])/float64(24*asked)
-	t.Logf("served: %.2f of those that need a last holder, %.2f of the others", hard, easy)
+	t.Logf("served: %.2f of queries that need a last holder, %.2f of the others", hard, easy)
 	if hard < 0.35 || easy < 0.95 {
-		t.Errorf("served: %.2f of those that need a last holder, %.2f of the others; wanted 0.35 and 0.95", hard, easy)
+		t.Errorf("served: %.2f of queries that need a last holder, %.2f of the others; want 0.35 and 0.95", hard, easy)
 	}
 }
 
-// One of 300 coordinators that know their ordinal sends to the two holders of a shard that it keeps, as long as these
-// will do; to the third at once where one of them fails, and no more when that has recovered. One that does not know
-// its ordinal keeps all.
+// One of 300 coordinators that know their ordinals sends to the two holders of a shard that are in its subset as long
+// as these are usable. If one fails it sends to the third at once, and stops when the failed one has recovered. A
+// coordinator that does not know its ordinal sends to all.
 func TestKeepsItsSubset(t *testing.T) {
 	t.Parallel()
 	const replicas = 30
-	play := func(ordinal int) (a *coordinators, used func(bad string) map[string]bool) {
+	newRun := func(ordinal int) (a *coordinators, used func(bad string) map[string]bool) {
 		f := newCoordinators(t, 1, Settings{
 			RingSize: replicas, ReplicationFactor: 3, PartsPerCall: 1, TickInterval: ms, MaxAttempts: 4, Cancellation: true,
 			Classes: []Class{{Name: "c", LatencyObjective: 380 * ms, Deadline: sec, PriorityWeight: 1, LateWeight: 0.3,
@@ -261,7 +261,7 @@
 				}
 				return Succeeded, 30 * ms
 			}
-			f.run(2*sec, 50*ms, 3, replicas) // by then it has met the bad one
+			f.run(2*sec, 50*ms, 3, replicas) // by then it has sent to the bad one
 			seen := map[string]bool{}
 			f.onSend = func(replica string) { seen[replica] = true }
 			f.run(20*sec, 50*ms, 3, replicas)
@@ -269,17 +269,17 @@
 			return seen
 		}
 	}
-	if _, used := play(0); len(used("")) != replicas {
-		t.Error("one that does not know its number keeps a subset")
+	if _, used := newRun(0); len(used("")) != replicas {
+		t.Error("a coordinator without an ordinal sends to a subset only")
 	}
-	_, used := play(150)
+	_, used := newRun(150)
 	before := used("")
 	if len(before) != replicas*2/3 {
-		t.Errorf("%d of %d nodes used", len(before), replicas)
+		t.Errorf("%d of %d replicas used", len(before), replicas)
 	}
 	for s := range replicas {
 		if n := count3(before, s, replicas); n != 2 {
-			t.Errorf("shard %d: %d holders used", s, n)
+			t.Errorf("shard %d: %d holders used, want 2", s, n)
 		}
 	}
 	bad := ""
@@ -291,19 +291,19 @@
 	}
 	during := used(bad)
 	if len(during) <= len(before) {
-		t.Errorf("%d nodes used while one fails, %d before", len(during), len(before))
+		t.Errorf("%d replicas used while one fails, %d before", len(during), len(before))
 	}
-	for id := range used("") { // the bad one has been taken back by now
+	for id := range used("") { // the bad one has been reinstated by now
 		if used := before[id]; !used && during[id] == false {
-			t.Errorf("%s is used, which was not needed before", id)
+			t.Errorf("%s is used although it was not used before", id)
 		}
 	}
 	if after := used(""); len(after) != len(before) {
-		t.Errorf("%d nodes used after all are well, %d before", len(after), len(before))
+		t.Errorf("%d replicas used after the recovery, %d before", len(after), len(before))
 	}
 }
 
-// count3 is how many of a shard's three holders were used.
+// count3 returns how many of a shard's three holders were used.
 func count3(used map[string]bool, shard, replicas int) (n int) {
 	for j := range 3 {
 		if used[fmt.Sprint("r", (shard+j)%replicas)] {
--- a/internal/decide/scatter/deferred_test.go
+++ b/internal/decide/scatter/deferred_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Deferred parts are not sent, on any path, before they are released; what is released as resolved counts as served.
+// Deferred parts are not sent in any way before they are released. A part released as resolved counts as served.
 func TestDeferredParts(t *testing.T) {
 	s := base()
 	s.Classes[0].MinFraction = 0.7
@@ -15,36 +15,36 @@
 		PartArrived{ID: "q1.2", Number: 1, Weight: 0.25, Deferred: true},
 		PartArrived{ID: "q1.3", Number: 1, Weight: 0.25, Deferred: true})
 	if sends := of[Send](acts); len(sends) != 1 || sends[0].Part != "q1.0" {
-		t.Fatalf("%v, want only the part that is not held", acts)
+		t.Fatalf("got %v, want only the part that is not deferred", acts)
 	}
-	for range 100 { // overdue as it is, no held part is taken for a spare one
+	for range 100 { // the part becomes overdue, and no deferred one is sent for it
 		for _, x := range of[Send](h.step(10 * ms)) {
 			if x.Part != "q1.0" {
-				t.Fatalf("held part %s was sent", x.Part)
+				t.Fatalf("deferred part %s was sent", x.Part)
 			}
 		}
 	}
 	acts = h.step(0, PartReleased{ID: "q1.1", Resolved: true}, PartReleased{ID: "q1.2"})
 	if sends := of[Send](acts); len(sends) != 1 || sends[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
-		t.Fatalf("%v, want the part that was let out", acts)
+		t.Fatalf("got %v, want the released part", acts)
 	}
-	// A part that is out and turns out to be known is cancelled, and its late outcome changes nothing.
+	// An outstanding part that is released as resolved is cancelled, and its late outcome changes nothing.
 	acts = h.step(0, PartReleased{ID: "q1.2", Resolved: true}, PartReleased{ID: "q1.2", Resolved: true},
 		PartReleased{ID: "q9.9", Resolved: true})
-	if off := of[CancelAttempt](acts); len(off) != 1 || off[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
-		t.Fatalf("%v, want the attempt cancelled and no answer from half of the weight", acts)
+	if cancels := of[CancelAttempt](acts); len(cancels) != 1 || cancels[0].Part != "q1.2" || len(of[Answer](acts)) > 0 {
+		t.Fatalf("got %v, want one cancellation and no answer from half of the weight", acts)
 	}
 	acts = h.step(0, ended("q1.2", 0, "r1", Succeeded, 5*ms), PartReleased{ID: "q1.3", Resolved: true})
 	if len(of[Answer](acts)) > 0 {
-		t.Fatalf("%v: three quarters are no whole answer", acts)
+		t.Fatalf("got %v, want no answer from three quarters of the weight", acts)
 	}
 	acts = h.step(0, PartReleased{ID: "q1.0", Resolved: true})
 	if ans := of[Answer](acts); len(ans) != 1 || !ans[0].Complete {
-		t.Fatalf("%v, want one whole answer", acts)
+		t.Fatalf("got %v, want one complete answer", acts)
 	}
 }
 
-// What is deferred to the end is missing: the minimum fraction holds, and the answer is not late.
+// Parts that stay deferred to the end count as missing: the minimum fraction applies, and the answer is not late.
 func TestDeferredToTheEnd(t *testing.T) {
 	for _, in := range []float64{0.6, 0.8} {
 		s := base()
@@ -61,7 +61,7 @@
 			rejections += len(of[Reject](acts))
 		}
 		if answers+rejections != 1 || (answers == 1) != (in > 0.7) {
-			t.Errorf("%g in: %d answers and %d rejections", in, answers, rejections)
+			t.Errorf("weight %g resolved: %d answers and %d rejections", in, answers, rejections)
 		}
 	}
 }
--- a/internal/decide/scatter/endpoint_cost_test.go
+++ b/internal/decide/scatter/endpoint_cost_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// changeSizes are the numbers of replicas at which the cost of a changed entry is compared.
+// changeSizes are the numbers of replicas for which the cost of a changed entry is compared.
 var changeSizes = []int{70, 700, 2100, 7000}
 
-// fleetMember is one of 1,500 coordinators with a list of so many replicas. Where it is in use, every shard has had a
-// part and every part its outcome.
+// fleetMember returns one of 1,500 coordinators with a list of so many replicas. With inUse, every shard has had a
+// part, and every part has its outcome.
 func fleetMember(t testing.TB, replicas int, inUse bool) *recordedLoad {
 	s := newRecordedLoad(t, 5, replicas, false)
 	set := s.machine.settings
@@ -40,7 +40,7 @@
 	return s
 }
 
-// change tells the module that one node drains, and in the next call that it is back as a new process.
+// change reports to the machine that a replica drains, and in the next call that it is back as a new process.
 func (s *recordedLoad) change(no, replicas int) {
 	position := no / 2 * 7 % replicas
 	entry := Replica{ID: fmt.Sprint("r", position), RingPosition: position}
@@ -53,7 +53,7 @@
 	s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate, Replicas: []Replica{entry}}})
 }
 
-// processTime is the processor time that this process has used.
+// processTime returns the processor time that this process has used.
 func processTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// churn draws endpoint updates: replicas that drain, restart, are removed, join, move to another ring position, and
-// full lists that leave some out.
+// churn draws random endpoint updates: replicas that drain, restart, are removed, join or move to another ring
+// position, and full lists that omit some.
 type churn struct {
 	rng  *rand.Rand
 	list []Replica
@@ -94,7 +94,7 @@
 	return c
 }
 
-// next is the next update at a time.
+// next returns the next update, given the time.
 func (c *churn) next(now time.Duration, ringSize int) EndpointUpdate {
 	var changed []Replica
 	for range 1 + c.rng.IntN(4) {
@@ -129,17 +129,17 @@
 	return EndpointUpdate{Kind: IncrementalUpdate, Replicas: changed}
 }
 
-// The actions on recorded streams with endpoint updates, new settings and restored checkpoints are those of the
-// machine from before a changed entry cost no more than itself.
+// The actions for recorded streams of queries, endpoint updates, new settings and restored checkpoints are the same as
+// before the cost of a changed entry was limited to what it affects.
 func TestActionsUnchangedByListCost(t *testing.T) {
 	t.Parallel()
 	if runtime.GOARCH != "amd64" {
 		t.Skip("recorded on amd64")
 	}
 	for _, tc := range []struct {
-		open, nodes, layers, coordinators, me int
-		trouble                               bool
-		digest                                uint64
+		open, nodes, layers, coordinators, ordinal int
+		withFaults                                 bool
+		digest                                     uint64
 	}{
 		{5, 12, 1, 1, 0, true, 0x7b748cdcb76af0af},
 		{20, 30, 2, 300, 17, true, 0x7b4ad8c64f82e463},
@@ -147,9 +147,9 @@
 		{20, 3, 3, 1, 0, true, 0xc7cdc68bc3d35e30},
 		{10, 200, 1, 300, 5, false, 0x4fe9784adaba09d1},
 	} {
-		s := newRecordedLoad(t, tc.open, tc.nodes, tc.trouble)
+		s := newRecordedLoad(t, tc.open, tc.nodes, tc.withFaults)
 		set := s.machine.settings
-		set.Coordinators, set.Ordinal, set.Subscribe, set.ListMaxAge = tc.coordinators, tc.me, true, 60*sec
+		set.Coordinators, set.Ordinal, set.Subscribe, set.ListMaxAge = tc.coordinators, tc.ordinal, true, 60*sec
 		set.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 18 * sec, OverloadFactor: 2.5, Window: 1500 * ms}
 		configure := func() {
 			if err := s.machine.Configure(set); err != nil {
@@ -158,11 +158,11 @@
 		}
 		configure()
 		c := newChurn(tc.nodes, tc.layers)
-		s.step(tc.trouble, EndpointUpdate{Kind: FullUpdate, Replicas: c.list})
+		s.step(tc.withFaults, EndpointUpdate{Kind: FullUpdate, Replicas: c.list})
 		for i := range 2000 {
-			s.query(tc.nodes, tc.trouble)
+			s.query(tc.nodes, tc.withFaults)
 			if i%9 == 0 {
-				s.step(tc.trouble, c.next(s.now, tc.nodes))
+				s.step(tc.withFaults, c.next(s.now, tc.nodes))
 			}
 			switch i % 1000 {
 			case 400:
@@ -179,19 +179,19 @@
 				s.machine.Restore(s.machine.Checkpoint())
 			}
 		}
-		memory, err := json.Marshal(s.machine.Checkpoint())
+		data, err := json.Marshal(s.machine.Checkpoint())
 		if err != nil {
 			t.Fatal(err)
 		}
 		stored := fnv.New64a()
-		stored.Write(memory)
+		stored.Write(data)
 		if s.digest ^= stored.Sum64(); s.digest != tc.digest {
 			t.Errorf("%+v: digest %#x of %d actions", tc, s.digest, s.actions)
 		}
 	}
 }
 
-// New settings and a checkpoint that is restored right after them, with no step between, go together.
+// A checkpoint may be restored right after new settings, without a step between.
 func TestCheckpointAfterNewSettings(t *testing.T) {
 	t.Parallel()
 	const replicas = 12
@@ -208,20 +208,19 @@
 	s.machine.Restore(before)
 	after := s.machine.Checkpoint()
 	if fmt.Sprint(after.Replicas, after.Shards) != fmt.Sprint(before.Replicas, before.Shards) {
-		t.Errorf("the memory changed from %v to %v", before, after)
+		t.Errorf("the checkpoint changed from %v to %v", before, after)
 	}
 	s.query(replicas, false)
 }
 
-// A changed entry has as many replicas and shards looked at in a list of 700 as in one of 70, however many shards are
-// in use.
+// A changed entry visits as many replicas and shards in a list of 700 as in one of 70, however many shards are in use.
 func TestChangeCostsWhatItConcerns(t *testing.T) {
 	t.Parallel()
 	for _, inUse := range []bool{false, true} {
 		var least examined
 		for _, replicas := range []int{70, 700} {
 			s := fleetMember(t, replicas, inUse)
-			s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate}}) // all that was due before
+			s.machine.Step(s.now, []Event{EndpointUpdate{Kind: IncrementalUpdate}}) // processes what was due before
 			s.machine.examined = examined{}
 			for i := range 20 {
 				s.change(i, replicas)
@@ -229,16 +228,16 @@
 			if replicas == 70 {
 				least = s.machine.examined
 			} else if s.machine.examined != least {
-				t.Errorf("in use %t: %+v looked at among %d nodes, %+v among 70", inUse, s.machine.examined, replicas, least)
+				t.Errorf("in use %t: %+v visited among %d, %+v among 70", inUse, s.machine.examined, replicas, least)
 			}
 		}
 		if least.replicas == 0 || least.replicas > 20*20 {
-			t.Errorf("in use %t: %+v looked at for 20 changes", inUse, least)
+			t.Errorf("in use %t: %+v visited for 20 changes", inUse, least)
 		}
 	}
 }
 
-// BenchmarkWideQuery is a query to 120 shards of a fleet of 1,500 coordinators, 180 a second; each part is served
+// BenchmarkWideQuery measures queries to 120 shards at one of 1,500 coordinators, 180 per second. Each part is served
 // after 20 ms, and each outcome is a step of its own.
 func BenchmarkWideQuery(b *testing.B) {
 	const parts = 120
@@ -274,7 +273,7 @@
 	}
 }
 
-// served steps, and serves what is sent after 20 ms. It keeps no digest.
+// served runs a step, and serves the parts that it sends after 20 ms. It updates no digest.
 func (s *recordedLoad) served(events ...Event) {
 	for _, act := range s.machine.Step(s.now, events) {
 		if x, ok := act.(Send); ok {
--- a/internal/decide/scatter/endpoints_test.go
+++ b/internal/decide/scatter/endpoints_test.go
@@ -10,16 +10,16 @@
 func TestJoiningReplicaAdoptsSiblingRatio(t *testing.T) {
 	h := start(t, base(), names("a", "b")...)
 	if got := h.m.replicas.byID["a"].latencyRatio * h.m.classes.list[0].meanLatency; math.Abs(got-0.4) > 1e-9 {
-		t.Errorf("starting mean %.3f, want a fifth of the objective", got)
+		t.Errorf("initial mean %.3f, want a fifth of the objective", got)
 	}
 	h.m.replicas.byID["a"].latencyRatio, h.m.replicas.byID["b"].latencyRatio = 0.5, 1
 	h.step(0, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("c")})
 	if got := h.m.replicas.byID["c"].latencyRatio; math.Abs(got-0.75) > 1e-9 {
-		t.Errorf("joiner's ratio %.3f, want 0.75", got)
+		t.Errorf("ratio of the joining replica %.3f, want 0.75", got)
 	}
 }
 
-// Nothing new goes to a replica from the step in which its drain or removal is known.
+// No part is sent to a replica from the step in which its drain or removal is known.
 func TestNothingIsSentToDrainingReplica(t *testing.T) {
 	for _, state := range []ReplicaState{Draining, Removed} {
 		h := start(t, base(), names("a", "b")...)
@@ -27,7 +27,7 @@
 		for range 50 {
 			for _, x := range of[Send](h.query("c", 0)) {
 				if x.Replica == "a" {
-					t.Fatalf("sent to a replica in state %d", state)
+					t.Fatalf("part sent to a replica in state %d", state)
 				}
 			}
 		}
@@ -35,12 +35,12 @@
 	h := start(t, base(), names("a", "b")...)
 	h.step(ms, EndpointUpdate{Kind: FullUpdate, Replicas: names("b")})
 	if got := of[Send](h.query("c", 0))[0].Replica; got != "b" {
-		t.Errorf("sent to %s, which the full list no longer has", got)
+		t.Errorf("part sent to %s, which is not in the full list", got)
 	}
 }
 
-// Nothing goes to a draining replica either where every other holder is ejected, where the update comes in the same
-// step as queries, before or after them, and after an update that failed.
+// No part is sent to a draining replica even if every other holder is ejected, if the update arrives in the same step
+// as queries, before or after them, or after a failed update.
 func TestNothingIsSentToDrainingReplicaEvenIfOthersFail(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		h := start(t, base(), names("a", "b")...)
@@ -57,7 +57,7 @@
 		for range 100 {
 			for _, x := range of[Send](acts) {
 				if x.Replica == "a" {
-					t.Fatalf("sent to a draining replica, news last %v", late)
+					t.Fatalf("part sent to a draining replica; update after the query: %v", late)
 				}
 			}
 			acts = append(h.step(5*ms, EndpointUpdate{Kind: FailedUpdate}), h.query("c", 0)...)
@@ -71,7 +71,7 @@
 	m, _ := New(1, s)
 	now := sec
 	if len(of[Subscribe](m.Step(now, []Event{EndpointUpdate{Kind: CachedUpdate, Replicas: names("a")}}))) != 1 {
-		t.Fatal("does not subscribe at its start")
+		t.Fatal("no subscription at the start")
 	}
 	var gaps []time.Duration
 	for range 4 {
@@ -80,25 +80,25 @@
 		for len(of[Subscribe](acts)) == 0 {
 			now += 5 * ms
 			if now-asked > 10*sec {
-				t.Fatal("does not ask again")
+				t.Fatal("no further subscription after a failure")
 			}
 			acts = m.Step(now, nil)
 		}
 		gaps = append(gaps, now-asked)
 	}
 	if gaps[0] < 250*ms || gaps[3] <= gaps[0] {
-		t.Errorf("pauses %v do not grow", gaps)
+		t.Errorf("backoffs %v do not grow", gaps)
 	}
 	m.Step(now, []Event{EndpointUpdate{Kind: IncrementalUpdate}})
 	for range 4000 {
 		now += 5 * ms
 		if len(of[Subscribe](m.Step(now, nil))) > 0 {
-			t.Fatal("asks again while subscribed")
+			t.Fatal("further subscription while subscribed")
 		}
 	}
 }
 
-// A long life of ever new replicas leaves nothing behind, but what comes back within a minute is what it was.
+// Removed replicas are forgotten, however many join over time, but one that returns within a minute keeps its state.
 func TestRemovedReplicasAreForgotten(t *testing.T) {
 	h := start(t, base(), names("a", "b")...)
 	for i := range 100 {
@@ -115,11 +115,11 @@
 	h.step(30*sec, EndpointUpdate{Kind: IncrementalUpdate, Replicas: names("n99")})
 	h.step(90 * sec)
 	if h.m.replicas.byID["n99"] != last || len(h.m.replicas.all) != 3 {
-		t.Errorf("%d replicas after a minute and a half", len(h.m.replicas.all))
+		t.Errorf("%d replicas after a minute and a half, want 3 with the state of n99 kept", len(h.m.replicas.all))
 	}
 }
 
-// A cached list names replicas that were removed long ago; a coordinator that has nothing else still answers.
+// A cached list may contain replicas that were removed long ago. A coordinator that has no other list still answers.
 func TestAnswersFromAnOldCachedList(t *testing.T) {
 	a, err := New(1, base())
 	if err != nil {
@@ -135,6 +135,6 @@
 	f.clear()
 	f.run(5*sec, 100*ms)
 	if f.ends["answered"] < 48 || f.share("b") < 0.7 {
-		t.Errorf("answers %v, sends %v", f.ends, f.sent)
+		t.Errorf("answers by kind %v, sends by replica %v", f.ends, f.sent)
 	}
 }
--- a/internal/decide/scatter/example_test.go
+++ b/internal/decide/scatter/example_test.go
@@ -7,9 +7,9 @@
 	"harepass/internal/decide/scatter"
 )
 
-// One query of two parts is sent, served and answered.
+// A query of two parts is sent, served and answered.
 func Example() {
-	agg, err := scatter.New(7, scatter.Settings{
+	machine, err := scatter.New(7, scatter.Settings{
 		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 8,
 		MaxAttempts: 3, Hedging: true, Cancellation: true,
 		Classes: []scatter.Class{{Name: "search", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second,
@@ -29,13 +29,13 @@
 			}
 		}
 	}
-	show(agg.Step(time.Second, []scatter.Event{
+	show(machine.Step(time.Second, []scatter.Event{
 		scatter.EndpointUpdate{Kind: scatter.FullUpdate, Replicas: []scatter.Replica{{ID: "r1"}}},
 		scatter.QueryArrived{ID: "q", Number: 1, Class: "search", Parts: 2, Expires: 7 * time.Second},
 		scatter.PartArrived{ID: "p0", Number: 1, Shard: 0, Weight: 0.5},
 		scatter.PartArrived{ID: "p1", Number: 1, Shard: 1, Weight: 0.5},
 	}))
-	show(agg.Step(1200*time.Millisecond, []scatter.Event{
+	show(machine.Step(1200*time.Millisecond, []scatter.Event{
 		scatter.AttemptEnded{Part: "p0", Replica: "r1", Latency: 200 * time.Millisecond},
 		scatter.AttemptEnded{Part: "p1", Replica: "r1", Latency: 200 * time.Millisecond},
 	}))
--- a/internal/decide/scatter/harness_test.go
+++ b/internal/decide/scatter/harness_test.go
@@ -11,7 +11,7 @@
 	sec = time.Second
 )
 
-// base is the settings of a small fleet: one ring position, so that every replica holds every shard.
+// base returns the settings of a small fleet: one ring position, so that every replica holds every shard.
 func base() Settings {
 	return Settings{
 		Coordinators: 1, RingSize: 1, ReplicationFactor: 1, PartsPerCall: 1, TickInterval: 5 * ms, MaxAttempts: 3,
@@ -21,7 +21,7 @@
 	}
 }
 
-// harness drives one Machine by hand.
+// harness drives one Machine step by step.
 type harness struct {
 	t   *testing.T
 	m   *Machine
@@ -40,7 +40,8 @@
 	return h
 }
 
-// startNonIdempotent has two replicas, no hedged requests, and a second class, once, whose parts may not run twice.
+// startNonIdempotent starts a harness with two replicas, no hedged requests, and a second class, once, whose parts may
+// not run twice.
 func startNonIdempotent(t *testing.T) *harness {
 	s := base()
 	s.Hedging = false
@@ -62,7 +63,7 @@
 	return h.m.Step(h.now, events)
 }
 
-// query opens a query of class c with a part for each shard; parts are named q<n>.<i>.
+// query opens a query of a class with a part for each shard; parts are named q<n>.<i>.
 func (h *harness) query(class string, shards ...int) []Action {
 	h.n++
 	id := fmt.Sprintf("q%d", h.n)
@@ -87,7 +88,7 @@
 	return AttemptEnded{Part: part, Attempt: no, Replica: replica, Outcome: o, Latency: took}
 }
 
-// toInt is 1 for true.
+// toInt returns 1 for true and 0 for false.
 func toInt(b bool) time.Duration {
 	if b {
 		return 1
--- a/internal/decide/scatter/hedging.go
+++ b/internal/decide/scatter/hedging.go
@@ -20,6 +20,7 @@
 // Without hedged requests, it cancels an attempt that may be cancelled for a retry, and the retry is sent when that has
 // ended. Otherwise it sends another part of the query if the query does not need all of them, or else a hedged request
 // of the same part, which the retry budget bounds too.
+//
 // An allowance of tokens bounds all of this. No token is needed for what is sent for a query's last parts, for
 // cancelling an attempt at an ejected replica, and for what is sent beside an attempt that could be cancelled but whose
 // part may not be retried.
--- a/internal/decide/scatter/idle_connections.go
+++ b/internal/decide/scatter/idle_connections.go
@@ -45,5 +45,5 @@
 // lostAfter records that a connection was lost after an idle time.
 func (t *idleTrust) lostAfter(idle time.Duration) { t.limit = min(t.limit, idle) }
 
-// relax raises the limit by idleTrustGrowth.
+// relax raises the limit by idleTrustGrowth, up to maxIdleTrust.
 func (t *idleTrust) relax() { t.limit = min(scale(t.limit, idleTrustGrowth), maxIdleTrust) }
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -74,7 +74,7 @@
 func (b *allowance) empty() bool  { return b.tokens < 1 }
 func (b *allowance) take()        { b.tokens-- }
 
-// New returns a Machine that knows no queries or replicas, or a *SettingError.
+// New returns a Machine without queries and replicas. The error is a *SettingError if a setting is impossible.
 func New(seed uint64, s Settings) (*Machine, error) {
 	m := &Machine{
 		random:          rand.New(rand.NewPCG(seed, randomStream)),
--- a/internal/decide/scatter/outliers_test.go
+++ b/internal/decide/scatter/outliers_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// One of four replicas shows a fault; the others carry the traffic, and it is reinstated when it has recovered.
+// One of four replicas shows a fault. The others carry the traffic, and the replica is reinstated after its recovery.
 func TestFaultyReplicaIsEjectedAndReinstated(t *testing.T) {
-	for name, fall := range map[string]func(*replicaFleet){
+	for name, inject := range map[string]func(*replicaFleet){
 		"silent":           func(f *replicaFleet) { f.service["a"] = -1 },
 		"ten times slower": func(f *replicaFleet) { f.service["a"] = 1000 * ms },
 		"refuses connections": func(f *replicaFleet) {
@@ -22,12 +22,12 @@
 		t.Run(name, func(t *testing.T) {
 			f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 			f.run(5*sec, 50*ms)
-			fall(f)
-			f.run(2*sec, 50*ms) // time to find out
+			inject(f)
+			f.run(2*sec, 50*ms) // time to detect the fault
 			f.clear()
 			f.run(10*sec, 50*ms)
 			if got := f.share("a"); got > 0.15 { // an equal share is 0.25
-				t.Errorf("it still gets %.2f of the sends", got)
+				t.Errorf("the faulty replica still gets %.2f of the sends", got)
 			}
 			if n := f.ends["answered"]; n < 190 {
 				t.Errorf("%d of 200 queries answered: %v", n, f.ends)
@@ -37,13 +37,13 @@
 			f.clear()
 			f.run(10*sec, 50*ms)
 			if got := f.share("a"); got < 0.1 {
-				t.Errorf("well again, it gets %.2f of the sends", got)
+				t.Errorf("after its recovery the replica gets only %.2f of the sends", got)
 			}
 		})
 	}
 }
 
-// A replica that serves well for half a second in every two gets no more than probes.
+// A replica that serves well for half a second out of every two gets only probes.
 func TestFlappingReplicaStaysEjected(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 50*ms)
@@ -55,14 +55,14 @@
 		f.run(500*ms, 50*ms)
 	}
 	if got := f.share("a"); got > 0.15 {
-		t.Errorf("it gets %.2f of the sends", got)
+		t.Errorf("the flapping replica gets %.2f of the sends", got)
 	}
 	if f.ends["answered"] < 230 {
-		t.Errorf("answers: %v", f.ends)
+		t.Errorf("too few answers: %v", f.ends)
 	}
 }
 
-// All replicas slow at once is load: none is ejected, and hedged requests stay within their share.
+// If all replicas are slow at once, that is load: none is ejected, and hedged requests stay within their share.
 func TestCommonSlownessIsLoad(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 50*ms)
@@ -84,11 +84,11 @@
 		first++
 	}
 	if limit := float64(first)*(1+hedgeShare) + maxSavedHedges; float64(all) > limit {
-		t.Errorf("%d sends for %d parts", all, first)
+		t.Errorf("%d sends for %d parts exceed the share of hedged requests", all, first)
 	}
 }
 
-// A stall of one replica for 300 ms ejects nobody.
+// A stall of one replica for 300 ms ejects no replica.
 func TestBriefStallEjectsNobody(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 50*ms)
@@ -97,12 +97,12 @@
 	f.service["a"] = 100 * ms
 	f.run(sec, 50*ms)
 	if f.m.replicas.byID["a"].health.ejected {
-		t.Error("it is ejected")
+		t.Error("the replica is ejected after a brief stall")
 	}
 }
 
-// Every holder shows faults at once, as in a network cut or a restart of the fleet: they are still tried, and when
-// they answer again so does the coordinator.
+// Every holder shows faults at once, as in a network partition or a restart of the fleet. The holders are still tried,
+// and when they serve again, the coordinator answers again.
 func TestEjectionNeverEmptiesTheChoice(t *testing.T) {
 	for name, o := range map[string]Outcome{"no connection": ConnectFailed, "errors": Errored, "resets": ConnectionReset} {
 		f := newReplicaFleet(t, base(), "a", "b")
@@ -113,7 +113,7 @@
 		f.clear()
 		f.run(5*sec, 100*ms)
 		if f.sent["a"] == 0 || f.sent["b"] == 0 {
-			t.Errorf("%s: not tried any more: %v", name, f.sent)
+			t.Errorf("%s: a replica is no longer tried: %v", name, f.sent)
 		}
 		for _, id := range []string{"a", "b"} {
 			f.service[id], f.failures[id] = 100*ms, Succeeded
@@ -122,12 +122,13 @@
 		f.clear()
 		f.run(5*sec, 100*ms)
 		if f.ends["answered"] < 48 {
-			t.Errorf("%s: after its end %v", name, f.ends)
+			t.Errorf("%s: too few answers after the fault: %v", name, f.ends)
 		}
 	}
 }
 
-// The coordinator stands still for two seconds: what then arrives late says nothing of the replicas.
+// The coordinator is stalled for two seconds: outcomes that arrive late because of this are no evidence against the
+// replicas.
 func TestStalledCoordinatorEjectsNobody(t *testing.T) {
 	f := newReplicaFleet(t, base(), "a", "b", "c", "d")
 	f.run(5*sec, 20*ms)
@@ -137,16 +138,16 @@
 	f.run(2*sec, 20*ms)
 	for _, r := range f.m.replicas.all {
 		if r.health.ejected || r.latencyRatio > 3 {
-			t.Errorf("%s: ejected %v (%s before), ratio %.2f", r.ID, r.health.ejected, before, r.latencyRatio)
+			t.Errorf("%s: ejected %v (%s before the stall), ratio %.2f", r.ID, r.health.ejected, before, r.latencyRatio)
 		}
 	}
 	if f.ends["rejected"] > 5 {
-		t.Errorf("rejected %d queries", f.ends["rejected"])
+		t.Errorf("%d queries rejected after the stall", f.ends["rejected"])
 	}
 }
 
-// One class fails at a replica that serves the other: the class is excluded there for a while and tried again later,
-// and the other class goes on there.
+// One class fails at a replica that serves the other. The class is excluded there for a while and tried again later,
+// and the other class is still sent there.
 func TestFailingClassIsExcludedAlone(t *testing.T) {
 	s := base()
 	s.Classes = append(s.Classes,
@@ -154,7 +155,7 @@
 	for name, o := range map[string]Outcome{"silence": TimedOut, "errors": Errored} {
 		h := start(t, s, names("a", "b")...)
 		a, c, d := h.m.replicas.byID["a"], h.m.classes.list[0], h.m.classes.list[1]
-		for range 2 { // each time the other class is served while the failing part is out
+		for range 2 { // the other class is served in between
 			at := &attempt{part: &part{query: &query{class: d}}, replica: a, sentAt: h.now}
 			h.step(sec, TimerFired{})
 			h.m.recordOutcome(a, c, &attempt{part: &part{query: &query{class: c}}, replica: a, sentAt: h.now},
@@ -177,18 +178,18 @@
 			return n
 		}
 		if bad, good := count("d"), count("c"); bad > 0 || good < 5 {
-			t.Errorf("%s: it got %d of the failing class and %d of the other", name, bad, good)
+			t.Errorf("%s: the replica got %d parts of the failing class and %d of the other", name, bad, good)
 		}
 		h.step(10*sec, TimerFired{})
 		if n := count("d"); n < 5 {
-			t.Errorf("%s: later it got %d of the class", name, n)
+			t.Errorf("%s: later the replica got only %d parts of the class", name, n)
 		}
 	}
 }
 
-// A connection dropped for want of use resets the part sent on it, though its replica is well: the replica is
-// reinstated with the next part, not in slow start, and later parts go out on fresh connections. The end of a process
-// stays one.
+// A connection that was dropped because it was unused resets the part sent on it, although its replica is sound. The
+// replica is reinstated with the next part and without slow start, and later parts use new connections. If the process
+// has ended, the replica stays ejected.
 func TestIdleConnectionLossIsNoRestart(t *testing.T) {
 	for name, lasts := range map[string]time.Duration{"connection lost": 0, "process died": 3 * sec} {
 		s := base()
@@ -203,11 +204,11 @@
 		h.now += 2 * sec
 		x := of[Send](h.query("c", 0))[0]
 		acts, no := h.step(5*ms, ended(x.Part, 0, "a", ConnectionReset, 5*ms)), 1
-		for ; lasts > 0 && len(of[Send](acts)) > 0; no++ { // who died refuses the next connection
+		for ; lasts > 0 && len(of[Send](acts)) > 0; no++ { // a process that has ended refuses the next connection
 			acts = h.step(5*ms, ended(x.Part, no, "a", ConnectFailed, 5*ms))
 		}
 		h.now += lasts
-		for range 60 { // until its part is sent again and served
+		for range 60 { // until the part is sent again and served
 			for _, x := range of[Send](acts) {
 				h.step(50*ms, ended(x.Part, no, x.Replica, Succeeded, 50*ms))
 			}
@@ -215,17 +216,17 @@
 		}
 		r := h.m.replicas.byID["a"]
 		if well := r.usable() && h.m.capacityFraction(r, h.m.now) == 1; well != (lasts == 0) {
-			t.Errorf("%s: taken for well and warmed up: %v", name, well)
+			t.Errorf("%s: usable and warmed up: %v", name, well)
 		}
 		h.now += 3 * sec
 		if fresh := len(of[CloseIdleConnections](h.query("c", 0))) == 1; fresh != (lasts == 0) {
-			t.Errorf("%s: a fresh connection after 3 s without use: %v", name, fresh)
+			t.Errorf("%s: new connection after 3 s without use: %v", name, fresh)
 		}
 	}
 }
 
-// A broken connection resets all that was on it, but the process runs on: one such loss neither ejects a replica nor
-// starts its slow start, and other queries go on at once. Two without an answer between them are more than bad luck.
+// A broken connection resets all attempts on it, but the process still runs. One such loss neither ejects a replica nor
+// starts its slow start, and other queries are sent at once. Two losses without an answer between them eject it.
 func TestBrokenConnectionIsNoRestart(t *testing.T) {
 	s := base()
 	s.SlowStart = SlowStart{InitialCapacity: 0.2, Duration: 10 * sec, OverloadFactor: 3, Window: sec}
@@ -238,15 +239,15 @@
 		}
 	}
 	if len(events) < 2 {
-		t.Fatalf("%d parts on one connection", len(events))
+		t.Fatalf("%d parts on one connection, want at least 2", len(events))
 	}
 	h.step(5*ms, events...)
 	a := h.m.replicas.byID["a"]
 	acts := h.query("c", 4, 5)
 	if !a.usable() || len(of[Send](acts)) != 2 {
-		t.Error("one broken connection ejects a replica, or holds other queries up")
+		t.Error("one broken connection ejects a replica or delays other queries")
 	}
-	resets := 0 // in a row
+	resets := 0 // resets in a row
 	for range 50 {
 		for _, x := range of[Send](acts) {
 			o := Succeeded
@@ -265,17 +266,17 @@
 		acts = h.query("c", 0)
 	}
 	if a.usable() {
-		t.Error("two in a row do not eject the replica")
+		t.Error("two broken connections in a row do not eject the replica")
 	}
 }
 
-// A replica that rejects again and again is left alone for longer each time, up to an objective; one part served ends
-// that.
+// A replica that rejects repeatedly gets no parts for longer each time, up to one latency objective. One served part
+// resets the backoff.
 func TestRejectionPauseGrows(t *testing.T) {
 	h := start(t, base(), names("a")...)
 	r := h.m.replicas.byID["a"]
 	one := func(o Outcome) time.Duration {
-		h.m.classes.list[0].meanLatency, r.latencyRatio = 0.2, 1 // no crowd is predicted
+		h.m.classes.list[0].meanLatency, r.latencyRatio = 0.2, 1 // no load is predicted
 		h.now = max(h.now, r.health.rejectingUntil) + ms
 		x := of[Send](h.query("c", 0))[0]
 		h.step(ms, ended(x.Part, 0, "a", o, ms), QueryCancelled{ID: fmt.Sprint("q", h.n)})
@@ -283,15 +284,15 @@
 	}
 	first, second, third := one(Rejected), one(Rejected), one(Rejected)
 	if second <= first || third <= second {
-		t.Errorf("waits %v, %v, %v do not grow", first, second, third)
+		t.Errorf("backoffs %v, %v, %v do not grow", first, second, third)
 	}
 	for range 20 {
 		if got := one(Rejected); got > 2*sec {
-			t.Fatalf("waits %v", got)
+			t.Fatalf("backoff %v exceeds the objective", got)
 		}
 	}
 	one(Succeeded)
 	if got := one(Rejected); got != first {
-		t.Errorf("after a served part it waits %v, first %v", got, first)
+		t.Errorf("backoff after a served part %v, want %v as at first", got, first)
 	}
 }
--- a/internal/decide/scatter/picker_test.go
+++ b/internal/decide/scatter/picker_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// 4,000 draws; four standard deviations of a share of 0.3 are 0.029.
+// In 4,000 draws, four standard deviations of a share of 0.3 are 0.029.
 func TestDrawsFollowTheShares(t *testing.T) {
 	h := start(t, base(), names("a", "b", "c", "d")...)
 	for i, v := range []float64{1, 2, 3, 3.5} {
@@ -32,7 +32,7 @@
 	first := of[Send](h.query("c", 0))[0].Replica
 	second := of[Send](h.query("c", 0))[0].Replica
 	if first == second {
-		t.Errorf("both parts went to %s, though its sibling was idle", first)
+		t.Errorf("both parts were sent to %s although its sibling was idle", first)
 	}
 }
 
@@ -43,17 +43,17 @@
 	sends := of[Send](h.query("c", 0, 1, 2, 3))
 	for _, x := range sends {
 		if x.Replica != sends[0].Replica {
-			t.Errorf("part %s went to %s, part %s to %s", x.Part, x.Replica, sends[0].Part, sends[0].Replica)
+			t.Errorf("part %s was sent to %s, part %s to %s", x.Part, x.Replica, sends[0].Part, sends[0].Replica)
 		}
 	}
 	if n := h.m.replicas.byID[sends[0].Replica].openCalls; n != 1 {
-		t.Errorf("%d calls out, want 1", n)
+		t.Errorf("%d outstanding calls, want 1", n)
 	}
 }
 
-// An error loses a part that may not run twice for good, so for a while after one its replica gets none of them while
-// another can take them; parts that may be repeated still go there. With errors everywhere, parts go out all the
-// same.
+// An error loses a part that may not run twice for good. So for a while after an error its replica gets no such parts
+// if another replica can take them; parts that may run again are still sent there. If all replicas have errors, parts
+// are sent anyway.
 func TestDistrustAfterAnError(t *testing.T) {
 	h := startNonIdempotent(t)
 	to := func(class string) map[string]int {
@@ -82,31 +82,31 @@
 	}
 	fail("r1")
 	if got := to("once"); got["r1"] > 0 || got["r2"] == 0 {
-		t.Errorf("soon after an error parts that may not run twice went to %v", got)
+		t.Errorf("soon after an error, parts that may not run twice were sent to %v", got)
 	}
 	h.step(sec)
 	if got := to("c"); got["r1"] == 0 {
-		t.Errorf("parts that may be repeated went to %v", got)
+		t.Errorf("parts that may run again were sent to %v", got)
 	}
 	fail("r2")
 	fail("r1")
 	if got := to("once"); got["r1"]+got["r2"] == 0 {
-		t.Error("after errors everywhere nothing is sent")
+		t.Error("after errors at all replicas no part is sent")
 	}
 	h.step(scale(2*sec, distrustFor))
 	if got := to("once"); got["r1"] == 0 || got["r2"] == 0 {
-		t.Errorf("long after, parts went to %v", got)
+		t.Errorf("long after the error, parts were sent to %v", got)
 	}
 }
 
-// Some replicas leave the parts of one class unanswered and serve the others. One that keeps a part that may not run
-// twice gets no more of these, nor does it for long after that part is given up, longer each time.
+// A replica leaves the parts of one class unanswered and serves the others. While it keeps a part that may not run
+// twice, it gets no more parts of that class, nor for long after the part is given up, longer each time.
 func TestDistrustAfterSilence(t *testing.T) {
 	h := startNonIdempotent(t)
 	went := map[string]int{}
 	other := map[string]int{}
-	var kept []Send            // by r1
-	round := func(keep bool) { // a query of each class, beside each other, so that neither replica is always the busier
+	var kept []Send            // parts that r1 keeps
+	round := func(keep bool) { // a query of each class at once, so that neither replica is always the busier one
 		h.step(20 * ms)
 		others := of[Send](h.query("c", 0, 1, 2))
 		for _, snd := range of[Send](h.query("once", 0)) {
@@ -134,20 +134,20 @@
 		round(true)
 	}
 	if went["r1"] > 0 || went["r2"] == 0 || other["r1"] == 0 {
-		t.Errorf("beside a part that is kept, its class went to %v, the other one to %v", went, other)
+		t.Errorf("while a part is kept, its class was sent to %v, the other one to %v", went, other)
 	}
 	h.step(0, ended(kept[0].Part, 0, "r1", TimedOut, 2*sec))
 	for range 100 {
 		round(true)
 	}
 	if went["r1"] > 0 || other["r1"] == 0 {
-		t.Errorf("soon after it was given up, its class went to %v, the other one to %v", went, other)
+		t.Errorf("soon after the part was given up, its class was sent to %v, the other one to %v", went, other)
 	}
 	h.step(scale(2*sec, 2*distrustFor))
 	for range 40 {
 		round(false)
 	}
 	if went["r1"] == 0 {
-		t.Errorf("long after, its class went to %v", went)
+		t.Errorf("long after, the class was sent to %v", went)
 	}
 }
--- a/internal/decide/scatter/probes_test.go
+++ b/internal/decide/scatter/probes_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Without hedged requests a probe is the part's own attempt: no more than an equal share of the parts are probes,
-// none of a class that cannot miss a part where another can; an overdue one is cancelled, and its part goes elsewhere
-// once that has ended, never before.
+// Without hedged requests a probe is the part's own attempt. At most an equal share of the parts are probes, and none
+// of a class that needs all parts if another class does not. An overdue probe is cancelled, and its part is sent
+// elsewhere once the probe has ended, never before.
 func TestProbesWithoutHedging(t *testing.T) {
 	s := base()
 	s.Hedging = false
@@ -22,7 +22,7 @@
 			acts := h.query(class, 0)
 			x := of[Send](acts)[0]
 			if len(of[Send](acts)) != 1 {
-				t.Fatalf("two attempts of one part at once: %v", acts)
+				t.Fatalf("got %v, want one attempt of the part", acts)
 			}
 			if x.Replica != "a" {
 				h.step(0, ended(x.Part, 0, x.Replica, Succeeded, 50*ms))
@@ -37,19 +37,19 @@
 				acts = h.step(5*ms, TimerFired{})
 			}
 			if len(of[CancelAttempt](acts)) != 1 || len(of[Send](acts)) != 0 {
-				t.Fatalf("an overdue probe: %v", acts)
+				t.Fatalf("for an overdue probe got %v, want only its cancellation", acts)
 			}
 			if acts = h.step(20*ms, TimerFired{}); len(of[Send](acts))+len(of[CancelAttempt](acts)) != 0 {
-				t.Fatalf("sent again or cancelled twice before the attempt has ended: %v", acts)
+				t.Fatalf("before the cancelled probe has ended got %v, want no action on the part", acts)
 			}
 			acts = h.step(5*ms, ended(x.Part, 0, "a", Cancelled, h.now+5*ms-sent))
 			if y := of[Send](acts); len(y) != 1 || y[0].Replica == "a" {
-				t.Fatalf("after its end: %v", acts)
+				t.Fatalf("after the probe has ended got %v, want one send to another replica", acts)
 			}
 			h.step(0, ended(x.Part, 1, of[Send](acts)[0].Replica, Succeeded, 50*ms))
 		}
 	}
-	if probes["c"] != 0 || probes["part"] < 20 || probes["part"] > 80 { // 50 by chance
-		t.Errorf("probes by class: %v", probes)
+	if probes["c"] != 0 || probes["part"] < 20 || probes["part"] > 80 { // 50 expected
+		t.Errorf("probes by class: %v, want none of c and 20 to 80 of part", probes)
 	}
 }
--- a/internal/decide/scatter/reconfigure_test.go
+++ b/internal/decide/scatter/reconfigure_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// What is learned of replicas and classes outlives a change of settings, under the classes' new places; what a vanished
-// class had is forgotten once no part of it is out; and the same changes give the same actions.
+// What a machine has learned of replicas and classes outlives a change of settings, under the new indexes of the
+// classes. What it has learned of a removed class is forgotten when no part of it is outstanding.
 func TestConfigureKeepsWhatIsLearned(t *testing.T) {
 	s := base()
 	s.Classes = append(s.Classes, s.Classes[0], s.Classes[0])
@@ -32,29 +32,29 @@
 	names := func() (list []string) {
 		for i, k := range m.classes.list {
 			if k.index != i {
-				t.Errorf("%s has place %d, want %d", k.Name, k.index, i)
+				t.Errorf("class %s has index %d, want %d", k.Name, k.index, i)
 			}
 			list = append(list, k.Name)
 		}
 		return list
 	}
-	if got := fmt.Sprint(names()); got != "[e f c d]" { // d has a part out
-		t.Errorf("classes %s", got)
+	if got := fmt.Sprint(names()); got != "[e f c d]" { // d has an outstanding part
+		t.Errorf("classes %s, want [e f c d]", got)
 	}
 	e, health, rates := m.classes.byName["e"], m.replicas.byID["r1"].classHealth, m.shards.byNumber[0].rates
 	if e.meanLatency != 0.123 || health[0].consecutiveFaults != 7 || rates[0] != 5 || m.classes.byName["d"] != nil {
-		t.Errorf("e: base %v, faults %v, rates %v", e.meanLatency, health, rates)
+		t.Errorf("class e: mean latency %v, class health %v, rates %v", e.meanLatency, health, rates)
 	}
 	m.Step(sec+1, nil)
 	replica := m.queries.parts["q.0"].attempts[0].replica.ID
 	m.Step(2*sec, []Event{AttemptEnded{Part: "q.0", Replica: replica, Latency: sec / 10}})
 	err = m.Configure(next)
 	if err != nil || fmt.Sprint(names()) != "[e f c]" || len(m.replicas.byID["r1"].classHealth) != 3 {
-		t.Errorf("%v, classes %v", err, names())
+		t.Errorf("error %v, classes %v", err, names())
 	}
 }
 
-// An altered class is a new one that knows what the old one learned; another ring size gives other siblings.
+// A changed class is replaced by one that keeps what the old one has learned. Another ring size gives other siblings.
 func TestConfigureAlters(t *testing.T) {
 	s := base()
 	m, err := New(1, s)
@@ -65,7 +65,7 @@
 	old := m.classes.byName["c"]
 	old.meanLatency, old.samples.count = 0.4, 30
 	next := s
-	next.MaxAttempts++ // a higher limit is not for what is under way
+	next.MaxAttempts++ // a higher limit does not apply to open queries
 	next.RingSize, next.ReplicationFactor = 2, 2
 	if err := m.Configure(next); err != nil {
 		t.Fatal(err)
@@ -74,17 +74,16 @@
 	if k == old || k.meanLatency != 0.4 || k.samples.count != 30 ||
 		k.maxAttempts != next.MaxAttempts || old.maxAttempts != s.MaxAttempts ||
 		len(m.replicas.byID["r1"].siblings) != 1 {
-		t.Errorf("%+v, %d siblings", k, len(m.replicas.byID["r1"].siblings))
+		t.Errorf("class %+v, %d siblings", k, len(m.replicas.byID["r1"].siblings))
 	}
 	next.MaxAttempts = 1
 	if err := m.Configure(next); err != nil || m.classes.byName["c"] != k || k.maxAttempts != 1 {
-		t.Errorf("%v; a lower limit holds for all, and the class goes on", err)
+		t.Errorf("error %v; a lower limit applies to all, and the class is kept", err)
 	}
 }
 
-// Settings that leave the classes and the ring as they are make nothing anew by replica: every list of every replica
-// is the one that it was. A replica that has moved to another ring position gets its new siblings with the next
-// settings all the same.
+// Settings that leave the classes and the ring unchanged rebuild no list of a replica. A replica that has moved to
+// another ring position gets its new siblings with the next settings even so.
 func TestConfigureCostsWhatItChanges(t *testing.T) {
 	const ringSize, replicas = 10, 600
 	s := newRecordedLoad(t, 5, ringSize, false)
@@ -104,7 +103,7 @@
 	before := listsOf(s.machine)
 	configure()
 	if remade := countRemade(before, listsOf(s.machine)); remade > 0 {
-		t.Errorf("the same settings again make %d of %d lists of replicas anew", remade, len(before))
+		t.Errorf("the same settings again rebuild the lists of %d of %d replicas", remade, len(before))
 	}
 	moved := s.machine.replicas.byID["more1"]
 	elsewhere := Replica{ID: "more1", RingPosition: 6}
@@ -112,11 +111,11 @@
 	configure()
 	want := s.machine.replicas.ring.siblings(moved)
 	if !slices.Equal(moved.siblings, want) || !slices.Contains(want, s.machine.replicas.byID["more7"]) {
-		t.Errorf("of %d nodes one that moved has %d siblings, want %d", replicas, len(moved.siblings), len(want))
+		t.Errorf("of %d replicas one that moved has %d siblings, want %d", replicas, len(moved.siblings), len(want))
 	}
 }
 
-// replicaLists are where a replica's lists begin in memory.
+// replicaLists holds where a replica's lists begin in memory.
 type replicaLists struct {
 	siblings    **replica
 	classHealth *classHealth
@@ -129,7 +128,7 @@
 	return all
 }
 
-// countRemade counts the replicas of which some list is another one than before.
+// countRemade returns the number of replicas of which some list is not the same as before.
 func countRemade(before, after []replicaLists) (remade int) {
 	for i := range before {
 		if before[i] != after[i] {
--- a/internal/decide/scatter/recorded_test.go
+++ b/internal/decide/scatter/recorded_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// delivery is an outcome on its way.
+// delivery is an outcome that has not arrived yet.
 type delivery struct {
 	at time.Duration
 	ev AttemptEnded
@@ -27,9 +27,9 @@
 	return last
 }
 
-// recordedLoad keeps about so many queries of six parts open at a coordinator: each part is served after 100 ms, but
-// for some that fail or are never answered, and every arrival and outcome is a step of its own, as sockets bring
-// them. digest sums up all actions.
+// recordedLoad keeps a number of queries of six parts open at a coordinator. Each part is served after 100 ms, except
+// some that fail or are never answered. Every arrival and every outcome is a step of its own, as it comes from a
+// socket. digest is a hash of all actions.
 type recordedLoad struct {
 	machine *Machine
 	now     time.Duration
@@ -39,11 +39,12 @@
 	sent    map[string]int
 	actions int
 	digest  uint64
-	// wireForm gives actions as lines on the wire.
+	// wireForm encodes actions as lines on the wire.
 	wireForm func([]Action) []byte
 }
 
-// NewWireForm returns a function that gives actions as lines on the wire. It is for one goroutine.
+// NewWireForm returns a function that encodes actions as lines on the wire. The function is not safe for concurrent
+// use.
 var NewWireForm func() func([]Action) []byte
 
 func newRecordedLoad(t testing.TB, open, replicas int, withFaults bool) *recordedLoad {
@@ -93,7 +94,7 @@
 	s.digest = s.digest*31 + h.Sum64()
 }
 
-// query opens the next query and plays all that is due before it.
+// query opens the next query, after processing everything that is due before it.
 func (s *recordedLoad) query(replicas int, withFaults bool) {
 	next := s.now + s.every
 	for len(s.out) > 0 && s.out[0].at <= next {
@@ -120,8 +121,8 @@
 	s.step(withFaults, events...)
 }
 
-// The actions on recorded events are those of the machine before its steps were made cheaper. Other processors round
-// some products otherwise, so their draws may differ in the end.
+// The actions for recorded events are the same as before steps were made cheaper. Other processors round some products
+// differently, so their draws may differ in the end.
 func TestActionsUnchanged(t *testing.T) {
 	t.Parallel()
 	if runtime.GOARCH != "amd64" {
@@ -129,12 +130,12 @@
 	}
 	for _, tc := range []struct {
 		open, nodes int
-		trouble     bool
+		withFaults  bool
 		digest      uint64
 	}{{5, 12, false, 0xbefb846d54fb6568}, {20, 12, true, 0xfacacc8b172530cc}, {60, 40, true, 0x4cf9b4722d574f8e}} {
-		s := newRecordedLoad(t, tc.open, tc.nodes, tc.trouble)
+		s := newRecordedLoad(t, tc.open, tc.nodes, tc.withFaults)
 		for range 1500 {
-			s.query(tc.nodes, tc.trouble)
+			s.query(tc.nodes, tc.withFaults)
 		}
 		if s.digest != tc.digest {
 			t.Errorf("%+v: digest %#x of %d actions", tc, s.digest, s.actions)
--- a/internal/decide/scatter/replica_fleet_test.go
+++ b/internal/decide/scatter/replica_fleet_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// replicaFleet is a harness whose replicas serve each part after a time of their own. A negative time means that they
-// never answer, an outcome other than Succeeded that they fail so after that time.
+// replicaFleet is a harness with replicas that each serve parts after their own time. A negative time means that the
+// replica never answers. An outcome in failures is how its parts end after that time.
 type replicaFleet struct {
 	*harness
 	service  map[string]time.Duration
@@ -55,14 +55,14 @@
 		case CancelAttempt:
 			for i := range f.out {
 				if f.out[i].Part == x.Part && f.out[i].no == x.Attempt {
-					f.out[i].Timeout = 0 // its end comes with the next turn, as cancelled
+					f.out[i].Timeout = 0 // it ends as cancelled in the next turn
 				}
 			}
 		}
 	}
 }
 
-// run plays a span of time with a query of one part each gap.
+// run simulates a span of time with a query of one part every gap.
 func (f *replicaFleet) run(span, gap time.Duration) {
 	next := f.now
 	for until := f.now + span; f.now < until; {
@@ -91,7 +91,7 @@
 	}
 }
 
-// share is the part of all sends that a replica got.
+// share returns the share of all sends that a replica got.
 func (f *replicaFleet) share(id string) float64 {
 	total := 0
 	for _, n := range f.sent {
--- a/internal/decide/scatter/settings_test.go
+++ b/internal/decide/scatter/settings_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestImpossibleSettingsAreNamed(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Coordinators":                func(s *Settings) { s.Coordinators = 0 },
 		"RingSize":                    func(s *Settings) { s.RingSize = 0 },
 		"ReplicationFactor":           func(s *Settings) { s.ReplicationFactor = 2 },
@@ -21,12 +21,12 @@
 		"Classes[0].DedupWindow":      func(s *Settings) { s.Classes[0].Idempotency, s.Classes[0].DedupWindow = Keyed, -1 },
 	} {
 		s := base()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(1, s); err == nil || !strings.Contains(err.Error(), " "+field+":") {
 			t.Errorf("%s: error %v does not name the field", field, err)
 		}
 	}
 	if _, err := New(1, base()); err != nil {
-		t.Errorf("sound settings: %v", err)
+		t.Errorf("valid settings: error %v", err)
 	}
 }
--- a/internal/decide/scatter/shares_test.go
+++ b/internal/decide/scatter/shares_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The tables are worked by hand: an equal share of n is 1/n, the cap 1.2/n, the least share 0.5/n.
+// The expected shares are calculated by hand: an equal share of n is 1/n, the cap 1.2/n, the floor 0.5/n.
 func TestComputeShares(t *testing.T) {
 	two := []Class{{Name: "tight", LatencyObjective: sec, Deadline: 3 * sec, CompleteFraction: 1, MinFraction: 1},
 		{Name: "loose", LatencyObjective: 2 * sec, Deadline: 6 * sec, CompleteFraction: 1, MinFraction: 1}}
@@ -22,17 +22,18 @@
 		want    [][]float64 // by class, then replica
 	}{
 		{"ties are even", one, []float64{10}, []float64{.2}, []float64{1, 1, 1, 1}, [][]float64{{.25, .25, .25, .25}}},
-		// Floors 0.125 each leave 0.5: 0.175 to the first and second, 0.15 to the third.
+		// Floors of 0.125 leave 0.5: 0.175 for the first and the second, 0.15 for the third.
 		{"lowest mean first, to its cap", one, []float64{10}, []float64{.1}, []float64{1, 2, 3, 4},
 			[][]float64{{.3, .3, .275, .125}}},
-		// Rate 20, capacity 7 a replica. Tight takes its 5 from A (least share .25 + .5), loose finds 2 at A.
+		// Rate 20, capacity 7 at each replica. Tight takes its 5 from A (floor .25 + .5), loose finds 2 at A.
 		{"tightest class first", two, []float64{10, 10}, []float64{.1, .1}, []float64{1, 2},
 			[][]float64{{.75, .25}, {.45, .55}}},
-		// First pass as above leaves loose with .45*1.5 + .55*3 = 2.3 > 2, so it goes first: .75, .25.
+		// The first pass, as above, gives loose a mean of .45*1.5 + .55*3 = 2.3 > 2, so it moves to the front: .75,
+		// .25.
 		{"a late class moves to the front", two, []float64{10, 10}, []float64{.1, 1.5}, []float64{1, 2},
 			[][]float64{{.45, .55}, {.75, .25}}},
-		// Three classes at two replicas, rate 30, capacity 10.5 each: the first two take 5 each from A, the third
-		// finds 0.5 there and 4.5 at B.
+		// Three classes at two replicas, rate 30, capacity 10.5 each: the first two classes take 5 each from A, the
+		// third finds 0.5 there and 4.5 at B.
 		{"more classes than a replica can take", three, []float64{10, 10, 10}, []float64{.1, .1, .1}, []float64{1, 2},
 			[][]float64{{.75, .25}, {.75, .25}, {.3, .7}}},
 	} {
--- a/internal/decide/scatter/slow_start_test.go
+++ b/internal/decide/scatter/slow_start_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Whatever the demand, the settings' figures and the number of coordinators, all together send a replica in slow
-// start no more than it bears. Ten fleets of coordinators even out the random start of each coordinator's budget.
+// All coordinators together send a replica in slow start no more than it can serve, for any demand, settings and number
+// of coordinators. Ten fleets of coordinators average out the random start of each coordinator's budget.
 func TestSlowStartKeepsItsBudget(t *testing.T) {
 	t.Parallel()
 	for name, before := range map[string]func(*harness){
@@ -51,17 +51,18 @@
 					h := &harness{t: t, m: a, now: 100 * sec}
 					h.step(0, EndpointUpdate{Kind: FullUpdate, Replicas: []Replica{{ID: "starting", StartedAt: 100 * sec}}})
 					before(h)
-					for range int(slowStart.Window / (50 * ms)) { // a window of demand far beyond any capacity
+					for range int(slowStart.Window / (50 * ms)) { // demand far beyond any capacity, for a window
 						sent += len(of[Send](h.query("c", 0, 1, 2, 3)))
 						sent += len(of[Send](h.step(50*ms, TimerFired{})))
 					}
 				}
-				// One core at the starting work of 0.4 s and at the ramp that the window ends with.
+				// A replica with one core, at the initial mean of 0.4 s per part and the capacity at the end of the
+				// window.
 				first, window := slowStart.InitialCapacity, slowStart.Window.Seconds()
 				ramp := first + (1-first)*window/slowStart.Duration.Seconds()
 				most := fleets * slowStart.OverloadFactor * ramp * window / 0.4
 				if sent < fleets || float64(sent) > most {
-					t.Errorf("%s, %d coordinators, multiple %.1f: %d parts in the first window of %d starts, at most %.0f",
+					t.Errorf("%s, %d coordinators, factor %.1f: %d parts in the first window of %d starts, at most %.0f",
 						name, coordinators, slowStart.OverloadFactor, sent, fleets, most)
 				}
 			})
@@ -69,8 +70,8 @@
 	}
 }
 
-// A class too rare to have samples does not hold back replicas in slow start: the classes that have them tell what
-// parts cost.
+// A class too rare to have samples does not restrict replicas in slow start: the minimum time of a part is taken from
+// the classes that have samples.
 func TestRareClassDoesNotSetTheSlowStartBudget(t *testing.T) {
 	sent := map[bool]int{}
 	for _, rare := range []bool{false, true} {
@@ -88,6 +89,6 @@
 		sent[rare] = f.sent["a"]
 	}
 	if sent[true] < sent[false]*3/4 || sent[true] == 0 {
-		t.Errorf("parts to the replica in slow start with a rare class beside: %d, without: %d", sent[true], sent[false])
+		t.Errorf("%d parts to the replica in slow start with a rare class, %d without", sent[true], sent[false])
 	}
 }
--- a/internal/decide/scatter/source_test.go
+++ b/internal/decide/scatter/source_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The decision module is read in files of one concern: none is long, and no line is wide. A limit on all of its lines
-// together no longer holds.
+// Each file of the decision module has one concern and a limited length, and its lines have a limited width. The module
+// as a whole has no limit any more.
 func TestModuleSize(t *testing.T) {
 	const mostLines, mostColumns = 350, 120
 	files, err := filepath.Glob("*.go")
@@ -33,7 +33,7 @@
 			}
 		}
 		if lines > mostLines {
-			t.Errorf("%s has %d lines that are not blank, at most %d wanted", name, lines, mostLines)
+			t.Errorf("%s has %d lines that are not blank, want at most %d", name, lines, mostLines)
 		}
 	}
 }
--- a/internal/decide/scatter/wire_form_test.go
+++ b/internal/decide/scatter/wire_form_test.go
@@ -8,11 +8,11 @@
 	"harepass/internal/wire"
 )
 
-// The digests of recorded actions go by their lines on the wire, which no Go name is part of. Tests inside the package
-// cannot import the wire's encoder, which imports the package.
+// The digests of recorded actions are made from their lines on the wire, which contain no Go names. Tests inside the
+// package cannot import the encoder of the wire, which imports the package.
 //
-// Benchmarks encode their actions too, so one buffer and one encoder serve all calls of a recorded load. The lines hold
-// until the next call.
+// Benchmarks encode their actions too, so one buffer and one encoder serve all calls of a recorded load. The returned
+// lines are valid until the next call.
 func init() { scatter.NewWireForm = newWireForm }
 
 func newWireForm() func([]scatter.Action) []byte {
@@ -24,7 +24,7 @@
 		if err := encoder.End(); err != nil {
 			panic(err)
 		}
-		for _, action := range actions { // the lines have microseconds
+		for _, action := range actions { // the lines hold microseconds only
 			switch a := action.(type) {
 			case scatter.Send:
 				fmt.Fprintf(&lines, "%d ns\n", a.Timeout.Nanoseconds())
