--- a/internal/decide/scatter/attempts_test.go
+++ b/internal/decide/scatter/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The class decides whether a part is sent again after an attempt.
+// The idempotency of a class decides whether a part is sent again after an attempt that may have run.
 func TestRetryByIdempotency(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
--- a/internal/decide/scatter/coordinators_test.go
+++ b/internal/decide/scatter/coordinators_test.go
@@ -167,10 +167,10 @@
 		}
 		// A share of what the replica can certainly serve in the 8 s, or of the demand for it if that is less.
 		least := 0.55 * min(tc.capacity*ramp(list[0].StartedAt+4*sec), 1/tc.gap.Seconds()) * 8
-		t.Logf("%d coordinators, %d fresh: %d parts, want %.0f; at worst %.2f of the overload",
+		t.Logf("%d coordinators, %d fresh: %d parts, want %.0f; at worst %.2f of the overload limit",
 			tc.coordinators, tc.fresh, len(sent), least, worst)
 		if worst > slowStartSafety {
-			t.Errorf("%d coordinators, %d fresh: a window brought %.2f of the overload", tc.coordinators, tc.fresh, worst)
+			t.Errorf("%d coordinators, %d fresh: one window had %.2f of the overload limit", tc.coordinators, tc.fresh, worst)
 		}
 		if float64(len(sent)) < least {
 			t.Errorf("%d coordinators, %d fresh: %d parts in 8 s, want at least %.0f",
--- a/internal/decide/scatter/outliers_test.go
+++ b/internal/decide/scatter/outliers_test.go
@@ -188,8 +188,8 @@
 }
 
 // A connection that was dropped because it was unused resets the part sent on it, although its replica is sound. The
-// replica is reinstated with the next part and without slow start, and later parts use new connections. If the process
-// has ended, the replica stays ejected.
+// replica is reinstated with the next part and without slow start, and later parts use new connections. The end of a
+// process still counts as a restart.
 func TestIdleConnectionLossIsNoRestart(t *testing.T) {
 	for name, lasts := range map[string]time.Duration{"connection lost": 0, "process died": 3 * sec} {
 		s := base()
