--- a/internal/distribution/answer.go
+++ b/internal/distribution/answer.go
@@ -11,51 +11,53 @@
 	"harepass/internal/http1"
 )
 
-// AgeMillisecondsHeader is the header with an answer's staleness in whole milliseconds, beside the standard Age in
-// seconds. Its name is in the canonical form.
+// AgeMillisecondsHeader is the header that states an answer's staleness in whole milliseconds. The standard Age header
+// states it in seconds. The name is in canonical form.
 const AgeMillisecondsHeader = "Age-Ms"
 
 const (
 	// maxNameBytes is the size limit of an entry's name.
 	maxNameBytes = 256
-	// defaultRetryAfter is the wait for a busy source that does not say how long; maxRetryAfter bounds what it says.
+	// defaultRetryAfter is the wait before the next call to a busy source whose answer has no valid Retry-After header.
 	defaultRetryAfter = 500 * time.Millisecond
-	maxRetryAfter     = 10 * time.Second
+	// maxRetryAfter bounds the wait that a Retry-After header asks for.
+	maxRetryAfter = 10 * time.Second
 )
 
-// ErrInvalid is wrapped by the errors of answers that cannot be read, or that the consumer's check rejects.
+// ErrInvalid is wrapped by the error for an answer that cannot be parsed or that Config.Check rejects.
 var ErrInvalid = errors.New("distribution: invalid answer")
 
-// busyError is the error of an answer that says that the source has no capacity now.
+// busyError reports an answer with status 503: the source cannot serve the call now.
 type busyError struct{ retryAfter time.Duration }
 
 func (e busyError) Error() string {
-	return fmt.Sprintf("distribution: the source is busy for %v", e.retryAfter)
+	return fmt.Sprintf("distribution: the source is busy, retry after %v", e.retryAfter)
 }
 
-// statusError is the error of an answer with a status code that no source gives by the protocol.
+// statusError reports an answer with a status code other than 200, 409 and 503. The protocol has no other status code
+// for a Follower's calls.
 type statusError struct{ status int }
 
 func (e statusError) Error() string {
 	return fmt.Sprintf("distribution: the source answered with status %d", e.status)
 }
 
-// parseAnswer returns the slice in an answer. The error is a busyError or a statusError, or wraps ErrInvalid or
-// follower.ErrBehind.
+// parseAnswer returns the slice that an answer carries. The error is a busyError or a statusError, or wraps ErrInvalid
+// or follower.ErrBehind.
 func parseAnswer(m *http1.Message) (versionlog.Slice, error) {
 	switch m.Status {
 	case http1.StatusOK:
 		return decode(m.Body)
-	case http1.StatusServiceUnavailable: // it has nothing yet, or no capacity for this call
+	case http1.StatusServiceUnavailable: // the source has no version yet, or no capacity for this call
 		return versionlog.Slice{}, busyError{retryAfter(m)}
 	case http1.StatusConflict: // the reader has a newer version than the source
-		return versionlog.Slice{}, fmt.Errorf("%w: it answered with status %d", follower.ErrBehind, m.Status)
+		return versionlog.Slice{}, fmt.Errorf("%w: the source answered with status %d", follower.ErrBehind, m.Status)
 	}
 	return versionlog.Slice{}, statusError{m.Status}
 }
 
-// decode reads an answer's body; the error wraps ErrInvalid. Discovery services without epochs number no entries:
-// theirs get the answer's index.
+// decode parses an answer's body. The error wraps ErrInvalid. A discovery service without epochs does not number its
+// entries, so decode gives each of them the answer's index.
 func decode(body []byte) (versionlog.Slice, error) {
 	slice, err := versionlog.ParseSlice(body)
 	if err != nil {
@@ -75,8 +77,9 @@
 	return slice, nil
 }
 
-// stalenessOf returns how long ago the source last knew that it had the authority's newest version; 0 where its answer
-// does not say so. Older relays give whole seconds alone.
+// stalenessOf returns the staleness that an answer states: how long ago the source last knew that it had the
+// authority's newest version. It returns 0 if the answer states none. Older relays send the Age header only, in whole
+// seconds.
 func stalenessOf(m *http1.Message) time.Duration {
 	if milliseconds, err := strconv.ParseUint(m.Header.Get(AgeMillisecondsHeader), 10, 41); err == nil {
 		return time.Duration(milliseconds) * time.Millisecond
@@ -88,7 +91,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// retryAfter returns for how long a busy source asks to be left alone.
+// retryAfter returns how long to wait before the next call to a busy source.
 func retryAfter(m *http1.Message) time.Duration {
 	seconds, err := strconv.ParseFloat(m.Header.Get("Retry-After"), 64)
 	if err != nil || !(seconds >= 0) {
--- a/internal/distribution/config.go
+++ b/internal/distribution/config.go
@@ -12,59 +12,61 @@
 const (
 	// DefaultHeartbeat is how long a source may wait for a new version before it answers without one.
 	DefaultHeartbeat = 500 * time.Millisecond
-	// DefaultSilenceTolerance is how much later than the heartbeat an answer may come before its source counts as
-	// silent.
+	// DefaultSilenceTolerance is how long after the heartbeat an answer may arrive before its source counts as silent.
 	DefaultSilenceTolerance = 300 * time.Millisecond
-	// DefaultMaxBody is the size limit of a relay's answer, in bytes.
+	// DefaultMaxBody is the size limit of the body of a relay's answer, in bytes.
 	DefaultMaxBody = 64 << 10
 
-	// staleHeartbeats is the least default of StaleAfter, in heartbeats: a relay hears of its own source once in each.
+	// staleHeartbeats is the lower bound of the default StaleAfter, in heartbeats. A relay may hear from its own source
+	// only once per heartbeat.
 	staleHeartbeats = 3
 )
 
-// Config says what a Follower follows, from which sources, and who takes the updates. New reads it once.
+// Config configures a Follower: the resource, its possible sources, and the consumer of the updates. New reads it once.
 type Config struct {
-	// Path is the resource that is polled.
+	// Path is the resource to follow.
 	Path Path
-	// Locality is where this process runs: nearer sources are preferred.
+	// Locality is where this process runs. The Follower prefers nearer sources.
 	Locality failover.Locality
-	// Sources are the relays that may be followed, one at least.
+	// Sources are the relays, or the discovery service, that the Follower may follow. There must be at least one.
 	Sources []failover.Source
 
-	// Check reports what is wrong with an answer's entries before anything of it is applied. nil accepts all.
+	// Check returns an error if the entries of an answer are invalid. The Follower calls it before it applies any part
+	// of the answer. If Check is nil, all entries are accepted.
 	Check func([]versionlog.Entry) error
-	// Apply takes what an answer has changed. Run's goroutine calls it, for one update after the other.
+	// Apply receives what an answer has changed. Run's goroutine calls it, for one update at a time.
 	Apply func(Update)
 
-	// Heartbeat is how long a source may wait for a new version before it answers; DefaultHeartbeat where it is 0.
+	// Heartbeat is how long a source may wait for a new version before it answers without one. If it is 0,
+	// DefaultHeartbeat is used.
 	Heartbeat time.Duration
-	// SilenceTolerance is how much later than the heartbeat an answer may come before its source counts as silent;
-	// DefaultSilenceTolerance where it is 0.
+	// SilenceTolerance is how long after the heartbeat an answer may arrive before its source counts as silent. If it
+	// is 0, DefaultSilenceTolerance is used.
 	SilenceTolerance time.Duration
-	// StaleAfter is the staleness of a source from which on a fresher one is looked for. Where it is 0, it is
-	// failover.DefaultStaleAfter, or three heartbeats if that is more.
+	// StaleAfter is the staleness at which a source counts as stale and the Follower looks for a fresher one. If it is
+	// 0, failover.DefaultStaleAfter or three heartbeats are used, whichever is longer.
 	StaleAfter time.Duration
-	// ConfirmedAt is when the copy that the consumer begins with was last known to be the authority's newest; the time
-	// of New where it is zero.
+	// ConfirmedAt is when the copy that the consumer starts with was last known to be the authority's newest version.
+	// If it is zero, the time of the New call is used.
 	ConfirmedAt time.Time
-	// MaxBody is the size limit of an answer's body, in bytes; DefaultMaxBody where it is 0.
+	// MaxBody is the size limit of an answer's body, in bytes. If it is 0, DefaultMaxBody is used.
 	MaxBody int
 
-	// KnownNames are entries that the consumer begins with. The first snapshot reports those that it does not hold in
-	// Update.MissingFromSnapshot.
+	// KnownNames are the names of the entries that the consumer starts with. Update.MissingFromSnapshot lists those
+	// that the first snapshot does not contain.
 	KnownNames []string
 
-	// AcceptAnySnapshot applies every snapshot, whatever its index is. It is for an authority, whose one source is the
-	// discovery service: that begins its index anew when it restarts.
+	// AcceptAnySnapshot makes the Follower apply every snapshot, even one with a lower index. An authority sets it: its
+	// only source is the discovery service, whose index starts over when that service restarts.
 	AcceptAnySnapshot bool
 
-	// Dial opens connections to sources; nil for plain TCP.
+	// Dial opens connections to sources. If it is nil, plain TCP is used.
 	Dial http1.Dialer
-	// Rand is the source of jitter, for the Follower alone; nil for one that is seeded at random.
+	// Rand is the random source for jitter. Only the Follower may use it. If it is nil, a randomly seeded one is used.
 	Rand *rand.Rand
 }
 
-// withDefaults returns the configuration with its zero values filled in. now is the time of New.
+// withDefaults returns the configuration with defaults in place of zero values. now is the time of the New call.
 func (cfg Config) withDefaults(now time.Time) Config {
 	if cfg.Heartbeat == 0 {
 		cfg.Heartbeat = DefaultHeartbeat
--- a/internal/distribution/counting_conn.go
+++ b/internal/distribution/counting_conn.go
@@ -8,7 +8,7 @@
 	"harepass/internal/http1"
 )
 
-// countBytes returns a dialer whose connections count their bytes in the totals.
+// countBytes returns a dialer whose connections add the bytes that they read and write to the totals.
 func (t *totals) countBytes(dial http1.Dialer) http1.Dialer {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := dial.Connect(ctx, address)
@@ -19,7 +19,7 @@
 	}
 }
 
-// countingConn is a connection that counts the bytes that go through it.
+// countingConn is a connection that counts the bytes that it reads and writes.
 type countingConn struct {
 	net.Conn
 	read, written *atomic.Int64
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -13,49 +13,50 @@
 	"harepass/internal/logmsg"
 )
 
-// Update is what one answer has changed. It may be kept after Apply has returned.
+// Update is what one answer has changed. Config.Apply may keep it after it has returned.
 type Update struct {
-	// Slice is the answer as it came, for consumers that keep a log of their own. The other fields are for those that
-	// keep entries.
+	// Slice is the answer as received, for consumers that keep a version log of their own. The other fields are for
+	// consumers that keep entries.
 	Slice versionlog.Slice
-	// Entries are the entries that were changed, and tombstones of removed ones, in the order of their indexes.
+	// Entries are the changed entries and the tombstones of removed entries, in the order of their indexes.
 	Entries []versionlog.Entry
-	// MissingFromSnapshot are the names that a snapshot did not hold. They come with its last slice.
+	// MissingFromSnapshot are the names in the local copy that a snapshot did not contain. They are reported with the
+	// snapshot's last slice.
 	MissingFromSnapshot []string
 	// SnapshotCompleted reports that the answer was the last slice of a snapshot.
 	SnapshotCompleted bool
-	// Complete reports that the local copy is the log's state at the slice's version.
+	// Complete reports that the local copy has the log's whole state at the slice's version.
 	Complete bool
 	// Source is the address of the source that answered.
 	Source string
 }
 
-// Follower keeps a local copy of one resource. Use New, then Run.
+// Follower keeps a local copy of one resource. Create it with New, and start it with Run.
 type Follower struct {
 	cfg       Config
-	dial      http1.Dialer // cfg.Dial, with its bytes counted
-	startedAt time.Time    // zero of the selector's clock
+	dial      http1.Dialer // cfg.Dial with a count of the bytes
+	startedAt time.Time    // origin of the selector's clock
 
-	// These are for Run's goroutine alone.
+	// Only Run's goroutine uses the following fields.
 	selector *failover.Selector
-	state    follower.State // which entries the local copy holds
+	state    follower.State // version and entry indexes of the local copy
 	current  currentSource
 	lag      lag
 	probe    probeSlot
 
-	// These are for any goroutine.
+	// Any goroutine may use the following fields.
 	status sharedStatus
 	totals totals
 }
 
-// currentSource is what the answers of the source in use have shown.
+// currentSource is what the answers of the current source have shown.
 type currentSource struct {
-	served        bool          // it has given a good answer since it became the current one
-	moreAvailable bool          // its last answer brought something new, and announced another slice
-	staleness     time.Duration // that its last applied answer gave; the zero value before the first
+	served        bool          // the source has sent a usable answer since it became the current one
+	moreAvailable bool          // the last applied answer contained something new and announced another slice
+	staleness     time.Duration // the staleness that the last applied answer stated; 0 before the first one
 }
 
-// New returns a Follower that does nothing before Run.
+// New returns a Follower. It opens no connection and starts no goroutine: Run does.
 func New(cfg Config) *Follower {
 	now := time.Now()
 	cfg = cfg.withDefaults(now)
@@ -72,8 +73,8 @@
 // now returns the time on the selector's clock.
 func (f *Follower) now() time.Duration { return time.Since(f.startedAt) }
 
-// Run follows the resource until ctx ends, and returns once the goroutines that it started have ended. It is called
-// once.
+// Run follows the resource until ctx ends, and returns once the goroutines that it started have ended. It must be
+// called only once.
 func (f *Follower) Run(ctx context.Context) {
 	var logging sync.WaitGroup
 	logging.Go(func() { f.logStaleness(ctx) })
@@ -89,7 +90,7 @@
 	}
 }
 
-// follow polls a source, and better ones that it changes to, until the one in use is left.
+// follow polls the source, and any better source that it switches to, until it leaves the current one or ctx ends.
 func (f *Follower) follow(ctx context.Context, source failover.Source) {
 	client := f.client(source)
 	defer func() { client.Close() }()
@@ -111,13 +112,13 @@
 	}
 }
 
-// client returns a client for a source. It connects at its first call.
+// client returns a client for a source. The client connects at its first call.
 func (f *Follower) client(source failover.Source) *http1.Client {
 	return &http1.Client{Address: source.Address, Dial: f.dial,
 		Limits: http1.Limits{Head: http1.DefaultLimits.Head, Body: f.cfg.MaxBody}}
 }
 
-// recordFollowed notes the first good answer of a new current source.
+// recordFollowed records and logs that a new current source has sent its first usable answer.
 func (f *Follower) recordFollowed(source failover.Source) {
 	f.current.served = true
 	f.totals.switches.Add(1)
@@ -126,14 +127,14 @@
 		"zone", source.Zone, "region", source.Region)
 }
 
-// clearSource notes that no source is followed.
+// clearSource records that no source is followed.
 func (f *Follower) clearSource() {
 	f.current.served = false
-	f.lag.end()
+	f.lag.reset()
 	f.status.setSource("")
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for d, or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/distribution/outcome.go
+++ b/internal/distribution/outcome.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// behindTolerance is for how long a source may be behind before it is left: it may be about to hear of what the
-	// local copy has.
+	// behindTolerance is how long the current source may be behind the local copy before the Follower leaves it. The
+	// source may be about to receive the versions that the local copy has.
 	behindTolerance = 300 * time.Millisecond
-	// behindInterval is the wait between two polls of a source that is behind.
+	// behindInterval is the wait between two polls of a source that is behind the local copy.
 	behindInterval = 50 * time.Millisecond
 )
 
-// handleOutcome tells the selector what came of a poll, and reports whether the source is to be followed on. err is nil
-// where its answer was applied. For a source that is behind it waits for behindInterval.
+// handleOutcome reports the outcome of a poll to the selector, and returns whether the Follower stays with the source.
+// err is nil if the answer was applied. If the source is behind the local copy and is tolerated, handleOutcome sleeps
+// for behindInterval.
 func (f *Follower) handleOutcome(ctx context.Context, source failover.Source, err error) (stay bool) {
 	if err == nil {
 		f.recordServed(source)
 		return true
 	}
-	if reasonOf(err) == failover.Behind && f.lag.noteBehind(time.Now()) {
+	if reasonOf(err) == failover.Behind && f.lag.recordBehind(time.Now()) {
 		sleep(ctx, behindInterval)
 		return true
 	}
@@ -43,9 +44,9 @@
 	return false
 }
 
-// recordServed notes an answer that was applied.
+// recordServed records that an answer of the current source was applied.
 func (f *Follower) recordServed(source failover.Source) {
-	f.lag.end()
+	f.lag.reset()
 	if !f.current.served {
 		f.recordFollowed(source)
 	}
@@ -53,8 +54,8 @@
 	f.selector.RecordStaleness(f.now(), f.current.staleness)
 }
 
-// leave gives up the source in use for an error. One that has never served is logged for debugging only: it may be
-// retried for hours.
+// leave gives up the current source because of an error. If the source has sent no usable answer since it became the
+// current one, the line is logged at debug level only: such a source may be retried for hours.
 func (f *Follower) leave(ctx context.Context, source failover.Source, err error) {
 	level := slog.LevelDebug
 	if f.current.served {
@@ -66,14 +67,14 @@
 	f.selector.Leave(f.now(), reason)
 }
 
-// needsSnapshot reports whether a busy source is to be waited for: there is no complete local copy yet, or its
-// staleness is over staleCopyAfter, and no other source is likely to remember all that has changed since. With a copy
-// that is not stale the next source can go on.
+// needsSnapshot reports whether the Follower waits for a busy source instead of leaving it. It waits if the local copy
+// is not complete, or if its staleness exceeds staleCopyAfter, because then no other source is likely to remember all
+// changes since. A fresher copy can be updated by the next source.
 func (f *Follower) needsSnapshot() bool {
 	return !f.state.Complete() || f.Status().Staleness > staleCopyAfter
 }
 
-// reasonOf returns why a source whose poll or probe ended with an error is left.
+// reasonOf returns why a source is left, or not followed, after a poll or probe of it has failed with err.
 func reasonOf(err error) failover.Reason {
 	var protocol *http1.Error
 	var timeout net.Error
@@ -88,22 +89,22 @@
 	return failover.Failed
 }
 
-// lag is for how long the answers have been older than the local copy.
+// lag measures how long the current source has been behind the local copy.
 type lag struct {
-	since time.Time // when they began to be; zero while they are not
+	since time.Time // time of the first answer that showed the source to be behind; zero while it is not behind
 }
 
-// isBehind reports whether the last answer was older than the local copy.
+// isBehind reports whether the last answer showed the source to be behind the local copy.
 func (l *lag) isBehind() bool { return !l.since.IsZero() }
 
-// noteBehind notes an answer that was older than the local copy, and reports whether it is tolerated: its source may
-// be polled again until behindTolerance is over.
-func (l *lag) noteBehind(now time.Time) bool {
+// recordBehind records an answer that showed the source to be behind the local copy. It reports whether the source is
+// tolerated, that is, may be polled again: it is until behindTolerance has passed since the first such answer.
+func (l *lag) recordBehind(now time.Time) bool {
 	if l.since.IsZero() {
 		l.since = now
 	}
 	return now.Sub(l.since) < behindTolerance
 }
 
-// end notes an answer that was not older, or that no source is followed.
-func (l *lag) end() { l.since = time.Time{} }
+// reset records an answer that was applied, or that no source is followed.
+func (l *lag) reset() { l.since = time.Time{} }
--- a/internal/distribution/path.go
+++ b/internal/distribution/path.go
@@ -1,6 +1,6 @@
 package distribution
 
-// Path is where relays and discovery give out a resource: what a Follower follows.
+// Path is the URL path at which relays and discovery serve a resource. It identifies the resource.
 type Path string
 
 // The paths.
@@ -9,7 +9,7 @@
 	Settings  Path = "/registry/settings"  // the settings of the fleet
 )
 
-// ResourceName returns the resource's name in logs and configuration files: the last element of its path.
+// ResourceName returns the resource's name in logs and configuration files: the last element of the path.
 func (p Path) ResourceName() string {
 	switch p {
 	case Endpoints:
--- a/internal/distribution/poll.go
+++ b/internal/distribution/poll.go
@@ -12,8 +12,8 @@
 	"harepass/internal/http1"
 )
 
-// poll asks the source in use for what is newer than the local copy, and applies its answer. An error says why nothing
-// of the answer was applied.
+// poll asks the current source for changes that the local copy lacks, and applies the answer. If it returns an error,
+// no part of an answer was applied.
 func (f *Follower) poll(ctx context.Context, client *http1.Client, maxWait time.Duration) error {
 	cursor, known := f.state.Cursor()
 	answer, err := f.call(ctx, client, cursor, known, maxWait)
@@ -26,8 +26,8 @@
 	return err
 }
 
-// call sends a source one call for what is newer than a cursor, and returns its answer unread. The error wraps
-// context.DeadlineExceeded where the source was silent for heartbeat and silence tolerance together.
+// call asks a source for changes after a cursor, and returns the answer without parsing it. The error wraps
+// context.DeadlineExceeded if no answer arrived within the sum of Heartbeat and SilenceTolerance.
 func (f *Follower) call(ctx context.Context, client *http1.Client, cursor versionlog.Cursor, known bool,
 	maxWait time.Duration) (*http1.Message, error) {
 	limited, cancel := context.WithTimeout(ctx, f.cfg.Heartbeat+f.cfg.SilenceTolerance)
@@ -45,8 +45,8 @@
 	return nil, err
 }
 
-// target returns the request target of a call for what is newer than a cursor; known is false where the reader has
-// nothing yet and asks for a snapshot.
+// target returns the request target of a call for changes after a cursor. known is false if the reader has no version
+// yet; the call then asks for a snapshot.
 func target(path Path, c versionlog.Cursor, known bool, maxWait time.Duration) string {
 	if !known {
 		return string(path)
@@ -65,7 +65,8 @@
 	return string(b)
 }
 
-// apply checks an answer as a whole, applies it to the local copy, and hands what has changed to the consumer.
+// apply checks an answer as a whole, applies it to the local copy, and passes the changes to Config.Apply. After an
+// error the local copy is unchanged.
 func (f *Follower) apply(source string, m *http1.Message) error {
 	slice, err := parseAnswer(m)
 	if err == nil {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// checkEntries reports what the consumer finds wrong with an answer's entries; the error wraps ErrInvalid.
+// checkEntries runs Config.Check on an answer's entries. The error wraps ErrInvalid.
 func (f *Follower) checkEntries(slice versionlog.Slice) error {
 	if f.cfg.Check == nil {
 		return nil
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// checkUpToDate reports whether an answer shows its source to have what a reader with a cursor has. The error wraps
-// follower.ErrBehind where it has not.
+// checkUpToDate checks that the source of an answer has at least the cursor's version. The error wraps
+// follower.ErrBehind if it does not. A slice within a snapshot shows that the source has the snapshot's base.
 func checkUpToDate(answer *http1.Message, cursor versionlog.Cursor) error {
 	slice, err := parseAnswer(answer)
 	if err != nil {
--- a/internal/distribution/probe.go
+++ b/internal/distribution/probe.go
@@ -10,27 +10,27 @@
 	"harepass/internal/logmsg"
 )
 
-// probe is one poll of a source other than the current one. Nothing of its answer is applied: if the source is
-// followed, the polls after that bring what it has.
+// probe is one call to a source other than the current one. Its answer is not applied: if the Follower switches to the
+// source, the next polls fetch what the source has.
 type probe struct {
 	source     failover.Source
 	client     *http1.Client
-	err        error         // why the source cannot be followed; nil where it can
-	staleness  time.Duration // of what the source had at answeredAt
-	answeredAt time.Time     // zero where no answer came
+	err        error         // why the source cannot be followed; nil if it can
+	staleness  time.Duration // staleness of the source at answeredAt
+	answeredAt time.Time     // zero if no answer arrived
 }
 
-// probeSlot holds at most one probe. The probe has a goroutine and a connection of its own: a source that takes the
-// call and is silent must not keep changes waiting that the current source has.
+// probeSlot holds at most one probe. A probe has its own goroutine and connection, so that a source that accepts the
+// call and stays silent does not delay changes from the current source.
 type probeSlot struct {
-	done     chan probe // the probe, once it has ended; there is one at most, so its capacity of one suffices
-	underWay bool       // a probe has been started, and has not been taken from done
+	done     chan probe // receives the probe when it has ended; capacity 1 suffices, as there is at most one probe
+	underWay bool       // a probe has been started and has not been received from done
 }
 
 func newProbeSlot() probeSlot { return probeSlot{done: make(chan probe, 1)} }
 
-// betterSource returns a source to change to, with its open client, where a probe has found one. It starts a probe
-// where one is due. The client is nil where the current source stays.
+// betterSource returns a better source and its open client if a probe has found one that the Follower switches to;
+// otherwise the client is nil. If no probe is under way, betterSource starts one if one is due.
 func (f *Follower) betterSource(ctx context.Context) (failover.Source, *http1.Client) {
 	if !f.probe.underWay {
 		f.startProbe(ctx)
@@ -50,8 +50,8 @@
 	return failover.Source{}, nil
 }
 
-// switchIfBetter has the selector take the source of an answered probe for the current one, if it is better, and
-// reports whether it has.
+// switchIfBetter reports a successful probe to the selector, which makes the probed source the current one if it is
+// better. It returns whether the selector did so.
 func (f *Follower) switchIfBetter(p probe) bool {
 	left, _ := f.selector.Current()
 	stale := f.selector.Stale()
@@ -65,7 +65,8 @@
 	return true
 }
 
-// startProbe probes a nearer source, or any other one where the current one is stale, if the selector names one now.
+// startProbe starts a probe if the selector returns a source to probe now: a nearer source, or any other source while
+// the current one is stale. It starts none while the local copy is incomplete.
 func (f *Follower) startProbe(ctx context.Context) {
 	if !f.state.Complete() {
 		return
@@ -92,7 +93,8 @@
 	}()
 }
 
-// waitForProbe ends a probe that is under way when Run returns. Its call ends with Run's context.
+// waitForProbe waits for a probe that is under way when Run's context has ended, and closes its client. The end of the
+// context also ends the probe's call.
 func (f *Follower) waitForProbe() {
 	if f.probe.underWay {
 		p := <-f.probe.done
--- a/internal/distribution/staleness_log.go
+++ b/internal/distribution/staleness_log.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// staleCopyAfter is the staleness from which a local copy counts as stale: an operator should know of it, and a
-	// busy source is waited for rather than left (needsSnapshot). Config.StaleAfter is another limit: of a source's
-	// staleness.
+	// staleCopyAfter is the staleness above which the local copy counts as stale: the Follower logs this for operators,
+	// and waits for a busy source instead of leaving it (needsSnapshot). Config.StaleAfter is a separate limit, for the
+	// staleness of a source.
 	staleCopyAfter = 5 * time.Second
-	// stalenessInterval is the time between two readings of the staleness.
+	// stalenessInterval is the time between two checks of the staleness.
 	stalenessInterval = time.Second
 )
 
-// logStaleness logs when the local copy has become stale, and when it is so no more, until ctx ends.
+// logStaleness logs each time that the local copy becomes stale or fresh again, until ctx ends.
 func (f *Follower) logStaleness(ctx context.Context) {
 	ticker := time.NewTicker(stalenessInterval)
 	defer ticker.Stop()
@@ -35,7 +35,7 @@
 	}
 }
 
-// logStaleOrFresh logs the change that logStaleness has found; fresh is what is not stale.
+// logStaleOrFresh logs that the local copy has become stale, or is fresh (not stale) again.
 func (f *Follower) logStaleOrFresh(s Status, stale bool) {
 	attributes := []any{logmsg.KeyResource, f.cfg.Path.ResourceName(), "staleness", s.Staleness.Round(time.Millisecond),
 		"epoch", s.Version.Epoch, "index", s.Version.Index, "complete", s.Complete}
--- a/internal/distribution/watch.go
+++ b/internal/distribution/watch.go
@@ -3,15 +3,18 @@
 import "time"
 
 const (
-	// noWait is the wait of a poll that is to be answered at once: the least above 0 that hold_ms can express.
+	// noWait is the wait of a poll that the source should answer at once: the shortest wait above 0 that hold_ms can
+	// express.
 	noWait = time.Millisecond
-	// probingWait bounds the waits of a stale source while another one is probed: the probe's result is looked at
-	// between two polls, and should not wait for a heartbeat.
+	// probingWait bounds the wait of a stale source while another source is probed. The Follower handles the probe's
+	// result between two polls, and that should not be delayed by a heartbeat.
 	probingWait = 100 * time.Millisecond
 )
 
-// maxWait returns how long the source may wait for a new version before it answers the next poll. A source that has
-// just been chosen, has announced more, or is behind is to answer at once. first is for the first poll of a source.
+// maxWait returns how long the source may wait for a new version before it answers the next poll. It returns noWait for
+// the first poll of a source (first), while the local copy has no version or is within a snapshot, and if the source
+// has announced another slice or is behind. Otherwise it returns the heartbeat, or less for a stale source: a probe
+// should start when it is due, and its result should be handled soon.
 func (f *Follower) maxWait(first bool) time.Duration {
 	cursor, known := f.state.Cursor()
 	if first || !known || cursor.Base > 0 || f.current.moreAvailable || f.lag.isBehind() {
