--- a/internal/distribution/answer_test.go
+++ b/internal/distribution/answer_test.go
@@ -8,8 +8,8 @@
 	"harepass/internal/http1"
 )
 
-// The age in milliseconds takes precedence over the one in seconds, which is all that older relays give. An age that
-// cannot be read counts as none.
+// The Age-Ms header takes precedence over the Age header, which is the only one that older relays send. A header that
+// cannot be parsed counts as missing.
 func TestStalenessOfAnswer(t *testing.T) {
 	for _, c := range []struct {
 		seconds, milliseconds string
@@ -25,7 +25,7 @@
 		header.Set("Age", c.seconds)
 		header.Set("Age-Ms", c.milliseconds)
 		if got := stalenessOf(&http1.Message{Header: header}); got != c.want {
-			t.Errorf("%q and %q: %v, want %v", c.seconds, c.milliseconds, got, c.want)
+			t.Errorf("Age %q, Age-Ms %q: staleness is %v, want %v", c.seconds, c.milliseconds, got, c.want)
 		}
 	}
 }
--- a/internal/distribution/consumer_test.go
+++ b/internal/distribution/consumer_test.go
@@ -16,14 +16,14 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// consumer runs a Follower and keeps the entries that it is given.
+// consumer runs a Follower and keeps the entries that it receives from it.
 type consumer struct {
 	*Follower
 	t *testing.T
 
 	mu       sync.Mutex
-	statuses map[string]string    // of the entries that it has, by name
-	versions []versionlog.Version // at which the copy was complete, in the order in which they came
+	statuses map[string]string    // statuses of the consumer's entries, by name
+	versions []versionlog.Version // versions at which the copy was complete, in the order of their updates
 }
 
 var (
@@ -32,20 +32,20 @@
 	elsewhere = failover.Locality{Zone: "r2-a", Region: "r2"}
 )
 
-// at returns a fake source as configured at a place.
-func at(s *fakeSource, p failover.Locality) failover.Source {
-	return failover.Source{Address: s.address, Locality: p}
+// at returns the configuration of a fake source at a locality.
+func at(s *fakeSource, locality failover.Locality) failover.Source {
+	return failover.Source{Address: s.address, Locality: locality}
 }
 
-// silenceTolerance is longer than a source takes to answer on a busy machine.
+// silenceTolerance is longer than a source needs to answer on a busy machine.
 const silenceTolerance = 2 * time.Second
 
-// follow runs a consumer in inZone.
-func follow(t *testing.T, list ...failover.Source) *consumer {
-	return followWith(t, Config{Sources: list, SilenceTolerance: silenceTolerance})
+// follow runs a consumer located in inZone with the given sources until the test ends.
+func follow(t *testing.T, sources ...failover.Source) *consumer {
+	return followWith(t, Config{Sources: sources, SilenceTolerance: silenceTolerance})
 }
 
-// followWith runs a consumer in inZone by a configuration of sources until the test ends.
+// followWith runs a consumer located in inZone until the test ends. It completes the configuration.
 func followWith(t *testing.T, cfg Config) *consumer {
 	c := &consumer{t: t, statuses: map[string]string{}}
 	for _, name := range cfg.KnownNames {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// statusIn returns an entry's status; "" for an unknown one.
+// statusIn returns an entry's status, or "" if the status is unknown.
 func statusIn(e versionlog.Entry) string {
 	for _, status := range []string{"in_service", "terminating", "terminated"} {
 		if strings.Contains(string(e.Body), fmt.Sprintf(`"status":%q`, status)) {
@@ -99,35 +99,35 @@
 	return ""
 }
 
-// statusOf returns the status of a name; "" for one that the consumer has not.
+// statusOf returns the status of the entry with a name, or "" if the consumer does not have it.
 func (c *consumer) statusOf(name string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.statuses[name]
 }
 
-// names lists the entries that the consumer has.
+// names lists the names of the consumer's entries.
 func (c *consumer) names() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return fmt.Sprint(slices.Sorted(maps.Keys(c.statuses)))
 }
 
-// waitForVersion waits until the copy is complete at a version.
+// waitForVersion waits until the local copy is complete at a version.
 func (c *consumer) waitForVersion(v versionlog.Version) {
 	c.t.Helper()
 	c.waitFor(fmt.Sprintf("version %+v", v), func() bool { s := c.Status(); return s.Complete && s.Version == v })
 }
 
-// waitFor waits for what other goroutines bring about.
-func (c *consumer) waitFor(what string, ok func() bool) {
+// waitFor waits until a condition holds that other goroutines bring about. what names it in the failure message.
+func (c *consumer) waitFor(what string, holds func() bool) {
 	c.t.Helper()
-	if err := faultinjection.WaitFor(what, ok); err != nil {
-		c.t.Fatalf("%v; it is at %+v, %+v", err, c.Status(), c.Counters())
+	if err := faultinjection.WaitFor(what, holds); err != nil {
+		c.t.Fatalf("%v; status %+v, counters %+v", err, c.Status(), c.Counters())
 	}
 }
 
-// checkNeverWentBack checks that the versions of complete copies came in their order.
+// checkNeverWentBack checks that the version of the complete local copy never decreased.
 func (c *consumer) checkNeverWentBack() {
 	c.t.Helper()
 	c.mu.Lock()
@@ -141,6 +141,6 @@
 		}
 		return 0
 	}) {
-		c.t.Errorf("it went back: %v", c.versions)
+		c.t.Errorf("the local copy went back to an older version: %v", c.versions)
 	}
 }
--- a/internal/distribution/fake_source_test.go
+++ b/internal/distribution/fake_source_test.go
@@ -13,7 +13,7 @@
 	"harepass/internal/decide/versionlog"
 )
 
-// sharedLog is a version log that several fake sources may give out.
+// sharedLog is a version log that several fake sources may serve.
 type sharedLog struct {
 	mu      sync.Mutex
 	log     *versionlog.Log
@@ -28,7 +28,7 @@
 	return l
 }
 
-// put publishes an entry; one that is terminated is removed.
+// put publishes an entry with a status. The status "terminated" removes the entry.
 func (l *sharedLog) put(name, status string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,28 +42,28 @@
 	l.changed = make(chan struct{})
 }
 
-// head returns the newest version.
+// head returns the log's version.
 func (l *sharedLog) head() versionlog.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.log.Version()
 }
 
-// fakeSource is a relay on a loopback socket that gives out a log, with faults.
+// fakeSource is a relay with injectable faults that serves a log on a loopback socket.
 type fakeSource struct {
 	log     *sharedLog
 	address string
 
 	mu         sync.Mutex
 	server     *http.Server
-	calls      []string                            // the request targets, in their order
-	silent     bool                                // it accepts calls and never answers
-	rejections int                                 // the next calls that are rejected for want of capacity
-	sliceBytes int                                 // size limit of the entries of an answer
-	override   func(r *http.Request) (body string) // answers instead of the log, unless it returns ""
+	calls      []string                            // request targets of the calls received, in order
+	silent     bool                                // the source accepts calls and never answers
+	rejections int                                 // number of next calls to reject with 503 for lack of capacity
+	sliceBytes int                                 // size limit of an answer's entries, in bytes
+	override   func(r *http.Request) (body string) // body to send instead of the log's slice; "" for the slice
 }
 
-// newFakeSource starts a source of a log; it is stopped when the test ends.
+// newFakeSource starts a source that serves a log, and stops it when the test ends.
 func newFakeSource(t *testing.T, l *sharedLog) *fakeSource {
 	s := &fakeSource{log: l, sliceBytes: 60 << 10}
 	t.Cleanup(s.stop)
@@ -71,12 +71,12 @@
 	return s
 }
 
-// A source that is stopped and started again listens on the port that it had. On an address shared with others an
-// outgoing connection may take that port meanwhile, and the start fails with EADDRINUSE. So each source has an
-// address of its own.
+// hosts counts the loopback addresses in use: each source has its own. A source that is stopped and started again
+// listens on its old port. On an address shared with other sources, an outgoing connection could take that port between
+// the stop and the start, and the start would fail with EADDRINUSE.
 var hosts atomic.Int32
 
-// start opens the socket. Started again after a stop, the source has its address as before.
+// start opens the socket. After a stop, the source keeps its address.
 func (s *fakeSource) start(t *testing.T) {
 	address := s.address
 	if address == "" {
@@ -94,7 +94,7 @@
 	go s.server.Serve(l)
 }
 
-// stop breaks all connections, as the end of a process does.
+// stop closes the listener and all connections, as the end of a process does.
 func (s *fakeSource) stop() {
 	s.mu.Lock()
 	server := s.server
@@ -102,14 +102,14 @@
 	server.Close()
 }
 
-// set changes the faults.
+// set changes the source's faults under its lock.
 func (s *fakeSource) set(f func(*fakeSource)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s)
 }
 
-// callCount returns how many calls have come in.
+// callCount returns how many calls the source has received.
 func (s *fakeSource) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	s.log.answer(w, r, sliceBytes)
 }
 
-// answer gives out the log as a relay does.
+// answer answers a call from the log as a relay does, and waits for a new version if the reader has the newest one.
 func (l *sharedLog) answer(w http.ResponseWriter, r *http.Request, sliceBytes int) {
 	number := func(key string) int64 {
 		n, _ := strconv.ParseInt(r.URL.Query().Get(key), 10, 64)
--- a/internal/distribution/rejected_answers_test.go
+++ b/internal/distribution/rejected_answers_test.go
@@ -10,8 +10,8 @@
 	"harepass/internal/decide/versionlog"
 )
 
-// The one up-to-date source is killed. Those that are left have an older epoch, or an older index, and answer with
-// all of it whatever they are asked. The reader keeps what it has, and follows one of them once that has caught up.
+// The only up-to-date source is killed. The remaining sources have an older epoch or an older index, and answer every
+// call with a snapshot of it. The reader keeps its local copy, and follows one of them once that one has caught up.
 func TestAnswersBehindAreNotApplied(t *testing.T) {
 	t.Parallel()
 	newer, older := newSharedLog(7, "a"), newSharedLog(6, "a", "b", "c", "stale")
@@ -32,22 +32,22 @@
 	first.stop()
 	c.waitFor("calls to both", func() bool { return second.callCount() > 8 && third.callCount() > 8 })
 	if c.names() != "[a b]" || c.Status().Version != newer.head() {
-		t.Errorf("it has %s at %+v", c.names(), c.Status())
+		t.Errorf("reader has entries %s, status %+v, want [a b] at the killed source's version", c.names(), c.Status())
 	}
 	if c.Counters().Unusable < 16 {
-		t.Errorf("%+v", c.Counters())
+		t.Errorf("counters %+v, want 16 or more unusable answers", c.Counters())
 	}
 	late.put("b", "in_service")
 	late.put("c", "in_service")
 	c.waitForVersion(late.head())
 	if c.names() != "[a b c]" {
-		t.Errorf("it has %s", c.names())
+		t.Errorf("reader has entries %s, want [a b c]", c.names())
 	}
 	c.checkNeverWentBack()
 }
 
-// The source in use begins to give answers that no source gives by the protocol. Nothing of them is applied, and the
-// reader goes to another source and hears of the next drain there.
+// The current source starts to send answers that break the protocol. The reader applies no part of them, fails over to
+// another source, and receives the next drain from there.
 func TestInvalidAnswersAreNotApplied(t *testing.T) {
 	t.Parallel()
 	entry := func(name string, version int) string {
@@ -80,7 +80,8 @@
 			c.waitFor("the far source", func() bool { return c.Status().Source == far.address })
 			if c.statusOf("a") != "in_service" || c.names() != "[a b]" ||
 				c.Status().Version != l.head() || !c.Status().Complete {
-				t.Errorf("it has %s, a is %s, at %+v", c.names(), c.statusOf("a"), c.Status())
+				t.Errorf("reader has entries %s, a is %s, status %+v, want the local copy unchanged",
+					c.names(), c.statusOf("a"), c.Status())
 			}
 			l.put("a", "terminating")
 			c.waitFor("the drain", func() bool { return c.statusOf("a") == "terminating" })
@@ -89,8 +90,8 @@
 	}
 }
 
-// A source fails in the midst of a snapshot. The slices that came count at once, and no entry counts as removed for
-// want of the others. That follows from the last slice of a later source's snapshot.
+// A source fails in the middle of a snapshot. The reader has applied each slice when it was received, and removes no
+// entry because it is missing from these slices. It removes entries with the last slice of a later source's snapshot.
 func TestInterruptedSnapshotRemovesNothing(t *testing.T) {
 	t.Parallel()
 	var names []string
@@ -115,16 +116,16 @@
 		KnownNames: []string{"n39", "n01", "removed"}, SilenceTolerance: silenceTolerance})
 	c.waitFor("calls to both", func() bool { return zone.callCount() > 1 && far.callCount() > 0 })
 	if c.statusOf("n01") != "in_service" || c.statusOf("removed") != "known" || c.Status().Complete {
-		t.Errorf("interrupted: it has %s", c.names())
+		t.Errorf("interrupted snapshot: reader has entries %s", c.names())
 	}
 	far.set(func(s *fakeSource) { s.silent = false })
 	c.waitForVersion(l.head())
 	if n := c.Counters().Versions; n < 4 {
-		t.Errorf("complete after %d slices", n)
+		t.Errorf("snapshots completed after %d slices, want 4 or more", n)
 	}
 	if c.statusOf("n00") != "terminating" || c.statusOf("n38") != "in_service" ||
 		c.statusOf("removed")+c.statusOf("n39") != "" {
-		t.Errorf("complete: it has %s", c.names())
+		t.Errorf("completed snapshot: reader has entries %s", c.names())
 	}
 	c.checkNeverWentBack()
 }
