--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -16,37 +16,37 @@
 )
 
 const (
-	// batchInterval is for how long changes are collected from the first one on: those with one cause go out in one
-	// slice.
+	// batchInterval is how long changes are collected after the first change of a batch, so that changes with one cause
+	// reach readers in one slice.
 	batchInterval = 30 * time.Millisecond
-	// maxDiscoveryBody is the size limit of an answer of the discovery service, in bytes.
+	// maxDiscoveryBody is the size limit of the body of a discovery answer, in bytes.
 	maxDiscoveryBody = 4 << 20
 )
 
-// Authority publishes versions of its own: of an endpoint list from the discovery service or a file, and of settings
-// from a file. Its fields are set before the first call of Load or Run.
+// Authority publishes its own versions of two resources: the endpoint list, from the discovery service or a file, and
+// the settings, from a file. Its fields must be set before the first call of Load or Run.
 type Authority struct {
-	// Endpoints is the resource that the endpoint list is published in.
+	// Endpoints is the resource in which the endpoint list is published.
 	Endpoints *Resource
-	// Settings is the resource that the settings are published in.
+	// Settings is the resource in which the settings are published.
 	Settings *Resource
-	// Discovery is the address of the discovery service; empty where the list does not come from one.
+	// Discovery is the address of the discovery service. It is empty if the list does not come from discovery.
 	Discovery string
-	// EndpointsFile is a file with a complete endpoint list in discovery's form; empty where the list does not come
-	// from one.
+	// EndpointsFile is the path of a file with a complete endpoint list in the form of discovery's answers. It is empty
+	// if the list does not come from a file.
 	EndpointsFile string
-	// SettingsFile is a file with the settings as one JSON object; empty for none.
+	// SettingsFile is the path of a file with the settings as one JSON object. It is empty if there are no settings.
 	SettingsFile string
-	// CheckSettings checks settings that are to be published.
+	// CheckSettings checks settings before they are published.
 	CheckSettings SettingsCheck
 
-	settings json.RawMessage // the settings that were published last; nil before
+	settings json.RawMessage // the settings published last; nil before the first publication
 }
 
-// Load reads the files and publishes what they change. It is called at the start and whenever they are to be read
-// again, by one goroutine at a time. Both files are read and checked before either is published. The errors are those
-// of reading and checking, with the file's path; then nothing has changed. Where the log rejects a publication its
-// error comes back with the file's path, and an endpoint list that was published before stays.
+// Load reads the files and publishes their changes. It is called at the start and for each reload, by one goroutine at
+// a time. It reads and checks both files before it publishes either: if reading or checking fails, nothing has changed.
+// If the log rejects a publication, an endpoint list that the same call has published stays published. The errors
+// contain the file's path.
 func (a *Authority) Load() error {
 	endpoints, err := a.readEndpoints()
 	if err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// publishEndpoints publishes the complete list of EndpointsFile.
+// publishEndpoints publishes the complete endpoint list that was read from EndpointsFile.
 func (a *Authority) publishEndpoints(list []versionlog.Change) error {
 	a.Endpoints.SetStaleness(neverStale)
 	published, err := a.Endpoints.Replace(list)
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// publishSettings publishes settings, and logs what they change.
+// publishSettings publishes settings and logs what they change.
 func (a *Authority) publishSettings(settings json.RawMessage, changes []string) error {
 	a.Settings.SetStaleness(neverStale)
 	published, err := a.Settings.Publish([]versionlog.Change{settingsChange(settings)})
@@ -93,11 +93,10 @@
 	return nil
 }
 
-// neverStale is the staleness of what comes from a file: nothing newer exists.
+// neverStale is the staleness function of a resource that is published from a file: no newer version exists.
 func neverStale() time.Duration { return 0 }
 
-// Run follows the discovery service and publishes what it changes, until ctx ends. It returns at once where the list
-// does not come from there.
+// Run follows the discovery service and publishes its changes until ctx ends. It returns at once if Discovery is empty.
 func (a *Authority) Run(ctx context.Context) {
 	if a.Discovery == "" {
 		return
@@ -118,10 +117,10 @@
 	a.publishBatches(ctx, changes)
 }
 
-// publishBatches publishes the changes that come in, batchInterval after the first of each batch, until ctx ends; a
-// batch that is not due then is dropped. Changes that the log rejects are left out of their batch. The line "version
-// published" follows each batch of which any change was valid, also one that changed nothing: its changes are 0 then,
-// and its version is the one before.
+// publishBatches publishes incoming changes in batches, each of them batchInterval after its first change, until ctx
+// ends. A batch that is not due by then is dropped. Changes that the log rejects are left out of their batch. The line
+// "version published" is logged for each batch with at least one valid change, even if the batch changes nothing: then
+// its count of changes is 0, and its version is the previous one.
 func (a *Authority) publishBatches(ctx context.Context, incoming <-chan []versionlog.Change) {
 	var batch []versionlog.Change
 	var due <-chan time.Time
@@ -140,9 +139,9 @@
 	}
 }
 
-// publishBatch publishes the changes of a batch that the log takes. The log takes a batch as a whole or not at all, so
-// one with a change that is not valid is published change by change: the others are not to wait for discovery to send
-// them again, for a drain may be among them.
+// publishBatch publishes the valid changes of a batch. The log accepts a batch as a whole or not at all, so a batch
+// with an invalid change is published change by change. Otherwise the valid changes, which may include a drain, would
+// wait until discovery sends them again.
 func (a *Authority) publishBatch(batch []versionlog.Change) {
 	published, err := a.Endpoints.Publish(batch)
 	if err == nil {
@@ -164,7 +163,7 @@
 	}
 }
 
-// changesOf returns the changes that an update of the discovery service makes.
+// changesOf returns the changes in an update from the discovery service.
 func changesOf(update distribution.Update) (changes []versionlog.Change) {
 	for _, entry := range update.Entries {
 		changes = append(changes, changeOf(entry))
@@ -175,7 +174,7 @@
 	return changes
 }
 
-// changeOf returns the change that brings an entry about.
+// changeOf returns the change that publishes an entry's state.
 func changeOf(entry versionlog.Entry) versionlog.Change {
 	if entry.Removed {
 		return versionlog.Change{Name: entry.Name, Removed: true}
@@ -183,7 +182,7 @@
 	return versionlog.Change{Name: entry.Name, Object: compactJSON(entry.Body)}
 }
 
-// compactJSON returns valid JSON without the space between its parts.
+// compactJSON returns JSON without insignificant white space. It returns data that is not valid JSON unchanged.
 func compactJSON(data []byte) []byte {
 	var buffer bytes.Buffer
 	if err := json.Compact(&buffer, data); err != nil {
@@ -192,7 +191,7 @@
 	return buffer.Bytes()
 }
 
-// logPublished logs how many changes of a resource were published, and the version that it has now.
+// logPublished logs the number of published changes of a resource, and the resource's version after them.
 func logPublished(path distribution.Path, resource *Resource, changes int) {
 	head := resource.Head()
 	slog.Info("version published", logmsg.KeyResource, path.ResourceName(), "changes", changes, "epoch", head.Epoch,
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -12,18 +12,18 @@
 	"harepass/internal/http1"
 )
 
-// maxReaderWait is how long a reader may wait for a new version at most; discovery has the same limit.
+// maxReaderWait bounds how long a reader's call may wait for a new version. Discovery has the same limit.
 const maxReaderWait = time.Minute
 
-// parameterError is the error of a query parameter that is no number, or a negative one. Its text is the answer's body.
+// parameterError reports a query parameter that is not an integer of at least 0. Its text is the body of the answer.
 type parameterError struct{ name, value string }
 
 func (e parameterError) Error() string {
 	return fmt.Sprintf("%s=%.40q is no number of at least 0", e.name, e.value)
 }
 
-// parseCall returns where the reader is and how long it may wait for a new version. Parameters that are missing count
-// as 0; the error is a parameterError.
+// parseCall returns the reader's cursor and how long the call may wait for a new version. Missing parameters count as
+// 0. The error is a parameterError.
 func parseCall(query url.Values) (from versionlog.Cursor, maxWait time.Duration, err error) {
 	var milliseconds int64
 	for _, parameter := range []struct {
@@ -44,8 +44,8 @@
 	return from, time.Duration(min(milliseconds, maxReaderWait.Milliseconds())) * time.Millisecond, nil
 }
 
-// answer returns a reply as an HTTP answer. The header gives the staleness in whole seconds, as HTTP has it, and in
-// milliseconds.
+// answer returns a reply as an HTTP answer. Its headers state the staleness in whole seconds (Age, as HTTP defines it)
+// and in milliseconds.
 func answer(reply Reply) *http1.Message {
 	switch reply.Rejection {
 	case Empty, Busy:
@@ -59,7 +59,7 @@
 	return m
 }
 
-// unavailableAnswer returns the answer to a reader that is to come back.
+// unavailableAnswer returns an answer that tells the reader to call again after retryAfter.
 func unavailableAnswer(retryAfter time.Duration) *http1.Message {
 	m := plainAnswer(http1.StatusServiceUnavailable, "not now")
 	m.Header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/internal/relay/counting_conn.go
+++ b/internal/relay/counting_conn.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// countingListener counts the bytes of all its connections in a server's totals.
+// countingListener adds the bytes of all connections that it accepts to a server's totals.
 type countingListener struct {
 	net.Listener
 	server *Server
@@ -20,7 +20,8 @@
 	return conn, nil
 }
 
-// countingConn embeds the TCP connection itself: the HTTP server closes its two sides apart, and looks at its socket.
+// countingConn adds the bytes of a connection to a server's totals. It embeds *net.TCPConn instead of net.Conn because
+// the HTTP server closes the connection's two directions separately and inspects its socket.
 type countingConn struct {
 	*net.TCPConn
 	server *Server
--- a/internal/relay/endpoint_list.go
+++ b/internal/relay/endpoint_list.go
@@ -11,28 +11,28 @@
 	"harepass/internal/platform"
 )
 
-// The errors of endpoint lists that an authority does not publish.
+// Errors for invalid endpoint lists, which an authority does not publish.
 var (
-	// ErrEmptyList is the error of a complete endpoint list without entries.
-	ErrEmptyList = errors.New("relay: the endpoint list is empty")
-	// ErrDuplicateEndpoint is wrapped where a complete list has two entries of one name.
+	// ErrEmptyList is the error for a complete endpoint list without entries.
+	ErrEmptyList = errors.New("relay: the endpoint list is empty, list at least one endpoint")
+	// ErrDuplicateEndpoint is wrapped by the error for a complete list with two entries of the same name.
 	ErrDuplicateEndpoint = errors.New("relay: the endpoint is listed twice")
-	// ErrTerminatedEndpoint is wrapped where a complete list has an entry that says that it is removed.
-	ErrTerminatedEndpoint = errors.New("relay: a complete list does not hold terminated endpoints")
-	// ErrVersionedEndpoint is wrapped where an entry has a version before its publication.
-	ErrVersionedEndpoint = errors.New("relay: the endpoint has a version, which only an authority gives")
-	// ErrInvalidGroup is wrapped where an entry's ring position is negative.
+	// ErrTerminatedEndpoint is wrapped by the error for a complete list with an entry that is marked as removed.
+	ErrTerminatedEndpoint = errors.New("relay: the endpoint is terminated, omit it from a complete list")
+	// ErrVersionedEndpoint is wrapped by the error for an entry that has a version before it is published.
+	ErrVersionedEndpoint = errors.New("relay: the endpoint has a version, which only an authority assigns")
+	// ErrInvalidGroup is wrapped by the error for an entry with a negative ring position.
 	ErrInvalidGroup = errors.New("relay: the endpoint's group is negative")
 )
 
-// endpointObject is what is checked of an endpoint's entry.
+// endpointObject is the part of an endpoint's entry that is checked.
 type endpointObject struct {
 	platform.Endpoint
 	Version *json.RawMessage `json:"version"`
 }
 
-// readEndpoints reads the endpoint list's file, if there is one. The errors have the file's path, and wrap those of
-// checkCompleteList.
+// readEndpoints reads and checks the endpoint list's file, if one is configured. The errors contain the file's path and
+// wrap those of checkCompleteList.
 func (a *Authority) readEndpoints() ([]versionlog.Change, error) {
 	if a.EndpointsFile == "" {
 		return nil, nil
@@ -55,8 +55,8 @@
 	return list, nil
 }
 
-// checkCompleteList reports what is wrong with a list that replaces all entries. The errors wrap ErrEmptyList,
-// ErrDuplicateEndpoint, ErrTerminatedEndpoint, or those of checkEndpoints.
+// checkCompleteList checks a list that replaces all entries. The errors are ErrEmptyList, wrap ErrDuplicateEndpoint or
+// ErrTerminatedEndpoint, or are those of checkEndpoints.
 func checkCompleteList(entries []versionlog.Entry) error {
 	if len(entries) == 0 {
 		return ErrEmptyList
@@ -73,8 +73,8 @@
 	return checkEndpoints(entries)
 }
 
-// checkEndpoints reports what is wrong with entries of an endpoint list. The errors name the entry, and wrap
-// versionlog.ErrTooLarge, ErrVersionedEndpoint, ErrInvalidGroup, or those of reading the entry and its address.
+// checkEndpoints checks entries of an endpoint list. The errors name the entry. They wrap versionlog.ErrTooLarge,
+// ErrVersionedEndpoint, ErrInvalidGroup, or an error of parsing the entry or its address.
 func checkEndpoints(entries []versionlog.Entry) error {
 	for _, entry := range entries {
 		if err := checkEndpoint(entry); err != nil {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// checkSize reports an object that no answer could hold. The error wraps versionlog.ErrTooLarge.
+// checkSize returns an error if an object is too large for an answer. The error wraps versionlog.ErrTooLarge.
 func checkSize(object []byte) error {
 	if len(object) > versionlog.MaxObjectBytes {
 		return fmt.Errorf("%w: %d bytes, at most %d fit into an answer", versionlog.ErrTooLarge, len(object),
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -8,35 +8,36 @@
 	"harepass/internal/decide/versionlog"
 )
 
-// Readers of a resource that has nothing yet are told to come back after emptyRetryAfter, and up to half as much more
-// for each at random, so that they do not come at once. Readers over the server's limit get emptyRetryAfter alone.
+// emptyRetryAfter is the wait after which readers of a resource without a version may call again. Each of them gets a
+// random extra wait of up to half as much, so that they do not all call at the same time. Readers over the server's
+// limit get emptyRetryAfter without the extra wait.
 const emptyRetryAfter = 400 * time.Millisecond
 
-// Rejection says why a reader gets no slice.
+// Rejection is the reason why a reader gets no slice.
 type Rejection int
 
-// The rejections.
+// Reasons of rejections.
 const (
 	NotRejected Rejection = iota // the reader gets a slice
-	Empty                        // the resource has nothing yet
-	Busy                         // the budget for snapshots is spent
+	Empty                        // the resource has no version yet
+	Busy                         // the snapshot budget is spent
 	Behind                       // the reader knows of newer versions than the resource
 )
 
-// Reply is what a reader gets.
+// Reply is the result of a reader's call.
 type Reply struct {
-	// Rejection says why there is no slice; NotRejected where there is one.
+	// Rejection is the reason why there is no slice; NotRejected if there is one.
 	Rejection Rejection
-	// RetryAfter is when the reader is to come back after Empty or Busy.
+	// RetryAfter is how long the reader should wait before it calls again, after Empty or Busy.
 	RetryAfter time.Duration
-	// Body is the slice as JSON. Readers share it: it must not be changed.
+	// Body is the slice as JSON. Readers share it, so it must not be modified.
 	Body []byte
-	// Staleness is how long ago the resource was known to be the authority's newest version.
+	// Staleness is the time since the resource was last known to be the authority's newest version.
 	Staleness time.Duration
 }
 
-// Read answers a reader that has what its cursor says: at once where the resource has a newer version, else when
-// there is one. Without one it answers when maxWait is over, clientLeft is closed or ctx has ended.
+// Read answers a reader's call. It returns at once if the call is rejected or the reader lacks something that the
+// resource has. Otherwise it waits for a new version, until maxWait is over, clientLeft is closed or ctx has ended.
 func (r *Resource) Read(ctx context.Context, clientLeft <-chan struct{}, from versionlog.Cursor,
 	maxWait time.Duration) Reply {
 	timer := time.NewTimer(maxWait)
@@ -59,8 +60,8 @@
 	}
 }
 
-// replyOrWait returns the reader's reply, or what it is to wait for: a channel that is closed at the next version. It
-// may not wait where last is set. first is set once for each call.
+// replyOrWait returns the reader's reply, or a channel to wait for, which is closed at the next change. It always
+// returns a reply if last is set. first marks the first attempt of a call, so that each call is counted once.
 func (r *Resource) replyOrWait(from versionlog.Cursor, first, last bool) (Reply, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,15 +86,15 @@
 	return r.reply(from), nil
 }
 
-// endWait counts a reader out that replyOrWait had wait.
+// endWait ends the wait of a reader that replyOrWait has counted as waiting.
 func (r *Resource) endWait() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.waiting--
 }
 
-// admit reports whether a reader may have its next slice now, and else when to come back. A reader that begins a
-// snapshot needs the budget for all of it. It is called under the lock.
+// admit reports whether a reader may get its next slice now; if not, it returns how long to wait before the next call.
+// A reader that begins a snapshot needs budget for the whole snapshot. The caller must hold the lock.
 func (r *Resource) admit(from versionlog.Cursor) (retryAfter time.Duration, admitted bool) {
 	if !r.log.NeedsSnapshot(from) {
 		return 0, true
@@ -108,7 +109,8 @@
 	return 0, true
 }
 
-// reply returns the reader's next slice; one without entries is a heartbeat. It is called under the lock.
+// reply returns a reply with the reader's next slice. A slice without entries is a heartbeat. The caller must hold the
+// lock.
 func (r *Resource) reply(from versionlog.Cursor) Reply {
 	slice, cached := r.cache.slice(r.log, from)
 	if !cached {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -12,7 +12,7 @@
 	"harepass/internal/http1"
 )
 
-// The paths that a Server answers.
+// The URL paths that a Server serves.
 const (
 	EndpointsPath = string(distribution.Endpoints)
 	SettingsPath  = string(distribution.Settings)
@@ -24,31 +24,31 @@
 	maxRequestHead = 4 << 10
 	// maxRequestBody is the size limit of a call's body, in bytes.
 	maxRequestBody = 1 << 10
-	// extraConns is how many connections there may be beyond the limit of readers: for those that are rejected with an
-	// answer, and for the status.
+	// extraConns is how many connections are allowed beyond the limit of readers. They serve readers that are rejected
+	// with an answer, and status calls.
 	extraConns = 16
 )
 
-// Server answers the readers of two resources. Use NewServer.
+// Server answers the readers of two resources over HTTP. Create it with NewServer.
 type Server struct {
-	// Endpoints is the resource of EndpointsPath.
+	// Endpoints is the resource that is served at EndpointsPath.
 	Endpoints *Resource
-	// Settings is the resource of SettingsPath.
+	// Settings is the resource that is served at SettingsPath.
 	Settings *Resource
 
 	maxReaders int64
 	startedAt  time.Time
 	server     *http1.Server
-	watches    context.Context    // ends with Shutdown: the readers that wait are answered then
+	watches    context.Context    // ends at Shutdown; waiting readers are answered then
 	endWatches context.CancelFunc // ends watches
 
-	readers         atomic.Int64 // calls that are open now
-	rejectedReaders atomic.Int64 // calls over the limit of readers
-	bytesIn         atomic.Int64 // on all connections, headers included
-	bytesOut        atomic.Int64 // on all connections, headers included
+	readers         atomic.Int64 // open calls
+	rejectedReaders atomic.Int64 // calls rejected because the limit of readers was reached
+	bytesIn         atomic.Int64 // bytes on all connections, including headers
+	bytesOut        atomic.Int64 // bytes on all connections, including headers
 }
 
-// NewServer returns a server for at most so many open calls.
+// NewServer returns a server that admits at most maxReaders open calls for its resources.
 func NewServer(endpoints, settings *Resource, maxReaders int) *Server {
 	s := &Server{Endpoints: endpoints, Settings: settings, maxReaders: int64(maxReaders), startedAt: time.Now()}
 	s.watches, s.endWatches = context.WithCancel(context.Background())
@@ -57,20 +57,21 @@
 	return s
 }
 
-// Serve accepts readers until the listener is closed, and returns nil or the error of closing it. It is called once.
+// Serve accepts readers until the listener is closed, and returns nil or the error of closing it. It must be called
+// only once.
 func (s *Server) Serve(listener net.Listener) error {
 	return s.server.Serve(countingListener{listener, s})
 }
 
-// Shutdown answers the open calls and closes all connections. The listener has to be closed before, and
-// Serve to have returned: see http1.Server.Shutdown.
+// Shutdown answers the open calls and closes all connections. Before Shutdown is called, the listener must be closed
+// and Serve must have returned: see http1.Server.Shutdown.
 func (s *Server) Shutdown() {
 	s.server.Drain()
 	s.endWatches()
 	s.server.Shutdown()
 }
 
-// handle answers a call. clientLeft is closed when the client leaves before its answer.
+// handle answers a call. clientLeft is closed if the client disconnects before it is answered.
 func (s *Server) handle(request *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 	target, err := url.ParseRequestURI(request.Target)
 	if err != nil {
--- a/internal/relay/settings.go
+++ b/internal/relay/settings.go
@@ -8,15 +8,15 @@
 	"harepass/internal/decide/versionlog"
 )
 
-// settingsName is the name of the one entry that holds the settings.
+// settingsName is the name of the only entry of the settings resource. The entry contains all settings.
 const settingsName = "settings"
 
-// SettingsCheck reports what is wrong with settings that are to replace others, or lists what they change. old is nil
-// at the start.
+// SettingsCheck checks settings before they replace the old ones. It returns an error if next is invalid, and otherwise
+// lists what changes. old is nil before the first publication.
 type SettingsCheck func(old, next json.RawMessage) (changes []string, err error)
 
-// readSettings reads the settings' file, if there is one, and lists what it changes. The errors have the file's path,
-// and wrap those of CheckSettings, or versionlog.ErrTooLarge.
+// readSettings reads and checks the settings' file, if one is configured, and lists what changes. The errors contain
+// the file's path and wrap those of CheckSettings or versionlog.ErrTooLarge.
 func (a *Authority) readSettings() (settings json.RawMessage, changes []string, err error) {
 	if a.SettingsFile == "" {
 		return nil, nil, nil
@@ -35,7 +35,7 @@
 	return settings, changes, nil
 }
 
-// settingsChange returns the change that publishes settings.
+// settingsChange returns the change that publishes the settings as one entry.
 func settingsChange(settings json.RawMessage) versionlog.Change {
 	object := fmt.Appendf(nil, `{"name":%q,"status":"in_service","settings":%s}`, settingsName, settings)
 	return versionlog.Change{Name: settingsName, Object: object}
--- a/internal/relay/snapshot_budget.go
+++ b/internal/relay/snapshot_budget.go
@@ -8,10 +8,10 @@
 	"harepass/internal/decide/ratelimit"
 )
 
-// SnapshotBudget bounds the snapshots that all resources of a process give out, in bytes a second. Use
-// NewSnapshotBudget. It is for any goroutine.
+// SnapshotBudget limits the rate of snapshots, in bytes per second, over all resources of a process. Create it with
+// NewSnapshotBudget. Any goroutine may use it.
 type SnapshotBudget struct {
-	startedAt time.Time // zero of the budget's clock
+	startedAt time.Time // origin of the budget's clock
 
 	mu    sync.Mutex
 	bytes *ratelimit.TokenBucket
@@ -22,8 +22,9 @@
 	return &SnapshotBudget{startedAt: time.Now(), bytes: ratelimit.NewTokenBucket(bytesPerSecond, 0)}
 }
 
-// admit reports whether a snapshot of so many bytes may begin now, and else when its reader is to come back. One that
-// fits into a single answer is always admitted: to have its reader come back would cost more calls than it saves.
+// admit reports whether a snapshot of a size in bytes may begin now; if not, it returns how long the reader should wait
+// before it calls again. A snapshot that fits into a single answer is always admitted, because rejecting it would cost
+// more calls than it saves.
 func (b *SnapshotBudget) admit(bytes int) (retryAfter time.Duration, admitted bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -9,11 +9,11 @@
 	"harepass/internal/logmsg"
 )
 
-// restartBackoff is the wait before a relay begins anew with a snapshot of its sources.
+// restartBackoff is the wait before a relay starts over with a snapshot from one of its sources.
 const restartBackoff = 500 * time.Millisecond
 
-// Follow keeps the resource at the newest version of the sources in config until ctx ends. It sets Apply and
-// ConfirmedAt of config itself.
+// Follow keeps the resource at the newest version of the sources in config until ctx ends. It sets config's Apply and
+// ConfirmedAt.
 func (r *Resource) Follow(ctx context.Context, config distribution.Config) {
 	for ctx.Err() == nil {
 		r.followOnce(ctx, config)
@@ -24,8 +24,8 @@
 	}
 }
 
-// followOnce follows the sources until ctx ends, or the log rejects an answer. The follower's copy and the log disagree
-// then, and only a new follower asks for a snapshot.
+// followOnce follows the sources until ctx ends or the log rejects an answer. After a rejection the Follower's state
+// differs from the log, and only a new Follower asks for a snapshot.
 func (r *Resource) followOnce(ctx context.Context, config distribution.Config) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
