--- a/internal/relay/authority_test.go
+++ b/internal/relay/authority_test.go
@@ -17,14 +17,14 @@
 	"harepass/internal/test/fake"
 )
 
-// errBadSettings is the error of the settings' check.
+// errBadSettings is the error of the test authority's CheckSettings.
 var errBadSettings = errors.New("bad settings")
 
-// newFileAuthority returns an authority with files, and its server; write writes the files. Settings with the word
-// bad in them do not pass the check.
+// newFileAuthority returns an authority that reads files, and its server. write writes the files. Settings that contain
+// the word bad fail the check.
 func newFileAuthority(t *testing.T) (a *Authority, server *Server, address string, write func(list, settings string)) {
 	dir := t.TempDir()
-	server = newAuthorityServer(5, wideBudget)
+	server = newAuthorityServer(5, ampleBudget)
 	address, _ = start(t, server)
 	a = &Authority{Endpoints: server.Endpoints, Settings: server.Settings,
 		EndpointsFile: filepath.Join(dir, "endpoints.json"), SettingsFile: filepath.Join(dir, "settings.json"),
@@ -43,7 +43,8 @@
 	}
 }
 
-// The contents of an authority's files. The first list has two endpoints; the second drains one and lacks the other.
+// Contents of an authority's files. The first list has two endpoints. The second one drains the first endpoint and
+// omits the other.
 const (
 	twoEndpoints = `{"endpoints":[ {"name":"a","address":"127.0.0.1:1","status":"in_service", "weight":1.0},
 		{"name":"b","address":"127.0.0.1:2","status":"in_service"} ]}`
@@ -52,7 +53,7 @@
 	secondSettings = `{"x":2}`
 )
 
-// faultyFiles are contents that are not published, with the error that says why; nil for any.
+// faultyFiles are file contents that Load rejects, each with the error that Load returns; nil stands for any error.
 var faultyFiles = map[string]struct {
 	list, settings string
 	err            error
@@ -70,15 +71,15 @@
 	"duplicate":       {strings.Replace(twoEndpoints, `"b"`, `"a"`, 1), secondSettings, ErrDuplicateEndpoint},
 }
 
-// draining returns oneDraining with one part replaced.
+// draining returns oneDraining with the first occurrence of part replaced.
 func draining(part, by string) string { return strings.Replace(oneDraining, part, by, 1) }
 
-// An operator edits the authority's files and has them read again. Both are published, or neither where one of them is
-// faulty. Files without a change publish no version, and an endpoint that has left its file is removed.
+// An operator edits the authority's files, and the authority reloads them. It publishes both files, or neither if one
+// is faulty. Unchanged files publish no new version, and an endpoint that is no longer in its file is removed.
 func TestFilesArePublishedTogetherOrNotAtAll(t *testing.T) {
 	a, server, address, write := newFileAuthority(t)
 	if err := a.Load(); err == nil {
-		t.Error("files that are missing were published")
+		t.Error("Load of missing files returned no error")
 	}
 	write(twoEndpoints, firstSettings)
 	for range 2 {
@@ -86,16 +87,16 @@
 			t.Fatal(err)
 		}
 		if list, settings := server.Endpoints.Head().Index, server.Settings.Head().Index; list != 2 || settings != 1 {
-			t.Errorf("the list is at %d, the settings are at %d", list, settings)
+			t.Errorf("list is at index %d, settings are at index %d, want 2 and 1", list, settings)
 		}
 	}
 	for what, c := range faultyFiles {
 		write(c.list, c.settings)
 		if err := a.Load(); err == nil || c.err != nil && !errors.Is(err, c.err) {
-			t.Errorf("%s: error %v, want %v", what, err, c.err)
+			t.Errorf("%s: Load returned error %v, want %v", what, err, c.err)
 		}
 		if list, settings := server.Endpoints.Head().Index, server.Settings.Head().Index; list != 2 || settings != 1 {
-			t.Fatalf("%s: the list is at %d, the settings are at %d", what, list, settings)
+			t.Fatalf("%s: list is at index %d, settings are at index %d, want 2 and 1", what, list, settings)
 		}
 	}
 	write(oneDraining, secondSettings)
@@ -105,20 +106,20 @@
 	r := newReader(t, address)
 	r.readAll(t)
 	if len(r.live) != 1 || !strings.Contains(r.live["a"], "terminating") {
-		t.Errorf("the list is %v", r.live)
+		t.Errorf("reader has list %v, want only a, terminating", r.live)
 	}
 	r = newReader(t, address)
 	r.path = SettingsPath
 	r.readAll(t)
 	if want := `{"version":2,"name":"settings","status":"in_service","settings":{"x":2}}`; r.live["settings"] != want {
-		t.Errorf("the settings are %v", r.live)
+		t.Errorf("reader has settings %v, want x to be 2", r.live)
 	}
 }
 
-// An authority follows the discovery service. Its list has all keys of the service's entries, and changes that are
-// made one by one within a moment reach a reader in few slices.
+// An authority follows the discovery service. Its list keeps all keys of the service's entries. Changes that the
+// service makes one by one in quick succession reach a reader in few slices.
 func TestDiscoveryListIsPublishedInBatches(t *testing.T) {
-	const list = 300
+	const entries = 300
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -128,11 +129,11 @@
 	put := func(i int, status string) {
 		registry.Put(fake.Endpoint{Name: fmt.Sprintf("endpoint-%05d", i), Type: "m2", Group: i, Status: status, Weight: 1})
 	}
-	for i := range list {
+	for i := range entries {
 		put(i, "in_service")
 	}
 	go registry.Serve(listener, func(string) string { return "127.0.0.1:9" }, func(fake.EndpointList) {})
-	server := newAuthorityServer(5, wideBudget)
+	server := newAuthorityServer(5, ampleBudget)
 	address, _ := start(t, server)
 	a := &Authority{Endpoints: server.Endpoints, Settings: server.Settings, Discovery: listener.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -140,31 +141,31 @@
 	running.Go(func() { a.Run(ctx) })
 	defer running.Wait()
 	defer cancel()
-	waitFor(t, "the list has not come", func() bool { return server.Endpoints.Head().Index == list })
+	waitFor(t, "the authority's list is not complete", func() bool { return server.Endpoints.Head().Index == entries })
 	r := newReader(t, address)
 	r.readAll(t)
-	if len(r.live) != list || !strings.Contains(r.live["endpoint-00001"], `"type":"m2"`) {
-		t.Fatalf("%d entries, one is %s", len(r.live), r.live["endpoint-00001"])
+	if len(r.live) != entries || !strings.Contains(r.live["endpoint-00001"], `"type":"m2"`) {
+		t.Fatalf("reader has %d entries, endpoint-00001 is %s", len(r.live), r.live["endpoint-00001"])
 	}
 	r.slices = 0
-	for i := range list {
+	for i := range entries {
 		put(i, "terminating")
 	}
 	put(0, "terminated")
-	for len(r.live) == list || strings.Contains(r.live[fmt.Sprintf("endpoint-%05d", list-1)], "in_service") {
+	for len(r.live) == entries || strings.Contains(r.live[fmt.Sprintf("endpoint-%05d", entries-1)], "in_service") {
 		if status, err := r.call(longWait); status != 200 || err != nil {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("reader's call: status %d, error %v, want 200", status, err)
 		}
 	}
-	if r.slices > list/10 || len(r.live) != list-1 {
-		t.Errorf("%d slices, %d entries", r.slices, len(r.live))
+	if r.slices > entries/10 || len(r.live) != entries-1 {
+		t.Errorf("reader got %d slices and has %d entries", r.slices, len(r.live))
 	}
 }
 
-// Discovery announces a drain together with an endpoint whose entry is too long to be given out. The drain is published,
-// and only the other entry is not; before, both waited until discovery sent them again.
+// Discovery announces a drain together with an endpoint whose entry is too large for an answer. The drain is published,
+// and only the other entry is rejected. The fault: both waited until discovery sent them again.
 func TestDrainBesideRejectedEntryIsPublished(t *testing.T) {
-	server := newAuthorityServer(5, wideBudget)
+	server := newAuthorityServer(5, ampleBudget)
 	a := &Authority{Endpoints: server.Endpoints, Settings: server.Settings}
 	ctx, cancel := context.WithCancel(context.Background())
 	incoming, ended := make(chan []versionlog.Change), make(chan struct{})
@@ -182,6 +183,6 @@
 	cancel()
 	<-ended
 	if index := server.Endpoints.Head().Index; index != 1 {
-		t.Errorf("the list is at version %d, want 1: the drain alone", index)
+		t.Errorf("list is at index %d, want 1: only the drain is published", index)
 	}
 }
--- a/internal/relay/reader_test.go
+++ b/internal/relay/reader_test.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	longWait     = 20 * time.Second // no test waits for its end
-	wideBudget   = 1 << 30          // bytes a second: nobody is rejected
+	longWait     = 20 * time.Second // longer than any wait of a passing test
+	ampleBudget  = 1 << 30          // bytes per second; no reader is rejected
 	testReaders  = 400              // limit of open calls
-	testRemovals = 1000             // removals that a log remembers
+	testRemovals = 1000             // number of tombstones that a log remembers
 )
 
-// reader reads a resource over one connection, and keeps what it is given.
+// reader reads a resource over one connection, and keeps the entries that it receives.
 type reader struct {
 	client     http1.Client
 	path       string
 	cursor     versionlog.Cursor
 	live       map[string]string // the entries' bodies, by name
-	inSnapshot map[string]bool   // names in the snapshot that is coming in; nil outside of one
-	slices     int               // answers that had a slice
-	bytes      int               // size of their bodies
+	inSnapshot map[string]bool   // names in the snapshot that is being received; nil outside a snapshot
+	slices     int               // number of answers with a slice
+	bytes      int               // size of these answers' bodies
 }
 
 // newReader returns a reader of the endpoint list.
@@ -40,7 +40,7 @@
 	return r
 }
 
-// get sends one call.
+// get sends one call and returns its answer.
 func (r *reader) get(target string) (*http1.Message, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*longWait)
 	defer cancel()
@@ -49,7 +49,7 @@
 	return answer, err
 }
 
-// call makes the reader's next call, and applies its slice where that is answered with 200.
+// call sends the reader's next call. If the answer has status 200, call applies its slice.
 func (r *reader) call(maxWait time.Duration) (status int, err error) {
 	answer, err := r.get(fmt.Sprintf("%s?epoch=%d&from=%d&base=%d&head=%d&hold_ms=%d", r.path,
 		r.cursor.Epoch, r.cursor.Index, r.cursor.Base, r.cursor.NewestIndex, maxWait.Milliseconds()))
@@ -70,7 +70,7 @@
 	return 200, err
 }
 
-// apply takes a slice over.
+// apply applies a slice to the reader's entries and cursor.
 func (r *reader) apply(slice versionlog.Slice) {
 	r.slices++
 	if slice.Snapshot {
@@ -95,40 +95,40 @@
 	r.cursor = r.cursor.After(slice)
 }
 
-// readAll calls until the reader has all that the source has.
+// readAll calls until the reader has everything that the source has.
 func (r *reader) readAll(t *testing.T) {
 	t.Helper()
 	for more := true; more; more = !r.cursor.Complete() {
 		if status, err := r.call(0); status != 200 || err != nil {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("reader's call: status %d, error %v, want 200", status, err)
 		}
 	}
 }
 
-// checkList checks that the reader has exactly n entries, of a value.
+// checkList checks that the reader has exactly the n entries that endpointChanges(n, value) publishes.
 func (r *reader) checkList(t *testing.T, n, value int) {
 	t.Helper()
 	if len(r.live) != n {
-		t.Fatalf("%d entries, want %d", len(r.live), n)
+		t.Fatalf("reader has %d entries, want %d", len(r.live), n)
 	}
 	for i := range n {
 		name := fmt.Sprintf("endpoint-%05d", i)
 		var got struct{ Address string }
 		err := json.Unmarshal([]byte(r.live[name]), &got)
 		if err != nil || got.Address != fmt.Sprintf("127.0.0.1:%d", 10000+value) {
-			t.Fatalf("%s is %q, %v", name, r.live[name], err)
+			t.Fatalf("entry %s is %q, error %v", name, r.live[name], err)
 		}
 	}
 }
 
-// object returns an endpoint's entry of about the usual size; its port is 10000+value.
+// object returns an endpoint's JSON object of about the usual size. Its port is 10000+value.
 func object(name string, value int) []byte {
 	return fmt.Appendf(nil,
 		`{"name":%q,"address":"127.0.0.1:%d","zone":"zone-1","group":3,"status":"in_service","since_ms":%d}`,
 		name, 10000+value, 1790000000000+value)
 }
 
-// endpointChanges returns changes that give n entries a value.
+// endpointChanges returns changes that set n entries to objects with a value.
 func endpointChanges(n, value int) (changes []versionlog.Change) {
 	for i := range n {
 		name := fmt.Sprintf("endpoint-%05d", i)
@@ -137,13 +137,13 @@
 	return changes
 }
 
-// start runs a server on a loopback address until the test ends, or stop is called.
+// start runs a server on a loopback address until the test ends or stop is called.
 func start(t *testing.T, server *Server) (address string, stop func()) {
 	t.Helper()
 	return startAt(t, server, "127.0.0.1:0")
 }
 
-// startAt runs a server on an address until the test ends, or stop is called.
+// startAt runs a server on an address until the test ends or stop is called.
 func startAt(t *testing.T, server *Server, at string) (address string, stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", at)
@@ -157,8 +157,8 @@
 	return listener.Addr().String(), stop
 }
 
-// smallBuffers gives accepted connections small send buffers, so that a reader that does not read blocks the server
-// soon.
+// smallBuffers gives accepted connections small send buffers, so that a reader that does not read its answers soon
+// blocks the server's writes to it.
 type smallBuffers struct{ net.Listener }
 
 func (l smallBuffers) Accept() (net.Conn, error) {
@@ -169,18 +169,19 @@
 	return conn, err
 }
 
-// newAuthorityServer returns a server of two resources of an epoch; budget is for snapshots, in bytes a second.
+// newAuthorityServer returns a server of two resources with an authority's epoch. budget is the snapshot budget, in
+// bytes per second.
 func newAuthorityServer(epoch int64, budget int) *Server {
 	b := NewSnapshotBudget(budget)
 	return NewServer(newTestResource(epoch, b), newTestResource(epoch, b), testReaders)
 }
 
-// newTestResource returns a resource of an epoch; 0 for one that follows others.
+// newTestResource returns a resource with an epoch. Epoch 0 is for a resource that follows other relays.
 func newTestResource(epoch int64, budget *SnapshotBudget) *Resource {
 	return NewResource(versionlog.New(epoch, testRemovals), budget)
 }
 
-// mustPublish publishes changes in a resource.
+// mustPublish publishes changes in a resource and fails the test on an error.
 func mustPublish(t *testing.T, r *Resource, changes []versionlog.Change) {
 	t.Helper()
 	if _, err := r.Publish(changes); err != nil {
@@ -188,7 +189,7 @@
 	}
 }
 
-// waitFor waits until a condition holds that other goroutines bring about; failure says what did not happen.
+// waitFor waits until a condition holds that other goroutines bring about. failure is the message if it never does.
 func waitFor(t *testing.T, failure string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(longWait); !holds(); time.Sleep(time.Millisecond) {
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -13,23 +13,23 @@
 	"harepass/internal/http1"
 )
 
-// A call that cannot be answered with a slice is rejected with the status code that says why.
+// A call that cannot be answered with a slice is rejected, and the status code tells the reason.
 func TestRejectedCallsSayWhy(t *testing.T) {
-	server := newAuthorityServer(5, wideBudget)
+	server := newAuthorityServer(5, ampleBudget)
 	address, _ := start(t, server)
 	r := newReader(t, address)
 	answer, err := r.get(EndpointsPath)
 	if err != nil || answer.Status != 503 {
-		t.Fatalf("with nothing to give out: %+v, %v", answer, err)
+		t.Fatalf("call to a resource without a version: answer %+v, error %v, want status 503", answer, err)
 	}
 	if wait, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err != nil || wait <= 0 {
-		t.Errorf("Retry-After %q", answer.Header.Get("Retry-After"))
+		t.Errorf("Retry-After is %q, want a number above 0", answer.Header.Get("Retry-After"))
 	}
 	mustPublish(t, server.Endpoints, endpointChanges(10, 1))
 	for target, want := range map[string]int{
 		EndpointsPath: 200, SettingsPath: 503, StatusPath: 200, "/registry": 404, "/": 404,
 		EndpointsPath + "?epoch=5&from=10":                            200,
-		EndpointsPath + "?epoch=4&from=900":                           200, // a reader of an older epoch begins anew
+		EndpointsPath + "?epoch=4&from=900":                           200, // a reader of an old epoch gets a snapshot
 		EndpointsPath + "?epoch=5&from=11":                            409,
 		EndpointsPath + "?epoch=5&from=3&base=11":                     409,
 		EndpointsPath + "?epoch=5&from=10&head=11":                    409,
@@ -41,22 +41,22 @@
 		EndpointsPath + "?hold_ms=9223372036854775807&from=2&epoch=5": 200,
 	} {
 		if answer, err := r.get(target); err != nil || answer.Status != want {
-			t.Errorf("%s: %+v, %v, want %d", target, answer, err, want)
+			t.Errorf("GET %s: answer %+v, error %v, want status %d", target, answer, err, want)
 		}
 	}
 	post := &http1.Message{Method: "POST", Target: EndpointsPath, Header: textproto.MIMEHeader{"Host": {"relay"}}}
 	if answer, _, err := r.client.Do(context.Background(), post); err != nil || answer.Status != 405 {
-		t.Errorf("POST: %+v, %v", answer, err)
+		t.Errorf("POST: answer %+v, error %v, want status 405", answer, err)
 	}
 }
 
-// Five readers send calls and read no answer, until their connections take no more. Another reader gets each change as
-// before.
+// Five readers send calls and read no answers, until the server's writes to their connections block. Another reader
+// still gets each change.
 func TestBlockedReadersDelayNoOther(t *testing.T) {
-	const long, blocked, requests = 1000, 5, 8
-	server := newAuthorityServer(5, wideBudget)
+	const entries, blocked, requests = 1000, 5, 8
+	server := newAuthorityServer(5, ampleBudget)
 	address, _ := start(t, server)
-	mustPublish(t, server.Endpoints, endpointChanges(long, 1))
+	mustPublish(t, server.Endpoints, endpointChanges(entries, 1))
 	for range blocked {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -66,23 +66,23 @@
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		fmt.Fprint(c, strings.Repeat("GET "+EndpointsPath+" HTTP/1.1\r\nHost: relay\r\n\r\n", requests))
 	}
-	waitFor(t, "not all have called", func() bool { return server.Endpoints.Status().Calls >= blocked })
+	waitFor(t, "not all blocked readers have called", func() bool { return server.Endpoints.Status().Calls >= blocked })
 	r := newReader(t, address)
 	for value := 2; value < 6; value++ {
 		mustPublish(t, server.Endpoints, endpointChanges(368, value))
 		r.readAll(t)
 	}
-	if len(r.live) != long {
-		t.Errorf("%d entries, want %d", len(r.live), long)
+	if len(r.live) != entries {
+		t.Errorf("reader has %d entries, want %d", len(r.live), entries)
 	}
 	if sent := int(server.bytesOut.Load()) - r.bytes; sent > blocked*requests*maxBody/2 {
-		t.Errorf("the others were sent %d bytes: they were not blocked", sent)
+		t.Errorf("server sent %d bytes to the other readers, which were thus not blocked", sent)
 	}
 }
 
-// A server shuts down while a reader watches. The reader is answered at once, and its connection is closed after that.
+// A server shuts down while a reader watches. The server answers the reader at once, and then closes its connection.
 func TestShutdownAnswersWatches(t *testing.T) {
-	server := newAuthorityServer(5, wideBudget)
+	server := newAuthorityServer(5, ampleBudget)
 	address, stop := start(t, server)
 	mustPublish(t, server.Endpoints, endpointChanges(10, 1))
 	r := newReader(t, address)
@@ -95,17 +95,17 @@
 	waitFor(t, "no reader watches", func() bool { return server.Endpoints.Status().Waiting == 1 })
 	stop()
 	if err := <-done; err != nil {
-		t.Errorf("the watch ended with %v", err)
+		t.Errorf("watch ended with error %v", err)
 	}
 	if _, err := r.call(0); err == nil {
-		t.Error("the server answers after its end")
+		t.Error("server answers a call after its shutdown")
 	}
 }
 
-// With as many watches open as there may be, a further reader is rejected, and the others keep watching. It is admitted
-// once they have been answered.
+// While as many watches are open as the server admits, it rejects a further reader, and the others keep watching. It
+// admits that reader once the others have been answered.
 func TestLimitOfReaders(t *testing.T) {
-	budget := NewSnapshotBudget(wideBudget)
+	budget := NewSnapshotBudget(ampleBudget)
 	server := NewServer(newTestResource(5, budget), newTestResource(5, budget), 2)
 	address, _ := start(t, server)
 	mustPublish(t, server.Endpoints, endpointChanges(10, 1))
@@ -119,11 +119,11 @@
 	}
 	third := newReader(t, address)
 	if status, err := third.call(0); status != 503 || err != nil {
-		t.Errorf("the third reader has status %d, %v", status, err)
+		t.Errorf("third reader while two watch: status %d, error %v, want 503", status, err)
 	}
 	mustPublish(t, server.Endpoints, endpointChanges(10, 2))
 	watching.Wait()
 	if status, err := third.call(0); status != 200 || err != nil {
-		t.Errorf("the third reader, when the others have been answered: status %d, %v", status, err)
+		t.Errorf("third reader after the watches were answered: status %d, error %v, want 200", status, err)
 	}
 }
--- a/internal/relay/staleness_test.go
+++ b/internal/relay/staleness_test.go
@@ -16,35 +16,35 @@
 	quickStaleAfter = 2 * time.Second // longer than a busy machine delays a heartbeat
 )
 
-// twoRelays are two relays behind one authority. The authority's list is served at two addresses, so that the near
-// relay can be cut off from its source while the far one is not.
+// twoRelays are two relays that follow one authority. The authority's list is served at two addresses, so that the near
+// relay can be cut off from its source while the far relay is not.
 type twoRelays struct {
-	top         *Resource // the authority's list
-	nearTop     string    // the address that the near relay follows
-	cutNear     func()    // ends the service at nearTop
-	near, far   *Server
-	nearAddress string
-	farAddress  string
+	list           *Resource // the authority's list
+	nearSource     string    // the authority's address that the near relay follows
+	stopNearSource func()    // stops the server at nearSource
+	near, far      *Server
+	nearAddress    string
+	farAddress     string
 }
 
-// startTwoRelays starts two relays, and waits until both have the list.
+// startTwoRelays starts an authority and two relays, and waits until both relays have the list.
 func startTwoRelays(t *testing.T) *twoRelays {
 	t.Helper()
-	near, far := newAuthorityServer(5, wideBudget), newAuthorityServer(5, wideBudget)
+	near, far := newAuthorityServer(5, ampleBudget), newAuthorityServer(5, ampleBudget)
 	far.Endpoints = near.Endpoints
 	near.Endpoints.SetStaleness(neverStale)
-	r := &twoRelays{top: near.Endpoints}
-	r.nearTop, r.cutNear = start(t, near)
-	farTop, _ := start(t, far)
-	mustPublish(t, r.top, endpointChanges(3, 1))
-	r.near, r.nearAddress, _ = startRelay(t, r.nearTop)
-	r.far, r.farAddress, _ = startRelay(t, farTop)
-	waitForHead(t, r.near.Endpoints, r.top.Head())
-	waitForHead(t, r.far.Endpoints, r.top.Head())
+	r := &twoRelays{list: near.Endpoints}
+	r.nearSource, r.stopNearSource = start(t, near)
+	farSource, _ := start(t, far)
+	mustPublish(t, r.list, endpointChanges(3, 1))
+	r.near, r.nearAddress, _ = startRelay(t, r.nearSource)
+	r.far, r.farAddress, _ = startRelay(t, farSource)
+	waitForHead(t, r.near.Endpoints, r.list.Head())
+	waitForHead(t, r.far.Endpoints, r.list.Head())
 	return r
 }
 
-// twoSources returns the configuration of a reader with a relay in its zone and one elsewhere.
+// twoSources returns the configuration of a reader with one relay in its zone and one in another region.
 func twoSources(near, far string) distribution.Config {
 	own := failover.Locality{Zone: "a", Region: "north"}
 	elsewhere := failover.Locality{Zone: "a", Region: "south"}
@@ -66,78 +66,80 @@
 	return follower
 }
 
-// A relay is cut off from its sources and still answers, with heartbeats and an old list. The relay behind it gets
-// the next change from another one.
+// A relay is cut off from its source and still answers, with heartbeats and an old list. A relay that follows it leaves
+// it, and gets the next change from another relay.
 func TestStaleRelayIsLeft(t *testing.T) {
 	t.Parallel()
 	relays := startTwoRelays(t)
-	below := NewResource(versionlog.New(0, testRemovals), NewSnapshotBudget(wideBudget))
+	downstream := NewResource(versionlog.New(0, testRemovals), NewSnapshotBudget(ampleBudget))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { below.Follow(ctx, twoSources(relays.nearAddress, relays.farAddress)); close(done) }()
+	go func() { downstream.Follow(ctx, twoSources(relays.nearAddress, relays.farAddress)); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	waitForHead(t, below, relays.top.Head())
+	waitForHead(t, downstream, relays.list.Head())
 	if calls := relays.far.Endpoints.Status().Calls; calls > 0 {
-		t.Fatalf("%d calls to the far relay", calls)
+		t.Fatalf("far relay received %d calls, want 0", calls)
 	}
-	relays.cutNear()
-	old := relays.top.Head()
-	mustPublish(t, relays.top, endpointChanges(3, 2))
-	waitForHead(t, below, relays.top.Head())
+	relays.stopNearSource()
+	old := relays.list.Head()
+	mustPublish(t, relays.list, endpointChanges(3, 2))
+	waitForHead(t, downstream, relays.list.Head())
 	if relays.near.Endpoints.Head() != old {
-		t.Errorf("the cut relay is at %+v", relays.near.Endpoints.Head())
+		t.Errorf("near relay is at %+v although it is cut off", relays.near.Endpoints.Head())
 	}
 }
 
-// A reader has left the relay in its zone because that was stale. It probes that relay, and returns once the relay
-// hears of its sources again, not before.
+// A reader has left the relay in its zone because the relay was stale. The reader probes the relay, and returns to it
+// only once the relay hears from its source again.
 func TestReturnsToFreshRelay(t *testing.T) {
 	t.Parallel()
 	relays := startTwoRelays(t)
 	reader := runFollower(t, twoSources(relays.nearAddress, relays.farAddress))
 	follows := func(address string) func() bool { return func() bool { return reader.Status().Source == address } }
 	waitFor(t, "the reader does not follow the near relay", follows(relays.nearAddress))
-	relays.cutNear()
-	waitFor(t, "the reader stays with the stale relay", follows(relays.farAddress))
-	left := relays.near.Endpoints.Status().Calls
-	waitFor(t, "the reader does not probe", func() bool { return relays.near.Endpoints.Status().Calls > left })
-	mustPublish(t, relays.top, endpointChanges(3, 2))
-	waitFor(t, "the change does not come", func() bool { return reader.Status().Version == relays.top.Head() })
+	relays.stopNearSource()
+	waitFor(t, "the reader does not leave the stale relay", follows(relays.farAddress))
+	callsBefore := relays.near.Endpoints.Status().Calls
+	waitFor(t, "the reader does not probe the near relay",
+		func() bool { return relays.near.Endpoints.Status().Calls > callsBefore })
+	mustPublish(t, relays.list, endpointChanges(3, 2))
+	waitFor(t, "the reader lacks the change", func() bool { return reader.Status().Version == relays.list.Head() })
 	if c := reader.Counters(); c.Switches != 2 || reader.Status().Source != relays.farAddress {
-		t.Errorf("it follows %s, %+v", reader.Status().Source, c)
+		t.Errorf("reader follows %s, want the far relay; counters %+v", reader.Status().Source, c)
 	}
-	again := newAuthorityServer(5, wideBudget)
-	again.Endpoints = relays.top
-	startAt(t, again, relays.nearTop)
-	waitFor(t, "the reader does not return", follows(relays.nearAddress))
-	if c := reader.Counters(); c.Switches != 3 || relays.near.Endpoints.Head() != relays.top.Head() {
-		t.Errorf("%+v, the near relay is at %+v", c, relays.near.Endpoints.Head())
+	restarted := newAuthorityServer(5, ampleBudget)
+	restarted.Endpoints = relays.list
+	startAt(t, restarted, relays.nearSource)
+	waitFor(t, "the reader does not return to the near relay", follows(relays.nearAddress))
+	if c := reader.Counters(); c.Switches != 3 || relays.near.Endpoints.Head() != relays.list.Head() {
+		t.Errorf("reader's counters %+v, near relay is at %+v", c, relays.near.Endpoints.Head())
 	}
 }
 
-// The authority is down, and all relays are equally stale. A reader stays with the one that it follows, and probes
-// the other one at a bounded rate.
+// The authority is down, and all relays are equally stale. A reader stays with the relay that it follows, and probes
+// the other relay at a bounded rate.
 func TestEquallyStaleRelaysAreNotExchanged(t *testing.T) {
 	t.Parallel()
-	// The first firstProbes come at growing intervals; probeInterval is the shortest one later on.
+	// The intervals between the first firstProbes probes grow. Later intervals are probeInterval or longer.
 	const firstProbes, probeInterval = 6, 1500 * time.Millisecond
-	near, far := newAuthorityServer(5, wideBudget), newAuthorityServer(5, wideBudget)
+	near, far := newAuthorityServer(5, ampleBudget), newAuthorityServer(5, ampleBudget)
 	nearAddress, _ := start(t, near)
 	farAddress, _ := start(t, far)
-	cutAt := time.Now()
+	confirmedAt := time.Now()
 	for _, server := range []*Server{near, far} {
 		mustPublish(t, server.Endpoints, endpointChanges(3, 1))
-		server.Endpoints.SetStaleness(func() time.Duration { return time.Since(cutAt) })
+		server.Endpoints.SetStaleness(func() time.Duration { return time.Since(confirmedAt) })
 	}
 	reader := runFollower(t, twoSources(nearAddress, farAddress))
-	waitFor(t, "the reader does not probe", func() bool { return far.Endpoints.Status().Calls >= 4 })
+	waitFor(t, "the reader does not probe the far relay", func() bool { return far.Endpoints.Status().Calls >= 4 })
 	heartbeats := near.Endpoints.Status().Heartbeats
-	waitFor(t, "the reader gets no heartbeats", func() bool { return near.Endpoints.Status().Heartbeats > heartbeats+20 })
+	waitFor(t, "the reader gets no heartbeats",
+		func() bool { return near.Endpoints.Status().Heartbeats > heartbeats+20 })
 	probes := far.Endpoints.Status().Calls
-	if most := firstProbes + int64(time.Since(cutAt)/probeInterval); probes > most {
-		t.Errorf("%d probes in %v", probes, time.Since(cutAt))
+	if limit := firstProbes + int64(time.Since(confirmedAt)/probeInterval); probes > limit {
+		t.Errorf("reader sent %d probes in %v", probes, time.Since(confirmedAt))
 	}
 	if c := reader.Counters(); c.Switches != 1 || reader.Status().Source != nearAddress {
-		t.Errorf("it follows %s, %+v", reader.Status().Source, c)
+		t.Errorf("reader follows %s, want the near relay; counters %+v", reader.Status().Source, c)
 	}
 }
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -15,10 +15,10 @@
 	"harepass/internal/http1"
 )
 
-// startRelay serves a relay that follows sources until the test ends, or stop is called.
+// startRelay runs a relay that follows the sources at addresses, until the test ends or stop is called.
 func startRelay(t *testing.T, addresses ...string) (server *Server, address string, stop func()) {
 	t.Helper()
-	budget := NewSnapshotBudget(wideBudget)
+	budget := NewSnapshotBudget(ampleBudget)
 	server = NewServer(newTestResource(0, budget), newTestResource(0, budget), testReaders)
 	address, stopServer := start(t, server)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -34,84 +34,86 @@
 	return server, address, stop
 }
 
-// waitForHead waits until a resource is at a version.
+// waitForHead waits until a relay's resource is at a version.
 func waitForHead(t *testing.T, r *Resource, head versionlog.Version) {
 	t.Helper()
-	waitFor(t, fmt.Sprintf("the relay does not get to %+v", head), func() bool { return r.Head() == head })
+	waitFor(t, fmt.Sprintf("the relay does not reach version %+v", head), func() bool { return r.Head() == head })
 }
 
-// A relay behind another relay is killed while a reader follows it. Versions are the authority's everywhere, so the
-// reader goes on at a new relay from where it was, with the changes alone.
+// A relay that follows another relay is killed while a reader follows it. All relays serve the authority's versions, so
+// the reader continues from its version at a new relay and gets only the changes.
 func TestReaderOfKilledRelayGoesOnElsewhere(t *testing.T) {
-	const list, burst = 600, 368
-	top := newAuthorityServer(5, wideBudget)
-	topAddress, _ := start(t, top)
-	mustPublish(t, top.Endpoints, endpointChanges(list, 1))
-	_, firstAddress, _ := startRelay(t, topAddress)
+	const entries, burst = 600, 368
+	authority := newAuthorityServer(5, ampleBudget)
+	authorityAddress, _ := start(t, authority)
+	mustPublish(t, authority.Endpoints, endpointChanges(entries, 1))
+	_, firstAddress, _ := startRelay(t, authorityAddress)
 	second, secondAddress, kill := startRelay(t, firstAddress)
-	waitForHead(t, second.Endpoints, versionlog.Version{Epoch: 5, Index: list})
+	waitForHead(t, second.Endpoints, versionlog.Version{Epoch: 5, Index: entries})
 	r := newReader(t, secondAddress)
 	r.readAll(t)
-	mustPublish(t, top.Endpoints, endpointChanges(burst, 2))
+	mustPublish(t, authority.Endpoints, endpointChanges(burst, 2))
 	if status, err := r.call(longWait); status != 200 || err != nil ||
-		r.cursor.Version != (versionlog.Version{Epoch: 5, Index: list + burst}) {
-		t.Fatalf("status %d, %v, the reader is at %+v", status, err, r.cursor)
+		r.cursor.Version != (versionlog.Version{Epoch: 5, Index: entries + burst}) {
+		t.Fatalf("reader's call: status %d, error %v, reader is at %+v", status, err, r.cursor)
 	}
 	kill()
 	if _, err := r.call(0); err == nil {
-		t.Fatal("the killed relay answers")
+		t.Fatal("killed relay answers")
 	}
 	r.slices = 0
-	again, againAddress, _ := startRelay(t, firstAddress, topAddress)
-	waitForHead(t, again.Endpoints, r.cursor.Version)
-	mustPublish(t, top.Endpoints, endpointChanges(burst, 3))
-	r.client.Address = againAddress
+	replacement, replacementAddress, _ := startRelay(t, firstAddress, authorityAddress)
+	waitForHead(t, replacement.Endpoints, r.cursor.Version)
+	mustPublish(t, authority.Endpoints, endpointChanges(burst, 3))
+	r.client.Address = replacementAddress
 	if status, err := r.call(longWait); status != 200 || err != nil || r.slices != 1 || !r.cursor.Complete() ||
-		again.Endpoints.Status().Snapshots != 0 {
-		t.Errorf("status %d, %v, %d slices to %+v, %+v", status, err, r.slices, r.cursor, again.Endpoints.Status())
+		replacement.Endpoints.Status().Snapshots != 0 {
+		t.Errorf("reader at the new relay: status %d, error %v, %d slices, is at %+v; relay's list %+v",
+			status, err, r.slices, r.cursor, replacement.Endpoints.Status())
 	}
-	if len(r.live) != list || !strings.Contains(r.live["endpoint-00000"], ":10003") {
-		t.Errorf("%d entries, the first is %s", len(r.live), r.live["endpoint-00000"])
+	if len(r.live) != entries || !strings.Contains(r.live["endpoint-00000"], ":10003") {
+		t.Errorf("reader has %d entries, the first is %s", len(r.live), r.live["endpoint-00000"])
 	}
 }
 
-// An authority fails, and a later one with a newer epoch takes over; then that one fails too, and the older one is
-// back. The relay and its readers take the newer epoch's complete list, and nothing of the older one after that.
+// An authority fails, and a second one with a newer epoch takes over. Then the second one fails, and the first one runs
+// again. The relay and its readers apply the complete list of the newer epoch, and after that nothing of the older one.
 func TestOlderEpochIsNotApplied(t *testing.T) {
-	const list = 30
-	older, newer := newAuthorityServer(5, wideBudget), newAuthorityServer(6, wideBudget)
+	const entries = 30
+	older, newer := newAuthorityServer(5, ampleBudget), newAuthorityServer(6, ampleBudget)
 	olderAddress, stopOlder := start(t, older)
 	newerAddress, stopNewer := start(t, newer)
-	mustPublish(t, older.Endpoints, endpointChanges(list, 1))
-	below, belowAddress, _ := startRelay(t, olderAddress, newerAddress)
-	waitFor(t, "the relay has nothing", func() bool { return below.Endpoints.Head().Index > 0 })
-	r := newReader(t, belowAddress)
+	mustPublish(t, older.Endpoints, endpointChanges(entries, 1))
+	downstream, downstreamAddress, _ := startRelay(t, olderAddress, newerAddress)
+	waitFor(t, "the relay has no version", func() bool { return downstream.Endpoints.Head().Index > 0 })
+	r := newReader(t, downstreamAddress)
 	r.readAll(t)
-	mustPublish(t, newer.Endpoints, endpointChanges(list/2, 2))
+	mustPublish(t, newer.Endpoints, endpointChanges(entries/2, 2))
 	stopOlder()
-	waitForHead(t, below.Endpoints, versionlog.Version{Epoch: 6, Index: list / 2})
+	waitForHead(t, downstream.Endpoints, versionlog.Version{Epoch: 6, Index: entries / 2})
 	r.readAll(t)
-	r.checkList(t, list/2, 2)
+	r.checkList(t, entries/2, 2)
 	stopNewer()
-	again := newAuthorityServer(5, wideBudget)
-	mustPublish(t, again.Endpoints, endpointChanges(2*list, 1))
-	againAddress, _ := startAt(t, again, olderAddress)
-	waitFor(t, "the relay does not ask", func() bool { return again.Endpoints.Status().RejectedBehind > 0 })
-	r.client.Address = againAddress
+	restarted := newAuthorityServer(5, ampleBudget)
+	mustPublish(t, restarted.Endpoints, endpointChanges(2*entries, 1))
+	restartedAddress, _ := startAt(t, restarted, olderAddress)
+	waitFor(t, "the relay does not call the restarted authority",
+		func() bool { return restarted.Endpoints.Status().RejectedBehind > 0 })
+	r.client.Address = restartedAddress
 	r.client.Close()
 	if status, err := r.call(0); status != 409 || err != nil {
-		t.Errorf("a reader of the later epoch: status %d, %v", status, err)
+		t.Errorf("reader of the newer epoch at the older authority: status %d, error %v, want 409", status, err)
 	}
-	other := newReader(t, belowAddress)
+	other := newReader(t, downstreamAddress)
 	other.readAll(t)
-	other.checkList(t, list/2, 2)
+	other.checkList(t, entries/2, 2)
 }
 
 // scriptedSource answers every call with one body.
 type scriptedSource struct {
 	mu    sync.Mutex
 	body  string
-	calls int // since body was set
+	calls int // number of calls since body was set
 }
 
 func (s *scriptedSource) handle(*http1.Message, <-chan struct{}) *http1.Message {
@@ -121,22 +123,22 @@
 	return &http1.Message{Status: 200, Header: textproto.MIMEHeader{}, Body: []byte(s.body)}
 }
 
-// setBody changes the answer.
+// setBody sets the body of all further answers.
 func (s *scriptedSource) setBody(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.body, s.calls = body, 0
 }
 
-// callCount returns how many calls were given the present answer.
+// callCount returns how many calls were answered with the current body.
 func (s *scriptedSource) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// A relay's source begins to give answers that no relay gives by the protocol. The relay applies nothing of them, and
-// its readers get what it had.
+// A relay's source starts to send answers that break the protocol. The relay applies no part of them, and its readers
+// still get the list that it had.
 func TestInvalidAnswersAreNotGivenOut(t *testing.T) {
 	const complete = `{"epoch":7,"index":20,"head":20,"snapshot":true,"more":false,"endpoints":[` +
 		`{"version":3,"name":"a","status":"in_service"},{"version":20,"name":"b","status":"in_service"}]}`
@@ -170,14 +172,14 @@
 			source := &scriptedSource{body: complete}
 			address, _ := start(t, &Server{endWatches: func() {},
 				server: &http1.Server{Handler: source.handle, Limits: http1.DefaultLimits}})
-			below, belowAddress, _ := startRelay(t, address)
-			waitForHead(t, below.Endpoints, versionlog.Version{Epoch: 7, Index: 20})
+			downstream, downstreamAddress, _ := startRelay(t, address)
+			waitForHead(t, downstream.Endpoints, versionlog.Version{Epoch: 7, Index: 20})
 			source.setBody(body)
-			waitFor(t, "the source is not asked", func() bool { return source.callCount() >= 2 })
-			r := newReader(t, belowAddress)
+			waitFor(t, "the relay does not call its source again", func() bool { return source.callCount() >= 2 })
+			r := newReader(t, downstreamAddress)
 			r.readAll(t)
 			if len(r.live) != 2 || r.cursor.Version != (versionlog.Version{Epoch: 7, Index: 20}) {
-				t.Errorf("a reader gets %v at %+v", r.live, r.cursor)
+				t.Errorf("reader has entries %v at %+v, want a and b at index 20", r.live, r.cursor)
 			}
 		})
 	}
