--- a/internal/config/changes.go
+++ b/internal/config/changes.go
@@ -12,13 +12,13 @@
 	"harepass/internal/wire"
 )
 
-// Changes lists the settings that would change if next took the place of c, which has a platform, in words for
-// operators. The list is of what the file says: it also has settings that a running process does not take over, which
-// lifecycle's reload.go names. The error says why next cannot take the place of c: it lacks something that c has, its
-// settings cannot be served, or the OpenSearch front does not fit them.
+// Changes lists, in words for operators, the settings that would change if next replaced c, which must have a platform.
+// The list compares the files: it includes settings that a running process does not apply at a reload, which
+// lifecycle's reload.go names. The error says why next cannot replace c: next lacks something that c has, its settings
+// are invalid, or the OpenSearch front is inconsistent with them.
 //
-// The front's file is not read again. What c has of it is checked against the classes, tenants and shards of next; c
-// stays as it is.
+// Changes does not read the front's file again. It checks c's front against the classes, tenants and shards of next
+// and leaves c unchanged.
 func (c *Config) Changes(next *Config) ([]string, error) {
 	changes, err := c.Platform.settingsChanges(next.Platform)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return changes, nil
 }
 
-// OpenSearchUnder returns the configuration of c's OpenSearch front as it is under the settings of next, and nil where c
-// has no such front. The error is a *FileError where the front does not fit them.
+// OpenSearchUnder returns the configuration of c's OpenSearch front under the settings of next, or nil if c has no such
+// front. The error is a *FileError if the front is inconsistent with those settings.
 func (c *Config) OpenSearchUnder(next *Config) (*opensearch.Config, error) {
 	if c.OpenSearch == nil {
 		return nil, nil
@@ -46,9 +46,9 @@
 	return front, nil
 }
 
-// ChangesFrom lists what c changes in the configuration in force, which is the platform's file at path. The variables
-// override that file too. The error is ErrNoPlatform where c has no platform, a *FileError or the system's where the
-// file cannot be read, and one of Changes otherwise.
+// ChangesFrom lists what c would change in the configuration in force, which is the platform's file at path. The
+// variables override fields of that file too. The error is ErrNoPlatform if c has no platform, a *FileError or the
+// operating system's error if the file cannot be read, and otherwise an error of Changes.
 func (c *Config) ChangesFrom(path string, env Environment) ([]string, error) {
 	if c.Platform == nil {
 		return nil, ErrNoPlatform
@@ -65,8 +65,9 @@
 	return inForce.Changes(c)
 }
 
-// settingsChanges lists what differs in the settings. A file that lacks a key of the one in force is refused, with a
-// *MissingKeyError or a *MissingSettingsError: it is more likely cut off than meant so.
+// settingsChanges lists the differences between the settings of p and next. It rejects a file that lacks a key of the
+// file in force, with a *MissingKeyError or a *MissingSettingsError: such a file is more likely truncated than
+// intended.
 func (p *PlatformFile) settingsChanges(next *PlatformFile) ([]string, error) {
 	var keys, nextKeys map[string]json.RawMessage
 	if err := errors.Join(json.Unmarshal(p.data, &keys), json.Unmarshal(next.data, &nextKeys)); err != nil {
@@ -92,9 +93,9 @@
 	return settingsdiff.Differences(settings, nextSettings), nil
 }
 
-// NeedsRestart reports whether next differs from p in what a process takes over at its start only: its name, its
+// NeedsRestart reports whether next differs from p in a value that a process applies only at start: its name, its
 // addresses for clients and operators, and its limits. It does not say which of them differs. The seed and the known
-// endpoint list are also for the start only, but no restart is needed for them.
+// endpoint list also apply only at start, but a change of them needs no restart.
 func (p *PlatformFile) NeedsRestart(next *PlatformFile) bool {
 	return p.Name != next.Name || p.Listen != next.Listen || p.AdminAddress != next.AdminAddress || p.Limits != next.Limits
 }
--- a/internal/config/changes_test.go
+++ b/internal/config/changes_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// reread is what a reload does with a file before anything of it is in force.
+// reread checks a file as a reload does before it applies the file.
 func reread(inForce *Config, data []byte) ([]string, error) {
 	next, err := readPlatform(data, emptyEnvironment)
 	if err != nil {
@@ -19,8 +19,8 @@
 	return inForce.Changes(next)
 }
 
-// visitJSON visits all values of a JSON tree, with ways to replace or to remove the value; an array's cannot be
-// removed.
+// visitJSON calls visit for each value of a JSON tree, with functions that replace or remove the value. remove is nil
+// for the elements of an array.
 func visitJSON(path string, v any, visit func(path string, v any, replace func(x any), remove func())) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -39,18 +39,19 @@
 	}
 }
 
-// A file is read while it is still being written, or was edited by hand with a mistake. One that is empty, cut off
-// anywhere, lacks any key, or has a deadline or attempts not over 0, is refused; the complete one changes nothing.
+// A reload may read a file that is still being written, or that has a mistake from editing by hand. A file that is
+// empty, truncated at any byte, lacks any key, or has a deadline or number of attempts that is not above 0 is rejected;
+// the complete file changes nothing.
 func TestBrokenConfigurationIsRefused(t *testing.T) {
 	file := exampleFile(t)
 	good := marshal(t, file)
 	inForce := mustRead(t, good)
 	if changes, err := reread(inForce, good); err != nil || len(changes) != 0 {
-		t.Fatalf("the same file: %v, %v", changes, err)
+		t.Fatalf("identical file: changes %v, error %v; want none", changes, err)
 	}
 	for n := range good {
 		if _, err := reread(inForce, good[:n]); err == nil {
-			t.Errorf("the first %d bytes pass", n)
+			t.Errorf("file truncated to %d bytes is accepted", n)
 		}
 	}
 	removed := 0
@@ -59,33 +60,33 @@
 			removed++
 			remove()
 			if _, err := reread(inForce, marshal(t, file)); err == nil {
-				t.Errorf("without %s it passes", path)
+				t.Errorf("file without %s is accepted", path)
 			}
 		}
 		replace(nil)
 		_, err := reread(inForce, marshal(t, file))
 		if err == nil && remove != nil && strings.HasPrefix(path, ".settings") {
-			t.Errorf("with %s null it passes", path)
+			t.Errorf("file with %s null is accepted", path)
 		}
 		key := path[strings.LastIndex(path, ".")+1:]
 		if key == "hard_limit_us" || key == "most_tries" || key == "objective_us" {
 			for _, x := range []any{0, -1, "", "soon", 1e300} {
 				replace(x)
 				if _, err := reread(inForce, marshal(t, file)); err == nil {
-					t.Errorf("with %s = %v it passes", path, x)
+					t.Errorf("file with %s = %v is accepted", path, x)
 				}
 			}
 		}
 	})
 	if removed < 40 {
-		t.Errorf("%d keys were looked at", removed)
+		t.Errorf("only %d keys were removed, want at least 40", removed)
 	}
 	if _, err := reread(inForce, append(bytes.Clone(good), '}')); err == nil {
-		t.Error("with something behind it, it passes")
+		t.Error("file with trailing data is accepted")
 	}
 }
 
-// A caller can tell a file without a top-level key from one whose settings lack something.
+// A caller can distinguish a file without a top-level key from one whose settings lack a key.
 func TestMissingKeysAreTypedErrors(t *testing.T) {
 	file := exampleFile(t)
 	inForce := mustRead(t, marshal(t, file))
@@ -93,18 +94,18 @@
 	_, err := reread(inForce, marshal(t, file))
 	var key *MissingKeyError
 	if !errors.As(err, &key) || key.Key != "name" {
-		t.Errorf("without a name: %v", err)
+		t.Errorf("file without name: error %v, want a *MissingKeyError for name", err)
 	}
 	file = exampleFile(t)
 	delete(file["settings"].(map[string]any), "rules")
 	_, err = reread(inForce, marshal(t, file))
 	var settings *MissingSettingsError
 	if !errors.As(err, &settings) || len(settings.Paths) == 0 {
-		t.Errorf("without rules: %v", err)
+		t.Errorf("settings without rules: error %v, want a *MissingSettingsError", err)
 	}
 }
 
-// What a reload takes over can be served, and has every class complete.
+// Each configuration that a reload accepts is valid, and each of its classes is complete.
 func FuzzReload(f *testing.F) {
 	good := marshal(f, exampleFile(f))
 	inForce := mustRead(f, good)
@@ -128,7 +129,7 @@
 		for _, c := range next.Settings.Classes {
 			if c.Name == "" || names[c.Name] || c.Deadline <= 0 || c.LatencyObjective <= 0 ||
 				next.Settings.MaxAttempts < 1 {
-				t.Errorf("class %+v, attempts %d", c, next.Settings.MaxAttempts)
+				t.Errorf("accepted class %+v with at most %d attempts", c, next.Settings.MaxAttempts)
 			}
 			names[c.Name] = true
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,46 +12,47 @@
 	"harepass/internal/wire"
 )
 
-// Paths of the installation's files. What such a file configures is off where it is missing at this path.
+// Default paths of the installation's files. The part that a file configures is off if the file does not exist at its
+// default path.
 const (
 	DefaultOpenSearchPath   = "deploy/opensearch.yaml"
 	DefaultOverloadPath     = "deploy/overload.yaml"
 	DefaultDistributionPath = "deploy/distribution.yaml"
 )
 
-// Paths names the installation's files.
+// Paths holds the paths of the installation's files.
 type Paths struct {
 	OpenSearch   string
 	Overload     string
 	Distribution string
 }
 
-// Environment returns the value of a variable, empty where it is not set, as os.Getenv does.
+// Environment returns the value of an environment variable, or an empty string if it is not set, as os.Getenv does.
 type Environment func(name string) string
 
-// Config is all that a coordinator needs to know before it starts.
+// Config is the complete configuration of a coordinator.
 type Config struct {
-	Platform       *PlatformFile // nil where PROXY_CONFIG is not set: there is no platform front
-	ListenerFD     int           // descriptor of the clients' listener that the platform holds; 0 where it holds none
-	Seed           uint64        // of all random draws of this process
-	Limits         Limits        // of this process; half of the platform's, but for the cores, where PROXY_FD is set
+	Platform       *PlatformFile // nil if PROXY_CONFIG is not set: there is no platform front
+	ListenerFD     int           // descriptor of the client listener that the platform holds; 0 if none
+	Seed           uint64        // seed of all random draws of this process
+	Limits         Limits        // of this process; if PROXY_FD is set, half of the platform's except for the cores
 	Settings       scatter.Settings
-	ProtocolLimits wire.Limits // what the settings bound outside of the decisions
-	ListPushed     bool        // the settings say that lists are pushed; an agent is then polled as discovery is
+	ProtocolLimits wire.Limits // limits in the settings that apply outside of the decision code
+	ListPushed     bool        // the settings say that lists are pushed; an agent is then polled like discovery
 
-	KnownEndpoints []core.Endpoint // of the platform's file, or of stored state in their place
+	KnownEndpoints []core.Endpoint // from the platform's file, or from stored state instead
 
-	OpenSearchPath     string             // of the OpenSearch front's file, which a reload does not read
-	OpenSearch         *opensearch.Config // nil where the OpenSearch front is off
-	Inventory          *inventory.Reader  // nil where no file lists endpoints
-	InventoryEndpoints []core.Endpoint    // as Inventory was read at the start
+	OpenSearchPath     string             // path of the OpenSearch front's file, which a reload does not read
+	OpenSearch         *opensearch.Config // nil if the OpenSearch front is off
+	Inventory          *inventory.Reader  // nil if no file lists endpoints
+	InventoryEndpoints []core.Endpoint    // endpoints that Inventory returned at start
 
-	Overload     *OverloadFile     // nil where overload control is off
-	Distribution *DistributionFile // nil where no relay gives out endpoints or settings
+	Overload     *OverloadFile     // nil if overload control is off
+	Distribution *DistributionFile // nil if no relay distributes endpoints or settings
 }
 
-// Load reads the platform's configuration, the OpenSearch front's file, or both, and the files of
-// overload control and distribution where those are on. The error is an *InvalidError.
+// Load reads the platform's file, the OpenSearch front's file, or both, and the files of overload control and
+// distribution unless those parts are off. The error is an *InvalidError.
 func Load(env Environment, paths Paths, clock core.Clock) (*Config, error) {
 	c, err := load(env, paths, clock)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return c, nil
 }
 
-// load is Load with an error that is not marked yet.
+// load implements Load; its error is not yet wrapped in an *InvalidError.
 func load(env Environment, paths Paths, clock core.Clock) (*Config, error) {
 	c := &Config{Limits: defaultLimits, Seed: rand.Uint64()}
 	if env(varConfig) != "" {
@@ -94,7 +95,7 @@
 	return c, nil
 }
 
-// readOptional reads a file; there is no data where it is missing at its default path.
+// readOptional reads a file. A file that does not exist at its default path is no error; exists is then false.
 func readOptional(path, defaultPath string) (data []byte, exists bool, err error) {
 	data, err = os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) && path == defaultPath {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -9,8 +9,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// stableTypeNames replaces the names of Go types in the decoders' messages by names that stay. Operators and scripts
-// read these messages, so a type that is renamed or moved must not change them.
+// stableTypeNames replaces Go type names in the decoders' messages by fixed names. Operators and scripts read these
+// messages, so renaming or moving a type must not change them.
 var stableTypeNames = strings.NewReplacer(
 	"config.DistributionFile", "main.distributionFile",
 	"config.OverloadFile", "main.overloadFile",
@@ -23,7 +23,7 @@
 	"Go struct field Limits.", "Go struct field limits.",
 )
 
-// renderedError is an error with a text of its own.
+// renderedError wraps an error and replaces its text.
 type renderedError struct {
 	text string
 	err  error
@@ -32,11 +32,11 @@
 // Error implements error.
 func (e *renderedError) Error() string { return e.text }
 
-// Unwrap returns the error that the text is of.
+// Unwrap returns the error whose text was replaced.
 func (e *renderedError) Unwrap() error { return e.err }
 
-// decodeYAML reads a file's contents into a struct that holds the defaults. Unknown keys are errors, and an empty file
-// leaves the defaults. The error is a *FileError of one line.
+// decodeYAML decodes a file's contents into a struct that holds the defaults. Unknown keys are errors, and an empty
+// file keeps the defaults. The error is a *FileError with a text of one line.
 func decodeYAML(path string, data []byte, into any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
@@ -48,7 +48,7 @@
 	return &FileError{path, &renderedError{stableTypeNames.Replace(text), err}}
 }
 
-// decodeJSON reads JSON into a struct that holds the defaults; unknown keys are skipped.
+// decodeJSON decodes JSON into a struct that holds the defaults; it ignores unknown keys.
 func decodeJSON(data []byte, into any) error {
 	if err := json.Unmarshal(data, into); err != nil {
 		return &renderedError{stableTypeNames.Replace(err.Error()), err}
--- a/internal/config/distribution.go
+++ b/internal/config/distribution.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// Resources as the distribution file names them.
+// Names of the resources in the distribution file.
 const (
 	ResourceEndpoints = "nodes"
 	ResourceSettings  = "settings"
 )
 
-// DistributionFile is what an installation says of its relays to a coordinator. A nil one takes nothing from relays.
+// DistributionFile configures which relays a coordinator follows and which resources it takes from them. With a nil
+// DistributionFile, a coordinator takes nothing from relays.
 type DistributionFile struct {
 	Upstream  `yaml:",inline"`
-	Resources []string `yaml:"resources"` // what is taken from the relays
+	Resources []string `yaml:"resources"` // resources to take from the relays
 }
 
-// loadDistribution reads the file; nil where it is missing at its default path.
+// loadDistribution reads the distribution file. It returns nil if the file does not exist at its default path.
 func loadDistribution(path string) (*DistributionFile, error) {
 	data, exists, err := readOptional(path, DefaultDistributionPath)
 	if !exists {
@@ -30,7 +31,7 @@
 	return f, nil
 }
 
-// check finds what is wrong with the file.
+// check returns the first fault in the file.
 func (f *DistributionFile) check() error {
 	if err := f.checkSources(); err != nil {
 		return err
@@ -46,7 +47,7 @@
 	return f.checkHeartbeat()
 }
 
-// Takes reports whether a resource comes from relays. It may be called on nil.
+// Takes reports whether the coordinator takes a resource from relays. It may be called on nil.
 func (f *DistributionFile) Takes(resource string) bool {
 	return f != nil && slices.Contains(f.Resources, resource)
 }
--- a/internal/config/distribution_test.go
+++ b/internal/config/distribution_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A file with a fault is named in one line, by check and by serve; a good one is read, and so is the example.
+// check and serve report the fault of a distribution file in one line. A valid file is read, and so is the example.
 func TestDistributionFile(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	dir := t.TempDir()
@@ -31,22 +31,22 @@
 		f, err := loadDistribution(path)
 		switch {
 		case tc.want == "" && (err != nil || !f.Takes(ResourceEndpoints) || !f.Takes(ResourceSettings)):
-			t.Errorf("%s: %+v, %v", what, f, err)
+			t.Errorf("%s: loaded %+v, error %v; want both resources", what, f, err)
 		case tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want) ||
 			strings.Contains(err.Error(), "\n")):
-			t.Errorf("%s: %v, want %s", what, err, tc.want)
+			t.Errorf("%s: error %v, want one line with %q", what, err, tc.want)
 		}
 	}
 	if f, err := loadDistribution("../../deploy/distribution.example.yaml"); err != nil || len(f.Sources) < 3 {
-		t.Errorf("the example: %+v, %v", f, err)
+		t.Errorf("example file: %+v, error %v; want at least 3 sources", f, err)
 	}
 	if f, err := loadDistribution(DefaultDistributionPath); f != nil || err != nil || f.Takes(ResourceEndpoints) {
-		t.Errorf("no file: %+v, %v", f, err)
+		t.Errorf("missing file at the default path: %+v, error %v; want nil and no error", f, err)
 	}
 }
 
-// Scripts read the decoders' messages, in which the library names the Go type, so a renamed type would change them. A
-// message has a name that is independent of the type's, and the caller can still reach the cause.
+// Scripts read the decoders' messages, in which the library prints the Go type's name, so renaming a type would change
+// them. The messages print a fixed name instead, and the caller can still unwrap the cause.
 func TestDecodeErrorsKeepTypeNames(t *testing.T) {
 	for want, decode := range map[string]func() error{
 		"d: yaml: unmarshal errors: line 1: field x not found in type main.distributionFile": func() error {
@@ -61,11 +61,11 @@
 	} {
 		err := decode()
 		if err == nil || err.Error() != want {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("error %v, want %s", err, want)
 		}
 		var rendered *renderedError
 		if !errors.As(err, &rendered) || rendered.Unwrap() == nil {
-			t.Errorf("%v hides its cause", err)
+			t.Errorf("error %v does not wrap its cause", err)
 		}
 	}
 }
--- a/internal/config/example_config_test.go
+++ b/internal/config/example_config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// exampleSettings is the example of the settings.
+// exampleSettings returns the contents of the example settings file.
 func exampleSettings(t testing.TB) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../../deploy/settings.example.json")
@@ -16,7 +16,7 @@
 	return data
 }
 
-// exampleFile is a configuration as the platform writes it, with the example's settings.
+// exampleFile returns a platform file, in the form that the platform writes, with the example settings.
 func exampleFile(t testing.TB) map[string]any {
 	var settings any
 	if err := json.Unmarshal(exampleSettings(t), &settings); err != nil {
@@ -28,7 +28,7 @@
 		"settings": settings}
 }
 
-// marshal is a configuration as bytes.
+// marshal encodes a configuration as JSON.
 func marshal(t testing.TB, file any) []byte {
 	data, err := json.Marshal(file)
 	if err != nil {
@@ -40,7 +40,7 @@
 // emptyEnvironment sets no variable.
 func emptyEnvironment(string) string { return "" }
 
-// mustRead is the Config that a good file makes.
+// mustRead returns the Config of a valid platform file.
 func mustRead(t testing.TB, data []byte) *Config {
 	c, err := readPlatform(data, emptyEnvironment)
 	if err != nil {
--- a/internal/config/fleet_settings.go
+++ b/internal/config/fleet_settings.go
@@ -7,17 +7,17 @@
 	"harepass/internal/wire"
 )
 
-// settingsEntryName is the name of the only entry that the relays' settings have.
+// settingsEntryName is the name of the only entry in the settings resource of the relays.
 const settingsEntryName = "settings"
 
-// settingsEntry is the settings as relays give them out.
+// settingsEntry is the form in which relays distribute the settings.
 type settingsEntry struct {
 	Name     string          `json:"name"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// CheckSettingsEntries refuses entries that are no settings at all. Faults within the settings are found when they are
-// to come in force.
+// CheckSettingsEntries rejects entries that hold no settings. Faults within the settings are found later, when the
+// settings are to come in force.
 func CheckSettingsEntries(entries []versionlog.Entry) error {
 	for _, e := range entries {
 		var s settingsEntry
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// EntrySettings returns the settings of an entry. There are none in one that was removed: what is in force then stays.
+// EntrySettings returns the settings of an entry. A removed entry has none; the settings in force then stay.
 func EntrySettings(e versionlog.Entry) (settings json.RawMessage, ok bool) {
 	var s settingsEntry
 	if json.Unmarshal(e.Body, &s) != nil || e.Removed {
@@ -40,11 +40,11 @@
 	return s.Settings, true
 }
 
-// ownKeys are the settings that differ between the coordinators of a fleet: the ordinal and the zone. They stay what a
-// coordinator's own file says.
+// ownKeys are the keys of the settings that differ between the coordinators of a fleet: the ordinal and the zone. Their
+// values always come from the coordinator's own file.
 var ownKeys = []string{"me", "zone"}
 
-// withOwnKeys returns the settings of a whole fleet with one coordinator's own keys.
+// withOwnKeys returns the settings of a whole fleet, with ownKeys replaced by the values of one coordinator.
 func withOwnKeys(fleet, own json.RawMessage) (json.RawMessage, error) {
 	var keys, ownSettings map[string]json.RawMessage
 	if err := json.Unmarshal(fleet, &keys); err != nil {
@@ -65,8 +65,8 @@
 	return json.Marshal(keys)
 }
 
-// WithFleetSettings returns the Config that c, which has a platform, would be with the settings of a whole fleet. Its
-// own ordinal and zone stay, and so does the address of discovery.
+// WithFleetSettings returns the Config that results from the platform file of c, which must have one, with the settings
+// of a whole fleet. It keeps c's ordinal, zone and address of discovery.
 func (c *Config) WithFleetSettings(fleet json.RawMessage, env Environment) (*Config, error) {
 	settings, err := withOwnKeys(fleet, c.Platform.Settings)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return c.WithSettings(settings, env)
 }
 
-// WithSettings returns the Config that the platform's file of c would make with other settings. The address of
-// discovery stays that of c.
+// WithSettings returns the Config that results from c's platform file with its settings replaced. It keeps c's address
+// of discovery.
 func (c *Config) WithSettings(settings json.RawMessage, env Environment) (*Config, error) {
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(c.Platform.data, &keys); err != nil {
@@ -95,8 +95,8 @@
 	return next, nil
 }
 
-// CheckFleetSettings lists what settings would change in others, nil for none, or says what is wrong with them. An
-// authority calls it before it gives them out; the rules are those of a coordinator's reload.
+// CheckFleetSettings lists what next would change in old, which may be nil, or returns why next is invalid. An
+// authority calls it before it distributes next; the rules are those of a coordinator's reload.
 func CheckFleetSettings(old, next json.RawMessage) (changes []string, err error) {
 	replacing, err := settingsOnly(next)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return replaced.Changes(replacing)
 }
 
-// settingsOnly is a Config that has settings and nothing else.
+// settingsOnly returns a Config that holds only settings.
 func settingsOnly(settings json.RawMessage) (*Config, error) {
 	data, err := json.Marshal(map[string]json.RawMessage{"settings": settings})
 	if err != nil {
--- a/internal/config/opensearch.go
+++ b/internal/config/opensearch.go
@@ -9,7 +9,7 @@
 	"harepass/internal/wire"
 )
 
-// loadOpenSearch reads the OpenSearch front's file and what it points to. Where there is no platform, that file has to
+// loadOpenSearch reads the OpenSearch front's file and the files that it names. Without a platform, that file has to
 // name the settings and the inventory of endpoints.
 func (c *Config) loadOpenSearch(clock core.Clock) error {
 	front, err := opensearch.LoadConfig(c.OpenSearchPath)
@@ -36,7 +36,7 @@
 	return err
 }
 
-// readSettings reads the settings from a file of their own.
+// readSettings reads the settings from a separate file.
 func (c *Config) readSettings(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -45,6 +45,6 @@
 	if c.Settings, c.ProtocolLimits, err = wire.JSONSettings(data); err != nil {
 		return &FileError{path, err}
 	}
-	c.Settings.Subscribe = false // the inventory announces its changes unasked
+	c.Settings.Subscribe = false // the inventory pushes its changes without a subscription
 	return nil
 }
--- a/internal/config/overload.go
+++ b/internal/config/overload.go
@@ -9,10 +9,10 @@
 	"harepass/internal/loadshed"
 )
 
-// OverloadFile is what an installation says of overload control.
+// OverloadFile configures overload control.
 type OverloadFile struct {
-	LoopDelay     time.Duration `yaml:"loop_delay"`      // target of the mean wait for the coordinator's loop
-	MemoryMB      int           `yaml:"memory_mb"`       // target of the live heap, in MiB
+	LoopDelay     time.Duration `yaml:"loop_delay"`      // target for the mean wait for the coordinator's loop
+	MemoryMB      int           `yaml:"memory_mb"`       // target for the live heap, in MiB
 	MaxRetryAfter time.Duration `yaml:"max_retry_after"` // longest Retry-After for rejected requests
 }
 
@@ -23,7 +23,8 @@
 	defaultMaxRetryAfter = 30 * time.Second
 )
 
-// loadOverload reads the file, for a process with limits; nil where it is missing at its default path.
+// loadOverload reads the overload-control file for a process with the limits l. It returns nil if the file does not
+// exist at its default path.
 func loadOverload(path string, l Limits) (*OverloadFile, error) {
 	data, exists, err := readOptional(path, DefaultOverloadPath)
 	if !exists {
@@ -40,7 +41,7 @@
 	return f, nil
 }
 
-// check finds what is out of its bounds.
+// check returns an error for the first value that is out of bounds.
 func (f *OverloadFile) check(l Limits) error {
 	switch {
 	case f.LoopDelay < minLoopDelay || f.LoopDelay > maxLoopDelay:
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// Controller returns the configuration of the overload controller, under settings and the limits of the process. A
-// platform bounds the Retry-After that rejected requests are given.
+// Controller returns the configuration of the overload controller for the settings s and the limits l of the process.
+// On a platform, the settings' RetryAfter caps the Retry-After of rejected requests.
 func (f *OverloadFile) Controller(s scatter.Settings, l Limits, hasPlatform bool) overload.Config {
 	c := loadshed.ControllerConfig(s)
 	c.WaitTarget, c.Cores, c.MemoryBytes, c.MaxRetryAfter = f.LoopDelay, l.Cores, int64(f.MemoryMB)<<20, f.MaxRetryAfter
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -10,44 +10,45 @@
 	"harepass/internal/wire"
 )
 
-// Variables of the environment. All but varConfig and varListenerFD override a field of the platform's file.
+// Environment variables. All except varConfig and varListenerFD override a field of the platform's file.
 const (
 	varConfig     = "PROXY_CONFIG" // path of the platform's file
 	varName       = "PROXY_NAME"
 	varListen     = "PROXY_LISTEN"
 	varDiscovery  = "PROXY_DISCOVERY"
 	varOperator   = "PROXY_OPERATOR"
-	varListenerFD = "PROXY_FD" // descriptor of the clients' listener, where the platform holds it
+	varListenerFD = "PROXY_FD" // descriptor of the client listener, if the platform holds it
 )
 
-// firstHandedDown is the lowest descriptor that can be handed down: those below are the standard streams.
-const firstHandedDown = 3
+// minInheritedFD is the lowest descriptor that a process can inherit for its listener: lower ones are the standard
+// streams.
+const minInheritedFD = 3
 
 // PlatformFile is the file in which the platform configures one coordinator.
 type PlatformFile struct {
 	Name         string          `json:"name"`
 	Listen       string          `json:"listen"`    // address for clients
-	Discovery    string          `json:"discovery"` // address of the service that gives out the endpoint list
-	AdminAddress string          `json:"operator"`  // address of the admin endpoint; empty where there is none
+	Discovery    string          `json:"discovery"` // address of the service that serves the endpoint list
+	AdminAddress string          `json:"operator"`  // address of the admin endpoint; empty if there is none
 	Seed         string          `json:"seed"`      // hexadecimal number of 64 bits
 	Limits       Limits          `json:"limits"`
-	KnownList    platform.List   `json:"known"`    // the endpoint list to begin with
-	Settings     json.RawMessage `json:"settings"` // as internal/wire reads them
+	KnownList    platform.List   `json:"known"`    // the initial endpoint list
+	Settings     json.RawMessage `json:"settings"` // in the format that internal/wire parses
 
-	data []byte // the file itself
+	data []byte // contents of the file
 }
 
-// LoadPlatform reads the file that PROXY_CONFIG names, as a reload does. The variables override what the file says. The
-// other files of the installation are not read, so those parts of the Config are empty.
-// The error is an *InvalidError.
+// LoadPlatform reads the file that PROXY_CONFIG names, as a reload does. The variables override fields of the file. It
+// does not read the other files of the installation, so those parts of the Config are empty. The error is an
+// *InvalidError.
 func LoadPlatform(env Environment) (*Config, error) {
 	c, err := loadPlatform(env)
 	return c, invalid(err)
 }
 
-// WithoutDiscovery is env without the address of discovery. That variable holds for the start only; from the first
-// reload on, the file decides. A file that names no discovery, since the variable did, is therefore refused at every
-// reload with an *AddressError, and the configuration in force stays.
+// WithoutDiscovery returns env without the variable for the address of discovery. That variable applies only at start;
+// from the first reload on, the file's address is used. If the file has no address of discovery because the variable
+// supplied it, every reload is therefore rejected with an *AddressError, and the configuration in force stays.
 func WithoutDiscovery(env Environment) Environment {
 	return func(name string) string {
 		if name == varDiscovery {
@@ -57,7 +58,7 @@
 	}
 }
 
-// loadPlatform is LoadPlatform with an error that is not marked yet.
+// loadPlatform implements LoadPlatform; its error is not yet wrapped in an *InvalidError.
 func loadPlatform(env Environment) (*Config, error) {
 	path := env(varConfig)
 	data, err := os.ReadFile(path)
@@ -71,7 +72,7 @@
 	return c, nil
 }
 
-// readPlatform makes a Config of the platform's file and the variables.
+// readPlatform builds a Config from the contents of the platform's file and the variables.
 func readPlatform(data []byte, env Environment) (*Config, error) {
 	p := &PlatformFile{Limits: defaultLimits, data: data}
 	if err := decodeJSON(data, p); err != nil {
@@ -89,14 +90,14 @@
 	if c.Settings, c.ProtocolLimits, err = wire.JSONSettings(p.Settings); err != nil {
 		return nil, err
 	}
-	// On sockets a list reaches only a subscriber, whether the settings say that it is pushed or polled.
+	// Over sockets only a subscriber receives the endpoint list, whether the settings say that it is pushed or polled.
 	c.ListPushed, c.Settings.Subscribe = !c.Settings.Subscribe, true
 	if err := p.Limits.check(); err != nil {
 		return nil, err
 	}
 	c.Limits = p.Limits
 	if fd := env(varListenerFD); fd != "" {
-		if c.ListenerFD, err = strconv.Atoi(fd); err != nil || c.ListenerFD < firstHandedDown {
+		if c.ListenerFD, err = strconv.Atoi(fd); err != nil || c.ListenerFD < minInheritedFD {
 			return nil, &DescriptorValueError{fd}
 		}
 		c.Limits = c.Limits.halved()
@@ -107,7 +108,7 @@
 	return c, nil
 }
 
-// override puts the variables that are set in the place of the file's fields.
+// override replaces fields of the file by the variables that are set.
 func (p *PlatformFile) override(env Environment) {
 	for name, field := range map[string]*string{varName: &p.Name, varListen: &p.Listen,
 		varDiscovery: &p.Discovery, varOperator: &p.AdminAddress} {
@@ -117,7 +118,8 @@
 	}
 }
 
-// checkAddresses refuses addresses that are no host and port. Only the operators' one may be missing.
+// checkAddresses rejects addresses that are not of the form host:port. Only the admin endpoint's address may be
+// missing.
 func (p *PlatformFile) checkAddresses() error {
 	for _, a := range []struct {
 		name, address string
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -9,34 +9,35 @@
 	"time"
 )
 
-// RelayFile is what an installation says of a relay, or of the authority.
+// RelayFile configures a relay or the authority.
 type RelayFile struct {
 	Listen    string         `yaml:"listen"`    // address for coordinators and other relays
 	Authority *AuthorityFile `yaml:"authority"` // nil for a relay
 	Upstream  `yaml:",inline"`
 
-	// SnapshotBytes is the budget for complete lists, in bytes a second for all readers together.
+	// SnapshotBytes is the snapshot budget: bytes of complete lists per second, for all readers together.
 	SnapshotBytes int           `yaml:"snapshot_bytes_per_second"`
-	Removals      int           `yaml:"removals"`  // removed entries that each version log remembers
-	Readers       int           `yaml:"readers"`   // readers that may have a call open at once
+	Removals      int           `yaml:"removals"`  // number of removed entries that each version log retains
+	Readers       int           `yaml:"readers"`   // maximum number of readers with an open call
 	MemoryMB      int           `yaml:"memory_mb"` // memory of the process, in MiB
-	Cores         int           `yaml:"cores"`     // processor cores; 0 for all
-	LogEvery      time.Duration `yaml:"log_every"` // interval of the log lines with counters
+	Cores         int           `yaml:"cores"`     // processor cores; 0 for all of them
+	LogEvery      time.Duration `yaml:"log_every"` // interval between log lines with counters
 }
 
-// AuthorityFile says where the authority has the endpoint list and the settings from. A field that is empty gives
-// none.
+// AuthorityFile configures where the authority gets the endpoint list and the settings from. An empty field disables
+// that origin.
 type AuthorityFile struct {
-	Discovery     string `yaml:"discovery"` // address of the service that gives out the endpoint list
-	EndpointsPath string `yaml:"nodes"`     // path of a file with the endpoint list, in the place of discovery
+	Discovery     string `yaml:"discovery"` // address of the service that serves the endpoint list
+	EndpointsPath string `yaml:"nodes"`     // path of a file with the endpoint list, instead of discovery
 	SettingsPath  string `yaml:"settings"`  // path of a file with the settings
 }
 
-// defaultRelay is what holds where the file says nothing. Its budget gives 150 readers 0.94 MB each within 8 s.
+// defaultRelay holds the values of keys that a file omits. Its snapshot budget serves 150 readers 0.94 MB each within
+// 8 s.
 var defaultRelay = RelayFile{Listen: "127.0.0.1:9700", Upstream: defaultUpstream(), SnapshotBytes: 18_000_000,
 	Removals: 10_000, Readers: 400, MemoryMB: 128, LogEvery: 10 * time.Second}
 
-// Bounds of a relay's numbers, in the units of their fields.
+// Bounds of the numeric values of a relay's file, in the units of their fields.
 const (
 	minSnapshotBytes = 64 << 10
 	maxSnapshotBytes = 1 << 40
@@ -57,7 +58,7 @@
 	return f, nil
 }
 
-// loadRelay is LoadRelay with an error that is not marked yet.
+// loadRelay implements LoadRelay; its error is not yet wrapped in an *InvalidError.
 func loadRelay(path string) (*RelayFile, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return &f, nil
 }
 
-// checkAddresses finds what is wrong with the addresses and sources.
+// checkAddresses returns the first fault in the addresses and sources.
 func (f *RelayFile) checkAddresses() error {
 	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -88,7 +89,7 @@
 	return f.Authority.check()
 }
 
-// check finds what is wrong with the sources of the endpoint list and the settings.
+// check returns the first fault in the origins of the endpoint list and the settings.
 func (a *AuthorityFile) check() error {
 	switch {
 	case a.Discovery == "" && a.EndpointsPath == "" && a.SettingsPath == "":
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// checkLimits finds the first number that is out of its bounds.
+// checkLimits returns an error for the first numeric value that is out of bounds.
 func (f *RelayFile) checkLimits() error {
 	for _, bound := range []struct {
 		key      string
--- a/internal/config/relay_test.go
+++ b/internal/config/relay_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The example file shows operators the defaults, so it says just these.
+// The example file shows operators the default values, so its values have to equal the defaults.
 func TestRelayExampleShowsDefaults(t *testing.T) {
 	example, err := LoadRelay("../../deploy/relay.example.yaml")
 	if err != nil {
@@ -16,11 +16,11 @@
 	}
 	example.Sources = nil
 	if got, want := fmt.Sprintf("%+v", *example), fmt.Sprintf("%+v", defaultRelay); got != want {
-		t.Errorf("the example says %s, the defaults are %s", got, want)
+		t.Errorf("example file has %s, want the defaults %s", got, want)
 	}
 }
 
-// Faults of the addresses and of the limits are reported together, and each keeps its type.
+// LoadRelay reports faults of the addresses and of the limits together, and each keeps its type.
 func TestRelayFaultsAreTypedErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "relay.yaml")
 	if err := os.WriteFile(path, []byte("readers: 0"), 0o600); err != nil {
@@ -32,6 +32,6 @@
 	var bound *RangeError
 	if !errors.As(err, &invalid) || !errors.As(err, &file) || file.Path != path || !errors.Is(err, ErrNoSources) ||
 		!errors.As(err, &bound) || bound.Key != "readers" {
-		t.Errorf("no sources and no readers: %v", err)
+		t.Errorf("file without sources and with 0 readers: error %v, want both faults", err)
 	}
 }
--- a/internal/config/upstream.go
+++ b/internal/config/upstream.go
@@ -9,34 +9,36 @@
 	"harepass/internal/distribution"
 )
 
-// Upstream is what the files of coordinators and relays say of the relays that are followed.
+// Upstream configures which sources a coordinator or a relay follows, and the times of its calls to them. It is part of
+// DistributionFile and RelayFile.
 type Upstream struct {
-	Zone             string        `yaml:"zone"` // where this process runs
+	Zone             string        `yaml:"zone"` // zone in which this process runs
 	Region           string        `yaml:"region"`
 	Sources          []RelaySource `yaml:"sources"`   // relays, or the authority
-	Heartbeat        time.Duration `yaml:"heartbeat"` // how long a call stays open where nothing has changed
-	SilenceTolerance time.Duration `yaml:"allowance"` // how much later than the heartbeat an answer may come
+	Heartbeat        time.Duration `yaml:"heartbeat"` // how long a call stays open while nothing changes
+	SilenceTolerance time.Duration `yaml:"allowance"` // how long after the heartbeat an answer may still arrive
 }
 
-// RelaySource is a relay that may be followed.
+// RelaySource is a relay, or the authority, that a process may follow.
 type RelaySource struct {
 	Address string `yaml:"address"`
 	Zone    string `yaml:"zone"`
 	Region  string `yaml:"region"`
 }
 
-// Bounds of the heartbeat, and of the silence tolerance beyond it.
+// Bounds of both the heartbeat and the silence tolerance.
 const (
 	minHeartbeat = 50 * time.Millisecond
 	maxHeartbeat = 20 * time.Second
 )
 
-// defaultUpstream holds where the file says nothing of the calls' times.
+// defaultUpstream returns the default times of the calls, for keys that a file omits.
 func defaultUpstream() Upstream {
 	return Upstream{Heartbeat: distribution.DefaultHeartbeat, SilenceTolerance: distribution.DefaultSilenceTolerance}
 }
 
-// checkSources refuses a list of sources that is empty, has one twice, or one that is no host and port.
+// checkSources rejects a list of sources that is empty, has a duplicate, or has an address that is not of the form
+// host:port.
 func (u *Upstream) checkSources() error {
 	if len(u.Sources) == 0 {
 		return ErrNoSources
@@ -54,7 +56,7 @@
 	return nil
 }
 
-// checkHeartbeat refuses times of calls that are out of their bounds.
+// checkHeartbeat rejects a heartbeat or silence tolerance that is out of bounds.
 func (u *Upstream) checkHeartbeat() error {
 	allowed := fmt.Sprintf("from %v to %v", minHeartbeat, maxHeartbeat)
 	switch {
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// Follower returns the configuration of a follower, c, with the sources, the locality and the times of the file.
+// Follower returns c, the configuration of a follower, with the sources, locality and times of the file filled in.
 func (u *Upstream) Follower(c distribution.Config) distribution.Config {
 	c.Locality, c.Sources = failover.Locality{Zone: u.Zone, Region: u.Region}, nil
 	for _, s := range u.Sources {
