--- a/internal/inventory/ansible.go
+++ b/internal/inventory/ansible.go
@@ -12,12 +12,12 @@
 const (
 	// allHosts is the group that every host belongs to.
 	allHosts = "all"
-	// variablePrefix is what the variables begin with that are for harepass alone.
+	// variablePrefix is the prefix of variables that only harepass uses.
 	variablePrefix = "harepass_"
 )
 
-// variables are the variables of hosts and groups that mean something here, with the columns that they stand for.
-// ansible_port is the port of SSH, so the endpoint's own port has another name.
+// variables maps the host and group variables that this package reads to the columns that they correspond to. The
+// endpoint's port needs its own variable because ansible_port is the SSH port.
 var variables = map[string]string{
 	"ansible_host":          columnAddress,
 	variablePrefix + "port": columnPort,
@@ -26,30 +26,30 @@
 	variablePrefix + "api":  columnAPI,
 }
 
-// The keys of a group.
+// Keys of a group.
 const (
 	keyVars     = "vars"
 	keyHosts    = "hosts"
 	keyChildren = "children"
 )
 
-// ansibleHost is a host as collected from all groups that name it.
+// ansibleHost is a host with the values from all groups that name it.
 type ansibleHost struct {
-	line     int               // where it is named first
+	line     int               // line that first names the host
 	values   map[string]string // by column
-	selected bool              // it is in the group that is read
+	selected bool              // the host belongs to the selected group
 }
 
-// ansibleFile is an Ansible inventory that is being read.
+// ansibleFile is an Ansible inventory while it is read.
 type ansibleFile struct {
 	*file
-	group      string // the group that is read
+	group      string // the selected group
 	groupFound bool
 	hosts      map[string]*ansibleHost
-	order      []string // the hosts' names, in the order in which they are named first; readAnsible adds them so
+	order      []string // host names in the order of their first mention; readAnsible adds hosts in this order
 }
 
-// readAnsible reads the hosts of one group of an Ansible inventory; all of them where group is empty.
+// readAnsible reads the hosts of one group of an Ansible inventory, or all hosts if group is empty.
 func (f *file) readAnsible(data []byte, group string) error {
 	var doc yaml.Node
 	if err := yaml.Unmarshal(data, &doc); err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// yamlError returns the YAML library's error with its place, which the library gives in its text alone.
+// yamlError converts an error of the YAML library to an *Error. The library gives the line only in the error's text.
 func (f *file) yamlError(err error) error {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	if place, ok := strings.CutPrefix(text, "line "); ok {
@@ -90,8 +90,8 @@
 	return f.errorAt(1, "%s", text)
 }
 
-// eachPair calls do for each pair of a mapping until it returns an error. An empty value counts as an empty mapping;
-// what says in an error which mapping it is.
+// eachPair calls do for each pair of a mapping until do returns an error. An empty value counts as an empty mapping.
+// what names the mapping in an error.
 func (a *ansibleFile) eachPair(n *yaml.Node, what string, do func(key, value *yaml.Node) error) error {
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
@@ -110,15 +110,15 @@
 	return nil
 }
 
-// readGroups reads a mapping of groups. outer are the values of the group around them; a group's own go before those,
-// and a host's own before either. selected reports that the groups are in the one that is read.
+// readGroups reads a mapping of groups. outer holds the values of the parent group; a group's own values override them,
+// and a host's own values override both. selected reports that the parent belongs to the selected group.
 func (a *ansibleFile) readGroups(n *yaml.Node, outer map[string]string, selected bool) error {
 	return a.eachPair(n, "the list of groups", func(name, body *yaml.Node) error {
 		return a.readGroup(name.Value, body, outer, selected)
 	})
 }
 
-// readGroup reads one group: first its variables, for its hosts and children inherit them.
+// readGroup reads one group. It reads the variables first because the group's hosts and children inherit them.
 func (a *ansibleFile) readGroup(name string, body *yaml.Node, outer map[string]string, selected bool) error {
 	if name == a.group {
 		a.groupFound, selected = true, true
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// sectionsOf returns the values of a group's keys vars, hosts and children; any other key is an error.
+// sectionsOf returns the values of a group's keys vars, hosts and children. Any other key is an error.
 func (a *ansibleFile) sectionsOf(group string, body *yaml.Node) (map[string]*yaml.Node, error) {
 	sections := map[string]*yaml.Node{}
 	err := a.eachPair(body, "group "+group, func(key, value *yaml.Node) error {
@@ -158,9 +158,9 @@
 	return sections, err
 }
 
-// readHosts reads the hosts of a group. inherited are the group's values, those of the groups around it included. Where
-// several groups name a host, the first value that it inherits for a column counts, in the file's order; a value of the
-// host's own goes before inherited ones, and of several the last one counts.
+// readHosts reads the hosts of a group. inherited holds the group's values, including those of its parent groups. If
+// several groups name a host, the first value that it inherits for a column wins, in the file's order. The host's own
+// values override inherited ones, and the last of its own values for a column wins.
 func (a *ansibleFile) readHosts(n *yaml.Node, group string, inherited map[string]string, selected bool) error {
 	return a.eachPair(n, "hosts of "+group, func(name, body *yaml.Node) error {
 		if strings.Contains(name.Value, "[") {
@@ -182,8 +182,8 @@
 	})
 }
 
-// readVariables takes over the variables that mean something here, and leaves the others to the tools that they are
-// for. An unknown one that is for harepass is an error: it is most likely misspelt.
+// readVariables reads the variables that this package knows and ignores those of other tools. An unknown variable with
+// the prefix of harepass is an error, because it is most likely misspelt.
 func (a *ansibleFile) readVariables(n *yaml.Node, what string, values map[string]string) error {
 	return a.eachPair(n, what, func(key, value *yaml.Node) error {
 		if column := variables[key.Value]; column != "" {
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -10,16 +10,16 @@
 )
 
 var (
-	// columns are all that a CSV file may have.
+	// columns are the columns that a CSV file may have.
 	columns = []string{columnName, columnAddress, columnPort, columnCell, columnZone, columnAPI}
-	// requiredColumns are those that a CSV file has to have.
+	// requiredColumns are the columns that a CSV file must have.
 	requiredColumns = []string{columnName, columnPort, columnCell}
 )
 
-// byteOrderMark is what some spreadsheets begin a file with.
+// byteOrderMark is written by some spreadsheet programs at the start of a file.
 const byteOrderMark = "\ufeff"
 
-// readCSV reads the hosts of a CSV file, one a row.
+// readCSV reads the hosts of a CSV file, one per row.
 func (f *file) readCSV(data []byte) error {
 	r := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(data, []byte(byteOrderMark))))
 	r.TrimLeadingSpace = true
@@ -50,7 +50,7 @@
 	}
 }
 
-// normalizeHeader brings the names of columns into the form of columns, and checks them.
+// normalizeHeader converts the names in the header row to the spelling in columns, and checks them.
 func (f *file) normalizeHeader(header []string) error {
 	for i, name := range header {
 		header[i] = strings.ToLower(strings.TrimSpace(name))
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// csvError returns a CSV reader's error with its place in the file.
+// csvError adds the line in the file to an error of the CSV reader.
 func (f *file) csvError(err error) error {
 	var syntax *csv.ParseError
 	switch {
--- a/internal/inventory/host.go
+++ b/internal/inventory/host.go
@@ -15,35 +15,35 @@
 type Host struct {
 	Name         string
 	Address      string // host:port
-	RingPosition int    // from 0 to the ring size less 1
-	Zone         string // empty where the inventory names none
-	API          string // scheme that the endpoint speaks: one of APIs
-	line         int    // where the file names it first
+	RingPosition int    // from 0 to the ring size minus 1
+	Zone         string // empty if the inventory gives none
+	API          string // scheme that the endpoint uses: one of APIs
+	line         int    // line of the file that first names the host
 }
 
-// APIs are the schemes that an endpoint may speak, by core.Endpoint.Scheme. A host that names none speaks the first. It
-// must not be changed.
+// APIs lists the schemes that an endpoint may use, as in core.Endpoint.Scheme. The first is the default for hosts that
+// give none. The slice must not be modified.
 var APIs = []string{"frame", "opensearch"}
 
 // maxPort is the highest TCP port.
 const maxPort = 65535
 
-// ErrUnknownFormat is wrapped by Load's error for a file whose ending says neither CSV nor YAML.
-var ErrUnknownFormat = errors.New("neither .csv nor .yml or .yaml")
+// ErrUnknownFormat is wrapped by the error of Load for a file whose extension is neither that of CSV nor of YAML.
+var ErrUnknownFormat = errors.New("the file name has to end in .csv, .yml or .yaml")
 
-// Error is a fault at a place of an inventory file.
+// Error reports a fault in one line of an inventory file.
 type Error struct {
-	File string // the path as it was given
+	File string // path as passed to Load
 	Line int    // from 1
-	Text string // what is wrong there
+	Text string // description of the fault
 }
 
-// Error returns the place and the fault, as compilers do.
+// Error returns file, line and fault in the format of compiler messages.
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// Load reads the hosts of a file, in the file's order. The file's ending says its format: .csv, or .yml and .yaml, of
-// which it takes the hosts of one group (all hosts where group is empty). Ring positions go from 0 to ringSize-1. The
-// errors are an *Error, that of reading the file, or wrap ErrUnknownFormat.
+// Load reads the hosts of a file, in the file's order. The extension selects the format: CSV for .csv, and YAML for
+// .yml and .yaml. From YAML, Load returns the hosts of one group, or all hosts if group is empty. Ring positions range
+// from 0 to ringSize-1. The error is an *Error, the error of reading the file, or wraps ErrUnknownFormat.
 func Load(path, group string, ringSize int) ([]Host, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -67,19 +67,19 @@
 	return f.hosts, nil
 }
 
-// file is an inventory file that is being read.
+// file is an inventory file while it is read.
 type file struct {
 	path     string
 	ringSize int
-	hosts    []Host // those that have been read and checked
+	hosts    []Host // hosts that have been read and checked
 }
 
-// errorAt returns an *Error for a line.
+// errorAt returns an *Error for a line of the file.
 func (f *file) errorAt(line int, format string, args ...any) error {
 	return &Error{f.path, line, fmt.Sprintf(format, args...)}
 }
 
-// The columns of a CSV file, which are also the keys of a host's values in either format.
+// Columns of a CSV file. They are also the keys of a host's values in both formats.
 const (
 	columnName    = "name"
 	columnAddress = "address"
@@ -89,7 +89,7 @@
 	columnAPI     = "api"
 )
 
-// add checks a host's values, by column, and appends it. line is where the file names it first.
+// add checks a host's values, which are keyed by column, and appends the host. line is where the file first names it.
 func (f *file) add(line int, name string, values map[string]string) error {
 	if name == "" || strings.ContainsAny(name, " \t") {
 		return f.errorAt(line, "host name %q is empty or holds a space", name)
--- a/internal/inventory/host_test.go
+++ b/internal/inventory/host_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// load writes a file of a name and loads it.
+// load writes text to a file with the given name and loads it.
 func load(t *testing.T, name, text, group string) ([]Host, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -46,22 +46,22 @@
             node02: {ansible_host: 127.0.0.12, harepass_cell: 1}
 `
 
-// A CSV file and a YAML file of one inventory give equal hosts.
+// A CSV file and a YAML file of the same inventory give equal hosts.
 func TestBothFormatsGiveEqualHosts(t *testing.T) {
 	want := []Host{{Name: "node01", Address: "127.0.0.11:9200", RingPosition: 0, API: "opensearch"},
 		{Name: "node02", Address: "127.0.0.12:8080", RingPosition: 1, API: "frame"}}
 	for _, tc := range []struct{ name, text string }{{"nodes.csv", csvText}, {"nodes.yml", yamlText}} {
 		got, err := load(t, tc.name, tc.text, "map_nodes")
 		if err != nil || len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
-			t.Errorf("%s: %+v, %v; want %+v", tc.name, got, err, want)
+			t.Errorf("%s: hosts %+v, error %v; want hosts %+v", tc.name, got, err, want)
 		}
 	}
 	if got, err := load(t, "nodes.yaml", yamlText, ""); err != nil || len(got) != 3 {
-		t.Errorf("all hosts: %+v, %v", got, err)
+		t.Errorf("without a group: hosts %+v, error %v; want all 3 hosts", got, err)
 	}
 }
 
-// A faulty file is an *Error that names the file, the line and the fault.
+// Load returns an *Error that names file, line and fault for a faulty file.
 func TestFaultsNameFileAndLine(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
 		{"a.csv", "", "a.csv:1: no header row"},
@@ -87,14 +87,14 @@
 		_, err := load(t, tc.name, tc.text, "")
 		var fault *Error
 		if !errors.As(err, &fault) || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%q: error %v, want %q in it", tc.text, err, tc.want)
+			t.Errorf("%q: error %v, want an *Error that contains %q", tc.text, err, tc.want)
 		}
 	}
 	_, err := load(t, "a.yml", "all:\n  hosts: {}\n", "map_nodes")
 	if err == nil || !strings.Contains(err.Error(), `no group "map_nodes"`) {
-		t.Errorf("a missing group: %v", err)
+		t.Errorf("missing group: error %v", err)
 	}
 	if _, err := load(t, "a.ini", "x", ""); !errors.Is(err, ErrUnknownFormat) {
-		t.Errorf("an unknown ending: %v", err)
+		t.Errorf("unknown extension: error %v, want ErrUnknownFormat", err)
 	}
 }
--- a/internal/inventory/reader.go
+++ b/internal/inventory/reader.go
@@ -10,26 +10,27 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Source names the inventory where endpoint lists are told apart by where they come from.
+// Source is the name of the inventory where endpoint lists are distinguished by their origin.
 const Source = "inventory"
 
-// Reader reads an inventory file again and again. Each endpoint list that it returns depends on the reading before too:
-// a host that is gone is listed once more, as draining. Its exported fields are set before the first Read. It is for
-// one goroutine at a time.
+// Reader reads an inventory file repeatedly. Each endpoint list that it returns also depends on the previous reading: a
+// host that was removed from the file is listed once more, as draining. The exported fields have to be set before the
+// first Read. A Reader must not be used concurrently.
 type Reader struct {
-	// Path is the file; Load says which endings it may have.
+	// Path is the path of the file; Load documents the valid extensions.
 	Path string
-	// Group is the group of an Ansible inventory that is read; empty for all hosts.
+	// Group is the group to read from an Ansible inventory; empty for all hosts.
 	Group string
-	// RingSize is how many ring positions there are.
+	// RingSize is the number of ring positions.
 	RingSize int
 
-	endpoints map[string]core.Endpoint // what Read returned last, draining ones included, by ID; nil before the first
+	endpoints map[string]core.Endpoint // last result of Read, including draining endpoints, by ID; nil before the first
 }
 
-// Read reads the file and returns its endpoints in the order of their IDs. Those that the reading before had and this
-// one has not are returned once as draining. A host that a later reading brings, or brings back, may just have been
-// started: it counts as started at now, the caller's clock. The errors are Load's; the list then stays as it was.
+// Read reads the file and returns its endpoints, sorted by ID. Endpoints that the previous reading had and this one
+// lacks are returned once more, as draining. A host that a reading after the first adds, or adds again, may just have
+// started, so its StartedAt is now, the time of the caller's clock. The error is that of Load; the Reader then keeps
+// its state.
 func (r *Reader) Read(now time.Duration) ([]core.Endpoint, error) {
 	hosts, err := Load(r.Path, r.Group, r.RingSize)
 	if err != nil {
@@ -49,8 +50,8 @@
 	return slices.SortedFunc(maps.Values(next), func(x, y core.Endpoint) int { return cmp.Compare(x.ID, y.ID) }), nil
 }
 
-// endpoint returns a host as an endpoint. One that the last reading had, with the address and the API that it has
-// now, is taken for the process that it was.
+// endpoint converts a host to an endpoint. If the previous reading had the host as Ready with the same address and API,
+// the endpoint counts as the same process and keeps its StartedAt.
 func (r *Reader) endpoint(h Host, now time.Duration) core.Endpoint {
 	e := core.Endpoint{Address: h.Address, Scheme: h.API,
 		Replica: scatter.Replica{ID: h.Name, RingPosition: h.RingPosition, Zone: h.Zone}}
--- a/internal/inventory/reader_test.go
+++ b/internal/inventory/reader_test.go
@@ -9,8 +9,8 @@
 	"harepass/internal/decide/scatter"
 )
 
-// An operator edits the inventory while the program runs. A host that leaves the file drains, one that comes later
-// counts as just started, and a faulty file changes nothing.
+// An operator edits the inventory while the program runs. A host that is removed from the file drains, a host that is
+// added later counts as just started, and a faulty file changes nothing.
 func TestReadingsOfAnEditedFile(t *testing.T) {
 	r := &Reader{Path: filepath.Join(t.TempDir(), "nodes.csv"), RingSize: 4}
 	read := func(rows string) (string, error) {
@@ -34,11 +34,11 @@
 		{"b,2,1\nc,3,9\n", ""}, // rejected
 		{"a,1,0\nb,2,1\nc,3,2\n", "a+new b+ c+new "},
 		{"a,1,0\nb,9,1\n", "a+new b+new c-new "},
-		{"a,1,0\nb,9,1\n", "a+new b+new "}, // c is forgotten
+		{"a,1,0\nb,9,1\n", "a+new b+new "}, // c is no longer listed
 	} {
 		got, err := read(tc.rows)
 		if got != tc.want || (err != nil) != (tc.want == "") {
-			t.Errorf("%q: %q, %v; want %q", tc.rows, got, err, tc.want)
+			t.Errorf("rows %q: endpoints %q, error %v; want %q", tc.rows, got, err, tc.want)
 		}
 	}
 }
