--- a/cmd/harepass/check.go
+++ b/cmd/harepass/check.go
@@ -10,7 +10,8 @@
 	"harepass/internal/core"
 )
 
-// runCheck reads all that serve would and starts nothing. It prints what is configured, or returns what is wrong.
+// runCheck reads and checks the same configuration as serve but starts nothing. It prints a summary of the
+// configuration, or returns its fault.
 func runCheck(args []string, out io.Writer) error {
 	fs := newFlags("check")
 	paths := pathFlags(fs)
@@ -40,7 +41,7 @@
 	return err
 }
 
-// printSummary prints a line for each part of a configuration that is on. Scripts read these lines.
+// printSummary prints one line for each enabled part of a configuration. Scripts read these lines.
 func printSummary(out io.Writer, c *config.Config) {
 	fmt.Fprintf(out, "settings: %d classes, %d tenants, %d cells\n",
 		len(c.Settings.Classes), len(c.Settings.Tenants), c.Settings.RingSize)
--- a/cmd/harepass/check_test.go
+++ b/cmd/harepass/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// check lists what a file would change in the one in force, and refuses a broken one.
+// check lists what a new file would change in the file in force, and rejects a file that lacks a key.
 func TestCheckListsChanges(t *testing.T) {
 	good := platformFile(t, map[string]any{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2"})
 	write := fileWriter(t, t.TempDir())
@@ -25,7 +25,7 @@
 		var out, errs bytes.Buffer
 		status := run([]string{"check", "-against", inForce}, &out, &errs)
 		if status != tc.status || !strings.Contains(out.String()+errs.String(), tc.want) {
-			t.Errorf("%s: status %d, %s%s", what, status, &out, &errs)
+			t.Errorf("file %q: status %d, output %s%s", what, status, &out, &errs)
 		}
 	}
 }
--- a/cmd/harepass/completeness_test.go
+++ b/cmd/harepass/completeness_test.go
@@ -10,12 +10,12 @@
 	"harepass/internal/test/fake"
 )
 
-// A class says that 0.67 of the parts are enough, and one replica fails every part. An answer from 0.67 is complete,
-// and there is none from less.
+// The complete fraction of a class is 0.67, and one replica fails every part. An answer from shards with a weight of at
+// least 0.67 is complete, and a lower weight gives no answer.
 func TestCompleteFractionOfParts(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 96, 3)
-	p.replicas[2].Script = func(int, int) fake.Reply { return fake.Reply{Kind: fake.Fail} } // the only one with shard 2
+	p.replicas[2].Script = func(int, int) fake.Reply { return fake.Reply{Kind: fake.Fail} } // only holder of shard 2
 	p.adaptSettings = func(settings map[string]any) {
 		family := settings["family_info"].(map[string]any)
 		family["reach"], family["positions"], family["shards"] = 1, 3, 3
@@ -25,7 +25,7 @@
 	go fake.ServeDiscovery(l, func() string { return string(p.listing(1, inService)) })
 	p.listMode = "push"
 	p.start(p.listing(1, inService), l.Addr().String())
-	eventually(t, "it serves", func() bool { return p.logged(logmsg.ListenerOpened) })
+	eventually(t, "the process listens", func() bool { return p.logged(logmsg.ListenerOpened) })
 	for name, tc := range map[string]struct {
 		weights  [3]float64 // of shards 0, 1 and 2
 		complete bool
@@ -57,7 +57,7 @@
 		}
 		complete := status == 200 && a.Entire && len(a.Items) == 2
 		if complete != tc.complete || status == 200 && !tc.complete {
-			t.Errorf("%s: %d %s", name, status, answer)
+			t.Errorf("%s: status %d, answer %s", name, status, answer)
 		}
 	}
 }
--- a/cmd/harepass/crowded_discovery_test.go
+++ b/cmd/harepass/crowded_discovery_test.go
@@ -15,19 +15,19 @@
 // These tests reproduce the incident of 2026-12-02 (docs/incidents) on real processes and sockets.
 
 const (
-	drainGrace  = time.Second           // how long draining replicas may get parts, where the settings say nothing
-	notifySlack = 50 * time.Millisecond // for a part that is on its way to its replica when the grace ends
+	drainGrace  = time.Second           // default time for which draining replicas may still get parts
+	notifySlack = 50 * time.Millisecond // for a part that is in transit to its replica when the grace ends
 )
 
-// lateParts counts the parts that replicas are sent, and among them those that come although the replicas drain.
+// lateParts counts all parts that replicas receive, and those that draining replicas receive too late.
 type lateParts struct {
 	mu       sync.Mutex
 	sent     int       // all parts
-	late     int       // those that came after lateFrom
-	lateFrom time.Time // when the grace of the drain is over; zero until the replicas drain
+	late     int       // parts that arrived after lateFrom
+	lateFrom time.Time // end of the drain's grace; zero until the replicas drain
 }
 
-// watch counts the parts of replicas.
+// watch counts the parts that the replicas receive.
 func (l *lateParts) watch(replicas []*fake.Replicas) {
 	for _, r := range replicas {
 		r.OnPart = func(fake.Part, fake.Kind) {
@@ -40,16 +40,16 @@
 	}
 }
 
-// drainNow begins the replicas' drain: parts are late once it counts as notified and its grace is over.
+// drainNow starts the drain of the replicas: parts are late once the drain counts as notified and its grace is over.
 func (l *lateParts) drainNow() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lateFrom = time.Now().Add(backoff.NotifiedAfter + drainGrace + notifySlack)
 }
 
-// Replicas begin to drain while discovery is crowded: watches fall silent, and polls wait and are reset. The
-// coordinator cannot learn of the drain, but is bound by it: 6 s and the grace later nothing new goes to those
-// replicas. Once discovery answers, the coordinator serves again by the new list.
+// Replicas begin to drain while discovery is overloaded: watches get no answer, and each poll waits until its
+// connection is reset. The coordinator cannot learn of the drain but has to respect it: after 6 s and the grace, it
+// sends no new part to those replicas. Once discovery answers, the coordinator serves again with the new list.
 func TestDrainBehindCrowdedDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, fleet := range []int{3, 35, 300} {
@@ -65,16 +65,17 @@
 			d.crowded.Store(true)
 			statuses := p.queryFor(12 * time.Second)
 			d.crowded.Store(false)
-			eventually(t, "it serves again", func() bool { return query(t, p.address, 0, 1, 2, 3, 4, 5) == 200 })
+			eventually(t, "service resumes", func() bool { return query(t, p.address, 0, 1, 2, 3, 4, 5) == 200 })
 			parts.check(t, p, d)
 			checkServedOrRejected(t, statuses)
 		})
 	}
 }
 
-// Replicas begin to drain while discovery answers others and rejects each poll of this coordinator with 503 at once:
-// its queue is full. A rejected poll does not show that nobody can reach discovery, so the drain counts as notified 6 s
-// later, and after the grace nothing new goes to those replicas. Once a poll is answered, the coordinator serves again.
+// Replicas begin to drain while discovery answers other callers but rejects each poll of this coordinator with 503 at
+// once, because its queue is full. A rejected poll does not show that discovery is unreachable for everyone, so the
+// drain counts as notified 6 s later, and after the grace those replicas get no new part. Once a poll is answered, the
+// coordinator serves again.
 func TestDrainBehindRejectingDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, fleet := range []int{3, 24, 40, 60} {
@@ -85,7 +86,8 @@
 	}
 }
 
-// The same in fleets that discovery cannot answer before their lists expire.
+// The same as TestDrainBehindRejectingDiscovery, in fleets so large that discovery cannot answer all members before
+// their lists expire.
 func TestDrainBehindRejectingDiscoveryInLargeFleet(t *testing.T) {
 	t.Parallel()
 	for _, fleet := range []int{100, 300} {
@@ -96,6 +98,7 @@
 	}
 }
 
+// playDrainBehindRejectingDiscovery drains two replicas while discovery rejects the polls of one member of a fleet.
 func playDrainBehindRejectingDiscovery(t *testing.T, fleet int) {
 	p := newLimitedProcess(t, 256, 6)
 	d := &crowdedDiscovery{process: p}
@@ -107,39 +110,39 @@
 	d.rejecting.Store(true)
 	statuses := p.queryFor(12 * time.Second)
 	d.rejecting.Store(false)
-	eventually(t, "it serves again", func() bool { return query(t, p.address, 0, 1, 2, 3, 4, 5) == 200 })
+	eventually(t, "service resumes", func() bool { return query(t, p.address, 0, 1, 2, 3, 4, 5) == 200 })
 	parts.check(t, p, d)
 	checkServedOrRejected(t, statuses)
 }
 
-// check fails where a part was late, or none was sent at all.
+// check fails if a part was late, or if no part was sent at all.
 func (l *lateParts) check(t *testing.T, p *limitedProcess, d *crowdedDiscovery) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.late > 0 {
-		t.Errorf("%d of %d parts went to draining replicas after they counted as notified; failed polls: %d\n%s",
+		t.Errorf("%d of %d parts reached draining replicas after notification and grace; failed polls: %d\n%s",
 			l.late, l.sent, d.failedPolls.Load(), p.log)
 	}
 	if l.sent == 0 {
-		t.Errorf("no load: no parts")
+		t.Errorf("the replicas received no parts")
 	}
 }
 
-// checkServedOrRejected fails where no query was served, or one ended neither with 200 nor with 429.
+// checkServedOrRejected fails if no query was served, or if a query ended with a status other than 200 and 429.
 func checkServedOrRejected(t *testing.T, statuses map[int]int) {
 	if statuses[200] == 0 {
-		t.Errorf("no load: answers %v", statuses)
+		t.Errorf("no query was served; answers by status %v", statuses)
 	}
 	for status := range statuses {
 		if status != 200 && status != 429 {
-			t.Errorf("answers %v", statuses)
+			t.Errorf("answers by status %v, want only 200 and 429", statuses)
 		}
 	}
 }
 
-// Discovery is down for a while, with its replicas in service: watches are reset and connections refused, so nobody can
-// reach it. It cannot have announced a change, so the list is used for as long as that lasts, and no query is rejected
-// for it.
+// Discovery is down for a while, with its replicas in service: watches are reset and connections refused, so it is
+// unreachable for everyone. It cannot have announced a change, so the coordinator uses its list for as long as
+// discovery is down and rejects no query because of it.
 func TestServesWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
@@ -149,17 +152,17 @@
 	discovery.goDown()
 	for end := time.Now().Add(2 * backoff.NotifiedAfter); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if status := query(t, p.address, 0, 1, 2, 3, 4, 5); status != 200 {
-			t.Fatalf("a query ended with %d\n%s", status, p.log)
+			t.Fatalf("query while discovery is down: status %d, want 200\n%s", status, p.log)
 		}
 	}
 	if !p.logged("connection refused") {
-		t.Error("discovery was not polled while it was down")
+		t.Error("the log has no refused poll while discovery was down")
 	}
 }
 
-// A process is killed and comes back while discovery is down. Its stored list is older than that of its configuration,
-// and only the latter has a replica as draining. The process begins with the later list, and sends that replica
-// nothing.
+// A process is killed and restarted while discovery rejects its polls. Its stored list is older than the list in its
+// configuration, and only the latter lists replica 2 as draining. The process starts with the later list and sends no
+// part to that replica.
 func TestStartsWithTheLaterList(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
@@ -184,15 +187,15 @@
 	p.writeConfig(p.listing(3, onlyReplica2Drains), discovery.Addr().String())
 	before := len(p.replicas[2].Received())
 	p.startAgain()
-	eventually(t, "it serves again", func() bool {
+	eventually(t, "service resumes", func() bool {
 		return strings.Count(p.log.String(), logmsg.PhaseChanged+` phase=ready`) == 2
 	})
 	for range 20 {
 		if status := query(t, p.address, 0, 1, 2, 3, 4, 5); status != 200 {
-			t.Errorf("a query ended with %d", status)
+			t.Errorf("query: status %d, want 200", status)
 		}
 	}
 	if n := len(p.replicas[2].Received()) - before; n > 0 {
-		t.Errorf("%d parts went to a replica that the configuration's list has as draining\n%s", n, p.log)
+		t.Errorf("%d parts went to the replica that is draining in the configuration's list\n%s", n, p.log)
 	}
 }
--- a/cmd/harepass/descriptors_test.go
+++ b/cmd/harepass/descriptors_test.go
@@ -15,8 +15,8 @@
 	"harepass/internal/test/fake"
 )
 
-// openIdleClients opens connections of clients that ask once and stay, and of such that say nothing. They stay until
-// the process closes them or the test ends.
+// openIdleClients opens client connections; every second one sends one request, and the others send nothing. They stay
+// open until the process closes them or the test ends.
 func openIdleClients(t *testing.T, address string) {
 	for i := range 120 {
 		c, err := net.Dial("tcp", address)
@@ -30,31 +30,32 @@
 	}
 }
 
-// queryOnNewConns sends queries, each on a connection of its own that has to find a descriptor, and checks that each
-// is served.
+// queryOnNewConns sends queries, each on a new connection that needs a descriptor in the process, and checks that each
+// query is served.
 func queryOnNewConns(t *testing.T, address, when string) {
 	for range 150 {
 		status := query(t, address, 0, 1, 2, 3, 4, 5)
 		if http.DefaultClient.CloseIdleConnections(); status != 200 {
-			t.Errorf("%s: a query ended with %d", when, status)
+			t.Errorf("%s: query status %d, want 200", when, status)
 		}
 	}
 }
 
-// Idle clients fill the descriptors while discovery is down, before more replicas than a quarter of the descriptors.
-// No query fails for want of one; discovery, which comes back, and the file that is read again find theirs.
+// Idle clients use up the descriptors that are left to them while discovery is down, with more replicas than a quarter
+// of the descriptors. No query fails for lack of a descriptor, and neither does polling discovery after it returns or
+// reading the configuration again.
 func TestIdleClientsLeaveDescriptorsForReplicas(t *testing.T) {
 	const sockets, replicas = 96, 40
 	p := newLimitedProcess(t, sockets, replicas)
 	p.start(p.listing(1, inService), p.unusedDiscovery)
-	eventually(t, "ready", func() bool { return isReady(p.address) })
+	eventually(t, "the process is ready", func() bool { return isReady(p.address) })
 	for range 3 {
 		openIdleClients(t, p.address)
 		queryOnNewConns(t, p.address, "while discovery is down")
 	}
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	if err != nil || len(open) < sockets/2 || len(open) > sockets {
-		t.Errorf("%d descriptors are open, %v: the test fills none, or too many", len(open), err)
+		t.Errorf("%d descriptors are open, error %v; want from half of the limit to all of it", len(open), err)
 	}
 	l, err := net.Listen("tcp", p.unusedDiscovery)
 	if err != nil {
@@ -69,12 +70,12 @@
 	before := len(p.replicas[0].Received())
 	queryOnNewConns(t, p.address, "with discovery back")
 	if n := len(p.replicas[0].Received()) - before; n > 0 {
-		t.Errorf("%d parts went to a replica that was announced as draining", n)
+		t.Errorf("%d parts went to a replica that discovery lists as draining", n)
 	}
 	p.writeConfig(p.listing(1, inService), l.Addr().String())
 	p.Process.Signal(syscall.SIGHUP)
-	eventually(t, "the file is read again", func() bool { return p.logged(logmsg.ConfigurationReloaded) })
+	eventually(t, "the configuration is reloaded", func() bool { return p.logged(logmsg.ConfigurationReloaded) })
 	if p.logged("too many open files") {
-		t.Errorf("descriptors ran out: %s", p.log)
+		t.Errorf("the process ran out of descriptors: %s", p.log)
 	}
 }
--- a/cmd/harepass/discovery_server_test.go
+++ b/cmd/harepass/discovery_server_test.go
@@ -11,12 +11,13 @@
 	"time"
 )
 
-// poll is a call for discovery's list.
+// poll is a request for discovery's endpoint list.
 type poll struct {
-	hold time.Duration // for how long the answer may wait while nothing changes
-	from int           // the version that the caller has; -1 for none
+	hold time.Duration // how long the answer may wait while nothing changes
+	from int           // version that the caller has; -1 for none
 }
 
+// parsePoll reads the parameters of a request for the list.
 func parsePoll(r *http.Request) poll {
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
@@ -26,10 +27,10 @@
 	return poll{time.Duration(hold) * time.Millisecond, from}
 }
 
-// isWatch reports whether the caller lets the answer wait for a change.
+// isWatch reports whether the caller asks the server to wait for a change.
 func (p poll) isWatch() bool { return p.hold > time.Millisecond }
 
-// waitFor waits for a condition as long as the answer may wait, and reports whether it has come true.
+// waitFor waits until a condition holds, but no longer than the answer may wait, and reports whether it holds.
 func (p poll) waitFor(interval time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(p.hold); time.Now().Before(end); time.Sleep(interval) {
 		if condition() {
@@ -39,7 +40,8 @@
 	return condition()
 }
 
-// answer writes that nothing has changed, or a version of the list of a process's replicas.
+// answer writes an empty update if the caller has the version already, and otherwise the complete list of the process's
+// replicas.
 func (p poll) answer(w http.ResponseWriter, process *limitedProcess, version int, state func(replica int) string) {
 	if p.from == version {
 		fmt.Fprintf(w, `{"index":%d,"snapshot":false,"endpoints":[]}`, version)
@@ -48,17 +50,17 @@
 	w.Write(process.listing(version, state))
 }
 
-// crowdedDiscovery answers polls until it becomes crowded.
+// crowdedDiscovery serves the endpoint list until it is overloaded (crowded) or rejects polls.
 type crowdedDiscovery struct {
 	process     *limitedProcess
-	crowded     atomic.Bool   // standing watches stay silent, and each poll waits before its connection is reset
-	rejecting   atomic.Bool   // standing watches stay silent, and each poll is rejected at once: others have the queue
+	crowded     atomic.Bool   // open watches get no answer, and each poll waits before its connection is reset
+	rejecting   atomic.Bool   // open watches get no answer, and each poll is rejected at once: the queue is full
 	resetDelay  time.Duration // how long a poll waits while discovery is crowded
-	failedPolls atomic.Int32  // polls that came while discovery was crowded or rejected them
-	listChanged atomic.Bool   // in the list the first two replicas drain; a failed poll sets it, and so may the test
+	failedPolls atomic.Int32  // polls that arrived while discovery was crowded or rejecting
+	listChanged atomic.Bool   // the list has the first two replicas as draining; set by a failed poll or by the test
 }
 
-// pollFailed counts a poll that gets no list. The list has changed from then on.
+// pollFailed counts a poll that gets no list, and changes the list.
 func (d *crowdedDiscovery) pollFailed() {
 	d.failedPolls.Add(1)
 	d.listChanged.Store(true)
@@ -96,7 +98,7 @@
 	p.answer(w, d.process, version, state)
 }
 
-// startFleetMember starts one coordinator of a fleet of some size before a discovery, waits until it serves, and
+// startFleetMember starts one coordinator of a fleet of the given size that polls discovery, waits until it serves, and
 // returns discovery's listener.
 func startFleetMember(t *testing.T, p *limitedProcess, discovery http.Handler, fleet int) *closableListener {
 	p.adaptSettings = func(settings map[string]any) {
@@ -113,7 +115,8 @@
 	return l
 }
 
-// closableListener keeps what it has accepted, so that a service can go down as its process does when it dies.
+// closableListener records the connections that it has accepted, so that a test can simulate the death of the server's
+// process.
 type closableListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -131,7 +134,7 @@
 	return c, err
 }
 
-// goDown refuses connections from now on and resets those that are open.
+// goDown closes the listener, so that new connections are refused, and resets the open ones.
 func (l *closableListener) goDown() {
 	l.Close()
 	l.mu.Lock()
--- a/cmd/harepass/discovery_test.go
+++ b/cmd/harepass/discovery_test.go
@@ -12,7 +12,7 @@
 	"harepass/internal/test/fake"
 )
 
-// brokenDiscoveries serve a listener as a discovery that gives out no list.
+// brokenDiscoveries are servers for a discovery that never returns a list.
 var brokenDiscoveries = map[string]func(l net.Listener){
 	"down":   func(l net.Listener) { l.Close() },
 	"silent": func(net.Listener) {},
@@ -27,8 +27,9 @@
 	},
 }
 
-// A process that knows no list starts while discovery refuses connections, accepts them and says nothing, or fails
-// each poll late. It is ready all the same. Nine in ten have 10 s for it; here each has.
+// A process without a known list starts while discovery refuses connections, accepts them without an answer, fails each
+// poll late, or answers with malformed JSON. It becomes ready nevertheless. The requirement is 10 s for nine processes
+// in ten; this test requires it of each.
 func TestReadyWithoutListWhateverDiscoveryDoes(t *testing.T) {
 	for name, serve := range brokenDiscoveries {
 		t.Run(name, func(t *testing.T) {
@@ -38,17 +39,17 @@
 			go serve(l)
 			p.start([]byte(emptyList), l.Addr().String())
 			began := time.Now()
-			eventually(t, "ready", func() bool { return isReady(p.address) })
+			eventually(t, "the process is ready", func() bool { return isReady(p.address) })
 			if took := time.Since(began); took > 10*time.Second {
-				t.Errorf("ready after %v", took)
+				t.Errorf("ready after %v, want at most 10 s", took)
 			}
 		})
 	}
 }
 
-// Where the settings say that lists are pushed, nobody sends them to a socket that did not subscribe, and a process
-// that waited for them was never ready. The program polls its agent, has the list though it knew none, and learns of
-// changes.
+// The settings say that lists are pushed, but over sockets only a subscriber receives them, and a process that waited
+// for a pushed list never became ready. The program therefore polls its agent: it gets the list without a known one,
+// and learns of changes.
 func TestPushedListsArePolled(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 96, 3)
@@ -67,23 +68,23 @@
 		query(t, p.address, 0, 1)
 	}
 	if len(p.replicas[0].Received()) == 0 {
-		t.Error("nothing ever went to the replica that drains")
+		t.Error("no part went to the replica before it drained")
 	}
 	changed.Store(true)
 	time.Sleep(backoff.WatchHold + backoff.WatchSilence)
 	before := len(p.replicas[0].Received())
 	for range 30 {
 		if status := query(t, p.address, 0, 1); status != 200 {
-			t.Errorf("a query ended with %d", status)
+			t.Errorf("query: status %d, want 200", status)
 		}
 	}
 	if n := len(p.replicas[0].Received()) - before; n > 0 {
-		t.Errorf("%d parts went to a replica that had been announced as draining", n)
+		t.Errorf("%d parts went to a replica that discovery lists as draining", n)
 	}
 }
 
-// Replicas begin to drain while every watch is silent: discovery never answers the watch that is open then, but answers
-// polls. The drain counts as notified 6 s later, and after the grace the replicas get nothing more.
+// Replicas begin to drain while watches are silent: discovery never answers the watch that is open at that time, but
+// answers polls. The drain counts as notified 6 s later, and after the grace the replicas get no new part.
 func TestNoPartToDrainingReplicaBehindSilentWatch(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
@@ -92,7 +93,7 @@
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call := parsePoll(r)
 		if call.isWatch() && !silent.Load() && call.waitFor(10*time.Millisecond, silent.Load) {
-			<-r.Context().Done() // this watch brings nothing, not even its end
+			<-r.Context().Done() // this watch gets neither an answer nor an end
 			return
 		}
 		version, state := 1, inService
@@ -112,15 +113,15 @@
 	p.checkNoPartToDraining(time.Second)
 }
 
-// Lists are pushed, so new work has to end half a second after the agent knows that a replica drains. The agent is
-// silent from the middle of a watch, which is never answered. Nothing new goes to the replica all the same.
+// Lists are pushed, so a draining replica may get no new part half a second after the agent knows of its drain. The
+// agent falls silent during a watch, which is never answered. The replica gets no new part nevertheless.
 func TestNoPartToDrainingReplicaBehindSilentAgent(t *testing.T) {
 	t.Parallel()
 	p := newLimitedProcess(t, 256, 6)
 	p.listMode = "push"
 	l := listen(t)
 	var silent, changed atomic.Bool
-	watches := make(chan struct{}, 1000) // one for each that has begun
+	watches := make(chan struct{}, 1000) // one element for each watch that has begun
 	go http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call := parsePoll(r)
 		version, state := 1, inService
--- a/cmd/harepass/distribution_test.go
+++ b/cmd/harepass/distribution_test.go
@@ -16,7 +16,7 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// relays are two of a region that give out one authority's versions.
+// relays are two relays of one region that distribute the versions of one authority.
 type relays struct {
 	t                   *testing.T
 	instances, settings *relay.Resource
@@ -24,6 +24,7 @@
 	stops               []func() // one for each relay
 }
 
+// newRelays starts both relays.
 func newRelays(t *testing.T) *relays {
 	budget := relay.NewSnapshotBudget(1 << 20)
 	r := &relays{t: t, instances: relay.NewResource(versionlog.New(7, 100), budget),
@@ -43,7 +44,7 @@
 	return r
 }
 
-// publish publishes an entry, or its removal where object is empty.
+// publish publishes an entry, or its removal if object is empty.
 func (r *relays) publish(to *relay.Resource, name, object string) {
 	r.t.Helper()
 	change := versionlog.Change{Name: name, Removed: object == "", Object: []byte(object)}
@@ -63,14 +64,14 @@
 	r.publish(r.settings, "settings", `{"name":"settings","status":"in_service","settings":`+string(settings)+`}`)
 }
 
-// relayedProcess is a process that takes endpoints and settings from relays; its discovery does not exist.
+// relayedProcess is a process that takes endpoints and settings from relays. Nothing listens at its discovery address.
 type relayedProcess struct {
 	*program
 	t                     *testing.T
 	address, adminAddress string
 }
 
-// startRelayedProcess starts a process with a folder for its files and its stored state.
+// startRelayedProcess starts a process that keeps its files and its stored state in dir.
 func startRelayedProcess(t *testing.T, r *relays, settings []byte, dir string) *relayedProcess {
 	write := fileWriter(t, dir)
 	p := &relayedProcess{t: t, address: ownAddress(t), adminAddress: ownAddress(t)}
@@ -88,33 +89,34 @@
 	return p
 }
 
-// waitForLine waits for a text in the log.
+// waitForLine waits until the log contains a text.
 func (p *relayedProcess) waitForLine(text string) {
 	p.t.Helper()
 	eventually(p.t, text, func() bool { return p.logged(text) })
 }
 
-// ready reports whether the process says that it is ready.
+// ready reports whether the process reports itself ready.
 func (p *relayedProcess) ready() bool { return isReady(p.address) }
 
-// checkStatuses holds the statuses of queries of the old class, route-lookup, and the new one, lift-status, against
+// checkStatuses compares the statuses of queries of the old class, route-lookup, and the new class, lift-status, with
 // those wanted.
 func (p *relayedProcess) checkStatuses(when string, wantOld, wantNew int) {
 	p.t.Helper()
 	old, renamed := queryClass(p.t, p.address, "route-lookup", 0), queryClass(p.t, p.address, "lift-status", 0)
 	if old != wantOld || renamed != wantNew {
-		p.t.Errorf("%s: %d and %d, want %d and %d", when, old, renamed, wantOld, wantNew)
+		p.t.Errorf("%s: statuses of old and new class %d and %d, want %d and %d", when, old, renamed, wantOld, wantNew)
 	}
 }
 
-// callAdmin makes an operator's call and returns the answer.
+// callAdmin makes a call to the admin endpoint and returns the answer.
 func (p *relayedProcess) callAdmin(line string) string {
 	return (&faultinjection.Process{AdminAddress: p.adminAddress}).CallAdmin(line)
 }
 
-// A coordinator takes its endpoints and settings from relays. It is ready once the list is complete. Where the first
-// relay ends, the next one brings a drain and new settings. Bad settings are rejected completely, in one log line; a
-// file that is read again does not take settings back. With no relay left the coordinator serves on by its own copies.
+// A coordinator takes its endpoints and settings from relays. It is ready once the list is complete. After the first
+// relay ends, it gets a drain and new settings from the second one. Invalid settings are rejected completely, in one
+// log line, and a reload of the file does not bring back the file's settings. Without relays, the coordinator continues
+// to serve with its local copies.
 func TestRelaysGiveOutEndpointsAndSettings(t *testing.T) {
 	first, second := &fake.Replicas{}, &fake.Replicas{}
 	at := []net.Listener{listen(t), listen(t)}
@@ -123,17 +125,17 @@
 	settings := withQuota(exampleSettings(t), "5000")
 	r := newRelays(t)
 	p := startRelayedProcess(t, r, settings, t.TempDir())
-	eventually(t, "a listening process", func() bool { return p.logged(logmsg.ListenerOpened) })
+	eventually(t, "the process listens", func() bool { return p.logged(logmsg.ListenerOpened) })
 	if p.ready() {
-		t.Error("ready without a list")
+		t.Error("the process is ready without a list")
 	}
 	r.publishEndpoint("f0", "in_service", at[0])
 	r.publishEndpoint("f1", "in_service", at[1])
-	eventually(t, "ready", p.ready)
+	eventually(t, "the process is ready", p.ready)
 	p.waitForLine(logmsg.EndpointListInForce + ` version=7/`)
 	p.waitForLine(logmsg.VersionInForce + ` resource=instances epoch=7 index=2`)
 	if status := queryClass(t, p.address, "route-lookup", 0); status != 200 {
-		t.Errorf("a query: %d", status)
+		t.Errorf("query with the complete list: status %d, want 200", status)
 	}
 	p.changeSettings(r, settings)
 
@@ -145,11 +147,11 @@
 	before := len(first.Received())
 	for range 5 {
 		if status := queryClass(t, p.address, "lift-status", 0); status != 200 {
-			t.Errorf("after the drain: %d", status)
+			t.Errorf("query after the drain: status %d, want 200", status)
 		}
 	}
 	if n := len(first.Received()) - before; n > 0 {
-		t.Errorf("the draining replica got %d parts", n)
+		t.Errorf("the draining replica received %d parts, want 0", n)
 	}
 	r.publishSettings(settings)
 	p.waitForLine(logmsg.SettingsInForce + ` version=7/3`)
@@ -157,25 +159,25 @@
 	r.stops[1]()
 	p.waitForLine(logmsg.SourceLeft + ` resource=instances source=` + r.addresses[1])
 	if status := queryClass(t, p.address, "route-lookup", 0); status != 200 || !p.ready() {
-		t.Errorf("without relays: %d", status)
+		t.Errorf("without relays: query status %d, want 200 and a ready process", status)
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// changeSettings publishes settings that rename a class, then bad ones, and has the file read again. Only the first
-// change something.
+// changeSettings publishes settings that rename a class, then invalid settings, and finally reloads the file. Only the
+// first settings take effect.
 func (p *relayedProcess) changeSettings(r *relays, settings []byte) {
 	r.publishSettings(bytes.Replace(settings, []byte(`"name": "route-lookup"`), []byte(`"name": "lift-status"`), 1))
 	p.waitForLine(logmsg.SettingsInForce + ` version=7/1`)
-	p.checkStatuses("with new settings", 400, 200)
+	p.checkStatuses("after new settings", 400, 200)
 	r.publishSettings(bytes.Replace(settings, []byte(`"most_tries": 4`), []byte(`"most_tries": 0`), 1))
 	p.waitForLine(logmsg.SettingsRejected + ` version=7/2 reason=`)
-	p.checkStatuses("after bad settings", 400, 200)
+	p.checkStatuses("after invalid settings", 400, 200)
 	if n := strings.Count(p.log.String(), logmsg.SettingsRejected); n != 1 {
-		p.t.Errorf("bad settings are rejected in %d lines, want 1", n)
+		p.t.Errorf("invalid settings are rejected in %d log lines, want 1", n)
 	}
 	p.Process.Signal(syscall.SIGHUP)
 	p.waitForLine(logmsg.ConfigurationReloaded)
@@ -183,8 +185,8 @@
 	p.checkStatuses("after a reload", 400, 200)
 }
 
-// A process is killed, and a replica is removed before the next one starts. The next one begins with the list that was
-// stored, and drops the names that are listed no more with the last slice of its first snapshot.
+// A process is killed, and a replica is removed before the next process starts. That process starts with the stored
+// list, and drops endpoints that are no longer listed with the last slice of its first snapshot.
 func TestRelayedListIsTakenOver(t *testing.T) {
 	fleet, at, dir := &fake.Replicas{}, listen(t), t.TempDir()
 	go fleet.ServeFrames(at)
@@ -193,7 +195,7 @@
 	r.publishEndpoint("f1", "in_service", at)
 	first := startRelayedProcess(t, r, exampleSettings(t), dir)
 	first.waitForLine(logmsg.EndpointListInForce + ` version=7/2`)
-	eventually(t, "a file with both replicas", func() bool {
+	eventually(t, "the state file has both replicas", func() bool {
 		for _, file := range storedState(dir) {
 			if strings.Contains(file, `"name":"f0"`) && strings.Contains(file, `"name":"f1"`) {
 				return true
@@ -207,11 +209,11 @@
 	second := startRelayedProcess(t, r, exampleSettings(t), dir)
 	second.waitForLine(logmsg.EndpointListTakenOver + ` endpoints=2`)
 	second.waitForLine(logmsg.EndpointListInForce + ` version=7/3`)
-	eventually(t, "f1 is listed no more", func() bool { return strings.HasPrefix(second.callAdmin("maint-on f1"), "400") })
+	eventually(t, "f1 is not listed", func() bool { return strings.HasPrefix(second.callAdmin("maint-on f1"), "400") })
 	if answer := second.callAdmin("maint-on f0"); !strings.HasPrefix(answer, "200") {
-		t.Errorf("f0: %q", answer)
+		t.Errorf("maint-on f0: answer %q, want 200", answer)
 	}
 	if answer := second.callAdmin("maint-off f0"); !strings.HasPrefix(answer, "200") {
-		t.Errorf("f0: %q", answer)
+		t.Errorf("maint-off f0: answer %q, want 200", answer)
 	}
 }
--- a/cmd/harepass/flags.go
+++ b/cmd/harepass/flags.go
@@ -9,11 +9,11 @@
 	"harepass/internal/config"
 )
 
-// newFlags returns the flags of a sub-command, which are yet to be defined.
+// newFlags returns an empty flag set for a sub-command.
 func newFlags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
-// parse reads a sub-command's flags; none takes further arguments. Asked for help, it prints them to out and returns
-// flag.ErrHelp. Any other error is a usageError.
+// parse parses a sub-command's flags and rejects further arguments. If help is requested, it prints the flags to out
+// and returns flag.ErrHelp. Any other error is a usageError.
 func parse(fs *flag.FlagSet, args []string, out io.Writer) error {
 	fs.SetOutput(io.Discard)
 	err := fs.Parse(args)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// pathFlags defines the flags for the installation's files, which serve and check share.
+// pathFlags defines the flags for the paths of the installation's files, which serve and check share.
 func pathFlags(fs *flag.FlagSet) *config.Paths {
 	p := &config.Paths{}
 	fs.StringVar(&p.OpenSearch, "opensearch", config.DefaultOpenSearchPath,
--- a/cmd/harepass/fleet_test.go
+++ b/cmd/harepass/fleet_test.go
@@ -9,12 +9,12 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// The scenarios of fault injection, each on as many real processes as it names. What has to hold is the same in all of
-// them: see faultinjection.Scenario. `bin/lab fleet FILE` plays one by hand.
+// Each scenario of fault injection runs with the number of real processes that it configures. The rules are the same
+// for all scenarios: see faultinjection.Scenario. `bin/lab fleet FILE` runs one scenario manually.
 func TestFleets(t *testing.T) {
 	files, err := filepath.Glob("../../internal/test/faultinjection/scenarios/*.yaml")
 	if err != nil || len(files) < 4 {
-		t.Fatalf("scenarios %v, %v", files, err)
+		t.Fatalf("scenario files %v, error %v; want at least 4", files, err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".yaml"), func(t *testing.T) {
@@ -27,8 +27,7 @@
 	}
 }
 
-// playFleet plays a scenario on processes of the test's own binary, and logs everything that happened if a check
-// fails.
+// playFleet runs a scenario with processes of the test binary, and logs everything that happened if a check fails.
 func playFleet(t *testing.T, s *faultinjection.Scenario) {
 	f, err := faultinjection.NewFleet(faultinjection.FleetConfig{Dir: t.TempDir(),
 		Command: []string{os.Args[0], "serve"}, Env: []string{asProgram}, Settings: exampleSettings(t)}, s)
--- a/cmd/harepass/harness_test.go
+++ b/cmd/harepass/harness_test.go
@@ -20,16 +20,16 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// asProgram is the variable that makes the test binary be the program; see TestMain.
+// asProgram is the environment variable with which the test binary runs as the program; see TestMain.
 const asProgram = "HAREPASS_TEST_RUN=1"
 
-// program is a process of the program under test.
+// program is a running process of the program under test.
 type program struct {
 	*exec.Cmd
 	log *faultinjection.Log // its standard error
 }
 
-// startProgram starts the program with a sub-command's arguments and variables. It is killed when the test ends.
+// startProgram starts the program with environment variables and arguments, and kills it when the test ends.
 func startProgram(t *testing.T, env []string, args ...string) *program {
 	t.Helper()
 	p := &program{Cmd: exec.Command(os.Args[0], args...), log: &faultinjection.Log{}}
@@ -41,7 +41,7 @@
 	return p
 }
 
-// logged reports whether the program has written a text to its log.
+// logged reports whether the program's log contains a text.
 func (p *program) logged(text string) bool { return strings.Contains(p.log.String(), text) }
 
 // fileWriter returns a function that writes a file into a folder and returns the file's path.
@@ -56,7 +56,7 @@
 	}
 }
 
-// exampleSettings is the example of the settings.
+// exampleSettings returns the contents of the example settings file.
 func exampleSettings(t testing.TB) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../../deploy/settings.example.json")
@@ -66,18 +66,18 @@
 	return data
 }
 
-// polled is settings by which lists are polled from discovery, not pushed.
-func polled(settings []byte) json.RawMessage {
+// withPolling returns the settings with lists that are polled from discovery instead of pushed.
+func withPolling(settings []byte) json.RawMessage {
 	return bytes.Replace(settings, []byte(`"push"`), []byte(`"ask"`), 1)
 }
 
-// withQuota is settings with another quota for every tenant, in queries a second.
+// withQuota returns the settings with the given quota for every tenant, in queries per second.
 func withQuota(settings []byte, perSecond string) []byte {
 	return regexp.MustCompile(`"quota_per_s": [0-9.]+`).ReplaceAll(settings, []byte(`"quota_per_s": `+perSecond))
 }
 
-// platformFile is a configuration as the platform writes it, with keys that replace the usual ones. Its seed, limits
-// and settings are those of an ordinary process, and it knows no endpoints.
+// platformFile returns a configuration as the platform writes it. keys replaces default keys: the defaults are the
+// seed, limits and settings of an ordinary process, and an empty known list.
 func platformFile(t testing.TB, keys map[string]any) string {
 	t.Helper()
 	file := map[string]any{"name": "n1", "seed": "8c1f30d27a5be964",
@@ -92,13 +92,13 @@
 	return string(data)
 }
 
-// oneEndpoint is a list of discovery with one replica, which holds every shard.
+// oneEndpoint returns discovery's list with a single replica, which holds every shard.
 func oneEndpoint(name string, address net.Addr) string {
 	return fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[{"name":%q,"address":%q,"zone":"z","type":"m",`+
 		`"group":0,"status":"in_service","weight":1,"since_ms":0}]}`, name, address)
 }
 
-// listen opens a listener on a loopback address until the test ends.
+// listen opens a listener on a loopback address and closes it when the test ends.
 func listen(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,8 +108,8 @@
 	return l
 }
 
-// ownAddress is an address that somebody can listen on later: each call's is on a loopback address of its own, where
-// nobody else opens a port.
+// ownAddress returns an address to listen on later. Each call reserves a different loopback IP address, so that no
+// other process opens a port there.
 func ownAddress(t *testing.T) string {
 	address, err := faultinjection.Reserve()
 	if err != nil {
@@ -118,7 +118,7 @@
 	return address
 }
 
-// eventually waits for a condition that only takes time.
+// eventually waits until ok returns true, and fails the test after the time-out of faultinjection.WaitFor.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	if err := faultinjection.WaitFor(what, ok); err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// slowAt scripts replicas that serve at once, but for one shard.
+// slowAt returns a script for replicas that answer at once, except for one shard, which takes 400 ms.
 func slowAt(slow int) func(shard, attempt int) fake.Reply {
 	return func(shard, _ int) fake.Reply {
 		if shard == slow {
@@ -136,7 +136,7 @@
 	}
 }
 
-// queryBody is the body of a query for shards of equal weight.
+// queryBody returns the body of a query for shards of equal weight.
 func queryBody(shards ...int) string {
 	var parts []string
 	for _, s := range shards {
@@ -145,12 +145,12 @@
 	return `{"slices":[` + strings.Join(parts, ",") + `],"filter":"f"}`
 }
 
-// query sends a query of the class route-lookup to the platform's front and returns its status, 0 for none.
+// query sends a query of the class route-lookup to the platform's front and returns its status, or 0 without an answer.
 func query(t *testing.T, address string, shards ...int) int {
 	return queryClass(t, address, "route-lookup", shards...)
 }
 
-// queryClass sends a query of a class to the platform's front and returns its status, 0 for none.
+// queryClass sends a query of a class to the platform's front and returns its status, or 0 without an answer.
 func queryClass(t *testing.T, address, class string, shards ...int) int {
 	status, _ := post(t, "http://"+address+"/api", queryBody(shards...), map[string]string{
 		"X-Call-Id": fmt.Sprint(time.Now().UnixNano()), "X-Call-Class": class, "X-Caller": "kitakaze",
@@ -158,7 +158,7 @@
 	return status
 }
 
-// post sends a request with headers and returns the status and the body; the status is 0 where there is no answer.
+// post sends a request with headers and returns the status and the body. The status is 0 if there is no answer.
 func post(t *testing.T, url, body string, header map[string]string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest("POST", url, strings.NewReader(body))
@@ -179,7 +179,7 @@
 	return res.StatusCode, string(data)
 }
 
-// getStatus is the status of a GET request, 0 where there is no answer.
+// getStatus returns the status of a GET request, or 0 without an answer.
 func getStatus(url string) int {
 	res, err := http.Get(url)
 	if err != nil {
@@ -190,7 +190,7 @@
 	return res.StatusCode
 }
 
-// isReady reports whether the front at an address says that it is ready.
+// isReady reports whether the front at an address reports itself ready.
 func isReady(address string) bool {
 	return getStatus("http://"+address+"/health/ready") == http.StatusOK
 }
--- a/cmd/harepass/host_test.go
+++ b/cmd/harepass/host_test.go
@@ -14,20 +14,21 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// maintenanceSlack is how long after an operator's call is answered parts may still begin at the replica that it takes
-// out; the platform's slack is in it.
+// maintenanceSlack is the time after the answer to a maintenance call in which parts may still begin at the replica
+// that the call takes out of service. It includes the platform's slack.
 const maintenanceSlack = 1050 * time.Millisecond
 
-// host is a machine on which versions of the program follow one another, with its replicas and its discovery.
+// host is a machine on which successive versions of the program run, with its replicas and its discovery.
 type host struct {
 	*faultinjection.Host
 	t *testing.T
 }
 
+// newHost prepares a host with six replicas and no running process.
 func newHost(t *testing.T) *host {
-	settings := []byte(polled(exampleSettings(t)))
+	settings := []byte(withPolling(exampleSettings(t)))
 	settings = bytes.Replace(settings, []byte(`"rules": {`), []byte(`"rules": {"ask_every_us": 20000000, `), 1)
-	settings = withQuota(settings, "5000") // the crowd is within its quota
+	settings = withQuota(settings, "5000") // the clients stay within their quota
 	h, err := faultinjection.NewHost(faultinjection.HostConfig{Dir: t.TempDir(), Command: []string{os.Args[0], "serve"},
 		Env: []string{asProgram}, Settings: settings, Replicas: 6, ServiceTime: 20 * time.Millisecond,
 		MaintenanceGrace: maintenanceSlack})
@@ -38,7 +39,7 @@
 	return &host{h, t}
 }
 
-// must ends the test where an action failed that the rest needs.
+// must ends the test if an action that the rest of the test needs has failed.
 func (h *host) must(err error) {
 	h.t.Helper()
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 }
 
-// start starts a process with variables.
+// start starts a process with environment variables.
 func (h *host) start(env ...string) *faultinjection.Process {
 	h.t.Helper()
 	p, err := h.Start(env...)
@@ -59,44 +60,44 @@
 	return p
 }
 
-// waitReady waits until a process reports at its admin endpoint that it serves.
+// waitReady waits until a process reports at its admin endpoint that it serves, and returns the process.
 func (h *host) waitReady(p *faultinjection.Process) *faultinjection.Process {
 	eventually(h.t, "the process serves", p.Serves)
 	return p
 }
 
-// setMaintenance takes a replica out, or calls it back.
+// setMaintenance takes a replica out of service, or puts it back.
 func (h *host) setMaintenance(p *faultinjection.Process, replica int, out bool) {
 	h.t.Helper()
 	h.must(h.SetMaintenance(p, replica, out))
 }
 
-// terminate ends a process as the platform does, and waits for it.
+// terminate sends SIGTERM to a process, as the platform does, and waits for its exit.
 func (h *host) terminate(p *faultinjection.Process) {
 	h.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	if err := <-p.Exited; err != nil {
-		h.t.Errorf("exit: %v", err)
+		h.t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// kill ends a process without a warning, and waits for it.
+// kill sends SIGKILL to a process and waits for its exit.
 func (h *host) kill(p *faultinjection.Process) {
 	p.Process.Kill()
 	<-p.Exited
 }
 
-// checkOutcomes checks that a crowd's requests were served or ended in one of the other ways that are allowed, and the
-// replicas' records. It returns how many ended in which way.
+// checkOutcomes checks that the clients' requests were served or ended with one of the allowed other outcomes, and
+// checks the replicas' records. It returns the number of requests by outcome.
 func (h *host) checkOutcomes(c *faultinjection.ClientPool, allowed ...string) map[string]int {
 	h.t.Helper()
 	tally := c.Outcomes()
 	if tally["200"] < 100 {
-		h.t.Errorf("%d served: no load", tally["200"])
+		h.t.Errorf("only %d requests were served, want at least 100", tally["200"])
 	}
 	for outcome, n := range tally {
 		if outcome != "200" && !slices.Contains(allowed, outcome) {
-			h.t.Errorf("%d requests ended with %s", n, outcome)
+			h.t.Errorf("%d requests ended with the outcome %s", n, outcome)
 		}
 	}
 	if err := h.Check(); err != nil {
@@ -105,7 +106,7 @@
 	return tally
 }
 
-// waitListStored waits until some process has stored the complete list.
+// waitListStored waits until a process has stored the complete list.
 func (h *host) waitListStored() {
 	h.t.Helper()
 	eventually(h.t, "the list is stored", func() bool {
@@ -113,7 +114,7 @@
 	})
 }
 
-// storedState is the contents of the files that processes have stored below a folder.
+// storedState returns the contents of the state files that processes have stored below a folder.
 func storedState(dir string) (files []string) {
 	names, _ := filepath.Glob(filepath.Join(dir, lifecycle.StateFolder, "*.state"))
 	for _, name := range names {
--- a/cmd/harepass/idempotency_test.go
+++ b/cmd/harepass/idempotency_test.go
@@ -13,7 +13,7 @@
 	"harepass/internal/test/fake"
 )
 
-// updateClaim sends a claim update to the platform's front, without an idempotency key where key is empty.
+// updateClaim sends a claim update to the platform's front, without an idempotency key if key is empty.
 func updateClaim(t *testing.T, address, id, key string, shard int) (int, string) {
 	header := map[string]string{"X-Call-Id": id, "X-Call-Class": "claim-update", "X-Caller": "kitakaze",
 		"X-Budget": "3900m"}
@@ -23,7 +23,7 @@
 	return post(t, "http://"+address+"/api", queryBody(shard), header)
 }
 
-// breakFirstAttempt scripts replicas that break the connection of a shard's first attempt, after a while.
+// breakFirstAttempt returns a script for replicas that close the connection of a shard's first attempt after 300 ms.
 func breakFirstAttempt(at int) func(shard, attempt int) fake.Reply {
 	return func(shard, attempt int) fake.Reply {
 		if shard == at && attempt == 0 {
@@ -33,9 +33,9 @@
 	}
 }
 
-// A connection breaks under an update after SIGTERM, and the update is sent again: without its key the replica would
-// apply it twice. The key of an update reaches its replica with every attempt, through both fronts and to both kinds
-// of replicas, and the answer to an update without one says what is missing.
+// The connection of an update breaks after SIGTERM, and the update is retried: without its idempotency key, the replica
+// would apply it twice. The key of an update reaches the replica with every attempt, through both fronts and to both
+// kinds of replicas. The answer to an update without a key names the missing header.
 func TestIdempotencyKeysReachReplicas(t *testing.T) {
 	const breaking = 5
 	replicas := &fake.Replicas{Script: breakFirstAttempt(breaking)}
@@ -43,9 +43,9 @@
 	b.start("  claims: {class: claim-update, reports: true}\n", func(discovery net.Listener) string {
 		return b.platformFile(discovery, json.RawMessage(exampleSettings(t)))
 	})
-	eventually(t, "serving", func() bool { return b.logged(logmsg.ListenerOpened) })
+	eventually(t, "the process listens", func() bool { return b.logged(logmsg.ListenerOpened) })
 	sent := 0
-	eventually(t, "both kinds of replicas are asked", func() bool {
+	eventually(t, "both kinds of replicas receive updates", func() bool {
 		sent++
 		key := fmt.Sprint("k", sent)
 		updateClaim(t, b.platform, "n-"+key, key, 2)
@@ -56,22 +56,22 @@
 	for _, url := range []string{"http://" + b.search + "/claims/_doc", "http://" + b.search + "/claims/_create/c7"} {
 		status, body := post(t, url, `{"section":1,"pin":"x"}`, nil)
 		if status != 400 || !strings.Contains(body, "Idempotency-Key") {
-			t.Errorf("%s without a key: %d %s", url, status, body)
+			t.Errorf("%s without a key: status %d, answer %s", url, status, body)
 		}
 	}
 	status, body := updateClaim(t, b.platform, "bare", "", 2)
 	if status != 400 || !strings.Contains(body, "Idempotency-Key") {
-		t.Errorf("an update without a key: %d %s", status, body)
+		t.Errorf("update without a key: status %d, answer %s", status, body)
 	}
 	for _, line := range replicas.Received() {
 		if !strings.Contains(line, ",k=k") && !strings.Contains(line, " key=k") {
-			t.Errorf("a replica was asked %q", line)
+			t.Errorf("a replica received %q without the idempotency key", line)
 		}
 	}
 	breakUnderDrain(t, b, breaking)
 }
 
-// protocolsSeen reports whether replicas have been sent frames, and requests of the OpenSearch API.
+// protocolsSeen reports whether replicas have received frames, and whether they have received OpenSearch API requests.
 func protocolsSeen(replicas *fake.Replicas) (framed, api bool) {
 	for _, line := range replicas.Received() {
 		isAPI := strings.HasPrefix(line, "PUT ")
@@ -80,8 +80,8 @@
 	return framed, api
 }
 
-// breakUnderDrain ends the process while an update is under way whose first attempt loses its connection, and checks
-// that the update is served by two attempts with its key.
+// breakUnderDrain sends SIGTERM to the process while an update is open whose first attempt loses its connection. It
+// checks that the update is served by two attempts that both carry its key.
 func breakUnderDrain(t *testing.T, b *bothFronts, breaking int) {
 	before := len(b.frames.Received())
 	done := make(chan int)
@@ -89,21 +89,21 @@
 		status, _ := updateClaim(t, b.platform, "last", "the-last-key", breaking)
 		done <- status
 	}()
-	eventually(t, "an update under way", func() bool { return len(b.frames.Received()) > before })
+	eventually(t, "an update is open", func() bool { return len(b.frames.Received()) > before })
 	b.Process.Signal(syscall.SIGTERM)
 	if status := <-done; status != 200 {
-		t.Errorf("under way at SIGTERM: %d", status)
+		t.Errorf("update that was open at SIGTERM: status %d, want 200", status)
 	}
 	last := b.frames.Received()[before:]
 	if len(last) != 2 {
-		t.Errorf("the last update came as %q, want two attempts", last)
+		t.Errorf("the last update was received as %q, want two attempts", last)
 	}
 	for _, line := range last {
 		if !strings.Contains(line, ",k=the-last-key ") && !strings.HasSuffix(line, " key=the-last-key") {
-			t.Errorf("an attempt of the last update came as %q", line)
+			t.Errorf("an attempt of the last update was received as %q, without its key", line)
 		}
 	}
 	if err := b.Wait(); err != nil {
-		t.Errorf("exit: %v\n%s", err, b.log)
+		t.Errorf("exit after SIGTERM: %v\n%s", err, b.log)
 	}
 }
--- a/cmd/harepass/limited_process_test.go
+++ b/cmd/harepass/limited_process_test.go
@@ -15,16 +15,16 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// emptyList is a list of discovery without endpoints.
+// emptyList is discovery's list without endpoints.
 const emptyList = `{"index":0,"snapshot":true,"endpoints":[]}`
 
-// limitedProcess is a process of its own under a limit of descriptors that the system holds it to.
+// limitedProcess is a separate process with a limit of descriptors that the operating system enforces.
 type limitedProcess struct {
 	*program
 	t               *testing.T
-	sockets         int // descriptors
+	sockets         int // limit of descriptors
 	address         string
-	unusedDiscovery string // an address that nobody listens on yet
+	unusedDiscovery string // an address on which nothing listens yet
 	replicas        []*fake.Replicas
 	addresses       []string // of the replicas
 	listMode        string   // of discovery: "ask" or "push"
@@ -32,7 +32,7 @@
 	configPath      string
 }
 
-// newLimitedProcess makes replicas, and a process that is yet to be configured and started.
+// newLimitedProcess starts the replicas and prepares a process, which start configures and starts.
 func newLimitedProcess(t *testing.T, sockets, replicas int) *limitedProcess {
 	p := &limitedProcess{t: t, sockets: sockets, address: ownAddress(t), unusedDiscovery: ownAddress(t),
 		listMode: "ask", adaptSettings: func(map[string]any) {}, configPath: filepath.Join(t.TempDir(), "config.json")}
@@ -56,7 +56,7 @@
 	return p
 }
 
-// listing is a version of discovery's list of the replicas, with their states.
+// listing returns a version of discovery's list, with each replica in the state that the function gives.
 func (p *limitedProcess) listing(version int, state func(replica int) string) []byte {
 	l := fake.EndpointList{Index: int64(version), Snapshot: true}
 	for i, a := range p.addresses {
@@ -70,10 +70,10 @@
 	return data
 }
 
-// inService is the state of replicas in service.
+// inService returns the state of a replica in service.
 func inService(int) string { return "in_service" }
 
-// drainingBefore is the states in which the replicas before n drain, and the others are in service.
+// drainingBefore returns states in which the first n replicas drain and the others are in service.
 func drainingBefore(n int) func(replica int) string {
 	return func(replica int) string {
 		if replica < n {
@@ -83,7 +83,7 @@
 	}
 }
 
-// writeConfig writes the platform's file: a known list, and discovery's address.
+// writeConfig writes the platform's file with a known list and discovery's address.
 func (p *limitedProcess) writeConfig(known []byte, discovery string) {
 	var settings map[string]any
 	if err := json.Unmarshal(exampleSettings(p.t), &settings); err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// startAgain starts a process that was killed, with its arguments, variables and log.
+// startAgain restarts a killed process with the same arguments, variables and log.
 func (p *limitedProcess) startAgain() {
 	p.t.Helper()
 	again := exec.Command(p.Path, p.Args[1:]...)
@@ -116,11 +116,11 @@
 	p.Cmd = again
 }
 
-// waitServing waits until a query for shards is served.
+// waitServing waits until a query for the shards is served.
 func (p *limitedProcess) waitServing(shards ...int) {
 	p.t.Helper()
 	statuses := map[int]int{}
-	err := faultinjection.WaitFor("it serves", func() bool {
+	err := faultinjection.WaitFor("the process serves", func() bool {
 		if !p.logged(logmsg.ListenerOpened) {
 			return false
 		}
@@ -133,7 +133,7 @@
 	}
 }
 
-// partsReceived is how many parts all replicas have been sent.
+// partsReceived returns the number of parts that all replicas have received.
 func (p *limitedProcess) partsReceived() (n int) {
 	for _, r := range p.replicas {
 		n += len(r.Received())
@@ -141,16 +141,16 @@
 	return n
 }
 
-// load sends queries for all shards for a while, one after the other, and checks that each is served.
+// load sends queries for all shards one after the other for a duration, and checks that each is served.
 func (p *limitedProcess) load(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if status := query(p.t, p.address, 0, 1, 2, 3, 4, 5); status != http.StatusOK {
-			p.t.Errorf("a query ended with %d", status)
+			p.t.Errorf("query: status %d, want 200", status)
 		}
 	}
 }
 
-// queryFor sends queries for all shards for a while, one after the other, and counts their statuses.
+// queryFor sends queries for all shards one after the other for a duration, and counts their statuses.
 func (p *limitedProcess) queryFor(d time.Duration) (statuses map[int]int) {
 	statuses = map[int]int{}
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -159,21 +159,21 @@
 	return statuses
 }
 
-// partsToFirst is how many parts the first two replicas have been sent.
+// partsToFirst returns the number of parts that the first two replicas have received.
 func (p *limitedProcess) partsToFirst() int {
 	return len(p.replicas[0].Received()) + len(p.replicas[1].Received())
 }
 
-// checkNoPartToDraining lets load run for a while, and checks that the first two replicas, which have had parts and
-// drain now, get none.
+// checkNoPartToDraining runs load for a duration and checks that the first two replicas, which have received parts
+// before and now drain, receive none.
 func (p *limitedProcess) checkNoPartToDraining(d time.Duration) {
 	p.t.Helper()
 	before := p.partsToFirst()
 	if before == 0 {
-		p.t.Error("nothing ever went to the replicas that drain")
+		p.t.Error("no part went to the draining replicas before they drained")
 	}
 	p.load(d)
 	if n := p.partsToFirst() - before; n > 0 {
-		p.t.Errorf("%d parts went to replicas that had been announced as draining", n)
+		p.t.Errorf("%d parts went to replicas that discovery lists as draining", n)
 	}
 }
--- a/cmd/harepass/main.go
+++ b/cmd/harepass/main.go
@@ -2,7 +2,7 @@
 // that hold the maps' shards and gathers their answers.
 //
 // Its sub-commands are serve, check, relay and version. The exit status is 0 for success, 2 for bad usage or
-// configuration, and 1 for any other failure, which is named in one line on standard error.
+// configuration, and 1 for any other failure. Each failure is reported in one line on standard error.
 package main
 
 import (
@@ -26,16 +26,16 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// errUsage means that no sub-command was named, or one that does not exist.
+// errUsage means that the sub-command is missing or unknown.
 var errUsage = errors.New(usage)
 
-// usageError is a fault of the command line.
+// usageError marks a fault in the command line.
 type usageError struct{ error }
 
-// command is a sub-command with its own arguments; what it reports goes to out.
+// command runs a sub-command with its arguments and writes its results to out.
 type command func(args []string, out io.Writer) error
 
-// run runs the sub-command that the arguments name, and returns the exit status.
+// run runs the sub-command that args[0] names and returns the exit status.
 func run(args []string, out, errs io.Writer) int {
 	commands := map[string]command{"serve": runServe, "check": runCheck, "relay": runRelay,
 		"version": runVersion}
--- a/cmd/harepass/main_test.go
+++ b/cmd/harepass/main_test.go
@@ -13,8 +13,8 @@
 	"harepass/internal/test/scaletest"
 )
 
-// TestMain lets the test binary be the program, for tests on real sockets and signals, or a host of hollow
-// coordinators.
+// TestMain runs the test binary as the program if the variable in asProgram is set, for tests on real sockets and
+// signals, or as a host of hollow coordinators.
 func TestMain(m *testing.M) {
 	if variable, value, _ := strings.Cut(asProgram, "="); os.Getenv(variable) != value {
 		os.Exit(m.Run())
@@ -28,7 +28,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// Scripts go by the exit status, and people by one line on standard error.
+// Scripts depend on the exit status, and operators read one line on standard error.
 func TestExitStatusAndMessage(t *testing.T) {
 	dir := t.TempDir()
 	write := fileWriter(t, dir)
@@ -75,14 +75,14 @@
 		text := out.String() + errs.String()
 		if status != tc.status || !strings.Contains(text, tc.want) ||
 			status == statusInvalid && strings.Count(errs.String(), "\n") != 1 {
-			t.Errorf("%q: status %d, %q; want %d and %q", tc.args, status, text, tc.status, tc.want)
+			t.Errorf("%q: status %d, output %q; want status %d and %q", tc.args, status, text, tc.status, tc.want)
 		}
 	}
 }
 
-// Scripts that wrap the program know these numbers.
+// Scripts that wrap the program depend on these numbers.
 func TestExitStatuses(t *testing.T) {
 	if statusOK != 0 || statusFailed != 1 || statusInvalid != 2 {
-		t.Errorf("statuses %d, %d, %d, want 0, 1, 2", statusOK, statusFailed, statusInvalid)
+		t.Errorf("exit statuses %d, %d, %d, want 0, 1, 2", statusOK, statusFailed, statusInvalid)
 	}
 }
--- a/cmd/harepass/relay.go
+++ b/cmd/harepass/relay.go
@@ -8,10 +8,10 @@
 	"harepass/internal/lifecycle"
 )
 
-// errNoRelayFile means that the relay sub-command was called without its file.
+// errNoRelayFile means that the relay sub-command was called without -config.
 var errNoRelayFile = errors.New("relay: -config FILE is missing")
 
-// runRelay gives the endpoint list and the settings out until SIGTERM or SIGINT.
+// runRelay distributes the endpoint list and the settings until SIGTERM or SIGINT.
 func runRelay(args []string, out io.Writer) error {
 	fs := newFlags("relay")
 	path := fs.String("config", "", "the relay's file; deploy/relay.example.yaml explains it")
--- a/cmd/harepass/relay_test.go
+++ b/cmd/harepass/relay_test.go
@@ -17,7 +17,7 @@
 	"harepass/internal/relay"
 )
 
-// A fault of a relay's file ends it with one line that names the fault, and the status for bad configuration.
+// A relay whose file has a fault names the fault in one line and exits with the status for bad configuration.
 func TestRelayFileFaultsAreReported(t *testing.T) {
 	dir := t.TempDir()
 	write := fileWriter(t, dir)
@@ -41,23 +41,23 @@
 		var out, errs bytes.Buffer
 		status := run([]string{"relay", "-config", write("relay.yaml", tc.text)}, &out, &errs)
 		if status != statusInvalid || !strings.Contains(errs.String(), tc.want) {
-			t.Errorf("%s: status %d, %s, want %q", tc.text, status, errs.String(), tc.want)
+			t.Errorf("relay file %s: status %d, output %s, want %q", tc.text, status, errs.String(), tc.want)
 		}
 	}
 	var errs bytes.Buffer
 	status := run([]string{"relay"}, io.Discard, &errs)
 	if status != statusInvalid || !strings.Contains(errs.String(), "-config FILE is missing") {
-		t.Errorf("without a file: status %d, %s", status, errs.String())
+		t.Errorf("without -config: status %d, output %s", status, errs.String())
 	}
 }
 
-// startRelay runs a relay by a file's text as a process of its own until it is stopped or the test ends.
+// startRelay starts a relay process with the given text as its file. The process ends with the test at the latest.
 func startRelay(t *testing.T, text string) *program {
 	t.Helper()
 	return startProgram(t, nil, "relay", "-config", fileWriter(t, t.TempDir())("relay.yaml", text))
 }
 
-// relayStatus is what a relay says of itself; zero until it answers.
+// relayStatus returns the status that a relay reports, or the zero value if it does not answer.
 func relayStatus(address string) (status relay.Status) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -76,8 +76,8 @@
 	return status
 }
 
-// An authority's process and that of a relay behind it: the files' versions come through, a signal has them read
-// again, files with a fault change nothing, and both end at SIGTERM.
+// An authority and a relay that follows it run as processes. The relay gets the versions of the authority's files. At
+// SIGHUP the authority reads its files again; a faulty file changes nothing. Both processes end at SIGTERM.
 func TestRelayGivesOutAuthorityVersions(t *testing.T) {
 	dir := t.TempDir()
 	write := fileWriter(t, dir)
@@ -98,20 +98,20 @@
 				s.Settings.Epoch == s.Endpoints.Epoch
 		}
 	}
-	eventually(t, "the relay has both", hasVersions(2, 1))
+	eventually(t, "the relay has the list and the settings", hasVersions(2, 1))
 	write("nodes.json", list("terminating"))
 	write("settings.json", "{}")
 	authority.Process.Signal(syscall.SIGHUP)
-	eventually(t, "the authority has read its files again", func() bool {
+	eventually(t, "the authority has rejected a faulty file", func() bool {
 		return authority.logged(logmsg.AuthorityFilesRejected)
 	})
 	write("settings.json", settings+"\n")
 	authority.Process.Signal(syscall.SIGHUP)
-	eventually(t, "the relay has the change of the list alone", hasVersions(3, 1))
+	eventually(t, "the relay has the change of the list and the old settings", hasVersions(3, 1))
 	for _, process := range []*program{authority, lower} {
 		process.Process.Signal(syscall.SIGTERM)
 		if err := process.Wait(); err != nil {
-			t.Errorf("ended with %v:\n%s\n%s", err, authority.log, lower.log)
+			t.Errorf("exit after SIGTERM: %v; logs of authority and relay:\n%s\n%s", err, authority.log, lower.log)
 		}
 	}
 }
--- a/cmd/harepass/reload_test.go
+++ b/cmd/harepass/reload_test.go
@@ -10,8 +10,8 @@
 	"harepass/internal/logmsg"
 )
 
-// A file is replaced under a running process, sometimes by a broken one. On SIGHUP the process takes new settings over;
-// where the file is broken the old ones stay in force, and one log line says so.
+// The file of a running process is replaced, sometimes by an invalid one. On SIGHUP the process applies new settings.
+// If the file is invalid, the old settings stay in force and one log line says so.
 func TestReloadReplacesSettingsOrKeepsThem(t *testing.T) {
 	h := newHost(t)
 	path := h.ConfigPath()
@@ -31,7 +31,7 @@
 		eventually(t, line, func() bool { return strings.Count(r.Log(), line) > n })
 	}
 	if a, b := status("route-lookup"), status("lift-status"); a != 200 || b != 400 {
-		t.Errorf("before: %d and %d, want 200 and 400", a, b)
+		t.Errorf("before the reload: statuses of old and new class %d and %d, want 200 and 400", a, b)
 	}
 	next := bytes.Replace(good, []byte(`"name":"route-lookup"`), []byte(`"name":"lift-status"`), 1)
 	next = bytes.Replace(next, []byte(`"most_tries":4`), []byte(`"most_tries":2`), 1)
@@ -39,7 +39,7 @@
 	for _, line := range []string{`change="classes: lift-status is new"`, `change="classes: route-lookup is gone"`,
 		`change="caps.most_tries: 2, was 4"`} {
 		if !strings.Contains(r.Log(), line) {
-			t.Errorf("no line %s", line)
+			t.Errorf("the log has no line with %s", line)
 		}
 	}
 	for what, bad := range map[string][]byte{"empty": {}, "cut off": good[:len(good)-9],
@@ -47,15 +47,15 @@
 		"a key less":  bytes.Replace(good, []byte(`"late_worth":0.3,`), nil, 1)} {
 		lines := strings.Count(r.Log(), "\n")
 		if reload(bad, logmsg.ConfigurationRejected); strings.Count(r.Log(), "\n") != lines+1 {
-			t.Errorf("%s: not one line", what)
+			t.Errorf("%s: the rejection is not exactly one log line", what)
 		}
 		if a, b := status("route-lookup"), status("lift-status"); a != 400 || b != 200 {
-			t.Errorf("%s: %d and %d, want 400 and 200", what, a, b)
+			t.Errorf("%s: statuses of old and new class %d and %d, want 400 and 200", what, a, b)
 		}
 	}
 	reload(good, logmsg.ConfigurationReloaded)
 	if a, b := status("route-lookup"), status("lift-status"); a != 200 || b != 400 {
-		t.Errorf("after: %d and %d, want 200 and 400", a, b)
+		t.Errorf("after the last reload: statuses of old and new class %d and %d, want 200 and 400", a, b)
 	}
 	h.terminate(r)
 }
--- a/cmd/harepass/serve.go
+++ b/cmd/harepass/serve.go
@@ -10,7 +10,7 @@
 	"harepass/internal/lifecycle"
 )
 
-// runServe runs a coordinator until SIGTERM or SIGINT, and drains it then.
+// runServe runs a coordinator until SIGTERM or SIGINT, and then drains it.
 func runServe(args []string, out io.Writer) error {
 	fs := newFlags("serve")
 	paths := pathFlags(fs)
--- a/cmd/harepass/shutdown_test.go
+++ b/cmd/harepass/shutdown_test.go
@@ -8,8 +8,9 @@
 	"harepass/internal/logmsg"
 )
 
-// SIGTERM comes before a process is ready, alone or amid many reloads, while discovery says nothing. The process ends
-// without a fault: waiting for a list must not delay the end, and reloads must not crowd it out.
+// A process that is not ready yet receives SIGTERM, alone or among many reload signals, while discovery sends no
+// answer. The process ends without an error: waiting for a list must not delay the shutdown, and many reloads must not
+// starve it.
 func TestEndsBeforeReady(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"end":          {syscall.SIGTERM},
@@ -21,12 +22,12 @@
 			t.Parallel()
 			p := newLimitedProcess(t, 96, 0)
 			p.start([]byte(emptyList), listen(t).Addr().String())
-			eventually(t, "a listener", func() bool { return p.logged(logmsg.ListenerOpened) })
+			eventually(t, "the process listens", func() bool { return p.logged(logmsg.ListenerOpened) })
 			for _, sig := range signals {
 				p.Process.Signal(sig)
 			}
 			if err := p.Wait(); err != nil || !p.logged(logmsg.CoordinatorStopped) {
-				t.Errorf("the end: %v\n%s", err, p.log)
+				t.Errorf("exit after SIGTERM: %v\n%s", err, p.log)
 			}
 		})
 	}
--- a/cmd/harepass/stalled_process_test.go
+++ b/cmd/harepass/stalled_process_test.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	stallTime   = 150 * time.Millisecond // for how long a coordinator is suspended in most cases
-	clientCount = 20                     // clients at once
-	// silentClientTimeout is when the first request of a new connection is overdue.
+	stallTime   = 150 * time.Millisecond // how long a coordinator is suspended in most cases
+	clientCount = 20                     // number of concurrent clients
+	// silentClientTimeout is the age of a new connection at which its first request is overdue.
 	silentClientTimeout = 2200 * time.Millisecond
-	// maxAttemptAfterDisconnect is how long after its client has left an attempt may begin at most.
+	// maxAttemptAfterDisconnect is the maximum time after a client's disconnection at which an attempt for it may
+	// begin.
 	maxAttemptAfterDisconnect = 100 * time.Millisecond
 )
 
-// stallRun is a process that is suspended once, its clients, and when each attempt came to a replica.
+// stallRun is a process that is suspended once, its clients, and the time of each attempt at a replica.
 type stallRun struct {
 	*testing.T
 	*limitedProcess
 	clients []*rawClient
 
 	mu             sync.Mutex
-	attempts       map[string][]time.Time // by query
-	disconnectedAt time.Time              // when the clients closed
-	reply          fake.Reply             // of the replicas
+	attempts       map[string][]time.Time // times by query
+	disconnectedAt time.Time              // when the clients closed their connections
+	reply          fake.Reply             // what the replicas answer
 }
 
-// newStallRun starts the process with replicas that record attempts.
+// newStallRun starts the process with replicas that record the time of each attempt.
 func newStallRun(t *testing.T) *stallRun {
 	r := &stallRun{T: t, limitedProcess: newLimitedProcess(t, 256, 6), attempts: map[string][]time.Time{}}
 	for _, replica := range r.replicas {
@@ -53,20 +54,21 @@
 	return r
 }
 
-// setReply has the replicas answer parts so from now on.
+// setReply sets the replicas' reply to parts from now on.
 func (r *stallRun) setReply(reply fake.Reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reply = reply
 }
 
+// signal sends a signal to the process.
 func (r *stallRun) signal(s syscall.Signal) {
 	if err := r.Process.Signal(s); err != nil {
 		r.Error(err)
 	}
 }
 
-// connect opens clients; used ones have had an answer and are idle.
+// connect opens the clients' connections. If used is set, each has received an answer and is idle.
 func (r *stallRun) connect(used bool) {
 	for i := range clientCount {
 		c := dialRaw(r.T, r.address)
@@ -76,26 +78,26 @@
 		}
 		c.send(r.T, fmt.Sprint("first-", i), "route-lookup", 2*time.Second, i%6)
 		if status, err := c.readAnswer(3 * time.Second); status != 200 {
-			r.Errorf("the first answer: %d, %v", status, err)
+			r.Errorf("first answer of a client: status %d, error %v; want 200", status, err)
 		}
 	}
 }
 
-// sendAll has every client send a query.
+// sendAll sends a query from every client.
 func (r *stallRun) sendAll() {
 	for i, c := range r.clients {
 		c.send(r.T, fmt.Sprint("during-stall-", i), "route-lookup", 2*time.Second, i%6)
 	}
 }
 
-// sendLong has every client send a query that takes longer than the process has.
+// sendLong sends a query from every client that takes longer than the time until the process is killed.
 func (r *stallRun) sendLong() {
 	for i, c := range r.clients {
 		c.send(r.T, fmt.Sprint("long-", i), "conditions-summary", 5*time.Second, 0, 1, 2, 3, 4, 5)
 	}
 }
 
-// disconnectAll has every client close.
+// disconnectAll closes the connection of every client.
 func (r *stallRun) disconnectAll() {
 	for _, c := range r.clients {
 		c.Close()
@@ -105,7 +107,7 @@
 	r.disconnectedAt = time.Now()
 }
 
-// checkAllAnswered fails where some client gets no complete answer.
+// checkAllAnswered fails if a client gets no complete answer.
 func (r *stallRun) checkAllAnswered() {
 	lost := 0
 	var last error
@@ -115,11 +117,11 @@
 		}
 	}
 	if lost > 0 {
-		r.Errorf("%d of %d requests got no answer, the last one: %v", lost, len(r.clients), last)
+		r.Errorf("%d of %d requests got no complete answer; last error: %v", lost, len(r.clients), last)
 	}
 }
 
-// checkNoLateAttempt fails where an attempt began long after its client had left.
+// checkNoLateAttempt fails if an attempt began more than maxAttemptAfterDisconnect after the clients had left.
 func (r *stallRun) checkNoLateAttempt() {
 	time.Sleep(500 * time.Millisecond)
 	r.mu.Lock()
@@ -133,18 +135,18 @@
 		}
 	}
 	if late > 0 {
-		r.Errorf("%d attempts began over %v after their clients had left", late, maxAttemptAfterDisconnect)
+		r.Errorf("%d attempts began more than %v after their clients had left", late, maxAttemptAfterDisconnect)
 	}
 }
 
-// stallCase is one moment in which a coordinator is suspended while its clients act.
+// stallCase describes when a coordinator is suspended and what its clients do at that time.
 type stallCase struct {
 	name    string
-	prepare func(r *stallRun) // brings the clients to where they are before the stall
+	prepare func(r *stallRun) // brings the clients into their state before the stall
 	delay   time.Duration     // between prepare and the stall
 	during  func(r *stallRun) // while the process is suspended
-	stall   time.Duration     // for how long it is, after during
-	check   func(r *stallRun) // after it goes on
+	stall   time.Duration     // how long the suspension lasts after during returns
+	check   func(r *stallRun) // after the process continues
 }
 
 var stallCases = []stallCase{
@@ -196,16 +198,16 @@
 		delay:  lifecycle.AcceptAfterTerm,
 		during: func(*stallRun) {}, stall: stallTime,
 		check: func(r *stallRun) {
-			time.Sleep(lifecycle.MaxKillDelay - stallTime) // when the platform may kill
+			time.Sleep(lifecycle.MaxKillDelay - stallTime) // earliest time at which the platform may kill the process
 			r.signal(syscall.SIGKILL)
 			r.checkAllAnswered()
 		},
 	},
 }
 
-// A coordinator is suspended for a moment, as one of many on busy cores is, and its clients act meanwhile. When it
-// goes on, its timers have expired although its sockets hold what came in time. Every request that came has its
-// answer, and no attempt is sent for a client that has left.
+// A coordinator is suspended briefly, as happens on busy cores, while its clients send requests or disconnect. When it
+// continues, its timers have expired although its sockets hold data that arrived in time. Every request that arrived is
+// answered, and no attempt is sent for a client that has left.
 func TestNoRequestIsLostAfterStall(t *testing.T) {
 	t.Parallel()
 	for _, c := range stallCases {
--- a/cmd/harepass/takeover_test.go
+++ b/cmd/harepass/takeover_test.go
@@ -11,13 +11,13 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// Upgrades under load, one after the other, with a replica taken out at one version and called back at a later one. No
-// request is lost or rejected, and nothing reaches the replica meanwhile, though discovery says that it runs.
+// Several upgrades run under load. In each, a replica is taken out of service at one version and put back at the next.
+// No request is lost or rejected, and the replica receives nothing in between although discovery lists it as running.
 func TestUpgradesUnderLoadLoseNoRequest(t *testing.T) {
 	h := newHost(t)
 	running := h.waitReady(h.start())
 	if answer := running.CallAdmin("maint-on nobody"); !strings.HasPrefix(answer, "400") {
-		t.Errorf("an id that nobody has: %q", answer)
+		t.Errorf("maint-on with an unknown id: answer %q, want 400", answer)
 	}
 	const upgrades = 3
 	clients := h.StartClients(12)
@@ -33,14 +33,14 @@
 	}
 }
 
-// upgradeDuringMaintenance takes one replica out at the old process and calls it back at the new one, after the old one
-// has ended. Another replica is taken out at the new process and called back at the old one, while both run. It
-// returns the new process.
+// upgradeDuringMaintenance takes one replica out of service at the old process and puts it back at the new process
+// after the old one has ended. While both run, it takes another replica out of service at the new process and puts it
+// back at the old one. It returns the new process.
 func (h *host) upgradeDuringMaintenance(old *faultinjection.Process, replica, other int) *faultinjection.Process {
 	h.t.Helper()
 	h.setMaintenance(old, replica, true)
 	next := h.waitReady(h.start())
-	h.setMaintenance(next, other, true) // those that were never out serve what warming ones may not
+	h.setMaintenance(next, other, true) // replicas that were never out take what those in slow start may not
 	time.Sleep(maintenanceSlack + 200*time.Millisecond)
 	h.setMaintenance(old, other, false)
 	h.terminate(old)
@@ -49,9 +49,10 @@
 	return next
 }
 
-// A process of an upgrade is killed at any step, or is suspended. The old one serves on whatever happens to the new
-// one. A new one that is ready serves on when the old one is suspended or killed, without the replicas that were taken
-// out, and one that is not ready comes up all the same. Only what the killed ones had under way is lost.
+// Processes are killed or suspended at different steps of an upgrade. The old process continues to serve regardless of
+// the new one. If the old one is suspended or killed, a ready new process continues to serve without the replicas that
+// were taken out of service, and a new process that is not yet ready still becomes ready. Only requests that were open
+// in a killed process are lost.
 func TestKilledProcessLeavesTheOtherServing(t *testing.T) {
 	h := newHost(t)
 	old := h.waitReady(h.start())
@@ -60,7 +61,7 @@
 	h.killNewProcessesWhileStarting()
 	h.killNewProcessWhileSuspended()
 	if !old.Serves() {
-		t.Error("the old one does not serve")
+		t.Error("the old process does not serve after new processes were killed")
 	}
 	h.setMaintenance(old, 1, true)
 	next := h.waitReady(h.start())
@@ -68,20 +69,21 @@
 	h.kill(old)
 	time.Sleep(maintenanceSlack)
 	last := h.start()
-	h.kill(next) // before the one that is to take over is ready
+	h.kill(next) // before the last process, which takes over, is ready
 	h.waitReady(last)
 	time.Sleep(300 * time.Millisecond)
-	for replica := range 3 { // were taken out at three processes, of which none is left
+	for replica := range 3 { // each was taken out of service at a process that has been killed since
 		h.setMaintenance(last, replica, false)
 	}
 	clients.Stop()
 	h.terminate(last)
 	if lost := h.checkOutcomes(clients, "lost")["lost"]; lost > 16 {
-		t.Errorf("%d requests lost with two processes that had 8 clients at most", lost)
+		t.Errorf("%d requests lost, want at most 16: two processes were killed with at most 8 clients each", lost)
 	}
 }
 
-// killNewProcessesWhileStarting kills one new process after the other, each some time after its start.
+// killNewProcessesWhileStarting starts new processes one after the other and kills each at a different time after its
+// start.
 func (h *host) killNewProcessesWhileStarting() {
 	h.t.Helper()
 	for _, after := range []time.Duration{0, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond} {
@@ -91,7 +93,8 @@
 	}
 }
 
-// killNewProcessWhileSuspended suspends a new process before it accepts anything, and kills it so.
+// killNewProcessWhileSuspended suspends a new process before it accepts connections, and kills it while it is
+// suspended.
 func (h *host) killNewProcessWhileSuspended() {
 	h.t.Helper()
 	suspended := h.start()
@@ -100,8 +103,8 @@
 	h.kill(suspended)
 }
 
-// suspendOldProcess suspends the old process, and with it its clients, while the new one takes replica 2 out. Then the
-// old one goes on, beside the new one.
+// suspendOldProcess suspends the old process, which also blocks its clients, while the new process takes replica 2 out
+// of service. Then the old process continues beside the new one.
 func (h *host) suspendOldProcess(old, next *faultinjection.Process) {
 	h.t.Helper()
 	old.Process.Signal(syscall.SIGSTOP)
@@ -112,9 +115,9 @@
 	time.Sleep(300 * time.Millisecond)
 }
 
-// An upgrade behind broken links: discovery is cut off, a replica's responses do not arrive, another's connections are
-// reset again and again, a third one is late. No rule is broken meanwhile, the new version begins with the stored
-// list, and everything is served again once the links are restored.
+// An upgrade runs while links are broken: discovery is cut off, the responses of one replica are lost, the connections
+// of another are reset repeatedly, and the responses of a third are delayed. No rule is broken during that time, the
+// new version starts with the stored list, and all requests are served again once the links are restored.
 func TestUpgradeBehindBrokenLinks(t *testing.T) {
 	h := newHost(t)
 	old := h.waitReady(h.start())
@@ -131,7 +134,7 @@
 	h.setMaintenance(next, 3, false)
 	time.Sleep(300 * time.Millisecond)
 	clients.Stop()
-	h.checkOutcomes(clients, "500", "429") // reports lost with a reset, and queries that a silent replica outlasted
+	h.checkOutcomes(clients, "500", "429") // reports lost by a reset, and queries without a response in time
 	h.checkServedAgain(next)
 }
 
@@ -141,7 +144,7 @@
 	h.Discovery.Cut(faultinjection.ToClient, cut)
 }
 
-// breakLinks cuts discovery off, keeps replica 0's responses from arriving and makes those of replica 1 late.
+// breakLinks cuts off discovery, drops the responses of replica 0 and delays those of replica 1.
 func (h *host) breakLinks() {
 	h.cutDiscovery(true)
 	h.Replicas[0].Link.Cut(faultinjection.ToClient, true)
@@ -155,7 +158,7 @@
 	h.Replicas[1].Link.Delay(0)
 }
 
-// resetConnections resets the connections to a replica again and again, for half a second.
+// resetConnections resets the connections to a replica repeatedly for half a second.
 func (h *host) resetConnections(replica int) {
 	for range 10 {
 		h.Replicas[replica].Link.Reset()
@@ -163,8 +166,8 @@
 	}
 }
 
-// checkServedAgain ends a process after some seconds with new clients. It fails where few requests are served in the
-// last second, or more fail than before it.
+// checkServedAgain runs new clients for four seconds and then ends the process. It fails if fewer than 20 requests are
+// served in the last second, or if any request fails after the first three.
 func (h *host) checkServedAgain(p *faultinjection.Process) {
 	h.t.Helper()
 	clients := h.StartClients(4)
@@ -176,19 +179,19 @@
 	after := clients.Outcomes()
 	failed := func(tally map[string]int) int { return tally["500"] + tally["429"] + tally["lost"] }
 	if after["200"]-before["200"] < 20 || failed(after) > failed(before) {
-		h.t.Errorf("after the links are restored: %v, then %v", before, after)
+		h.t.Errorf("after the links are restored: outcomes %v after 3 s and %v at the end", before, after)
 	}
 }
 
-// Discovery is cut off when a process starts that has a stored list. It is ready all the same. The list comes from the
-// state file, and discovery's failure races with it; readiness must not depend on which comes first, so there are
-// several attempts.
+// A process with a stored list starts while discovery is cut off, and becomes ready nevertheless. Reading the list from
+// the state file races with discovery's failure. Readiness must not depend on which comes first, so the test runs
+// several times.
 func TestReadyWithListWhileDiscoveryIsSilent(t *testing.T) {
 	for range 4 {
 		h := newHost(t)
-		first := h.waitReady(h.start()) // without a list it waits for one
+		first := h.waitReady(h.start()) // without a stored list, it waits for discovery
 		if n := h.ListsServed.Load(); n < 1 {
-			t.Fatalf("ready after %d answers", n)
+			t.Fatalf("ready after %d lists from discovery, want at least 1", n)
 		}
 		h.waitListStored()
 		h.cutDiscovery(true)
@@ -198,8 +201,9 @@
 	}
 }
 
-// The platform hands down a descriptor that is no listener, or an admin address that is in use or no address. A process
-// that served without them would look well while no client or operator reaches it; so it says what is wrong, and ends.
+// The platform passes a descriptor that is not a listener, or an admin address that is in use or invalid. A process
+// that served without them would appear healthy although no client or operator can reach it, so it reports the fault
+// and exits.
 func TestBadDescriptorOrAdminAddressEndsProcess(t *testing.T) {
 	h := newHost(t)
 	for _, tc := range []struct{ set, want string }{
@@ -211,11 +215,11 @@
 	} {
 		p := h.start(tc.set)
 		if err := <-p.Exited; err == nil || !strings.Contains(p.Log(), tc.want) || strings.Contains(p.Log(), "panic") {
-			t.Errorf("%s: %v %s", tc.set, err, p.Log())
+			t.Errorf("with %s: exit %v, log %s", tc.set, err, p.Log())
 		}
 	}
 	var exit *exec.ExitError
 	if p := h.start("PROXY_FD=x"); !errors.As(<-p.Exited, &exit) || exit.ExitCode() != statusInvalid {
-		t.Errorf("status %v, want 2", exit)
+		t.Errorf("with PROXY_FD=x: exit status %v, want 2", exit)
 	}
 }
