--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays many instances of the decision module on the simulator's wire: batches on standard input,
-// replies on standard output. It decides nothing.
+// Command adapter runs many instances of the decision module for the simulator. It reads batches of events from
+// standard input and writes replies to standard output. It makes no decisions itself.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	}
 }
 
-// run plays all batches; it returns nil at the clean end of input.
+// run processes all batches and returns nil at the clean end of the input.
 func run(in io.Reader, out io.Writer) error {
 	decoder, encoder := wire.NewDecoder(in), wire.NewEncoder(out)
 	a := adapter{machines: map[string]*scatter.Machine{}}
@@ -36,7 +36,7 @@
 		}
 		for _, in := range inputs {
 			if in.machine != nil {
-				in.play(encoder, batch)
+				in.writeReply(encoder, batch)
 			}
 		}
 		if err := encoder.End(); err != nil {
@@ -45,20 +45,20 @@
 	}
 }
 
-// adapter holds the instances that run.
+// adapter holds the running instances.
 type adapter struct {
 	machines map[string]*scatter.Machine
 }
 
-// input is what one instance gets in a batch.
+// input holds the events of one instance in a batch.
 type input struct {
 	instance string
-	machine  *scatter.Machine // nil where the instance was stopped in this batch
+	machine  *scatter.Machine // nil if the instance was stopped in this batch
 	events   []scatter.Event
 }
 
-// applyBatch starts and stops instances and sorts a batch's events by instance, in order of each one's first event,
-// so that replies are reproducible. Events of an instance that never started are dropped.
+// applyBatch starts and stops instances and groups a batch's events by instance, in the order of each instance's first
+// event, so that replies are reproducible. It drops events of instances that are not running.
 func (a *adapter) applyBatch(batch wire.Batch) (inputs []*input, err error) {
 	current := map[string]*input{}
 	for _, m := range batch.Messages {
@@ -89,8 +89,8 @@
 	return inputs, nil
 }
 
-// play steps an instance and writes what it asks for, or that its code failed.
-func (in *input) play(encoder *wire.Encoder, batch wire.Batch) {
+// writeReply steps an instance and writes its actions, or an exception if its code panicked.
+func (in *input) writeReply(encoder *wire.Encoder, batch wire.Batch) {
 	actions, err := in.step(batch)
 	if err != nil {
 		encoder.Exception(in.instance, err.Error())
@@ -99,8 +99,8 @@
 	encoder.Actions(in.instance, actions)
 }
 
-// step turns a panic of the decision code into an error, so that the other instances go on; the simulator counts it
-// as a fault of this one.
+// step passes the events to the decision code and converts a panic into an error, so that the other instances continue.
+// The simulator counts the error as a fault of this instance.
 func (in *input) step(batch wire.Batch) (actions []scatter.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/lab/experiments.go
+++ b/cmd/lab/experiments.go
@@ -9,7 +9,7 @@
 	"harepass/internal/test/experiments/twophase"
 )
 
-// experiments are those that 'lab run' offers, in the order of its help; a new one is a line here.
+// experiments lists the experiments of 'lab run' in the order of its help. To add an experiment, add it here.
 var experiments = []experiment.Experiment{
 	twophase.Experiment,
 	choices.Experiment,
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,4 +1,4 @@
-// Command lab is the laboratory: emulated map nodes, and experiments on the coordinator.
+// Command lab provides the tools of the laboratory: emulated map nodes, load, and experiments on the coordinator.
 package main
 
 import (
@@ -182,6 +182,7 @@
 	return c
 }
 
+// coordinatorCommand returns the hidden command that package coordinatorproc starts as a separate process.
 func coordinatorCommand() *cobra.Command {
 	return &cobra.Command{Use: coordinatorproc.ServeCommand, Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -189,6 +190,7 @@
 		}}
 }
 
+// capacityHelperCommand returns the hidden command of the helper process of the capacity measurements.
 func capacityHelperCommand() *cobra.Command {
 	return &cobra.Command{Use: labcapacity.HelperCommand, Hidden: true, Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -12,7 +12,7 @@
 	"harepass/internal/test/scaletest"
 )
 
-// scaleCommand plays a plan of a large fleet.
+// scaleCommand returns the command that runs a scale plan for a large fleet.
 func scaleCommand() *cobra.Command {
 	var program, settings, out, keep string
 	c := &cobra.Command{Use: "scale PLAN.yaml", Short: "Plays a large fleet on this machine, real and hollow coordinators with relays between; see internal/test/scaletest/plans",
@@ -46,7 +46,7 @@
 	return c
 }
 
-// scaleConfig finds what a run is made of; remove ends its temporary folder.
+// scaleConfig returns the configuration of a run. remove deletes the run's temporary folder, if it has one.
 func scaleConfig(program, settings, keep string) (c scaletest.Config, remove func(), err error) {
 	remove = func() {}
 	if c.Settings, err = os.ReadFile(settings); err != nil {
@@ -69,7 +69,7 @@
 	return c, remove, err
 }
 
-// hollowCommand runs hollow coordinators for a run.
+// hollowCommand returns the hidden command that runs hollow coordinators for a scale run.
 func hollowCommand() *cobra.Command {
 	return &cobra.Command{Use: scaletest.HollowCommand, Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
