--- a/cmd/harepass/takeover_test.go
+++ b/cmd/harepass/takeover_test.go
@@ -167,7 +167,7 @@
 }
 
 // checkServedAgain runs new clients for four seconds and then ends the process. It fails if fewer than 20 requests are
-// served in the last second, or if any request fails after the first three.
+// served in the last second, or if any request fails after the first three seconds.
 func (h *host) checkServedAgain(p *faultinjection.Process) {
 	h.t.Helper()
 	clients := h.StartClients(4)
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -34,7 +34,7 @@
 	ErrDistributionWithoutPlatform = errors.New("distribution needs PROXY_CONFIG")
 	// ErrSettingsSourceMissing means that only the OpenSearch front is configured, and its file does not name both a
 	// settings file and an inventory.
-	ErrSettingsSourceMissing = errors.New("this file has to name settings and an inventory, because PROXY_CONFIG is not set")
+	ErrSettingsSourceMissing = errors.New("without PROXY_CONFIG, this file has to name settings and an inventory")
 	// ErrNoSources means that a file lists no relay to follow.
 	ErrNoSources = errors.New("no sources")
 	// ErrNoResources means that a distribution file lists relays, but no resource to take from them.
