--- a/internal/test/faultinjection/client_pool.go
+++ b/internal/test/faultinjection/client_pool.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// maxThinkTime bounds the time of a client between two requests.
+	// maxThinkTime is the upper bound of a client's random pause before each request.
 	maxThinkTime = 20 * time.Millisecond
-	// maxAttempts is how often a client sends a request that its coordinator has not forwarded.
+	// maxAttempts is how many times in all a client sends a request that its coordinator has not forwarded.
 	maxAttempts = 3
 )
 
-// Outcomes of requests besides the status of an answer. Their values are in journal entries.
+// Outcomes of requests besides the HTTP status of an answer. Journal entries contain their values.
 const (
-	OutcomeConnectFailed   = "refused" // the connection did not come up
-	OutcomeLost            = "lost"    // read by a coordinator and never answered
-	OutcomeDuplicateAnswer = "twice"   // answered, and answered again
-	OutcomeWrongAnswer     = "untrue"  // answered with what no replica has served
+	OutcomeConnectFailed   = "refused" // the client could not open a connection
+	OutcomeLost            = "lost"    // sent to a coordinator and never answered
+	OutcomeDuplicateAnswer = "twice"   // bytes followed the answer on the connection
+	OutcomeWrongAnswer     = "untrue"  // its parts differ from what replicas serve, or are too few
 )
 
-// ClientPool is clients that keep their connections and send one query after another until Stop.
+// ClientPool is a set of clients. Each keeps its connection open and sends one query after another until Stop.
 type ClientPool struct {
 	address   string // of the coordinator
 	tenant    string
-	forwarded func(queryID string) bool      // reports whether a replica was asked for some part of a query
-	nextQuery func(client, number int) query // what a client asks, by its number and the query's
+	forwarded func(queryID string) bool      // reports whether a replica has received a part of the query
+	nextQuery func(client, number int) query // returns a client's next query, given the client's and the query's number
 	stop      chan struct{}                  // closed by Stop
 	running   sync.WaitGroup
 
 	mu           sync.Mutex
-	outcomes     map[string]int // how many requests ended in each way
-	unanswered   int            // connections that ended under a request
-	notForwarded int            // requests on such connections that no replica was asked for
+	outcomes     map[string]int // number of requests by outcome
+	unanswered   int            // connections that ended while a request was open
+	notForwarded int            // requests on these connections of which no replica received a part
 }
 
-// NewClientPool starts clients of the coordinator at an address, by the classes and the first tenant of a site's
-// settings, for some shards. forwarded reports whether a replica was asked for some part of a query; it is called by
-// several goroutines. An error says that the settings cannot be used. Stop ends the clients.
+// NewClientPool starts clients of the coordinator at an address. Their queries take the classes and the first tenant
+// from a site's settings and ask the given shards. forwarded reports whether a replica has received a part of a query;
+// several goroutines call it. An error means that the settings cannot be used. Stop ends the clients.
 func NewClientPool(
 	clients int, address string, settings []byte, shards []int, forwarded func(queryID string) bool,
 ) (*ClientPool, error) {
@@ -77,13 +77,13 @@
 	return p
 }
 
-// Stop lets all clients finish the request that is open, and waits for them. It is to be called once.
+// Stop lets each client finish its open request, and waits until all clients have ended. It must be called only once.
 func (p *ClientPool) Stop() {
 	close(p.stop)
 	p.running.Wait()
 }
 
-// stopped reports whether the clients are to begin no further request.
+// stopped reports whether Stop was called, after which clients begin no further request.
 func (p *ClientPool) stopped() bool {
 	select {
 	case <-p.stop:
@@ -93,29 +93,29 @@
 	}
 }
 
-// Outcomes counts how requests have ended so far, by HTTP status or by one of the other outcomes.
+// Outcomes returns the number of requests that have ended so far, by HTTP status or other outcome.
 func (p *ClientPool) Outcomes() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.outcomes)
 }
 
-// Unanswered counts the connections that ended under a request without an answer, and how many of these requests were
-// never forwarded.
+// Unanswered returns how many connections ended before the answer to an open request, and how many of these requests
+// the coordinator had not forwarded.
 func (p *ClientPool) Unanswered() (unanswered, notForwarded int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unanswered, p.notForwarded
 }
 
-// count counts one more request with an outcome.
+// count adds one request to an outcome.
 func (p *ClientPool) count(outcome string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes[outcome]++
 }
 
-// countUnanswered counts a connection that ended under a request.
+// countUnanswered counts a connection that ended while a request was open.
 func (p *ClientPool) countUnanswered(forwarded bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// countAnswer counts an answer with its HTTP status, and what is wrong with it.
+// countAnswer counts an answer under its HTTP status, and also under each outcome that describes a fault in it.
 func (p *ClientPool) countAnswer(q query, a answer, status string) {
 	p.count(status)
 	if a.duplicated {
@@ -136,12 +136,12 @@
 	}
 }
 
-// addressToID makes a part of an ID of an address. It takes all of the address: processes have loopback addresses of
-// their own and may have the same port.
+// addressToID turns an address into a component of a query ID. It includes the IP address because each process has its
+// own loopback address and two processes may use the same port.
 var addressToID = strings.NewReplacer(".", "-", ":", "-")
 
-// QueryOrigin is the part of a query's ID that tells the address to which it was sent. The ID is the name of the class,
-// this, the number of the client and that of the query, with hyphens between: "route-lookup-127-0-2-1-4711-0-17".
+// QueryOrigin returns the component of a query's ID that identifies the coordinator's address. The ID joins the class
+// name, this component, the client's number and the query's number by hyphens: "route-lookup-127-0-2-1-4711-0-17".
 func QueryOrigin(address string) string { return addressToID.Replace(address) }
 
 // runClient sends the queries of one client until the pool is stopped.
@@ -159,7 +159,8 @@
 	}
 }
 
-// sendQuery sends a query until there is an answer; as clients do, again only where no replica was asked.
+// sendQuery sends a query and records its outcome. Like a production client, it sends the query again only if no
+// replica has received a part of it.
 func (p *ClientPool) sendQuery(client *httpClient, id string, q query) {
 	request := q.request(id, p.tenant)
 	for range maxAttempts {
--- a/internal/test/faultinjection/client_rules.go
+++ b/internal/test/faultinjection/client_rules.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// clientLeftSlack is how long after its client has left an attempt may begin.
+	// clientLeftSlack is how long after its client has left a query's attempt may still reach a replica.
 	clientLeftSlack = 100 * time.Millisecond
-	// deadlineSlack is by how much the deadline that a replica is given may exceed what the client has left.
+	// deadlineSlack is by how much the time left that a replica is given may exceed the client's time left.
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// clientRequest is what a strict client has recorded of one of its requests.
+// clientRequest is a strict client's record of one of its requests.
 type clientRequest struct {
-	deadline time.Time // when the client gives up
+	deadline time.Time // when the client stops waiting
 	leftAt   time.Time // when it closed its connection; zero while it waits
 }
 
@@ -26,7 +26,7 @@
 	c.requests[queryID] = &clientRequest{deadline: deadline}
 }
 
-// clientLeft records that a client has closed its connection under a request.
+// clientLeft records that a client has closed its connection while its request was open.
 func (c *ruleChecker) clientLeft(queryID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,9 +35,10 @@
 	}
 }
 
-// clientViolation says which rule an attempt that has just begun breaks towards its client, given the list of its line
-// in a frame and for how long its link has been healthy; empty where it breaks none. An attempt on a link that has just
-// had a fault says nothing of when it was sent. It is to be called under the lock.
+// clientViolation checks an attempt that a replica has just received against its client's request, given the parameter
+// list of its line in the frame and how long its link has been healthy. It returns a description of the broken rule, or
+// an empty string if there is none. It skips attempts on a link that had a fault up to settlingTime ago, because their
+// arrival time does not show when they were sent. The caller must hold the lock.
 func (c *ruleChecker) clientViolation(queryID, list string, linkHealthy time.Duration) string {
 	r := c.requests[queryID]
 	if r == nil || linkHealthy <= settlingTime {
@@ -58,7 +59,7 @@
 		}
 		excess := time.Duration(milliseconds)*time.Millisecond - time.Until(r.deadline)
 		if excess > deadlineSlack+slack {
-			return fmt.Sprintf("given a deadline %v beyond what its client has left; the slack is %v",
+			return fmt.Sprintf("with a deadline %v later than its client's; the slack is %v",
 				excess.Round(time.Millisecond), slack)
 		}
 	}
--- a/internal/test/faultinjection/discovery_modes.go
+++ b/internal/test/faultinjection/discovery_modes.go
@@ -2,15 +2,16 @@
 
 import "harepass/internal/test/fake"
 
-// discoveryHealthy is the mode of discovery, as a scenario names it, in which it answers.
+// discoveryHealthy is a scenario's name for the mode in which discovery answers every call.
 const discoveryHealthy = "sound"
 
-// discoveryModes are all modes of discovery, as a scenario names them. A soak draws from them by their order.
+// discoveryModes lists all modes of discovery by their names in a scenario. Their order determines what a soak draws
+// from a seed.
 var discoveryModes = []string{
 	discoveryHealthy, string(fake.RegistryDown), string(fake.RegistryOverloaded), string(fake.RegistrySilent),
 }
 
-// setDiscovery changes how discovery treats calls.
+// setDiscovery switches discovery to a mode, given by its name in a scenario.
 func (f *Fleet) setDiscovery(mode string) {
 	f.Note(sourceHarness, "discovery is %s", mode)
 	if mode == discoveryHealthy {
--- a/internal/test/faultinjection/doc.go
+++ b/internal/test/faultinjection/doc.go
@@ -1,42 +1,43 @@
-// Package faultinjection runs real processes of the program on loopback among fakes of all that surrounds them. It
+// Package faultinjection runs real processes of the program on loopback, with fakes for replicas and discovery. It
 // injects faults into processes, links, replicas and discovery, and checks what the fakes and the clients have recorded
 // against the rules of the platform. It is for tests and the laboratory only.
 //
 // # Contract
 //
-// A Fleet is several coordinators, each a process with addresses of its own; a Scenario says step by step what happens
-// to them. A Host is one coordinator whose processes take over from each other on a shared client socket; its caller
-// says what happens. Both end with an error that joins every expectation that was not met; errors.Is finds
-// ErrRuleViolated in it where a rule of the platform was broken. Fleet and Host are used by one goroutine; whoever
-// opened one closes it, also after an error.
+// A Fleet runs several coordinators, each a process with its own addresses; a Scenario defines step by step what
+// happens to them. A Host runs one coordinator whose processes take over from each other on a shared client socket; its
+// caller decides what happens. Fleet.Play and Host.Check return an error that joins every unmet expectation; errors.Is
+// finds ErrRuleViolated in it if a rule of the platform was broken. A Fleet or Host is for one goroutine, and its
+// creator must close it, also after an error.
 //
 // # What is checked
 //
-// In a Fleet, at each instant: parts that may run once do so, carry their client's idempotency key, go to a holder of
-// their shard, and begin neither after the grace of a drain nor after their client has left, nor with a longer
-// deadline than their client has. Strict clients get an answer to every request in time. Replicas are not sent more
-// than they can bear. Once all faults are over, every running coordinator serves complete answers again.
+// In a Fleet, these rules hold throughout. A non-idempotent part runs at most once. Each part carries its client's
+// idempotency key, or none if the client sent none, and goes to a holder of its shard. No part starts after the grace
+// of its replica's drain or after its client has left, or has a longer deadline than its client. Strict clients get an
+// answer to every request in time. No replica in slow start receives more parts than it tolerates. Once all faults have
+// ended, every running coordinator serves complete answers again.
 //
-// A fault can only excuse what it has held up: parts that arrive over a link with a fault, or just after it, say
-// nothing of when they were sent. Where this process itself was not scheduled in time, the checks of instants are
-// granted slack, or are counted as unjudged.
+// A fault excuses only what it has delayed: the arrival time of a part over a link that has a fault, or had one up to
+// settlingTime ago, does not show when the part was sent. If this process itself was scheduled late, the time checks
+// allow additional slack, or skip the record and count it as unjudged.
 //
-// # Where each concern stands
+// # Files
 //
-//	scenario.go, step.go, validate.go   what a scenario is, and which ones are refused
-//	overrides.go, ring_layout.go        the settings and the ring that a scenario has
+//	scenario.go, step.go, validate.go   the scenario format and its validation
+//	overrides.go, ring_layout.go        the settings and the ring of a scenario
 //	soak.go, soak_faults.go             scenarios drawn from a seed
 //	fleet.go, member.go                 the fleet and its coordinators
-//	play.go, resize.go, restart.go      what steps do to coordinators
-//	discovery_modes.go, link_steps.go   what steps do to discovery and links
+//	play.go, resize.go, restart.go      the steps that act on coordinators
+//	discovery_modes.go, link_steps.go   the steps that act on discovery and links
 //	fleet_replica.go                    the replicas of a fleet
-//	rule_checker.go, client_rules.go    the rules, held against what was recorded
-//	notification.go                     from when on a coordinator counts as notified of a drain
-//	scheduling_delay.go                 the slack for delays of this process
-//	verdict.go, timeline.go             what a fleet reports
-//	site.go, query.go, http_client.go   what clients ask, and what a correct answer is
+//	rule_checker.go, client_rules.go    the checks of recorded events against the rules
+//	notification.go                     when a coordinator counts as notified of a drain
+//	scheduling_delay.go                 the slack for late scheduling of this process
+//	verdict.go, timeline.go             the results of a fleet
+//	site.go, query.go, http_client.go   the clients' queries, and the check of their answers
 //	client_pool.go, strict_client.go    the clients
-//	host.go, host_check.go              processes that take over from each other
+//	host.go, host_check.go              processes of one coordinator that take over from each other
 //	process.go, log.go                  one process
-//	link.go, link_copy.go, message_faults.go, listeners.go   links that can be broken, and the fakes behind them
+//	link.go, link_copy.go, message_faults.go, listeners.go   links with faults, and the fakes behind them
 package faultinjection
--- a/internal/test/faultinjection/errors.go
+++ b/internal/test/faultinjection/errors.go
@@ -2,18 +2,18 @@
 
 import "errors"
 
-// Errors that the package wraps, for errors.Is.
+// Errors that the package's errors wrap, for errors.Is.
 var (
-	// ErrWaitTimeout says that a condition did not come true in time.
+	// ErrWaitTimeout means that a condition did not become true in time.
 	ErrWaitTimeout = errors.New("faultinjection: condition not met in time")
-	// ErrInvalidSettings says that a site's settings lack what clients and checks go by.
+	// ErrInvalidSettings means that a site's settings lack the classes or tenants that clients and checks need.
 	ErrInvalidSettings = errors.New("faultinjection: invalid settings")
-	// ErrInvalidScenario says that no fleet could play a scenario as it is written.
+	// ErrInvalidScenario means that a fleet cannot execute the scenario as written.
 	ErrInvalidScenario = errors.New("invalid scenario")
-	// ErrAdminRequestFailed says that a process did not accept a request at its admin endpoint.
+	// ErrAdminRequestFailed means that a process did not accept a request at its admin endpoint.
 	ErrAdminRequestFailed = errors.New("faultinjection: admin request failed")
-	// ErrProcessFailed says that a process exited otherwise than it should.
+	// ErrProcessFailed means that a process exited with an error, or did not exit in time.
 	ErrProcessFailed = errors.New("faultinjection: process failed")
-	// ErrRuleViolated says that something did not hold that has to hold in every run.
+	// ErrRuleViolated means that a run broke a rule that must hold in every run.
 	ErrRuleViolated = errors.New("faultinjection: rule violated")
 )
--- a/internal/test/faultinjection/fleet.go
+++ b/internal/test/faultinjection/fleet.go
@@ -13,16 +13,16 @@
 	"harepass/internal/test/fake"
 )
 
-// FleetConfig says what a Fleet runs.
+// FleetConfig defines what a Fleet runs.
 type FleetConfig struct {
-	Dir      string   // existing folder for configurations, a $TMPDIR of each process, and the timeline
+	Dir      string   // existing folder for the configurations, each process's $TMPDIR and the timeline
 	Command  []string // the program with its arguments
-	Env      []string // variables of each process besides those of this one
-	Settings []byte   // of the site, as JSON; the scenario replaces fleet size, ring and the form of discovery
+	Env      []string // environment variables of each process, in addition to this process's own
+	Settings []byte   // of the site, as JSON; the scenario replaces fleet size, ring and push or poll discovery
 }
 
-// Fleet is coordinators, each a process of the program, among replicas and a discovery that all share. Each coordinator
-// reaches each of them over a Link of its own.
+// Fleet runs several coordinators, each a process of the program, that share fake replicas and a fake discovery. Each
+// coordinator has its own Link to each replica and to discovery.
 type Fleet struct {
 	FleetConfig
 	*Scenario
@@ -31,8 +31,8 @@
 	site       *site
 	registry   fake.Registry
 	replicas   []*fleetReplica
-	members    []*member // all that the scenario ever has
-	targetSize int       // the size of the fleet in the configuration of processes that start now
+	members    []*member // for the largest fleet size of the scenario
+	targetSize int       // fleet size that the configuration of a newly started process contains
 	checker    *ruleChecker
 	listeners  linkedListeners
 
@@ -40,13 +40,14 @@
 	background      sync.WaitGroup  // planned restarts and suspensions
 
 	mu           sync.Mutex
-	failures     []error         // of what runs in the background
-	startupTimes []time.Duration // of each process: from its start until it served
-	peakMemoryKB []int           // of each process
+	failures     []error         // of planned restarts
+	startupTimes []time.Duration // of each process, from its start until it served
+	peakMemoryKB []int           // peak resident memory of each process that has ended
 }
 
-// NewFleet opens replicas, discovery and links for as many coordinators as the scenario ever has, and starts those that
-// it begins with. The caller closes the fleet. Errors are those of the settings, of listening and of starting.
+// NewFleet opens replicas, discovery, and the links of as many coordinators as the scenario has at its largest fleet
+// size, and starts the coordinators of the initial fleet size. The caller must close the fleet. Errors come from the
+// settings, from listening and from starting processes.
 func NewFleet(c FleetConfig, s *Scenario) (*Fleet, error) {
 	f := &Fleet{FleetConfig: c, Scenario: s, Timeline: newTimeline(), targetSize: s.Coordinators}
 	var err error
@@ -78,11 +79,11 @@
 	return f, nil
 }
 
-// machineTime is the present time on the clock of the replicas' machines. It begins a second before the timeline: to a
-// machine, a start at 0 means that it has long been warmed up.
+// machineTime is the current time on the clock of the replicas' machines. The clock starts one second before the
+// timeline, because a machine treats a start at 0 as warmed up long ago.
 func (f *Fleet) machineTime() time.Duration { return time.Since(f.began) + time.Second }
 
-// Close kills what still runs, closes listeners and links, and writes timeline.txt to the fleet's folder.
+// Close kills the processes that still run, closes listeners and links, and writes timeline.txt to the fleet's folder.
 func (f *Fleet) Close() (err error) {
 	for _, m := range f.running() {
 		f.kill(m)
@@ -96,22 +97,23 @@
 	return errors.Join(err, f.Print(out), out.Close())
 }
 
-// ProcessStats returns how long each process took from its start until it served, and the peak resident memory of each
-// process that has ended, in KB.
+// ProcessStats returns the time from start until serving of each process, and the peak resident memory in KB of each
+// process that has ended.
 func (f *Fleet) ProcessStats() (startupTimes []time.Duration, peakMemoryKB []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.startupTimes), slices.Clone(f.peakMemoryKB)
 }
 
-// PrintSummary writes a line that counts the requests by how they ended, and what was checked.
+// PrintSummary writes one line: the number of requests by outcome, of parts that replicas received, of endpoint lists
+// that discovery sent, and of records that were not judged.
 func (f *Fleet) PrintSummary(out io.Writer) {
 	parts, lists, unjudged := f.checker.counts()
 	fmt.Fprintf(out, "%s: requests %v, parts %d, endpoint lists sent %d, records not judged %d\n",
 		f.Name, f.outcomes(), parts, lists, unjudged)
 }
 
-// outcomes counts how the requests of all clients have ended, as ClientPool.Outcomes does.
+// outcomes sums ClientPool.Outcomes over the clients of all members.
 func (f *Fleet) outcomes() map[string]int {
 	total := map[string]int{}
 	for _, m := range f.members {
--- a/internal/test/faultinjection/fleet_replica.go
+++ b/internal/test/faultinjection/fleet_replica.go
@@ -8,16 +8,17 @@
 	"harepass/internal/test/fake"
 )
 
-// ReplicaState is how a replica behaves, as a scenario's steps name it.
+// ReplicaState is the behaviour of a replica, by its name in a scenario's steps.
 type ReplicaState string
 
-// The states of a replica. replicaRestarted is an event: a new process starts, in slow start, and is healthy.
+// The states of a replica. replicaRestarted is an event: a new process starts in slow start, and the replica is then
+// in state replicaHealthy.
 const (
 	replicaHealthy      ReplicaState = "sound"
-	replicaUnresponsive ReplicaState = "hung"    // takes parts and answers none
+	replicaUnresponsive ReplicaState = "hung"    // accepts parts and never answers them
 	replicaFailing      ReplicaState = "failing" // answers each part with an error
 	replicaDraining     ReplicaState = "drained" // rejects parts, and discovery lists it as leaving
-	replicaRemoved      ReplicaState = "gone"    // breaks connections, and discovery lists it as ended
+	replicaRemoved      ReplicaState = "gone"    // closes the connection on each part, and discovery lists it as ended
 	replicaRestarted    ReplicaState = "back"
 )
 
@@ -25,7 +26,8 @@
 	replicaDraining, replicaRemoved, replicaRestarted, replicaUnresponsive, replicaFailing, replicaHealthy,
 }
 
-// registryStatus is the status under which discovery lists a replica from a state on; other states leave it as it was.
+// registryStatus is the status that discovery lists for a replica once it enters a state. A state without an entry
+// leaves the status unchanged.
 var registryStatus = map[ReplicaState]string{
 	replicaDraining:  fake.StatusTerminating,
 	replicaRemoved:   fake.StatusTerminated,
@@ -33,15 +35,15 @@
 }
 
 const (
-	// replicaCores is how many parts a replica works on at once.
+	// replicaCores is how many parts a replica processes concurrently.
 	replicaCores = 2
-	// replicaQueue is how many parts may wait at a replica; it rejects more.
+	// replicaQueue is how many parts may wait at a replica; it rejects any beyond that.
 	replicaQueue = 40
-	// defaultDrainGrace is the grace of a drain where the settings have none.
+	// defaultDrainGrace is the grace of a drain if the settings define none.
 	defaultDrainGrace = time.Second
 )
 
-// fleetReplica is a replica that all coordinators of a fleet reach, each by a link of its own.
+// fleetReplica is a replica that all coordinators of a fleet share, each over its own link.
 type fleetReplica struct {
 	name   string // n0, n1, ...
 	number int
@@ -52,16 +54,16 @@
 	state   ReplicaState
 }
 
-// replicaRules are the platform's rules on replicas, as the settings have them.
+// replicaRules are the platform's rules on replicas, as the settings define them.
 type replicaRules struct {
-	InitialCapacity float64 `json:"start_capacity"`         // share of its capacity that a new process has
-	SlowStart       int64   `json:"warm_within_us"`         // microseconds after which a process has all of it
-	OverloadFactor  float64 `json:"fall_multiple"`          // multiple of its capacity that a process cannot bear
-	OverloadWindow  int64   `json:"fall_us"`                // microseconds of that after which it falls over
+	InitialCapacity float64 `json:"start_capacity"`         // share of its full capacity that a new process starts with
+	SlowStart       int64   `json:"warm_within_us"`         // microseconds until a new process has its full capacity
+	OverloadFactor  float64 `json:"fall_multiple"`          // multiple of its capacity that overloads a process
+	OverloadWindow  int64   `json:"fall_us"`                // microseconds of such load after which the process fails
 	DrainGrace      int64   `json:"stop_sending_within_us"` // microseconds; see drainGrace
 }
 
-// drainGrace is how long after the notification of its drain a replica may still be sent to.
+// drainGrace is how long a coordinator may still send parts to a replica after it was notified of the replica's drain.
 func (r replicaRules) drainGrace() time.Duration {
 	if r.DrainGrace == 0 {
 		return defaultDrainGrace
@@ -71,7 +73,7 @@
 
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// newFleetReplica returns the replica of a number and a ring position: healthy, warmed up and listed as such.
+// newFleetReplica returns a healthy, warmed up replica with a number and a ring position, and its entry in discovery.
 func newFleetReplica(number, ringPosition int, serviceTime time.Duration, rules replicaRules) *fleetReplica {
 	name := fmt.Sprint("n", number)
 	return &fleetReplica{
@@ -98,7 +100,7 @@
 	}
 }
 
-// decideReply decides what a replica does with a part that has just arrived.
+// decideReply returns how a replica replies to a part that has just arrived.
 func (f *Fleet) decideReply(r *fleetReplica) fake.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,7 +120,7 @@
 	return fake.Reply{After: end - now}
 }
 
-// changeReplicas changes the replicas that patterns name.
+// changeReplicas puts the replicas whose names match the patterns into a state.
 func (f *Fleet) changeReplicas(patterns string, state ReplicaState) {
 	for _, i := range match(patterns, "n", len(f.replicas)) {
 		f.Note(sourceHarness, "n%d becomes %s", i, state)
@@ -126,7 +128,7 @@
 	}
 }
 
-// setState changes a replica, and its entry in discovery where the new state is one that discovery knows of.
+// setState puts a replica into a state, and updates its entry in discovery if registryStatus has the state.
 func (f *Fleet) setState(r *fleetReplica, state ReplicaState) {
 	r.mu.Lock()
 	r.state = state
@@ -147,7 +149,7 @@
 	}
 }
 
-// healReplica ends a replica's fault. One that discovery lists as leaving or ended comes back as a new process.
+// healReplica ends a replica's fault. A replica that discovery lists as leaving or ended restarts as a new process.
 func (f *Fleet) healReplica(r *fleetReplica) {
 	r.mu.Lock()
 	state, status := r.state, r.entry.Status
@@ -159,7 +161,8 @@
 	}
 }
 
-// pressure is the machine's greatest load so far, as a multiple of what makes it fall over.
+// pressure is the machine's greatest load in its current slow start, as a multiple of what it tolerates. The machine
+// fails above 1.
 func (r *fleetReplica) pressure() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/test/faultinjection/host.go
+++ b/internal/test/faultinjection/host.go
@@ -18,34 +18,34 @@
 // hostRingSize is how many ring positions the replicas of a Host share; each position holds several shards.
 const hostRingSize = 3
 
-// HostConfig says what a Host runs.
+// HostConfig defines what a Host runs.
 type HostConfig struct {
-	Dir              string        // existing folder for the configuration, and $TMPDIR of all processes
+	Dir              string        // existing folder for the configuration; also $TMPDIR of all processes
 	Command          []string      // the program with its arguments
-	Env              []string      // variables of each process besides those of this one
+	Env              []string      // environment variables of each process, in addition to this process's own
 	Settings         []byte        // of the site, as JSON
-	Replicas         int           // each at one of three ring positions, in turn
+	Replicas         int           // how many; they are assigned to the three ring positions in turn
 	ServiceTime      time.Duration // of a part at a replica
-	MaintenanceGrace time.Duration // after maintenance of a replica was confirmed, until which it may be sent to
+	MaintenanceGrace time.Duration // how long parts may still be sent to a replica after its maintenance was confirmed
 }
 
-// Host does for one coordinator what the platform does: it holds the client socket, starts processes that take over
-// from each other, and has replicas and discovery, each behind a Link. Its exported methods are for one goroutine, but
-// for Forwarded.
+// Host plays the platform's role for one coordinator: it holds the client socket, starts processes that take over from
+// each other, and provides replicas and discovery, each behind a Link. Its exported methods are for one goroutine,
+// except Forwarded.
 type Host struct {
 	HostConfig
-	ClientListener *net.TCPListener // inherited by each process
+	ClientListener *net.TCPListener // each process inherits it
 	Replicas       []*HostReplica
 	Discovery      *Link
-	ListsServed    atomic.Int32 // endpoint lists that discovery has given out, each when its watch ends
+	ListsServed    atomic.Int32 // endpoint lists that discovery has sent, counted when their watch ends
 
 	site      *site
 	listeners linkedListeners
-	processes []*Process // all that were started
+	processes []*Process // all processes that were started, also those that have ended
 
 	mu            sync.Mutex
-	inMaintenance map[int]time.Time // when maintenance of a replica was confirmed
-	misdirected   []string          // parts that reached such a replica after the grace
+	inMaintenance map[int]time.Time // when a replica's maintenance was confirmed
+	misdirected   []string          // parts that reached a replica in maintenance after the grace
 }
 
 // HostReplica is a fake replica behind a link.
@@ -54,8 +54,8 @@
 	Link *Link
 }
 
-// NewHost opens all that a process needs. The caller closes the host. Errors are those of the settings, of listening
-// and of writing the configuration.
+// NewHost opens the client socket, the replicas and discovery, and writes the configuration. It starts no process. The
+// caller must close the host. Errors come from the settings, from listening and from writing the configuration.
 func NewHost(c HostConfig) (*Host, error) {
 	h := &Host{HostConfig: c, inMaintenance: map[int]time.Time{}}
 	var err error
@@ -86,7 +86,7 @@
 	return h, nil
 }
 
-// Close kills what still runs, and closes listeners and links.
+// Close kills the processes that still run, and closes listeners and links.
 func (h *Host) Close() (err error) {
 	for _, p := range h.processes {
 		p.Process.Kill()
@@ -95,11 +95,11 @@
 	return errors.Join(err, h.ClientListener.Close(), h.listeners.close())
 }
 
-// ConfigPath is the file of the configuration.
+// ConfigPath is the path of the configuration file.
 func (h *Host) ConfigPath() string { return filepath.Join(h.Dir, "config.json") }
 
-// Configure writes the configuration with these settings. Its endpoint list is empty: what a process knows when it
-// starts, it has from the process before it.
+// Configure writes the configuration with these settings. Its endpoint list is empty, so whatever a process knows when
+// it starts comes from the process that it takes over from.
 func (h *Host) Configure(settings []byte) error {
 	data, err := json.Marshal(map[string]any{
 		"name":      "n1",
@@ -116,7 +116,7 @@
 	return os.WriteFile(h.ConfigPath(), data, 0o600)
 }
 
-// decideReply decides what a replica does with a part, and records a part that it should not have been sent.
+// decideReply returns how a replica replies to a part. It records a part that the replica should not have received.
 func (h *Host) decideReply(replica int) fake.Reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,7 +127,8 @@
 	return fake.Reply{After: h.ServiceTime}
 }
 
-// endpointList is discovery's list: whatever operators say, every replica is in service.
+// endpointList returns discovery's list. It lists every replica as in service, also one that operators have put into
+// maintenance.
 func (h *Host) endpointList() string {
 	h.ListsServed.Add(1)
 	list := fake.EndpointList{Index: 1, Snapshot: true, Endpoints: []fake.Endpoint{}}
@@ -146,7 +147,7 @@
 	return string(data)
 }
 
-// Start starts a process with an admin endpoint of its own, with the client socket as descriptor 4, and with further
+// Start starts a process with its own admin endpoint, the client socket as descriptor 4, and additional environment
 // variables.
 func (h *Host) Start(env ...string) (*Process, error) {
 	socket, err := h.ClientListener.File()
@@ -162,14 +163,14 @@
 	return p, err
 }
 
-// SetMaintenance takes a replica out at a process, or back in. The error wraps ErrAdminRequestFailed, with the reply,
-// where the process did not accept it.
+// SetMaintenance starts a replica's maintenance at a process, or ends it if out is false. If the process does not
+// accept the request, the error wraps ErrAdminRequestFailed and contains the reply.
 func (h *Host) SetMaintenance(p *Process, replica int, out bool) error {
 	request := "maint-on"
 	if !out {
 		request = "maint-off"
 		h.mu.Lock()
-		delete(h.inMaintenance, replica) // it may be sent to from the request on
+		delete(h.inMaintenance, replica) // parts may reach it again as soon as the request is sent
 		h.mu.Unlock()
 	}
 	request += fmt.Sprintf(" f%d", replica)
@@ -184,14 +185,14 @@
 	return nil
 }
 
-// StartClients starts clients of the coordinator. The caller stops them.
+// StartClients starts n clients of the coordinator. The caller must stop them.
 func (h *Host) StartClients(n int) *ClientPool {
 	nextQuery := func(_, i int) query { return h.query(i) }
 	return newClientPool(n, h.ClientListener.Addr().String(), h.site.tenant, h.Forwarded, nextQuery)
 }
 
-// query is the i-th query of each client. Classes come in turn; a query asks one shard, or two that lie far apart where
-// its class allows partial answers.
+// query is the i-th query of each client. Queries use the classes in turn. A query of a class that allows partial
+// answers asks two shards that lie far apart; any other query asks one.
 func (h *Host) query(i int) query {
 	c := h.site.classes[i%len(h.site.classes)]
 	if c.allowsPartial() {
--- a/internal/test/faultinjection/host_check.go
+++ b/internal/test/faultinjection/host_check.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Forwarded reports whether a replica was asked for some part of a query. Any goroutine may call it.
+// Forwarded reports whether a replica has received a part of a query. Any goroutine may call it.
 func (h *Host) Forwarded(queryID string) bool {
 	for _, r := range h.Replicas {
 		for _, line := range r.Received() {
@@ -18,9 +18,9 @@
 	return false
 }
 
-// Check holds what the replicas have recorded against the rules: parts that may run once only have run once, each part
-// came with its client's idempotency key or with none, nothing reached a replica in maintenance after the grace, and
-// every class was seen. The error joins one that wraps ErrRuleViolated for each violation.
+// Check checks the parts that the replicas have recorded: each non-idempotent part ran at most once, each part carried
+// its client's idempotency key, or none if the client sent none, no part reached a replica in maintenance after the
+// grace, and replicas received parts of every class. The error joins one that wraps ErrRuleViolated for each violation.
 func (h *Host) Check() (err error) {
 	violation := func(format string, args ...any) {
 		err = errors.Join(err, fmt.Errorf("%w: %s", ErrRuleViolated, fmt.Sprintf(format, args...)))
@@ -43,13 +43,14 @@
 	}
 	for _, c := range h.site.classes {
 		if !classesSeen[c.name] {
-			violation("no %s was seen", c.name)
+			violation("no part of class %s reached a replica", c.name)
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.misdirected) > 0 {
-		violation("%d parts at replicas in maintenance, the first: %s", len(h.misdirected), h.misdirected[0])
+		violation("%d parts reached replicas in maintenance after the grace; the first: %s",
+			len(h.misdirected), h.misdirected[0])
 	}
 	return err
 }
--- a/internal/test/faultinjection/http_client.go
+++ b/internal/test/faultinjection/http_client.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// connectionTimeout is how long a client waits for a connection to come up or for bytes on it.
+// connectionTimeout bounds how long a client waits to connect, to send a request or to read its answer.
 const connectionTimeout = 10 * time.Second
 
-// httpClient is a client of the platform's protocol with the connection that it keeps. It is for one goroutine.
+// httpClient is a client of the platform's protocol that keeps its connection open. It is for one goroutine.
 type httpClient struct {
 	address string   // of the coordinator
-	conn    net.Conn // nil for none
+	conn    net.Conn // nil if there is none
 	reader  *bufio.Reader
 }
 
-// setConnection makes a connection the one that is kept.
+// setConnection makes conn the client's connection.
 func (client *httpClient) setConnection(conn net.Conn) {
 	client.conn, client.reader = conn, bufio.NewReader(conn)
 }
@@ -33,8 +33,8 @@
 	}
 }
 
-// roundTrip sends a request and reads its answer, on a new connection if there is none. The status is
-// OutcomeConnectFailed where that does not come up, and empty where no answer came that can be read.
+// roundTrip sends a request and reads its answer, and opens a connection first if there is none. The status is
+// OutcomeConnectFailed if the connection cannot be opened, and empty if no readable answer arrives.
 func (client *httpClient) roundTrip(request string) (a answer, status string, err error) {
 	if client.conn == nil {
 		conn, err := net.DialTimeout("tcp", client.address, connectionTimeout)
@@ -50,7 +50,7 @@
 	return client.readAnswer()
 }
 
-// readAnswer reads the answer to the request that was sent last. The status is that of HTTP, in digits.
+// readAnswer reads the answer to the latest request. The status is the HTTP status code in digits.
 func (client *httpClient) readAnswer() (a answer, status string, err error) {
 	client.conn.SetDeadline(time.Now().Add(connectionTimeout))
 	res, err := http.ReadResponse(client.reader, nil)
--- a/internal/test/faultinjection/link.go
+++ b/internal/test/faultinjection/link.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Direction is one of a link's two.
+// Direction is one of the two directions of a link.
 type Direction int
 
-// The directions, as seen by whoever connects.
+// The directions of a link. The client is the side that connects to it.
 const (
 	ToServer Direction = iota
 	ToClient
 )
 
-// Link forwards connections to a server and can be given faults. Its methods may be called by any goroutine. The zero
-// value is of use to tests only: it forwards nothing.
+// Link forwards connections to a server, and faults can be injected into it. Its methods may be called by any
+// goroutine. The zero value forwards nothing and is useful to tests only.
 type Link struct {
 	listener net.Listener
 	target   string // address of the server
-	framed   bool   // the server's messages have their length in front, so that single ones can meet a fault
+	framed   bool   // the server's messages have a length prefix, so that faults can affect single messages
 
 	mu             sync.Mutex
 	changed        *sync.Cond // signalled when a cut ends, connections are reset, or the link is closed
-	cut            [2]bool    // by Direction: nothing passes
+	cut            [2]bool    // by Direction: whether all bytes are held back
 	delay          time.Duration
-	bytesPerSecond int // that pass in each direction; 0 for no bound
+	bytesPerSecond int // bound in each direction; 0 for none
 	messageFaults  MessageFaults
 	rng            *rand.Rand            // draws messageFaults
-	healthySince   time.Time             // when the last fault ended; zero while there is one
-	connections    map[net.Conn]struct{} // both ends of all that stand
+	healthySince   time.Time             // when the last fault ended; zero while the link has a fault
+	connections    map[net.Conn]struct{} // both ends of every open connection
 	closed         bool
 }
 
-// NewLink opens a link to the server at an address. The error is that of listening.
+// NewLink opens a link to the server at the target address. The error comes from listening.
 func NewLink(target string) (*Link, error) { return newLink(target, false) }
 
-// NewFramedLink opens a link to a server each of whose messages has its length in four bytes before it, least
-// significant first. The error is that of listening.
+// NewFramedLink opens a link to a server that prefixes each message with its length, as four bytes in little-endian
+// order. The error comes from listening.
 func NewFramedLink(target string) (*Link, error) { return newLink(target, true) }
 
 func newLink(target string, framed bool) (*Link, error) {
@@ -59,11 +59,11 @@
 	return l, nil
 }
 
-// Address is where clients connect to the link.
+// Address is the address at which clients connect to the link.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Cut stops all bytes in a direction, or lets them pass again. Nobody is notified: what was sent arrives when the cut
-// is over, if its connection still stands.
+// Cut holds back all bytes in a direction, or lets them pass again. Neither side is notified: bytes sent during the cut
+// arrive after it if their connection is still open.
 func (l *Link) Cut(d Direction, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 	l.changed.Broadcast()
 }
 
-// Delay holds back each piece of at most 16 KB for a time from now on.
+// Delay holds back each piece of at most 16 KB, in both directions, for d from now on. 0 ends the delay.
 func (l *Link) Delay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	l.updateHealthySince()
 }
 
-// Throttle bounds the bytes a second that pass in each direction from now on; 0 lifts the bound.
+// Throttle bounds the bytes per second in each direction from now on; 0 removes the bound.
 func (l *Link) Throttle(bytesPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,14 +88,14 @@
 	l.updateHealthySince()
 }
 
-// Reset resets all connections that stand.
+// Reset resets all open connections.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetLocked()
 }
 
-// Heal ends all faults. What was held up arrives now.
+// Heal ends all faults. Bytes that a cut has held back arrive now.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +106,7 @@
 	l.changed.Broadcast()
 }
 
-// HealthyFor is for how long the link has had no fault; 0 while it has one.
+// HealthyFor returns how long the link has had no fault; 0 while it has one.
 func (l *Link) HealthyFor() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,8 +116,8 @@
 	return time.Since(l.healthySince)
 }
 
-// updateHealthySince is to be called under the lock after every change of a fault. A change that leaves the link
-// without faults counts as the end of one.
+// updateHealthySince must be called with the lock held after every change of the faults. It treats a change that leaves
+// the link without faults as the end of a fault.
 func (l *Link) updateHealthySince() {
 	faulty := l.cut[ToServer] || l.cut[ToClient] || l.delay > 0 || l.bytesPerSecond > 0 ||
 		l.messageFaults != (MessageFaults{})
@@ -128,7 +128,7 @@
 	}
 }
 
-// Close resets all connections; new ones are refused. It does not wait for what is held back at that moment.
+// Close resets all connections and refuses new ones. It does not wait for bytes that are held back at that moment.
 func (l *Link) Close() {
 	l.listener.Close()
 	l.mu.Lock()
@@ -137,7 +137,7 @@
 	l.resetLocked()
 }
 
-// resetLocked resets all connections. It is to be called under the lock.
+// resetLocked resets all connections. The caller must hold the lock.
 func (l *Link) resetLocked() {
 	for c := range l.connections {
 		if tcp, ok := c.(*net.TCPConn); ok {
--- a/internal/test/faultinjection/link_copy.go
+++ b/internal/test/faultinjection/link_copy.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxPieceBytes is how much a link reads and passes on at once where it does not distinguish messages.
+// maxPieceBytes is the most that a link reads and forwards at once where it does not separate messages.
 const maxPieceBytes = 16 << 10
 
 // serve accepts connections until the link is closed.
@@ -23,8 +23,8 @@
 	}
 }
 
-// connect forwards one client's connection until either side ends it. While the way to the server is cut, the
-// connection to the server does not come up.
+// connect forwards one client's connection until either side ends it. While the direction to the server is cut, it does
+// not connect to the server.
 func (l *Link) connect(client net.Conn) {
 	if !l.track(client) || !l.awaitPassage(ToServer, client, 0) {
 		client.Close()
@@ -39,8 +39,8 @@
 	l.copy(ToClient, server, client)
 }
 
-// track adds a connection to those that Reset and Close end. It closes the connection and reports false where the
-// link is closed.
+// track adds a connection to those that Reset and Close end. If the link is closed, it closes the connection and
+// reports false.
 func (l *Link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,7 +52,7 @@
 	return true
 }
 
-// untrack closes both ends of a forwarded connection.
+// untrack closes both ends of a forwarded connection and removes them from those that Reset and Close end.
 func (l *Link) untrack(from, to net.Conn) {
 	l.mu.Lock()
 	delete(l.connections, from)
@@ -63,8 +63,8 @@
 	to.Close()
 }
 
-// awaitPassage waits until size bytes of a connection may pass in a direction. It reports false where the
-// connection has been reset meanwhile.
+// awaitPassage waits until size bytes of a connection may pass in a direction: first for the link's delay and
+// throttling, then until the direction is not cut. It reports false if the connection was reset or the link closed.
 func (l *Link) awaitPassage(d Direction, c net.Conn, size int) bool {
 	l.mu.Lock()
 	wait := l.delay
@@ -86,11 +86,11 @@
 	}
 }
 
-// copy passes on what comes in a direction, in order but for messages that are to be reordered. When one side ends,
-// both do.
+// copy forwards the bytes of one direction, in order except for messages that are reordered. When either side ends the
+// connection, copy closes both ends.
 func (l *Link) copy(d Direction, from, to net.Conn) {
 	defer l.untrack(from, to)
-	var delayed []byte // a message that is to arrive after the next one
+	var delayed []byte // a message held back until the next one has been forwarded
 	for next := l.pieces(d, from); ; {
 		piece, err := next()
 		if len(piece) > 0 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// pieces returns a function that reads the next piece: a complete message where messages are distinguished, and
-// whatever has arrived elsewhere. A piece is valid until the next call.
+// pieces returns a function that reads the next piece: a complete message from the server of a framed link, otherwise
+// the bytes that have arrived, at most maxPieceBytes. A piece is valid until the next call.
 func (l *Link) pieces(d Direction, from net.Conn) func() ([]byte, error) {
 	if d == ToServer || !l.framed {
 		buf := make([]byte, maxPieceBytes)
@@ -134,7 +134,7 @@
 		if err != nil {
 			return nil, err
 		}
-		frame := make([]byte, 4+binary.LittleEndian.Uint32(head)) // only fakes are behind a framed link
+		frame := make([]byte, 4+binary.LittleEndian.Uint32(head)) // trusted: framed links only lead to fakes
 		_, err = io.ReadFull(r, frame)
 		return frame, err
 	}
--- a/internal/test/faultinjection/link_steps.go
+++ b/internal/test/faultinjection/link_steps.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// linksOf lists the links that "FROM TO" names: patterns of members, and patterns of replicas or "registry" for
-// discovery.
+// linksOf lists the links that "FROM TO" selects. FROM is a pattern of coordinator names; TO is a pattern of replica
+// names, or "registry" for discovery.
 func (f *Fleet) linksOf(fromTo string) (links []*Link) {
 	names := strings.Fields(fromTo)
 	for _, i := range match(names[0], "c", len(f.members)) {
@@ -22,11 +22,11 @@
 	return links
 }
 
-// changeLinks does to some links what a step says. The error wraps ErrInvalidScenario where the step names none.
+// changeLinks applies a step to the links that it names. The error wraps ErrInvalidScenario if no link matches.
 func (f *Fleet) changeLinks(st Step) error {
 	links := f.linksOf(st.Link)
 	if len(links) == 0 {
-		return fmt.Errorf("%w: no link is like %q", ErrInvalidScenario, st.Link)
+		return fmt.Errorf("%w: link %q matches no link of the fleet", ErrInvalidScenario, st.Link)
 	}
 	f.Note(sourceHarness, "%d links %s: cut %q heal %t reset %t delay %v rate %d lose %v twice %v swap %v",
 		len(links), st.Link, st.Cut, st.Heal, st.Reset, st.Delay, st.Rate, st.Drop, st.Duplicate, st.Reorder)
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// changeLink does to a link what a step says.
+// changeLink applies a step to one link.
 func (f *Fleet) changeLink(link *Link, st Step) {
 	switch {
 	case st.Cut != "":
--- a/internal/test/faultinjection/link_test.go
+++ b/internal/test/faultinjection/link_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// arrivals has a server send messages numbered from 0 to n-1 through a link with faults, and returns the numbers in the
-// order in which they arrive.
+// arrivals sends messages numbered from 0 to n-1 from a server through a link with faults, and returns the numbers in
+// their order of arrival.
 func arrivals(t *testing.T, n int, faults MessageFaults) (numbers []int) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,22 +44,22 @@
 	return numbers
 }
 
-// Complete messages are dropped, duplicated and reordered, in the shares asked for, and the same ones for the same
-// seed.
+// A link drops, duplicates and reorders complete messages in the configured shares, and the same seed selects the same
+// messages.
 func TestLinkInjectsMessageFaults(t *testing.T) {
 	if all := arrivals(t, 100, MessageFaults{}); len(all) != 100 || all[99] != 99 {
-		t.Errorf("a healthy link: %v", all)
+		t.Errorf("through a healthy link arrive %v, want 0 to 99", all)
 	}
 	rest := arrivals(t, 400, MessageFaults{Drop: 0.25, Seed: 3})
 	if len(rest) < 250 || len(rest) > 350 {
-		t.Errorf("%d of 400 arrive where a quarter is dropped", len(rest))
+		t.Errorf("with a drop share of 0.25, %d of 400 messages arrive, want 250 to 350", len(rest))
 	}
 	if again := arrivals(t, 400, MessageFaults{Drop: 0.25, Seed: 3}); fmt.Sprint(again) != fmt.Sprint(rest) {
-		t.Error("the same seed drops others")
+		t.Error("the same seed drops other messages in the second run")
 	}
 	duplicated := arrivals(t, 400, MessageFaults{Duplicate: 0.25, Seed: 3})
 	if len(duplicated) < 450 || len(duplicated) > 550 {
-		t.Errorf("%d of 400 arrive where a quarter is duplicated", len(duplicated))
+		t.Errorf("with a duplicate share of 0.25, %d messages arrive for 400 sent, want 450 to 550", len(duplicated))
 	}
 	reordered, inversions := arrivals(t, 400, MessageFaults{Reorder: 0.25, Seed: 3}), 0
 	for i := 1; i < len(reordered); i++ {
@@ -68,6 +68,7 @@
 		}
 	}
 	if inversions < 50 || len(reordered) < 399 {
-		t.Errorf("%d of %d arrive after a later one", inversions, len(reordered))
+		t.Errorf("with a reorder share of 0.25, %d of %d arrivals follow a later message, want at least 50 of 399",
+			inversions, len(reordered))
 	}
 }
--- a/internal/test/faultinjection/listeners.go
+++ b/internal/test/faultinjection/listeners.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// linkedListeners are the listeners of fakes, and the links to them. The zero value has none.
+// linkedListeners holds the listeners of fakes and the links to them. The zero value holds none.
 type linkedListeners struct {
-	closers []func() error // in the order in which listeners and links were opened
-	serving sync.WaitGroup // one for each listener whose connections are accepted
+	closers []func() error // of listeners and links, in the order in which they were opened
+	serving sync.WaitGroup // one goroutine per open listener
 }
 
-// serveBehindLink opens a listener on a loopback address, has serve accept its connections until it is closed, and
-// returns a link to it that newLink (NewLink or NewFramedLink) has opened.
+// serveBehindLink opens a listener on a loopback address, runs serve on it until the listener is closed, and returns a
+// link to it, which newLink (NewLink or NewFramedLink) opens.
 func (s *linkedListeners) serveBehindLink(
 	newLink func(address string) (*Link, error), serve func(net.Listener),
 ) (*Link, error) {
@@ -31,7 +31,8 @@
 	return link, nil
 }
 
-// close closes all of them and waits until no listener accepts any more; one that was closed already is no error.
+// close closes all listeners and links, and waits until the serve functions have returned. It ignores the error of a
+// listener that was already closed.
 func (s *linkedListeners) close() (err error) {
 	for _, closer := range s.closers {
 		if closeErr := closer(); !errors.Is(closeErr, net.ErrClosed) {
--- a/internal/test/faultinjection/log.go
+++ b/internal/test/faultinjection/log.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// Log collects what a process writes. Its methods may be called by any goroutine. The zero value is empty.
+// Log collects the output of a process. Its methods may be called by any goroutine. The zero value is empty.
 type Log struct {
 	mu             sync.Mutex
 	text           bytes.Buffer
-	onLine         func(string) // called with each complete line, in order; nil for nobody
-	incompleteLine []byte       // what was written since the last complete line; kept for onLine only
+	onLine         func(string) // called with each complete line, in order, unless it is nil
+	incompleteLine []byte       // bytes since the last complete line; only used if onLine is set
 }
 
 // Write implements io.Writer. It never fails.
@@ -23,7 +23,7 @@
 	return l.text.Write(p)
 }
 
-// splitLines hands on the lines that p completes. It is to be called under the lock.
+// splitLines calls onLine with each line that p completes. The caller must hold the lock.
 func (l *Log) splitLines(p []byte) {
 	l.incompleteLine = append(l.incompleteLine, p...)
 	for {
@@ -36,7 +36,7 @@
 	}
 }
 
-// String returns what has been written so far.
+// String returns the output so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/test/faultinjection/member.go
+++ b/internal/test/faultinjection/member.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// memberSeed is the seed in the configuration of the first member; the others count up from it.
+	// memberSeed is the seed in the configuration of the first member; each further member's seed is one higher.
 	memberSeed uint64 = 0x8c1f30d27a5be964
-	// unboundedQuota is a quota in queries a second that no fleet's clients reach.
+	// unboundedQuota is a tenant's quota, in queries per second, that the clients of a fleet never reach.
 	unboundedQuota = 100000
 )
 
-// processLimits is what the platform grants each process of the program.
+// processLimits are the resource limits that the platform grants each process of the program.
 var processLimits = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
-// member is a coordinator of a Fleet, with its process while one runs.
+// member is a coordinator of a Fleet and its process, if one runs.
 type member struct {
-	*Process              // nil while none runs
+	*Process              // nil while no process runs
 	name           string // c0, c1, ...
 	ordinal        int
-	clientAddress  string      // where its clients connect
+	clientAddress  string      // address at which its clients connect
 	discovery      *Link       // to discovery
 	links          []*Link     // to each replica, by number
 	clients        *ClientPool // nil until its first process serves
-	startedAt      time.Time   // of its latest process
-	configuredSize int         // the size of the fleet in its configuration
-	paused         bool        // its process got SIGSTOP, until a step or the end of all faults resumes it
+	startedAt      time.Time   // when its latest process was started
+	configuredSize int         // fleet size in its configuration
+	paused         bool        // its process got SIGSTOP; a step or the end of all faults resumes it
 
-	latestProcess atomic.Pointer[Process] // the one that was started last, also while it ends
-	terminating   atomic.Bool             // a planned restart is under way; only its goroutine may use the process
-	terminatedAt  atomic.Int64            // when a planned restart sent SIGTERM, in Unix ns; 0 for none under way
-	killedAt      atomic.Int64            // when it was last killed without a warning, in Unix ns
+	latestProcess atomic.Pointer[Process] // the process that was started last, also while it ends
+	terminating   atomic.Bool             // a planned restart is in progress; only its goroutine may use the process
+	terminatedAt  atomic.Int64            // when a planned restart sent SIGTERM, in Unix ns; 0 if none is in progress
+	killedAt      atomic.Int64            // when kill last sent SIGKILL, in Unix ns; a planned restart does not set it
 }
 
-// openMember reserves a coordinator's address and opens its links to the replicas and to discovery.
+// openMember reserves a client address for a coordinator and opens its links to the replicas and to discovery.
 func (f *Fleet) openMember(ordinal int) (*member, error) {
 	m := &member{name: fmt.Sprint("c", ordinal), ordinal: ordinal}
 	var err error
@@ -65,17 +65,17 @@
 	return m, err
 }
 
-// replicaAddress is where the member reaches the replica of a name: the near end of its link.
+// replicaAddress returns the address at which the member reaches the named replica: that of its link to the replica.
 func (m *member) replicaAddress(replica string) string {
 	var i int
 	fmt.Sscanf(replica, "n%d", &i)
 	return m.links[i].Address()
 }
 
-// configPath is the file of a member's configuration.
+// configPath is the path of a member's configuration file.
 func (f *Fleet) configPath(m *member) string { return filepath.Join(f.Dir, m.name+".json") }
 
-// configure writes a member's configuration. Its endpoint list is the one that discovery has now.
+// configure writes a member's configuration, with the endpoint list that discovery has now.
 func (f *Fleet) configure(m *member) error {
 	var settings map[string]any
 	if err := json.Unmarshal(f.Settings, &settings); err != nil {
--- a/internal/test/faultinjection/member_process.go
+++ b/internal/test/faultinjection/member_process.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// startMember starts a member's process.
+// startMember writes a member's configuration for the current fleet size and starts its process.
 func (f *Fleet) startMember(m *member) error {
 	m.configuredSize = f.targetSize
 	if err := f.configure(m); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// awaitServing waits until a member serves, and starts its clients if it is its first process.
+// awaitServing waits until a member serves. If it is the member's first process, it then starts the member's clients.
 func (f *Fleet) awaitServing(m *member) error {
 	if err := WaitFor(m.name+" serves", m.Serves); err != nil {
 		return fmt.Errorf("%w\n%s", err, m.Log())
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// startAll starts those of the members with these ordinals that have no process, and waits until all of them serve.
+// startAll starts each member of the given ordinals that has no process and no planned restart in progress, and waits
+// until all of those serve.
 func (f *Fleet) startAll(ordinals []int) error {
 	var started []*member
 	for _, i := range ordinals {
@@ -68,20 +69,20 @@
 	return nil
 }
 
-// pause stops a process where it is; its connections stay.
+// pause stops a member's process with SIGSTOP; its connections stay open.
 func (f *Fleet) pause(m *member) error {
 	m.paused = true
 	return m.Process.Process.Signal(syscall.SIGSTOP)
 }
 
-// resume lets a paused process go on.
+// resume continues a member's paused process with SIGCONT.
 func (f *Fleet) resume(m *member) error {
 	m.paused = false
 	f.checker.processResumed(m)
 	return m.Process.Process.Signal(syscall.SIGCONT)
 }
 
-// kill ends a process at once. Queries that it had read and not answered are lost.
+// kill ends a member's process with SIGKILL. Queries that it has read and not answered are lost.
 func (f *Fleet) kill(m *member) {
 	f.recordPeakMemory(m)
 	m.killedAt.Store(time.Now().UnixNano())
@@ -90,8 +91,8 @@
 	m.Process = nil
 }
 
-// stop ends a process with SIGTERM and waits until it has answered what it had read. It returns an error that wraps
-// ErrProcessFailed where the process fails, or does not end in time and is killed.
+// stop ends a member's process with SIGTERM and waits until it exits, which it does after it has answered the queries
+// that it has read. The error wraps ErrProcessFailed if the process fails, or does not exit in time and is killed.
 func (f *Fleet) stop(m *member) error {
 	f.recordPeakMemory(m)
 	p := m.Process
@@ -105,11 +106,11 @@
 		return exitError(m, p, err)
 	case <-time.After(waitTimeout):
 		f.kill(m)
-		return fmt.Errorf("%w: %s did not exit\n%s", ErrProcessFailed, m.name, p.Log())
+		return fmt.Errorf("%w: %s did not exit in time after SIGTERM\n%s", ErrProcessFailed, m.name, p.Log())
 	}
 }
 
-// exitError says how a process failed, with its log; nil where it ended as planned.
+// exitError returns an error with the process's log if err, the result of its exit, is not nil.
 func exitError(m *member, p *Process, err error) error {
 	if err == nil {
 		return nil
@@ -117,7 +118,7 @@
 	return fmt.Errorf("%w: %s: %w\n%s", ErrProcessFailed, m.name, err, p.Log())
 }
 
-// stopAll stops some members side by side.
+// stopAll stops members concurrently.
 func (f *Fleet) stopAll(members []*member) error {
 	errs := make([]error, len(members))
 	var wg sync.WaitGroup
@@ -128,7 +129,7 @@
 	return errors.Join(errs...)
 }
 
-// recordPeakMemory records the peak resident memory of a process that is about to end, where the system reports it.
+// recordPeakMemory records the peak resident memory of a process that is about to end, if the system reports it.
 func (f *Fleet) recordPeakMemory(m *member) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.Process.Process.Pid))
 	if err != nil {
--- a/internal/test/faultinjection/message_faults.go
+++ b/internal/test/faultinjection/message_faults.go
@@ -2,16 +2,16 @@
 
 import "math/rand/v2"
 
-// MessageFaults are the shares, from 0 to 1, of a server's messages that meet a fault. Drop is looked at first, then
-// Duplicate, then Reorder; a message meets one fault at most. The zero value has no faults.
+// MessageFaults are the shares, from 0 to 1, of a server's messages that get a fault. For each message, Drop is drawn
+// first, then Duplicate, then Reorder; a message gets at most one fault. The zero value has no faults.
 type MessageFaults struct {
-	Drop      float64 // never arrive
-	Duplicate float64 // arrive twice
-	Reorder   float64 // arrive after the message that follows them
-	Seed      uint64  // of the draws that decide
+	Drop      float64 // share that never arrives
+	Duplicate float64 // share that arrives twice
+	Reorder   float64 // share that arrives after the message that follows it
+	Seed      uint64  // of the random source that draws the faults
 }
 
-// messageFault is what becomes of one message.
+// messageFault is the fault of one message.
 type messageFault int
 
 const (
@@ -21,10 +21,10 @@
 	messageReordered
 )
 
-// messageFaultStream is the second half of the random source's seed.
+// messageFaultStream is the second half of the random source's seed; the first half is MessageFaults.Seed.
 const messageFaultStream = 0x6c696e6b
 
-// InjectMessageFaults says what becomes of the server's messages on a framed link from now on.
+// InjectMessageFaults sets the faults of the server's messages on a framed link from now on. Other links ignore them.
 func (l *Link) InjectMessageFaults(faults MessageFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,7 +32,8 @@
 	l.updateHealthySince()
 }
 
-// drawMessageFault decides what becomes of the next message in a direction.
+// drawMessageFault draws the fault of the next message in a direction. Only messages to the client of a framed link get
+// faults.
 func (l *Link) drawMessageFault(d Direction) messageFault {
 	if d != ToClient || !l.framed {
 		return noMessageFault
--- a/internal/test/faultinjection/notification.go
+++ b/internal/test/faultinjection/notification.go
@@ -6,12 +6,12 @@
 	"harepass/internal/test/fake"
 )
 
-// notificationDelay is how long after discovery had a change, and could be reached, a coordinator that polls counts as
-// notified of it although nothing was written to it.
+// notificationDelay applies to a coordinator that polls: it counts as notified of a change this long after discovery
+// had the change and could be reached, even if discovery has not written the change to it.
 const notificationDelay = 6 * time.Second
 
-// listSent records an endpoint list that discovery has written to a member. The grace of a drain counts from the first
-// list that has it; later ones repeat it.
+// listSent records an endpoint list that discovery has written to a member. The grace of a drain starts with the first
+// list that contains the drain; later lists repeat it.
 func (c *ruleChecker) listSent(m *member, list fake.EndpointList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// setDiscoveryReachable records whether discovery can be reached from now on.
+// setDiscoveryReachable records whether coordinators can reach discovery from now on.
 func (c *ruleChecker) setDiscoveryReachable(reachable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,9 +47,10 @@
 	}
 }
 
-// notifiedAt is from when on a member counts as notified that it may no longer send to a replica, given for how long
-// its link to discovery has been healthy: when discovery first wrote so, or notificationDelay after discovery had the
-// change and could be reached. It is to be called under the lock.
+// notifiedAt returns when a member counts as notified that it may no longer send to a replica, and whether that time
+// has come. It is when discovery first wrote the change to the member. If the member polls and discovery has not
+// written it, it is notificationDelay after discovery had the change, could be reached, and had a healthy link to the
+// member. discoveryHealthy is how long this link has been healthy. The caller must hold the lock.
 func (c *ruleChecker) notifiedAt(
 	m *member, r *fleetReplica, discoveryHealthy time.Duration,
 ) (at time.Time, notified bool) {
--- a/internal/test/faultinjection/overrides.go
+++ b/internal/test/faultinjection/overrides.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// pollPeriod is how often a coordinator that polls discovery may do so.
+// pollPeriod is the interval at which a coordinator that polls discovery may poll.
 const pollPeriod = 10 * time.Second
 
-// Overrides are settings that a scenario has otherwise than the site: by the object that they are in, then by key.
+// Overrides are the settings that a scenario changes from the site's, by the object that contains them, then by key.
 type Overrides struct {
-	// Caps are keys of the settings' caps.
+	// Caps replaces values of the settings' caps object, by key.
 	Caps map[string]any `yaml:"caps"`
-	// Rules are keys of the settings' rules.
+	// Rules replaces values of the settings' rules object, by key.
 	Rules map[string]any `yaml:"rules"`
-	// CompleteFraction is, by class, the share of the parts that makes a complete answer.
+	// CompleteFraction is the share of the parts that makes an answer complete, by class.
 	CompleteFraction map[string]float64 `yaml:"need"`
-	// DedupWindow is, by class, for how many microseconds replicas drop a repeat.
+	// DedupWindow is how many microseconds replicas drop repeats for, by class.
 	DedupWindow map[string]int `yaml:"window"`
 }
 
-// overrideSettings returns the site's settings, as JSON, as this scenario has them. The error wraps ErrInvalidScenario
-// where an override is of no class, and is that of JSON otherwise.
+// overrideSettings returns the site's settings, as JSON, with the scenario's fleet, ring, discovery and overrides. The
+// error wraps ErrInvalidScenario if an override names an unknown class; other errors come from JSON.
 func (s *Scenario) overrideSettings(data []byte) ([]byte, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(data, &settings); err != nil {
@@ -49,7 +49,7 @@
 	return json.MarshalIndent(settings, "", " ")
 }
 
-// object is the object under a key of the settings, which is added where there is none.
+// object returns the object under a key of the settings. It adds an empty one if there is none.
 func object(settings map[string]any, key string) map[string]any {
 	o, _ := settings[key].(map[string]any)
 	if o == nil {
@@ -59,7 +59,7 @@
 	return o
 }
 
-// overrideDeadlines gives all classes the scenario's deadline, and a latency objective of at most half of it.
+// overrideDeadlines gives every class the scenario's deadline, and lowers its latency objective to at most half of it.
 func (s *Scenario) overrideDeadlines(settings map[string]any) {
 	classes, _ := settings["classes"].([]any)
 	for _, raw := range classes {
@@ -71,7 +71,7 @@
 	}
 }
 
-// overrideClasses sets what is overridden of single classes.
+// overrideClasses sets the overridden complete fractions and deduplication windows of single classes.
 func (o Overrides) overrideClasses(settings, family map[string]any) error {
 	classes, _ := settings["classes"].([]any)
 	fractions, _ := family["need_by_class"].([]any)
@@ -89,7 +89,7 @@
 		}
 	}
 	if found < len(o.CompleteFraction)+len(o.DedupWindow) {
-		return fmt.Errorf("%w: need %v or window %v is of no class",
+		return fmt.Errorf("%w: need %v or window %v names a class that the settings do not have",
 			ErrInvalidScenario, o.CompleteFraction, o.DedupWindow)
 	}
 	return nil
--- a/internal/test/faultinjection/play.go
+++ b/internal/test/faultinjection/play.go
@@ -8,8 +8,9 @@
 	"harepass/internal/test/fake"
 )
 
-// Play waits until all coordinators serve, plays the scenario's steps, ends all faults, and stops clients and
-// processes. The error joins what failed and what did not hold; the timeline tells the rest. It is to be called once.
+// Play waits until all coordinators serve, executes the scenario's steps, ends all faults, waits until every running
+// coordinator serves complete answers again, and stops clients and processes. The error joins the failures and the
+// violations of rules; the timeline has the details. Play must be called only once.
 func (f *Fleet) Play() error {
 	for _, m := range f.running() {
 		if err := f.awaitServing(m); err != nil {
@@ -38,7 +39,7 @@
 	return errors.Join(err, f.stopAll(f.running()), f.verdict())
 }
 
-// playStep does what a step says.
+// playStep executes a step.
 func (f *Fleet) playStep(st Step) error {
 	switch {
 	case st.Kill != "":
@@ -70,8 +71,8 @@
 	return f.changeLinks(st)
 }
 
-// eachRunning does an action to each member that patterns name and that has a process which no planned restart is
-// ending. The timeline gets the action's name.
+// eachRunning calls act for each member that matches the patterns, has a process and has no planned restart in
+// progress. It records the action's name in the timeline.
 func (f *Fleet) eachRunning(patterns, action string, act func(*member) error) error {
 	for _, i := range match(patterns, "c", len(f.members)) {
 		m := f.members[i]
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// healAll ends all faults: of discovery, links and replicas; paused processes go on.
+// healAll ends all faults of discovery, links and replicas, and resumes paused processes.
 func (f *Fleet) healAll() {
 	f.Note(sourceHarness, "all faults end")
 	if f.registry.Mode() != fake.RegistryHealthy {
@@ -105,7 +106,8 @@
 	}
 }
 
-// awaitCompleteAnswers waits until each running coordinator has served a complete answer to a query of all shards.
+// awaitCompleteAnswers waits until each running coordinator has served a complete answer to a query that asks all
+// shards.
 func (f *Fleet) awaitCompleteAnswers() (err error) {
 	q := f.site.queryOfAllShards(f.shards())
 	for _, m := range f.running() {
--- a/internal/test/faultinjection/process.go
+++ b/internal/test/faultinjection/process.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// adminConnectTimeout bounds how long a connection to an admin endpoint may take to come up.
+	// adminConnectTimeout bounds how long it may take to connect to an admin endpoint.
 	adminConnectTimeout = time.Second
 	// adminReplyTimeout bounds how long an admin endpoint may take to reply.
 	adminReplyTimeout = 5 * time.Second
-	// waitTimeout bounds how long a condition that is only a matter of time may take.
+	// waitTimeout bounds how long WaitFor waits for a condition, and how long a process may take to exit after SIGTERM.
 	waitTimeout = 30 * time.Second
-	// pollInterval is the time between two looks at a condition, and between two attempts to connect.
+	// pollInterval is the time between two checks of a condition, and between two attempts to connect.
 	pollInterval = 10 * time.Millisecond
 )
 
-// Process is a process of the program that was started.
+// Process is a started process of the program.
 type Process struct {
 	*exec.Cmd
-	AdminAddress string     // of its admin endpoint
-	Exited       chan error // gives the result of the process's end once, and is closed then
-	log          Log        // what it writes to its standard error
+	AdminAddress string     // address of its admin endpoint
+	Exited       chan error // receives the result of its exit once, and is then closed
+	log          Log        // its standard error
 }
 
-// Log returns what the process has written to its standard error so far.
+// Log returns the process's standard error so far.
 func (p *Process) Log() string { return p.log.String() }
 
-// reservedAddresses counts the addresses that were reserved.
+// reservedAddresses counts the addresses that this process has reserved.
 var reservedAddresses atomic.Int32
 
-// How the loopback addresses are divided among the processes that reserve some.
+// The division of the loopback addresses 127.NETWORK.BLOCK.HOST among the processes that reserve addresses.
 const (
-	hostsPerBlock     = 250 // values of an address's last byte that are used
-	blocksPerProcess  = 8   // so many times hostsPerBlock addresses each process may reserve before it repeats any
-	blocksPerNetwork  = 250 // values of the byte before the last
-	firstNetwork      = 64  // least value of the second byte
-	reservingNetworks = 128 // values of the second byte
+	hostsPerBlock     = 250 // number of values of the last byte
+	blocksPerProcess  = 8   // a process reuses IP addresses after blocksPerProcess*hostsPerBlock reservations
+	blocksPerNetwork  = 250 // number of values of the third byte
+	firstNetwork      = 64  // lowest value of the second byte
+	reservingNetworks = 128 // number of values of the second byte
 )
 
-// Reserve finds an address for a process that binds it later. Nobody else uses its IP address: a port that is free on
-// the usual one may be taken meanwhile by somebody's outgoing connection, and one that another process of tests has
-// reserved and closed may be given to this one. The error is that of listening.
+// Reserve returns a free address for a process that binds it later. Its IP address is used for nothing else. On the
+// usual loopback address, an outgoing connection of any process could take the port before it is bound, and the port
+// could be one that another test process has reserved and closed. The error comes from listening.
 func Reserve() (string, error) {
 	n := int(reservedAddresses.Add(1))
 	block := (os.Getpid()*blocksPerProcess + n/hostsPerBlock%blocksPerProcess) % (blocksPerNetwork * reservingNetworks)
@@ -59,8 +59,9 @@
 	return l.Addr().String(), l.Close()
 }
 
-// start starts a command with an admin endpoint of its own, with variables besides those of this process, with files
-// from descriptor 3 on, and with onLine (unless it is nil) called for each line that it writes to its standard error.
+// start starts a command with its own admin endpoint, with environment variables in addition to this process's own, and
+// with files as its descriptors from 3 on. Unless onLine is nil, it is called for each line of the command's standard
+// error.
 func start(command, env []string, files []*os.File, onLine func(string)) (*Process, error) {
 	address, err := Reserve()
 	if err != nil {
@@ -85,7 +86,7 @@
 	return p, nil
 }
 
-// CallAdmin sends a line to the admin endpoint and returns the reply. It is empty where none comes in time.
+// CallAdmin sends a line to the admin endpoint and returns the reply, which is empty if none arrives in time.
 func (p *Process) CallAdmin(line string) string {
 	conn, err := net.DialTimeout("tcp", p.AdminAddress, adminConnectTimeout)
 	if err != nil {
@@ -98,10 +99,11 @@
 	return string(reply)
 }
 
-// Serves reports whether the process's status says that it serves queries.
+// Serves reports whether the process serves queries according to its status at the admin endpoint.
 func (p *Process) Serves() bool { return strings.HasPrefix(p.CallAdmin("status"), "200") }
 
-// WaitFor polls until ok reports true. After 30 s the error wraps ErrWaitTimeout and names what was waited for.
+// WaitFor polls until ok returns true. After 30 s it returns an error that wraps ErrWaitTimeout and contains what, the
+// description of the condition.
 func WaitFor(what string, ok func() bool) error {
 	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
--- a/internal/test/faultinjection/query.go
+++ b/internal/test/faultinjection/query.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// clientTimeout is how long clients wait for an answer, as their requests state it.
+	// clientTimeout is how long clients wait for an answer; their requests state it.
 	clientTimeout = 2900 * time.Millisecond
-	// fractionSlack allows for rounding in a query's weights.
+	// fractionSlack is the tolerance for rounding in a query's weights.
 	fractionSlack = 1e-3
-	// lookupShards is how many shards an idempotent query asks whose class allows no partial answer.
+	// lookupShards is how many shards a query asks if its class is idempotent and allows no partial answer.
 	lookupShards = 4
 )
 
-// query is what a client asks.
+// query is a client's query: its class and the shards that it asks.
 type query struct {
 	class  class
 	shards []int
 }
 
-// query is the i-th query of a client, given the number of shards. Classes come in turn. A class that allows partial
-// answers asks all shards, another idempotent one asks a few in a row, and all others ask one.
+// query is the i-th query of a client, given the number of shards. Queries use the classes in turn. A query of a class
+// that allows partial answers asks all shards, a query of another idempotent class asks up to lookupShards consecutive
+// shards, and any other query asks one.
 func (s *site) query(client, i, shards int) query {
 	c := s.classes[i%len(s.classes)]
 	first := (client*7 + i*5) % shards
@@ -41,7 +42,7 @@
 	return q
 }
 
-// queryOfAllShards asks all shards, in a class that allows partial answers if there is one.
+// queryOfAllShards returns a query that asks all shards, of a class that allows partial answers if there is one.
 func (s *site) queryOfAllShards(shards int) query {
 	q := query{class: s.classes[0], shards: allShards(shards)}
 	for _, c := range s.classes {
@@ -52,7 +53,7 @@
 	return q
 }
 
-// allShards lists n shards.
+// allShards lists the shards from 0 to n-1.
 func allShards(n int) (list []int) {
 	for i := range n {
 		list = append(list, i)
@@ -60,11 +61,11 @@
 	return list
 }
 
-// request is the query's HTTP request, of a client that waits for clientTimeout.
+// request is the query's HTTP request from a client that waits for clientTimeout.
 func (q query) request(id, tenant string) string { return q.requestWithin(clientTimeout, id, tenant) }
 
-// requestWithin is the query's HTTP request, of a client that waits so long: equal weights, rounded as clients do, and
-// an idempotency key where the class has them.
+// requestWithin is the query's HTTP request from a client that waits for timeout. Its shards have equal weights,
+// rounded as clients round them, and it has an idempotency key if its class is keyed.
 func (q query) requestWithin(timeout time.Duration, id, tenant string) string {
 	var parts []string
 	for _, shard := range q.shards {
@@ -79,12 +80,12 @@
 	return fmt.Sprintf(head, id, q.class.name, tenant, timeout.Milliseconds(), keyHeader, len(body)) + body
 }
 
-// answer is what a query was answered with.
+// answer is the answer to a query.
 type answer struct {
 	Complete bool         `json:"entire"`
 	Parts    []answerPart `json:"items"`
 
-	duplicated bool // more bytes came than one answer has
+	duplicated bool // bytes followed the answer on the connection
 }
 
 // answerPart is what one shard contributed to an answer.
@@ -93,9 +94,9 @@
 	Body  string `json:"body"`
 }
 
-// isCorrectFor reports whether the answer has, for some of the query's shards, what the fake replicas serve: each
-// shard at most once, no fewer shards than any answer needs, and as many as a complete one needs where it says that
-// it is complete.
+// isCorrectFor reports whether the answer's parts are correct: each is what the fake replicas serve for one of the
+// query's shards, and no shard appears twice. An answer also needs the minimum fraction of the shards (or the complete
+// fraction, if that is less), and the complete fraction if it claims to be complete.
 func (a answer) isCorrectFor(q query) bool {
 	seen := map[int]bool{}
 	for _, part := range a.Parts {
--- a/internal/test/faultinjection/reserve_test.go
+++ b/internal/test/faultinjection/reserve_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// reserveOnly has the test binary reserve addresses and print them.
+// reserveOnly is the environment variable that makes the test binary only reserve addresses and print them.
 const reserveOnly = "HAREPASS_TEST_RESERVE_ONLY"
 
-// Two test processes of one run reserve addresses for processes that bind them later. They share no IP address: else a
-// port that one of them has reserved and closed could be given to the other, and the process that was to have it ends.
+// Two test processes of one run reserve addresses for processes that bind them later. They must not share an IP
+// address: otherwise the system could give a port that one test process has reserved and closed to the other, and the
+// program's process that should bind the port would exit.
 func TestProcessesReserveAddressesOfTheirOwn(t *testing.T) {
 	const addresses = 30
 	reserved := map[string]bool{}
@@ -41,11 +42,11 @@
 	for line := range strings.Lines(string(output)) {
 		if host, ok := strings.CutPrefix(strings.TrimSpace(line), "reserved "); ok {
 			if others++; reserved[host] {
-				t.Errorf("both have reserved %s", host)
+				t.Errorf("both processes have reserved %s", host)
 			}
 		}
 	}
 	if others != addresses {
-		t.Errorf("the other process has reserved %d addresses", others)
+		t.Errorf("the other process has reserved %d addresses, not as many as this one", others)
 	}
 }
--- a/internal/test/faultinjection/resize.go
+++ b/internal/test/faultinjection/resize.go
@@ -2,9 +2,9 @@
 
 import "errors"
 
-// resize changes the size of the fleet: it stops members beyond the size and starts those within it. Members that start
-// have the new size in their configuration; of the others, those that the patterns name (all if empty) are reconfigured
-// now, and the rest at the next step of this kind.
+// resize changes the fleet size: it stops the members beyond the new size and starts those within it that do not run. A
+// member that starts has the new size in its configuration. Of the members that already run, those that match the
+// patterns (all if empty) are reconfigured now, and the rest by a later Resize step.
 func (f *Fleet) resize(size int, reconfigured string) error {
 	f.targetSize = size
 	if err := f.reconfigureRunning(reconfigured); err != nil {
@@ -24,8 +24,8 @@
 	return errors.Join(f.stopAll(beyond), f.startAll(within))
 }
 
-// reconfigureRunning writes the fleet's size to the configuration of members that patterns name (all if empty), and has
-// their processes reload it.
+// reconfigureRunning writes the fleet size to the configuration of the running members that match the patterns (all if
+// empty), and has their processes reload it. It skips members that already have this size.
 func (f *Fleet) reconfigureRunning(patterns string) error {
 	named := map[int]bool{}
 	for _, i := range match(patterns, "c", len(f.members)) {
--- a/internal/test/faultinjection/restart.go
+++ b/internal/test/faultinjection/restart.go
@@ -7,15 +7,14 @@
 )
 
 const (
-	// maxTermDeadline bounds the deadline that a planned restart grants; longer ones count as this.
+	// maxTermDeadline is the longest deadline that a planned restart allows for; a longer one counts as this.
 	maxTermDeadline = 3 * time.Second
-	// termMargin is how long after SIGTERM, in addition to the longest deadline, the platform sends SIGKILL at the
-	// earliest.
+	// termMargin, added to the longest deadline, is the minimum time from SIGTERM to the platform's SIGKILL.
 	termMargin = 700 * time.Millisecond
 )
 
-// suspend stops the processes that patterns name for a moment, as a busy machine does, also those that end. It does not
-// wait.
+// suspend stops the processes of coordinators that match the patterns for d, as happens on a busy machine. It includes
+// processes that are ending. It returns without waiting for d.
 func (f *Fleet) suspend(patterns string, d time.Duration) {
 	for _, i := range match(patterns, "c", len(f.members)) {
 		p := f.members[i].latestProcess.Load()
@@ -30,7 +29,7 @@
 	}
 }
 
-// reload has a process read its configuration, which is written anew.
+// reload rewrites a member's configuration and has its process read it (SIGHUP).
 func (f *Fleet) reload(m *member) error {
 	if err := f.configure(m); err != nil {
 		return err
@@ -38,7 +37,7 @@
 	return m.Process.Process.Signal(syscall.SIGHUP)
 }
 
-// killDelay is how long after SIGTERM the platform may send SIGKILL.
+// killDelay is the time after SIGTERM from which the platform may send SIGKILL.
 func (f *Fleet) killDelay() time.Duration {
 	longest := maxTermDeadline
 	if f.Deadline > 0 {
@@ -47,8 +46,8 @@
 	return longest + termMargin
 }
 
-// terminate restarts a process as the platform does: SIGTERM, SIGKILL at the earliest moment, and a new process some
-// time after the end. It does not wait; awaitBackground does.
+// terminate restarts a member's process as the platform does: SIGTERM, SIGKILL as early as the platform may send it,
+// and a new process a downtime after the exit. It returns at once; awaitBackground waits for the restart.
 func (f *Fleet) terminate(m *member, downtime time.Duration) {
 	f.recordPeakMemory(m)
 	m.terminating.Store(true)
@@ -73,7 +72,7 @@
 	})
 }
 
-// awaitExit waits for the end of a process that got SIGTERM, and kills it as soon as the platform may.
+// awaitExit waits until a process that got SIGTERM exits. It kills the process after killDelay, which is no error.
 func (f *Fleet) awaitExit(m *member, p *Process) error {
 	select {
 	case err := <-p.Exited:
@@ -87,14 +86,14 @@
 	}
 }
 
-// recordFailure records what went wrong in the background.
+// recordFailure records an error of a planned restart for awaitBackground.
 func (f *Fleet) recordFailure(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failures = append(f.failures, err)
 }
 
-// awaitBackground waits for restarts and suspensions, and joins what went wrong in them.
+// awaitBackground waits for planned restarts and suspensions to end, and joins the errors of the restarts.
 func (f *Fleet) awaitBackground() error {
 	f.background.Wait()
 	f.mu.Lock()
--- a/internal/test/faultinjection/ring_layout.go
+++ b/internal/test/faultinjection/ring_layout.go
@@ -1,13 +1,14 @@
 package faultinjection
 
 const (
-	// holdersPerShard is how many ring positions in a row hold a shard, where replicas form no sets.
+	// holdersPerShard is how many consecutive ring positions hold a shard if the replicas form no sets.
 	holdersPerShard = 3
-	// shardsPerSet is how many shards there are for each set of replicas.
+	// shardsPerSet is the number of shards per set of replicas.
 	shardsPerSet = 6
 )
 
-// ringPosition is that of a replica, by its number: one of its own, or that of its set.
+// ringPosition is the ring position of a replica, given by its number: its own position, or that of its set if the
+// scenario has sets.
 func (s *Scenario) ringPosition(replica int) int {
 	if len(s.ReplicaSets) == 0 {
 		return replica
@@ -20,7 +21,7 @@
 	return len(s.ReplicaSets)
 }
 
-// ringSize is how many ring positions there are.
+// ringSize is the number of ring positions.
 func (s *Scenario) ringSize() int {
 	if len(s.ReplicaSets) == 0 {
 		return s.Replicas
@@ -28,7 +29,7 @@
 	return len(s.ReplicaSets)
 }
 
-// replicationFactor is how many ring positions hold a shard.
+// replicationFactor is the number of ring positions that hold a shard.
 func (s *Scenario) replicationFactor() int {
 	if len(s.ReplicaSets) == 0 {
 		return holdersPerShard
@@ -36,7 +37,7 @@
 	return 1
 }
 
-// shards is how many shards there are.
+// shards is the number of shards.
 func (s *Scenario) shards() int {
 	if len(s.ReplicaSets) == 0 {
 		return s.Replicas
@@ -44,8 +45,8 @@
 	return shardsPerSet * len(s.ReplicaSets)
 }
 
-// holds reports whether a replica is a holder of a shard: its ring position is among the replicationFactor positions
-// from the shard's own on.
+// holds reports whether a replica is a holder of a shard. A shard's holders are at replicationFactor consecutive ring
+// positions, the first of which is the shard's own.
 func (s *Scenario) holds(r *fleetReplica, shard int) bool {
 	size := s.ringSize()
 	return ((s.ringPosition(r.number)-shard)%size+size)%size < s.replicationFactor()
--- a/internal/test/faultinjection/scenario.go
+++ b/internal/test/faultinjection/scenario.go
@@ -9,43 +9,44 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Scenario is what a fleet of real processes meets, step by step, while clients send queries. What has to hold is the
-// same in every scenario: the package's comment lists it.
+// Scenario defines a fleet of real processes and, step by step, what happens to it while clients send queries. The
+// rules that must hold are the same in every scenario; the package comment lists them.
 type Scenario struct {
-	// Name names the scenario in reports.
+	// Name is the scenario's name in reports.
 	Name string `yaml:"name"`
-	// Coordinators is how many the fleet begins with, from 1 to 40.
+	// Coordinators is the initial fleet size, from 1 to 40.
 	Coordinators int `yaml:"coordinators"`
-	// Replicas is how many there are, from 3 to 60. Without ReplicaSets, each has a ring position of its own and a
-	// shard has three holders in a row.
+	// Replicas is the number of replicas, from 3 to 60. Without ReplicaSets, each has its own ring position, and a
+	// shard has holders at three consecutive ones.
 	Replicas int `yaml:"nodes"`
-	// Clients is how many plain clients each coordinator has.
+	// Clients is the number of plain clients (see ClientPool) of each coordinator.
 	Clients int `yaml:"clients"`
-	// ServiceTime is how long a part takes a core of a replica that is warmed up.
+	// ServiceTime is how long a core of a warmed up replica takes for a part.
 	ServiceTime time.Duration `yaml:"work"`
-	// Duration is the time from the first step's zero to the end of all faults.
+	// Duration is the time until all faults end. Like Step.At, it counts from when all coordinators first serve.
 	Duration time.Duration `yaml:"lasts"`
-	// ReplicaSets has the size of each set of replicas that hold the same shards; empty for no sets.
+	// ReplicaSets is the size of each set of replicas that hold the same shards; empty for no sets.
 	ReplicaSets []int `yaml:"sets"`
-	// Push has an agent beside each coordinator give it endpoint lists; without it coordinators poll discovery.
+	// Push selects push discovery, in which an agent beside each coordinator sends it endpoint lists. Otherwise the
+	// coordinators poll discovery.
 	Push bool `yaml:"push"`
 	// Overrides are the settings that differ from the site's.
 	Overrides Overrides `yaml:"settings"`
-	// Deadline is that of all classes; 0 leaves the site's.
+	// Deadline replaces the deadline of every class; 0 keeps the site's.
 	Deadline time.Duration `yaml:"deadline"`
-	// StrictClients is how many clients of each coordinator also leave, idle and stall; only a kill excuses a request
-	// of theirs that has no answer.
+	// StrictClients is the number of clients of each coordinator that also leave, idle and stall. Only a kill excuses
+	// a request of theirs without an answer.
 	StrictClients int `yaml:"judged"`
-	// IdleConnections is how many connections to each coordinator bring nothing.
+	// IdleConnections is the number of connections to each coordinator that send nothing.
 	IdleConnections int `yaml:"idle"`
-	// MaxLost is how many requests of plain clients may be read and never answered, by coordinators that are killed.
+	// MaxLost is how many requests of plain clients may never get an answer, because their coordinator is killed.
 	MaxLost int `yaml:"lost"`
-	// Steps are what happens, in order of time.
+	// Steps are executed in order, each at its time.
 	Steps []Step `yaml:"steps"`
 }
 
-// Load reads a scenario from a YAML file. The error names the file; it wraps ErrInvalidScenario where no fleet could
-// play what the file says, and is that of reading the file otherwise.
+// Load reads a scenario from a YAML file. The error names the file; it wraps ErrInvalidScenario if the content is
+// invalid, and comes from reading the file otherwise.
 func Load(file string) (*Scenario, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return s, nil
 }
 
-// peakCoordinators is how many coordinators the scenario ever has.
+// peakCoordinators is the scenario's largest fleet size.
 func (s *Scenario) peakCoordinators() int {
 	most := s.Coordinators
 	for _, st := range s.Steps {
--- a/internal/test/faultinjection/scheduling_delay.go
+++ b/internal/test/faultinjection/scheduling_delay.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// delaySampleInterval is the time that a sampler sleeps.
+	// delaySampleInterval is how long the sampler sleeps for each sample.
 	delaySampleInterval = 5 * time.Millisecond
-	// minRecordedDelay is by how much the sampler must wake late for a delay to count.
+	// minRecordedDelay is the least delay that is recorded; the sampler ignores shorter ones.
 	minRecordedDelay = 10 * time.Millisecond
-	// delayWindow is for how long a delay counts.
+	// delayWindow is how long a recorded delay counts.
 	delayWindow = 2 * time.Second
-	// goroutinesOnPath is how many goroutines stand between a coordinator's socket and a record: two of a link, one
-	// of the fake.
+	// goroutinesOnPath is how many goroutines are on the way from a coordinator's socket to the record of an event: two
+	// of a link and one of the fake.
 	goroutinesOnPath = 3
-	// recordingSlack is what a record may lag behind its event in a process that is scheduled in time.
+	// recordingSlack is how long after its event a record may be made in a process that is scheduled in time.
 	recordingSlack = 100 * time.Millisecond
-	// maxSuspension is for how long the rules grant a coordinator to be suspended. A delay of this process beyond
-	// it means that coordinators may have been suspended for longer, too.
+	// maxSuspension is the longest suspension of a coordinator that the rules allow for. If this process is delayed
+	// by more than that, coordinators may have been suspended for longer as well.
 	maxSuspension = 150 * time.Millisecond
 )
 
-// schedulingDelay is by how much this process is scheduled late. On a busy machine a fake records an event some time
-// after it happened, which looks as if a coordinator had acted late. So each goroutine on the way is granted the delay
-// as slack. Where this process is late by more than coordinators are granted, coordinators may be too: recorded times
-// then say nothing. The zero value was never late.
+// schedulingDelay measures how late this process is scheduled. On a busy machine a fake records an event some time
+// after it happened, as if a coordinator had acted late. So the time checks allow the longest recent delay as slack for
+// each goroutine between the event and its record. If this process is delayed by more than maxSuspension, coordinators
+// may be as well, and recorded times are not checked. The zero value has recorded no delay.
 type schedulingDelay struct {
 	mu     sync.Mutex
 	delays []observedDelay // within delayWindow of the latest, oldest first
@@ -34,25 +34,25 @@
 	running sync.WaitGroup
 }
 
-// observedDelay is one time that the sampler woke late.
+// observedDelay is a delay that the sampler has recorded.
 type observedDelay struct {
 	at       time.Time
 	duration time.Duration
 }
 
-// start begins to sample, until stop.
+// start starts the sampler, which runs until stop.
 func (s *schedulingDelay) start() {
 	s.stopped = make(chan struct{})
 	s.running.Go(s.sample)
 }
 
-// stop ends the sampling. It is to be called once after start.
+// stop stops the sampler. It must be called exactly once, after start.
 func (s *schedulingDelay) stop() {
 	close(s.stopped)
 	s.running.Wait()
 }
 
-// sample sleeps again and again, and records by how much it wakes late.
+// sample sleeps repeatedly and records how much longer than delaySampleInterval each sleep takes.
 func (s *schedulingDelay) sample() {
 	for {
 		began := time.Now()
@@ -67,7 +67,7 @@
 	}
 }
 
-// record adds a delay that ends now.
+// record adds a delay that has just ended, and drops delays that no longer count.
 func (s *schedulingDelay) record(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	s.delays = append(s.delays, observedDelay{now, d})
 }
 
-// longestRecent is the longest delay within delayWindow.
+// longestRecent is the longest delay of the last delayWindow.
 func (s *schedulingDelay) longestRecent() (longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	return longest
 }
 
-// slack is what times that are recorded now are granted. They are not to be judged where it reports false.
+// slack returns the slack for times that are recorded now. If judged is false, these times must not be checked.
 func (s *schedulingDelay) slack() (slack time.Duration, judged bool) {
 	longest := s.longestRecent()
 	return recordingSlack + goroutinesOnPath*longest, longest <= maxSuspension
--- a/internal/test/faultinjection/site.go
+++ b/internal/test/faultinjection/site.go
@@ -6,30 +6,30 @@
 	"strings"
 )
 
-// The settings' words for how a class bears parts that run twice.
+// The settings' names for the idempotency of a class.
 const (
 	idempotent    = "free"
 	keyed         = "guarded"
 	nonIdempotent = "single_shot"
 )
 
-// site is what a deployment's settings say that clients and checks go by.
+// site holds the values of a deployment's settings that clients and checks use.
 type site struct {
 	classes []class
-	tenant  string // of all clients
+	tenant  string // the first tenant of the settings; all clients use it
 	rules   replicaRules
 }
 
-// class is a class of query.
+// class is a query class.
 type class struct {
 	name             string
 	idempotency      string  // idempotent, keyed or nonIdempotent
-	completeFraction float64 // the share of the parts that makes a complete answer
-	minFraction      float64 // the least share of the parts of any answer
+	completeFraction float64 // the share of the parts that makes an answer complete
+	minFraction      float64 // the least share of the parts that an answer may have
 }
 
-// readSite reads the settings in the form in which a process gets them. An error that does not come from JSON wraps
-// ErrInvalidSettings.
+// readSite reads settings in the JSON form that a process's configuration contains. An error that does not come from
+// JSON wraps ErrInvalidSettings.
 func readSite(settings []byte) (*site, error) {
 	var raw struct {
 		Classes []struct {
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-// fractionAt is the i-th of a list of shares, and 1 where the list is shorter.
+// fractionAt is the i-th share of a list, or 1 if the list is shorter.
 func fractionAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
@@ -71,13 +71,14 @@
 	return 1
 }
 
-// allowsPartial reports whether fewer than all parts may make an answer. Clients ask all shards in these classes.
+// allowsPartial reports whether an answer may have fewer than all parts. The clients of a Fleet ask all shards in these
+// classes.
 func (c class) allowsPartial() bool { return c.minFraction < 1 || c.completeFraction < 1 }
 
-// queryID makes the ID of a query, which tells its class.
+// queryID returns the ID of a query of the class; classOf finds the class by it.
 func (c class) queryID(rest string) string { return c.name + "-" + rest }
 
-// idempotencyKey is the key that a client gives with a query; empty in a class without keys.
+// idempotencyKey is the idempotency key that a client sends with a query; empty if the class is not keyed.
 func (c class) idempotencyKey(queryID string) string {
 	if c.idempotency != keyed {
 		return ""
@@ -85,7 +86,8 @@
 	return "key-" + queryID
 }
 
-// classOf finds the class of a query by its ID. Where several names begin it, the longest is the class.
+// classOf finds the class of a query by the class name at the start of its ID. If several names match, the longest
+// decides.
 func (s *site) classOf(queryID string) (found class) {
 	for _, c := range s.classes {
 		if strings.HasPrefix(queryID, c.queryID("")) && len(c.name) > len(found.name) {
@@ -95,8 +97,8 @@
 	return found
 }
 
-// keyViolation says what is wrong with the idempotency key that came with a part of a query; empty where nothing is.
-// The list is that of the part's line in a frame.
+// keyViolation compares the idempotency key of a part with the one that the query's client sent, given the parameter
+// list of the part's line in the frame. It returns a description of the difference, or an empty string for none.
 func (s *site) keyViolation(queryID, list string) string {
 	want, got := s.classOf(queryID).idempotencyKey(queryID), ""
 	for entry := range strings.SplitSeq(list, ",") {
@@ -107,5 +109,5 @@
 	if got == want {
 		return ""
 	}
-	return fmt.Sprintf("%s came with the key %q, its client gave %q", queryID, got, want)
+	return fmt.Sprintf("a part of %s carries the idempotency key %q, its client sent %q", queryID, got, want)
 }
--- a/internal/test/faultinjection/soak.go
+++ b/internal/test/faultinjection/soak.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// soakReplicas is how many replicas a soak has.
+	// soakReplicas is the number of replicas of a soak.
 	soakReplicas = 12
-	// replicaDistance is how far apart replicas with a fault lie, so that each shard keeps a healthy holder.
+	// replicaDistance is the distance between replicas with a fault, so that each shard keeps a healthy holder.
 	replicaDistance = 5
-	// soakDuration is how long a soak lasts.
+	// soakDuration is the duration of a soak.
 	soakDuration = 12 * time.Second
-	// soakIdleConnections is how many connections bring nothing, in seeds that have such.
+	// soakIdleConnections is the number of idle connections per coordinator, in seeds that have idle connections.
 	soakIdleConnections = 25
-	// soakStream is the second half of the random source's seed.
+	// soakStream is the second half of the random source's seed; the first half is the seed of the soak.
 	soakStream = 0x736f616b
 )
 
-// soakDeadlines are the deadlines of all classes that a soak may have; 0 leaves the site's.
+// soakDeadlines are the values from which a soak draws the deadline of all classes; 0 keeps the site's.
 var soakDeadlines = []time.Duration{0, 500 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second}
 
-// soakGenerator draws the steps of a soak. The order of its draws is part of what a seed means.
+// soakGenerator draws the steps of a soak. The order of its draws must not change, because it determines which scenario
+// a seed gives.
 type soakGenerator struct {
 	rng      *rand.Rand
 	scenario *Scenario
 }
 
-// Soak draws a scenario from a seed: a few coordinators with strict clients, faults of all kinds at drawn instants,
-// signals in series, and in some seeds many idle connections. Unless kinds is empty, it keeps just the steps of these
-// kinds, as Step.Kind names them.
+// Soak draws a scenario from a seed: a few coordinators with strict clients, faults of many kinds at random times,
+// series of signals, and in some seeds many idle connections. Unless kinds is empty, the scenario contains only steps
+// of these kinds, as named by Step.Kind.
 func Soak(seed uint64, kinds ...string) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, soakStream))
 	g := &soakGenerator{rng, &Scenario{
@@ -61,15 +62,15 @@
 	return g.scenario
 }
 
-// instant draws a time between two.
+// instant draws a time from the interval [from, to).
 func (g *soakGenerator) instant(from, to time.Duration) time.Duration {
 	return from + time.Duration(g.rng.Int64N(int64(to-from)))
 }
 
-// member draws a coordinator.
+// member draws the name of a coordinator.
 func (g *soakGenerator) member() string { return fmt.Sprint("c", g.rng.IntN(g.scenario.Coordinators)) }
 
-// add adds a step at a time, unless the soak is over by then.
+// add adds a step at a time, unless that is after the end of the soak.
 func (g *soakGenerator) add(at time.Duration, st Step) {
 	if st.At = at; at < g.scenario.Duration {
 		g.scenario.Steps = append(g.scenario.Steps, st)
--- a/internal/test/faultinjection/soak_faults.go
+++ b/internal/test/faultinjection/soak_faults.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// discoveryFault has discovery fail for a time, in most seeds. Replicas drain about then.
+// discoveryFault makes discovery fail for some time, in most seeds. replicaDrains starts drains at about the same time.
 func (g *soakGenerator) discoveryFault() {
 	modes := append(slices.Clone(discoveryModes), discoveryModes[1:]...) // each fault is twice as likely as none
 	mode := modes[g.rng.IntN(len(modes))]
@@ -18,7 +18,7 @@
 	g.add(from+g.instant(time.Second, soakDuration), Step{Discovery: discoveryHealthy})
 }
 
-// replicaDrains has one or two replicas drain, end and come back, and in some seeds another one hang or fail for a
+// replicaDrains makes one or two replicas drain, end and restart. In some seeds another replica hangs or fails for some
 // time.
 func (g *soakGenerator) replicaDrains() {
 	first := g.rng.IntN(soakReplicas)
@@ -39,8 +39,8 @@
 	}
 }
 
-// restarts has some coordinators restart one after the other. Each is suspended while it ends: at a drawn time, and at
-// the time when it closes idle connections. In some seeds the last coordinator is killed, too.
+// restarts makes some coordinators restart, one after the other. Each is suspended twice while it ends: at a random
+// time, and around the time when it closes idle connections. In some seeds the last coordinator is also killed.
 func (g *soakGenerator) restarts() {
 	at := g.instant(time.Second, 3*time.Second)
 	for i := range 1 + g.rng.IntN(g.scenario.Coordinators) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// idleCloseDelay is about how long after SIGTERM a coordinator closes idle connections.
+// idleCloseDelay is the approximate time from SIGTERM until a coordinator closes idle connections.
 func (g *soakGenerator) idleCloseDelay() time.Duration {
 	if g.scenario.Deadline == 0 {
 		return termMargin + 500*time.Millisecond
@@ -67,7 +67,7 @@
 	return termMargin + min(500*time.Millisecond, g.scenario.Deadline/2)
 }
 
-// reloads has all coordinators reload their configuration several times in quick succession.
+// reloads makes all coordinators reload their configuration in one or two series of one to three quick reloads.
 func (g *soakGenerator) reloads() {
 	for range 1 + g.rng.IntN(2) {
 		at := g.instant(time.Second, 8*time.Second)
@@ -78,7 +78,7 @@
 	}
 }
 
-// suspensions has single coordinators stand still for a moment.
+// suspensions suspends single coordinators for up to maxSuspension.
 func (g *soakGenerator) suspensions() {
 	for range 6 + g.rng.IntN(7) {
 		g.add(g.instant(500*time.Millisecond, soakDuration),
@@ -86,7 +86,7 @@
 	}
 }
 
-// resets has the connections of all coordinators to a replica reset.
+// resets resets the connections of all coordinators to a random replica, up to three times.
 func (g *soakGenerator) resets() {
 	for range 1 + g.rng.IntN(3) {
 		g.add(g.instant(time.Second, soakDuration),
--- a/internal/test/faultinjection/strict_client.go
+++ b/internal/test/faultinjection/strict_client.go
@@ -13,39 +13,39 @@
 
 // Outcomes of strict clients besides those of a ClientPool.
 const (
-	outcomeLeft    = "left"    // the client closed its connection before an answer could come
-	outcomeStalled = "stalled" // the client sent half a request
-	outcomeKilled  = "killed"  // the coordinator was killed under the request
-	outcomeCrossed = "crossed" // the coordinator had ended the connection before the request was written
+	outcomeLeft    = "left"    // the client closed its connection without waiting for an answer
+	outcomeStalled = "stalled" // the client sent half a request and waited
+	outcomeKilled  = "killed"  // the coordinator was killed while the request was open
+	outcomeCrossed = "crossed" // the coordinator closed the connection before the client wrote the request
 )
 
 const (
-	// answerSlack is how long after its client's timeout an answer may come; a later one counts as lost.
+	// answerSlack is how long after its client's timeout an answer may arrive; a later one counts as lost.
 	answerSlack = 500 * time.Millisecond
 	// connectAfterTerm is how long after SIGTERM clients still open new connections.
 	connectAfterTerm = 400 * time.Millisecond
-	// stallLimit is the time by which a client that stalls has its error or its close.
+	// stallLimit is how long a client stalls until the coordinator must have sent an error or closed the connection.
 	stallLimit = 3 * time.Second
-	// longIdleTime is how long a connection is idle before some requests, plus up to idleTimeSpread.
+	// longIdleTime plus up to idleTimeSpread is how long a connection is idle before some requests.
 	longIdleTime   = 2100 * time.Millisecond
 	idleTimeSpread = 200 * time.Millisecond
-	// maxTimeToLeave bounds the time between a request and the close of a client that leaves.
+	// maxTimeToLeave bounds the time from a request to the close of the connection by a client that leaves.
 	maxTimeToLeave = 150 * time.Millisecond
-	// maxSlowThinkTime bounds the time between two requests of every other client, so that its connection is idle.
+	// maxSlowThinkTime replaces maxThinkTime for every other client, so that its connection is idle at times.
 	maxSlowThinkTime = 400 * time.Millisecond
 )
 
 // Cumulative percentages of the ways in which a strict client sends a request; all others are sent at once.
 const (
 	percentLeave     = 12
-	percentHalfLeave = 16 // leaves after half the request
+	percentHalfLeave = 16 // leaves after sending half the request
 	percentStall     = 17
 	percentLongIdle  = 19 // sends after the connection has long been idle
 )
 
-// strictClient does what clients do in production and holds its coordinator to each request: its connection is idle at
-// times, it leaves, also in the middle of a request, it stalls, and it uses a connection until that ends. Nothing but a
-// kill excuses a request without its answer.
+// strictClient behaves as clients in production do, and checks that its coordinator answers each request. Its
+// connection is idle at times, it leaves after a whole or half a request, it stalls, and it uses a connection until the
+// connection ends. Only a kill excuses a request without an answer.
 type strictClient struct {
 	fleet  *Fleet
 	member *member
@@ -57,7 +57,7 @@
 	connectedAt          time.Time // when the present connection was opened
 }
 
-// startStrictClients starts a member's strict clients, and its connections that bring nothing.
+// startStrictClients starts a member's strict clients and opens its idle connections.
 func (f *Fleet) startStrictClients(m *member) {
 	for number := range f.StrictClients {
 		s := &strictClient{
@@ -74,7 +74,8 @@
 	}
 }
 
-// keepIdleConnection keeps a connection that brings nothing, and opens another one when it is ended.
+// keepIdleConnection keeps a connection open without sending anything. It opens another one when the coordinator ends
+// the connection, and at the latest after longIdleTime/4.
 func (f *Fleet) keepIdleConnection(m *member) {
 	for !m.clients.stopped() {
 		conn, err := net.DialTimeout("tcp", m.clientAddress, time.Second)
@@ -115,7 +116,7 @@
 	}
 }
 
-// randomUpTo draws a time below a bound.
+// randomUpTo draws a time from 0 up to, but not including, a bound.
 func (s *strictClient) randomUpTo(bound time.Duration) time.Duration {
 	return time.Duration(s.rng.Int64N(int64(bound)))
 }
@@ -128,8 +129,8 @@
 	return s.randomUpTo(maxSlowThinkTime)
 }
 
-// connect opens a connection if there is none, and reports whether there is one then. It opens none to a coordinator
-// that got its SIGTERM a while ago.
+// connect opens a connection if there is none, and reports whether there is one afterwards. It opens none if a planned
+// restart sent SIGTERM to the coordinator more than connectAfterTerm ago.
 func (s *strictClient) connect() bool {
 	if s.client.conn != nil {
 		return true
@@ -155,7 +156,7 @@
 	return clientTimeout
 }
 
-// leave sends a share of a request and closes the connection a moment later.
+// leave sends a share of a request and closes the connection up to maxTimeToLeave later.
 func (s *strictClient) leave(id string, q query, share float64) {
 	request := q.requestWithin(s.timeout(), id, s.fleet.site.tenant)
 	s.fleet.checker.requestSent(id, time.Now().Add(s.timeout()))
@@ -166,7 +167,8 @@
 	s.member.clients.count(outcomeLeft)
 }
 
-// stall sends half a request and waits: the coordinator owes it an error or a close.
+// stall sends half a request and waits. It adds a violation if the coordinator, unless it was killed, has not closed
+// the connection within stallLimit plus recordingSlack, be it after an error or without one.
 func (s *strictClient) stall(id string, q query) {
 	request := q.requestWithin(s.timeout(), id, s.fleet.site.tenant)
 	io.WriteString(s.client.conn, request[:len(request)/2])
@@ -175,15 +177,16 @@
 	_, err := io.Copy(io.Discard, s.client.conn)
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() && !s.killedSince(began) {
-		s.addViolation(id, "stalled for %v and was not ended", time.Since(began))
+		s.addViolation(id, "stalled for %v without a close of its connection", time.Since(began))
 	}
 	s.client.disconnect()
 	s.member.clients.count(outcomeStalled)
 }
 
-// sendQuery sends a request and waits for its answer. It sends the request once more on a new connection where the
-// coordinator had ended the connection before the request was written: on loopback, what is written is in the other
-// socket at once, so that an end which comes later leaves a request without its answer that had arrived.
+// sendQuery sends a request and waits for its answer. If the coordinator had closed the connection before the request
+// was written, sendQuery sends the request again on a new connection. On loopback, written bytes reach the other socket
+// at once, so a request on a connection that the coordinator closes later had arrived, and its missing answer is a
+// violation.
 func (s *strictClient) sendQuery(id string, q query) {
 	began := time.Now()
 	s.requestsOnConnection++
@@ -210,24 +213,25 @@
 			s.sendQuery(id+"-again", q)
 		}
 	default:
-		s.addViolation(id, "was lost: sent on a connection with %d requests before, opened %v ago, ended %v later: %v",
+		s.addViolation(id,
+			"was lost: sent after %d others on a connection opened %v ago, which failed %v after the send: %v",
 			s.requestsOnConnection-1, time.Since(s.connectedAt).Round(time.Millisecond),
 			latency.Round(time.Millisecond), err)
 	}
 }
 
-// checkAnswer counts an answer, unless it came too late to be one.
+// checkAnswer counts an answer, or adds a violation if it arrived too late.
 func (s *strictClient) checkAnswer(id string, q query, a answer, status string, latency time.Duration) {
-	if s.isOverdue(latency) {
-		s.addViolation(id, "was answered %v after it was sent, of %v", latency, s.timeout())
+	if s.exceedsTimeout(latency) {
+		s.addViolation(id, "was answered %v after it was sent; its client's timeout is %v", latency, s.timeout())
 		return
 	}
 	s.member.clients.countAnswer(q, a, status)
 }
 
-// isOverdue reports whether an answer after this latency counts as lost. Where this process was not scheduled in
-// time, none does, and the answer is counted as unjudged.
-func (s *strictClient) isOverdue(latency time.Duration) bool {
+// exceedsTimeout reports whether an answer after this latency counts as lost. If this process was scheduled late, it
+// reports false and counts the answer as unjudged.
+func (s *strictClient) exceedsTimeout(latency time.Duration) bool {
 	slack, judged := s.fleet.schedulingDelay.slack()
 	if !judged {
 		s.fleet.checker.countUnjudged()
@@ -235,12 +239,13 @@
 	return judged && latency > s.timeout()+answerSlack+slack
 }
 
-// killedSince reports whether the coordinator has been killed without a warning since a moment, or just before it.
+// killedSince reports whether Fleet.kill has killed the coordinator since a moment, or up to pollInterval before it.
 func (s *strictClient) killedSince(moment time.Time) bool {
 	return s.member.killedAt.Load() > moment.Add(-pollInterval).UnixNano()
 }
 
-// addViolation records what happened to one of the client's requests.
+// addViolation records a violation at one of the client's requests. The format continues a sentence that begins with
+// the request and its coordinator.
 func (s *strictClient) addViolation(id, format string, args ...any) {
 	c := s.fleet.checker
 	c.mu.Lock()
--- a/internal/test/faultinjection/timeline.go
+++ b/internal/test/faultinjection/timeline.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Sources of a timeline's entries besides the members, whose log lines bear their names.
+// Sources of a timeline's entries. A log line of a member has the member's name as its source.
 const (
-	sourceHarness = "harness" // what the fleet does to processes, links, replicas and discovery
+	sourceHarness = "harness" // an action of the fleet on processes, links, replicas or discovery
 	sourceRule    = "rule"    // a rule was broken
 	sourceVerdict = "verdict" // an expectation was not met
 )
 
-// Timeline is what happened, of all processes and the fleet that runs them, in one order. Its methods may be called by
-// any goroutine.
+// Timeline records the events of all processes and of the fleet that runs them. Its methods may be called by any
+// goroutine.
 type Timeline struct {
 	began time.Time
 
@@ -24,7 +24,7 @@
 	entries []timelineEntry
 }
 
-// timelineEntry is one thing that happened.
+// timelineEntry is one event.
 type timelineEntry struct {
 	elapsed      time.Duration // since the timeline began
 	source, text string
@@ -32,14 +32,14 @@
 
 func newTimeline() *Timeline { return &Timeline{began: time.Now()} }
 
-// Note adds an entry.
+// Note adds an entry with the current time.
 func (t *Timeline) Note(source, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.entries = append(t.entries, timelineEntry{time.Since(t.began), source, fmt.Sprintf(format, args...)})
 }
 
-// Print writes all entries in order of time: seconds since the beginning, source and text. Errors are those of out.
+// Print writes all entries in order of time: seconds since the timeline began, source and text. Errors come from out.
 func (t *Timeline) Print(out io.Writer) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/test/faultinjection/verdict.go
+++ b/internal/test/faultinjection/verdict.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// violationsShown is how many violations of rules a verdict spells out.
+// violationsShown is how many violations of rules a verdict lists in full.
 const violationsShown = 5
 
 // verdict joins an error that wraps ErrRuleViolated for each expectation that was not met.
@@ -24,7 +24,8 @@
 	return err
 }
 
-// judgeOutcomes reports wrong and lost answers, and a fleet that served nothing: its checks would show nothing.
+// judgeOutcomes reports wrong and lost answers. It also reports a fleet that has answered no request with status 200,
+// because the checks prove nothing without load.
 func (f *Fleet) judgeOutcomes(report func(format string, args ...any)) {
 	total := f.outcomes()
 	for _, outcome := range []string{OutcomeDuplicateAnswer, OutcomeWrongAnswer} {
@@ -33,25 +34,25 @@
 		}
 	}
 	if total[OutcomeLost] > f.MaxLost {
-		report("%d requests were read and never answered, at most %d may be", total[OutcomeLost], f.MaxLost)
+		report("%d requests were sent and never answered; the scenario allows %d", total[OutcomeLost], f.MaxLost)
 	}
 	if total["200"] == 0 {
-		report("nothing was served: no load")
+		report("no request was answered with status 200: the checks prove nothing")
 	}
 }
 
-// report reports classes that were never seen, and the first of the violations.
+// report reports each class of which no part reached a replica, and the first violationsShown violations.
 func (c *ruleChecker) report(report func(format string, args ...any)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, class := range c.fleet.site.classes {
 		if !c.classesSeen[class.name] {
-			report("no %s was seen", class.name)
+			report("no part of class %s reached a replica", class.name)
 		}
 	}
 	for i, violation := range c.violations {
 		if i == violationsShown {
-			report("and %d more", len(c.violations)-i)
+			report("and %d more violations", len(c.violations)-i)
 			break
 		}
 		report("%s", violation)
