--- a/internal/test/faultcli/doc.go
+++ b/internal/test/faultcli/doc.go
@@ -1,7 +1,8 @@
-// Package faultcli plays the scenarios, soaks and upgrades of internal/test/faultinjection by hand, with real processes
-// of a built program, and reports what came of them. Scenario, Soak and Upgrades are plain structs that cmd/lab fills
-// from its flags; each has a Play method that blocks until all processes have ended. An error of Play joins what did
-// not hold; errors.Is finds faultinjection.ErrRuleViolated or ErrSoakFailed in it.
+// Package faultcli runs the scenarios, soaks and upgrades of internal/test/faultinjection from the command line, with
+// real processes of a built program, and reports their results. Scenario, Soak and Upgrades are plain structs that
+// cmd/lab fills from its flags; each has a Play method that blocks until all processes have ended. An error of Play
+// joins the violations of rules and other failures; errors.Is finds faultinjection.ErrRuleViolated or ErrSoakFailed in
+// it.
 package faultcli
 
 import (
@@ -10,7 +11,7 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// newFleet starts a fleet of a built program in a folder of its own.
+// newFleet starts a fleet of a built program in the folder dir, which no other fleet uses.
 func newFleet(dir, program string, settings []byte, s *faultinjection.Scenario) (*faultinjection.Fleet, error) {
 	program, err := filepath.Abs(program)
 	if err != nil {
--- a/internal/test/faultcli/scenario.go
+++ b/internal/test/faultcli/scenario.go
@@ -12,14 +12,15 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// Scenario says how a scenario of internal/test/faultinjection is played.
+// Scenario defines how a scenario of internal/test/faultinjection is run.
 type Scenario struct {
-	Program      string // the built program
-	Settings     string // file of the site's settings, as JSON
-	TimelineFile string // gets the timeline; empty for none
+	Program      string // path of the built program
+	Settings     string // path of the site's settings, as JSON
+	TimelineFile string // path to which the timeline is written; empty for none
 }
 
-// Play plays a scenario's file and reports what became of the requests. The error joins what did not hold.
+// Play runs the scenario of a file and reports the outcomes of the requests. The error joins the violations of rules
+// and other failures.
 func (p Scenario) Play(file string, out io.Writer) (err error) {
 	s, err := faultinjection.Load(file)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// printProcessStats writes a line about a fleet's processes.
+// printProcessStats writes one line with the number, startup times and memory of a fleet's processes.
 func printProcessStats(out io.Writer, f *faultinjection.Fleet, elapsed time.Duration) {
 	startupTimes, peakMemoryKB := f.ProcessStats()
 	const kbPerMB = 1024.0
@@ -63,7 +64,7 @@
 		elapsed.Round(100*time.Millisecond))
 }
 
-// median sorts values and returns the one in the middle; 0 for none.
+// median sorts values in place and returns the middle one, or the upper of the two middle ones; 0 if there are none.
 func median[T int | time.Duration](values []T) T {
 	if len(values) == 0 {
 		return 0
--- a/internal/test/faultcli/soak.go
+++ b/internal/test/faultcli/soak.go
@@ -11,22 +11,22 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// Soak says which soaks of internal/test/faultinjection are played, each drawn from a seed of its own.
+// Soak defines which soaks of internal/test/faultinjection are run. Each soak is drawn from its own seed.
 type Soak struct {
-	Program     string   // the built program
-	Settings    string   // file of the site's settings, as JSON
-	FirstSeed   uint64   // the others count up from it
-	Seeds       int      // how many
-	Parallel    int      // fleets side by side; fewer than 1 counts as 1
-	Kinds       []string // kinds of steps that are kept, as faultinjection.Step.Kind names them; all where it is empty
-	TimelineDir string   // existing folder that gets the timelines of seeds that fail; empty for none
+	Program     string   // path of the built program
+	Settings    string   // path of the site's settings, as JSON
+	FirstSeed   uint64   // each further seed is one higher
+	Seeds       int      // number of seeds
+	Parallel    int      // number of fleets that run concurrently; a value below 1 counts as 1
+	Kinds       []string // kinds of steps to keep, as named by faultinjection.Step.Kind; empty keeps all
+	TimelineDir string   // existing folder for the timelines of seeds that fail; empty for none
 }
 
-// ErrSoakFailed says that something did not hold with a seed.
-var ErrSoakFailed = errors.New("faultcli: something did not hold in the soak")
+// ErrSoakFailed means that the soak of at least one seed failed.
+var ErrSoakFailed = errors.New("faultcli: the soak of at least one seed failed")
 
-// Play plays all seeds, and reports what became of each and how often each kind of step was played. It returns
-// ErrSoakFailed where something did not hold with a seed.
+// Play runs the soaks of all seeds, and reports the result of each and the number of steps by kind. It returns
+// ErrSoakFailed if at least one soak failed.
 func (s Soak) Play(out io.Writer) error {
 	settings, err := os.ReadFile(s.Settings)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// playOne plays one soak in a folder of its own.
+// playOne runs one soak in its own temporary folder.
 func (s Soak) playOne(scenario *faultinjection.Scenario, settings []byte, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -89,7 +89,7 @@
 	return errors.Join(f.Print(file), file.Close())
 }
 
-// synchronizedWriter lets several soaks write to one writer, a line at a time.
+// synchronizedWriter lets concurrent soaks share a writer. Each call of Write is written as a whole.
 type synchronizedWriter struct {
 	mu  *sync.Mutex
 	out io.Writer
--- a/internal/test/faultcli/upgrades.go
+++ b/internal/test/faultcli/upgrades.go
@@ -13,26 +13,28 @@
 )
 
 const (
-	// upgradeReplicas is how many replicas there are.
+	// upgradeReplicas is the number of replicas.
 	upgradeReplicas = 6
-	// serviceTime is how long a part takes a replica.
+	// serviceTime is how long a replica takes to serve a part.
 	serviceTime = 20 * time.Millisecond
-	// maintenanceGrace is how long after its maintenance was confirmed a replica may be sent to: the platform's rule
-	// on drains, with its slack.
+	// maintenanceGrace is how long parts may still be sent to a replica after its maintenance was confirmed: the grace
+	// of the platform's rule on drains, plus the slack that the rule allows for.
 	maintenanceGrace = 1050 * time.Millisecond
 )
 
-// Upgrades says how real processes of the program take over from each other under load.
+// Upgrades defines a series of upgrades, in each of which a new process of the program takes over from the previous one
+// under load.
 type Upgrades struct {
-	Program  string // the built program
-	Settings string // file of the site's settings, as JSON
-	Count    int    // of upgrades
+	Program  string // path of the built program
+	Settings string // path of the site's settings, as JSON
+	Count    int    // number of upgrades
 	Clients  int
 	Interval time.Duration // from the end of an upgrade to the next one
 }
 
-// Play plays the upgrades, each with a replica that is in maintenance from before it until after it, and reports what
-// became of the clients' requests. The error joins what did not hold.
+// Play runs the upgrades and reports the outcomes of the clients' requests. During each upgrade a replica is in
+// maintenance, from before the new process starts until after the old one has ended. The error joins the violations of
+// rules, or is the failure that ended the run.
 func (u Upgrades) Play(out io.Writer) (err error) {
 	settings, err := os.ReadFile(u.Settings)
 	if err != nil {
@@ -71,7 +73,7 @@
 	return h.Check()
 }
 
-// startProcess starts a process and waits until it serves, and returns how long that took.
+// startProcess starts a process, waits until it serves, and returns it and the time from its start until it served.
 func startProcess(h *faultinjection.Host) (*faultinjection.Process, time.Duration, error) {
 	began := time.Now()
 	p, err := h.Start()
@@ -84,8 +86,9 @@
 	return p, time.Since(began), nil
 }
 
-// upgrade has a new process take over from the one that serves, as the i-th of them, and returns it. A replica is in
-// maintenance meanwhile: taken out at the old process, and back in at the new one.
+// upgrade performs the i-th upgrade: it has a new process take over from the one that serves, and returns the new one.
+// A replica is in maintenance during the upgrade; the old process gets the request that starts the maintenance, the new
+// process the one that ends it.
 func upgrade(
 	h *faultinjection.Host, serving *faultinjection.Process, i int, out io.Writer,
 ) (*faultinjection.Process, error) {
@@ -104,7 +107,8 @@
 	return next, h.SetMaintenance(next, replica, false)
 }
 
-// printOutcomes writes how the clients' requests have ended.
+// printOutcomes writes the number of the clients' requests by outcome, and of the connections that ended during a
+// request.
 func printOutcomes(out io.Writer, clients *faultinjection.ClientPool) {
 	outcomes := clients.Outcomes()
 	for _, outcome := range slices.Sorted(maps.Keys(outcomes)) {
