--- a/internal/test/coordinatorproc/level_log.go
+++ b/internal/test/coordinatorproc/level_log.go
@@ -33,7 +33,7 @@
 // WithGroup implements slog.Handler.
 func (l levelLog) WithGroup(string) slog.Handler { return l }
 
-// recordLevel notes a change of the overload level.
+// recordLevel records a change of the overload level.
 func (m *meter) recordLevel(level string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/test/coordinatorproc/meter.go
+++ b/internal/test/coordinatorproc/meter.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	longestWait        = time.Minute           // that the histogram of waits can hold
-	significantDigits  = 3                     // of waits in the histogram
-	waitPercentile     = 99                    // Stats.WaitP99MS
-	pointsPerSecond    = 10                    // of Stats.MaxWaits
-	heapSampleInterval = 20 * time.Millisecond // between two looks at the live heap
+	longestWait        = time.Minute           // longest wait that the histogram can hold
+	significantDigits  = 3                     // precision of the histogram
+	waitPercentile     = 99                    // percentile in Stats.WaitP99MS
+	pointsPerSecond    = 10                    // resolution of Stats.MaxWaits
+	heapSampleInterval = 20 * time.Millisecond // time between two readings of the live heap
 	bytesPerMB         = 1 << 20
 	usPerMS            = 1000
 )
 
-// meter is the core.Admitter of a process: it passes everything on to a shedder, where there is one, and measures. Its
-// methods may be called by any goroutine.
+// meter is the core.Admitter of a process. It passes each call on to the shedder, if there is one, and records
+// measurements. Its methods may be called by any goroutine.
 type meter struct {
-	*loadshed.Shedder // nil admits every query
+	*loadshed.Shedder // nil if every query is admitted
 	began             time.Time
 
 	mu    sync.Mutex
-	waits *hdrhistogram.Histogram // of the loop, in microseconds
+	waits *hdrhistogram.Histogram // waits of the loop, in microseconds
 	stats Stats
 }
 
-// newMeter returns a meter that admits every query.
+// newMeter returns a meter without a shedder, which admits every query.
 func newMeter() *meter {
 	waits := hdrhistogram.New(1, longestWait.Microseconds(), significantDigits)
 	return &meter{began: time.Now(), waits: waits}
 }
 
-// summarize returns what has been measured so far.
+// summarize returns the measurements so far.
 func (m *meter) summarize() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,9 +50,9 @@
 }
 
 // Admit implements core.Admitter.
-func (m *meter) Admit(a overload.Arrival) (ok bool, retryIn time.Duration) {
+func (m *meter) Admit(a overload.Arrival) (ok bool, retryAfter time.Duration) {
 	if ok = true; m.Shedder != nil {
-		ok, retryIn = m.Shedder.Admit(a)
+		ok, retryAfter = m.Shedder.Admit(a)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +61,7 @@
 	} else {
 		m.stats.Rejected++
 	}
-	return ok, retryIn
+	return ok, retryAfter
 }
 
 // QueryDone implements core.Admitter.
@@ -86,7 +86,7 @@
 	m.recordMaxWait(float64(t.MaxWait) / float64(time.Millisecond))
 }
 
-// recordMaxWait takes in the longest wait of a tick, in milliseconds. It is to be called under the lock.
+// recordMaxWait records the longest wait of a tick, in milliseconds. The caller must hold the lock.
 func (m *meter) recordMaxWait(ms float64) {
 	m.stats.WaitMaxMS = max(m.stats.WaitMaxMS, ms)
 	at := float64(int(time.Since(m.began).Seconds()*pointsPerSecond)) / pointsPerSecond
@@ -97,7 +97,7 @@
 	m.stats.MaxWaits = append(m.stats.MaxWaits, loadgen.Point{At: at, Value: ms})
 }
 
-// watchHeap records the largest live heap until ctx ends.
+// watchHeap reads the live heap every heapSampleInterval until ctx ends, and records the largest value.
 func (m *meter) watchHeap(ctx context.Context) {
 	for ctx.Err() == nil {
 		live := float64(loadshed.ReadUsage().LiveBytes) / bytesPerMB
--- a/internal/test/coordinatorproc/process.go
+++ b/internal/test/coordinatorproc/process.go
@@ -17,29 +17,29 @@
 	"harepass/internal/test/loadgen"
 )
 
-// ErrNotStarted says that a process ended before it wrote the address of its front. Its standard error, which is this
-// process's, says why.
+// ErrNotStarted means that a process ended before it wrote the address of its front. It shares this process's standard
+// error, which shows the cause.
 var ErrNotStarted = errors.New("coordinatorproc: process not started")
 
-// ServeCommand is the command of this program that has to call Serve.
+// ServeCommand is the command-line argument for which the executable must call Serve.
 const ServeCommand = "coordinator"
 
-// HeapLimitShare is the share of Config.MemoryMB that the garbage collector keeps the heap below, as in the program.
+// HeapLimitShare is the heap limit of the garbage collector, as a share of Config.MemoryMB. The program uses the same.
 const HeapLimitShare = 0.6
 
-// Config is what a process is started with. Serve checks it as the program checks its settings.
+// Config is the configuration of a process. Serve checks it as the program checks its settings.
 type Config struct {
 	Settings      scatter.Settings
-	Shards        int                          // how many shards the ring has
+	Shards        int                          // number of shards
 	Indices       map[string]*opensearch.Index // by name
-	TenantsByUser map[string]string            // tenants, by the user that a client authenticates as
-	Endpoints     []core.Endpoint              // the replicas, for the whole life of the process
-	Cores         int                          // how many processors the process uses at once
-	MemoryMB      int                          // memory of the process, of which HeapLimitShare is for the heap
-	WaitTarget    time.Duration                // of overload control; 0 has no overload control and admits every query
+	TenantsByUser map[string]string            // tenant of each user that a client authenticates as
+	Endpoints     []core.Endpoint              // the replicas; they stay the same while the process runs
+	Cores         int                          // number of processors that the process uses concurrently
+	MemoryMB      int                          // memory of the process; the share HeapLimitShare is for the heap
+	WaitTarget    time.Duration                // of overload control; 0 turns it off, so every query is admitted
 }
 
-// Stats is what a process has measured of itself at its end.
+// Stats are the measurements of a process from its start until it has drained.
 type Stats struct {
 	WaitP99MS     float64               // 99th percentile over the loop's messages, each with the mean wait of its tick
 	WaitMaxMS     float64               // longest wait of the loop
@@ -47,21 +47,21 @@
 	CPUSeconds    float64               // user and system time
 	Levels        []loadgen.LevelChange // changes of the overload level, oldest first
 	MaxWaits      []loadgen.Point       // longest wait of the loop in each tenth of a second, in milliseconds
-	Admitted      int                   // queries
-	Rejected      int                   // queries
+	Admitted      int                   // number of admitted queries
+	Rejected      int                   // number of rejected queries
 }
 
-// Process is a coordinator that Config.Start has started. One goroutine uses it.
+// Process is a coordinator process that Config.Start has started. It is for one goroutine.
 type Process struct {
-	Address string // of its front
+	Address string // address of its front
 
 	cmd    *exec.Cmd
 	stdin  io.WriteCloser
 	stdout *bufio.Reader
 }
 
-// Start starts a process and returns once its front accepts clients. The error wraps ErrNotStarted where the process
-// ended before that. The caller has to call Process.Stop.
+// Start starts a process and returns once its front accepts clients. The error wraps ErrNotStarted if the process ended
+// before that. The caller must call Process.Stop.
 func (c Config) Start() (*Process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -92,7 +92,7 @@
 	return p, nil
 }
 
-// Stop has the process drain, waits until it has exited and returns its stats. It is to be called once.
+// Stop makes the process drain, waits until it exits, and returns its stats. It must be called only once.
 func (p *Process) Stop() (*Stats, error) {
 	p.stdin.Close()
 	stats := &Stats{}
--- a/internal/test/coordinatorproc/serve.go
+++ b/internal/test/coordinatorproc/serve.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	connectTimeout = 250 * time.Millisecond // of connections to replicas
+	connectTimeout = 250 * time.Millisecond // bound for connecting to a replica
 	keepAlive      = 30 * time.Second       // how long an idle connection to a replica stays open
-	maxRetryAfter  = 30 * time.Second       // that rejected clients are told to wait at most
-	listSource     = "lab"                  // the name under which the endpoint list is passed on
+	maxRetryAfter  = 30 * time.Second       // longest Retry-After that a rejected client gets
+	listSource     = "lab"                  // source name under which the coordinator gets the endpoint list
 	seed           = 1                      // of the decision module's random draws
 )
 
-// Serve is the process that Config.Start starts. It reads a Config as a line of JSON, writes the address of its front
-// as a line, and once its input ends it drains and writes its Stats as JSON. It is to be called once in a process,
-// which has to exit afterwards: it sets the runtime's limits, and overload control and the meter may outlast it by a
-// moment.
+// Serve runs the coordinator in the process that Config.Start starts. It reads a Config as one line of JSON and writes
+// the address of its front as a line. When its input is closed, it drains and writes its Stats as JSON. It must be
+// called only once in a process, and the process must exit afterwards, because Serve sets the runtime's limits, and
+// overload control and the meter may still run for a moment when it returns.
 func Serve(in io.Reader, out io.Writer) error {
 	input := bufio.NewReader(in)
 	line, err := input.ReadBytes('\n')
@@ -56,7 +56,7 @@
 	return json.NewEncoder(out).Encode(s.meter.summarize())
 }
 
-// memoryLimit is what the garbage collector keeps the heap below, in bytes.
+// memoryLimit is the heap limit of the garbage collector, in bytes.
 func (c Config) memoryLimit() int64 { return int64(float64(c.MemoryMB) * HeapLimitShare * bytesPerMB) }
 
 // server is a coordinator that accepts clients.
@@ -68,7 +68,8 @@
 	listener    net.Listener
 }
 
-// start starts a coordinator. Overload control and the meter end with ctx, everything else with drain.
+// start starts a coordinator and its front. Overload control and the meter stop when ctx ends; drain stops everything
+// else.
 func (c Config) start(ctx context.Context) (*server, error) {
 	clock := core.SystemClock()
 	s := &server{meter: newMeter()}
@@ -104,7 +105,7 @@
 	return s, s.listen(&opensearch.Front{Config: front, Coordinator: s.coordinator, Clock: clock})
 }
 
-// listen accepts clients on loopback until drain.
+// listen starts the front, which accepts clients on loopback until drain.
 func (s *server) listen(front *opensearch.Front) (err error) {
 	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return err
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// newShedder returns overload control for the process's own limits.
+// newShedder returns the overload control for the process's cores and memory limit.
 func (c Config) newShedder(clock core.Clock) *loadshed.Shedder {
 	limits := loadshed.ControllerConfig(c.Settings)
 	limits.WaitTarget, limits.MaxRetryAfter = c.WaitTarget, maxRetryAfter
@@ -122,7 +123,7 @@
 	return loadshed.New(limits, clock)
 }
 
-// drain answers the queries that were admitted and ends everything else.
+// drain stops accepting clients, answers the admitted queries, and stops the coordinator and its calls to replicas.
 func (s *server) drain() {
 	s.listener.Close()
 	s.http.Shutdown()
