--- a/internal/test/faultinjection/client_rules.go
+++ b/internal/test/faultinjection/client_rules.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// clientLeftSlack is how long after its client has left a query's attempt may still reach a replica.
+	// clientLeftSlack is how long after a client has left an attempt of its query may still begin.
 	clientLeftSlack = 100 * time.Millisecond
-	// deadlineSlack is by how much the time left that a replica is given may exceed the client's time left.
+	// deadlineSlack is by how much the deadline that a replica is given may exceed the client's remaining time.
 	deadlineSlack = 150 * time.Millisecond
 )
 
--- a/internal/test/faultinjection/link_copy.go
+++ b/internal/test/faultinjection/link_copy.go
@@ -76,7 +76,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
-		if _, stands := l.connections[c]; !stands || l.closed {
+		if _, open := l.connections[c]; !open || l.closed {
 			return false
 		}
 		if !l.cut[d] {
--- a/internal/test/faultinjection/member_process.go
+++ b/internal/test/faultinjection/member_process.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// exitError returns an error with the process's log if err, the result of its exit, is not nil.
+// exitError returns an error that wraps ErrProcessFailed and contains the process's log if err, the result of the
+// process's exit, is not nil.
 func exitError(m *member, p *Process, err error) error {
 	if err == nil {
 		return nil
--- a/internal/test/faultinjection/validate.go
+++ b/internal/test/faultinjection/validate.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxCoordinators is how many coordinator processes a machine of the laboratory can run.
+	// maxCoordinators is how many coordinator processes a machine of the laboratory can start.
 	maxCoordinators = 40
 	// maxReplicas is the largest number of replicas of a fleet.
 	maxReplicas = 60
@@ -22,7 +22,7 @@
 	case s.Replicas < holdersPerShard || s.Replicas > maxReplicas:
 		return fmt.Errorf("nodes: %d is not in the range from %d to %d", s.Replicas, holdersPerShard, maxReplicas)
 	case s.Clients+s.StrictClients < 1:
-		return fmt.Errorf("clients: %d; there must be at least one client, plain or judged", s.Clients)
+		return fmt.Errorf("clients: %d; clients and judged together must be at least 1", s.Clients)
 	case len(s.ReplicaSets) > 0 && sum(s.ReplicaSets) != s.Replicas:
 		return fmt.Errorf("sets: %v have %d nodes, not %d", s.ReplicaSets, sum(s.ReplicaSets), s.Replicas)
 	case s.ServiceTime <= 0:
