--- a/internal/test/scaletest/authority_watch.go
+++ b/internal/test/scaletest/authority_watch.go
@@ -11,7 +11,7 @@
 	"harepass/internal/test/fake"
 )
 
-// watchAuthority follows the authority directly until ctx ends, to learn which index it gave to each publication.
+// watchAuthority follows the authority directly until ctx ends and records the index that it gave to each publication.
 func (f *fleet) watchAuthority(ctx context.Context) {
 	follow := func(resource distribution.Path, record func(versionlog.Entry)) {
 		distribution.New(distribution.Config{
@@ -29,7 +29,7 @@
 	following.Wait()
 }
 
-// recordEndpointIndex notes the index of a change of an endpoint.
+// recordEndpointIndex records the index of an endpoint's change or removal.
 func (f *fleet) recordEndpointIndex(entry versionlog.Entry) {
 	if entry.Removed {
 		f.publisher.recordRemovalIndex(entry.Name, entry.Index)
@@ -41,7 +41,7 @@
 	}
 }
 
-// recordSettingsIndex notes the index of a version of the settings.
+// recordSettingsIndex records the index of a version of the settings.
 func (f *fleet) recordSettingsIndex(entry versionlog.Entry) {
 	if settings, limits, err := parseSettings(entry); err == nil {
 		number, _ := decodeSettingsNumber(settings.RetryAfter, limits.KeepAlive)
--- a/internal/test/scaletest/config_files.go
+++ b/internal/test/scaletest/config_files.go
@@ -11,7 +11,7 @@
 	"harepass/internal/test/fake"
 )
 
-// settingsFile is the name of the file from which the authority reads the settings.
+// settingsFile is the name of the settings file that the authority reads.
 const settingsFile = "settings.json"
 
 // relayFile is the configuration file of a relay or of the authority.
@@ -27,20 +27,20 @@
 	Cores         int            `yaml:"cores"`
 }
 
-// authorityFile says where the authority gets the endpoint list and the settings from.
+// authorityFile names the sources from which the authority reads the endpoint list and the settings.
 type authorityFile struct {
-	Discovery string `yaml:"discovery"` // address
-	Settings  string `yaml:"settings"`  // file
+	Discovery string `yaml:"discovery"` // its address
+	Settings  string `yaml:"settings"`  // path of the file
 }
 
-// relaySource is a relay as the files of its readers describe it.
+// relaySource describes a relay, or the authority, in the configuration files of its readers.
 type relaySource struct {
 	Address string `yaml:"address"`
 	Zone    string `yaml:"zone"`
 	Region  string `yaml:"region"`
 }
 
-// distributionFile is a coordinator's file of the relays that it may follow.
+// distributionFile is the configuration file that lists the relays a coordinator may follow.
 type distributionFile struct {
 	Zone      string        `yaml:"zone"`
 	Region    string        `yaml:"region"`
@@ -48,7 +48,7 @@
 	Heartbeat time.Duration `yaml:"heartbeat"`
 }
 
-// writeFile puts a file into the run's folder. Readers see it complete or not at all.
+// writeFile writes a file in the run's folder and replaces any old one atomically, so readers never see it incomplete.
 func (f *fleet) writeFile(name string, data []byte) (path string, err error) {
 	path = filepath.Join(f.Dir, name)
 	if err := os.WriteFile(path+".new", data, 0o600); err != nil {
@@ -57,15 +57,15 @@
 	return path, os.Rename(path+".new", path)
 }
 
-// writeSettings writes the latest version of the settings. The authority reads it when it starts.
+// writeSettings writes the latest version of the settings, which the authority reads when it starts.
 func (f *fleet) writeSettings() error {
 	f.settingsFileMutex.Lock()
 	defer f.settingsFileMutex.Unlock()
 	return f.writeLatestSettings()
 }
 
-// reloadSettings writes the latest version of the settings and has the authority read it. The lock makes the last one
-// written the latest.
+// reloadSettings writes the latest version of the settings and has the authority read it. The lock ensures that the
+// version written last is the latest.
 func (f *fleet) reloadSettings() error {
 	f.settingsFileMutex.Lock()
 	defer f.settingsFileMutex.Unlock()
@@ -75,7 +75,7 @@
 	return f.authority.process.signal(syscall.SIGHUP)
 }
 
-// writeLatestSettings writes the settings file. It is to be called with settingsFileMutex locked.
+// writeLatestSettings writes the settings file. The caller must hold settingsFileMutex.
 func (f *fleet) writeLatestSettings() error {
 	f.mu.Lock()
 	number := f.settingsNumber
@@ -88,7 +88,7 @@
 	return err
 }
 
-// reloadTruncatedSettings has the authority read settings that end in the middle, which it has to reject.
+// reloadTruncatedSettings has the authority read a settings file that is cut in half, which the authority must reject.
 func (f *fleet) reloadTruncatedSettings() error {
 	f.settingsFileMutex.Lock()
 	defer f.settingsFileMutex.Unlock()
@@ -102,17 +102,18 @@
 	return f.authority.process.signal(syscall.SIGHUP)
 }
 
-// The limits of a real coordinator.
+// Resource limits that the platform gives to a real coordinator.
 const (
 	realCores    = 1.0
 	realMemoryMB = 192
 	realSockets  = 1024
 )
 
-// seedFactor spreads the ordinals of real coordinators over all seeds.
+// seedFactor spreads the seeds of real coordinators, which derive from their ordinals, over all 64-bit values.
 const seedFactor = 0x9e3779b97f4a7c15
 
-// writeConfig writes what the platform gives a coordinator at its start: settings, limits and an empty endpoint list.
+// writeConfig writes the configuration that the platform gives a coordinator at its start, with settings, limits and
+// an empty endpoint list.
 func (f *fleet) writeConfig(m *member) (path string, err error) {
 	encoded, err := encodeSettings(f.Settings, f.plan, 0)
 	if err != nil {
--- a/internal/test/scaletest/control_process.go
+++ b/internal/test/scaletest/control_process.go
@@ -26,8 +26,8 @@
 func (c *controlProcess) name() string { return fmt.Sprintf("relay%d", c.ordinal) }
 
 const (
-	// maxControlReaders is how many calls a control process may have open at once: two for each member of the largest
-	// fleet, and some for relays and the run itself.
+	// maxControlReaders limits the calls that a control process may have open at once: two for each member of the
+	// largest fleet, and 100 for relays and the run itself.
 	maxControlReaders = 2*maxCoordinators + 100
 	// controlCores is how many cores a control process may use.
 	controlCores = 2
@@ -35,7 +35,7 @@
 	statusTimeout = time.Second
 )
 
-// startControlProcess starts the authority, or a relay with an upstream.
+// startControlProcess starts a relay that follows upstream, or the authority if upstream is empty.
 func (f *fleet) startControlProcess(control *controlProcess, upstream string) error {
 	control.upstream = upstream
 	file := relayFile{
@@ -73,18 +73,18 @@
 	return nil
 }
 
-// restartControlProcess starts a relay that has exited again, at its address and with its upstream.
+// restartControlProcess starts a relay again after it exited, with the same address and upstream.
 func (f *fleet) restartControlProcess(control *controlProcess) error {
 	return f.startControlProcess(control, control.upstream)
 }
 
-// relayStatus is what a run reads of a control process's status.
+// relayStatus holds the fields that a run reads from a control process's status endpoint.
 type relayStatus struct {
 	Instances struct{ Index, Entries int64 }
 	Settings  struct{ Index, Entries int64 }
 }
 
-// awaitControlProcess waits until a control process has the complete endpoint list and the settings.
+// awaitControlProcess waits until a control process reports as many endpoints as the plan has, and settings.
 func (f *fleet) awaitControlProcess(ctx context.Context, control *controlProcess) error {
 	for {
 		status, ok := fetchRelayStatus(control.address)
@@ -97,7 +97,7 @@
 	}
 }
 
-// fetchRelayStatus asks a control process for its status; ok is false where it gave none.
+// fetchRelayStatus requests the status of a control process. ok is false if no valid status was returned.
 func fetchRelayStatus(address string) (status relayStatus, ok bool) {
 	client := http.Client{Timeout: statusTimeout}
 	answer, err := client.Get("http://" + address + "/relay/status")
--- a/internal/test/scaletest/corrupting_proxy.go
+++ b/internal/test/scaletest/corrupting_proxy.go
@@ -13,36 +13,36 @@
 	"sync"
 )
 
-// The ways in which answers are corrupted, as plans name them.
+// Kinds of corruption, under the names that plans use.
 const (
-	corruptGarbled    = "garbled"      // half an answer, then bytes that are no JSON
-	corruptOversized  = "oversized"    // larger than any answer may be
-	corruptOutOfOrder = "out-of-order" // entries in the wrong order, or an index that goes back
-	corruptReplayed   = "replayed"     // the last answer with entries from before the corruption
+	corruptGarbled    = "garbled"      // the first half of the answer, then bytes that are not JSON
+	corruptOversized  = "oversized"    // larger than readers accept
+	corruptOutOfOrder = "out-of-order" // entries in reverse order, or a lower index
+	corruptReplayed   = "replayed"     // the last answer with entries before the corruption began
 )
 
-// Corruptions are the values of Fault.CorruptAnswers besides the empty one.
+// Corruptions lists the non-empty values of Fault.CorruptAnswers.
 var Corruptions = []string{corruptGarbled, corruptOversized, corruptOutOfOrder, corruptReplayed}
 
-// paddingBytes is what is added to an answer to make it larger than any may be.
+// paddingBytes is the number of spaces added to an answer to make it larger than readers accept.
 const paddingBytes = 1 << 20
 
-// indexSetback is how far the index of an answer goes back that has too few entries to be out of order.
+// indexSetback is subtracted from the index of an answer that has fewer than two entries to reverse.
 const indexSetback = 2
 
-// corruptingProxy stands between members and a relay and corrupts answers of status 200. Its methods may be called by
-// any goroutine.
+// corruptingProxy is a reverse proxy between members and a relay that corrupts answers of status 200. Its methods are
+// safe for concurrent use.
 type corruptingProxy struct {
 	listener net.Listener
 	proxy    *httputil.ReverseProxy
 
 	mu           sync.Mutex
 	corruption   string            // one of Corruptions, or empty
-	savedAnswers map[string][]byte // by path: the last with entries while nothing was corrupted
-	corrupted    int               // answers since the latest corruption began
+	savedAnswers map[string][]byte // by path: the last answer with entries that was passed on unchanged
+	corrupted    int               // answers changed since the latest corruption began
 }
 
-// newCorruptingProxy opens a proxy before a relay, which passes everything on as it is.
+// newCorruptingProxy starts a proxy for a relay. Answers pass unchanged until setCorruption is called.
 func newCorruptingProxy(relay string) (*corruptingProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,8 @@
 
 func (p *corruptingProxy) close() { p.listener.Close() }
 
-// setCorruption sets how answers are corrupted from now on, and counts anew; empty passes them on and leaves the count.
+// setCorruption selects how answers are corrupted from now on and resets the count. An empty corruption passes answers
+// unchanged and keeps the count.
 func (p *corruptingProxy) setCorruption(corruption string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,14 +72,14 @@
 	}
 }
 
-// corruptedCount is how many answers have been corrupted since the latest corruption began.
+// corruptedCount returns how many answers have been changed since the latest corruption began.
 func (p *corruptingProxy) corruptedCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.corrupted
 }
 
-// modifyResponse replaces the body of an answer of status 200.
+// modifyResponse replaces the body of an answer of status 200 with the result of corrupt.
 func (p *corruptingProxy) modifyResponse(answer *http.Response) error {
 	if answer.StatusCode != http.StatusOK {
 		return nil
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// corrupt returns the body that a path's answer has instead.
+// corrupt returns the body to send instead of body, the relay's answer for path. Without a corruption, it returns the
+// body unchanged and saves it for replays if it has entries.
 func (p *corruptingProxy) corrupt(path string, body []byte) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +123,7 @@
 	return result
 }
 
-// countEntries is how many entries an answer has.
+// countEntries returns the number of entries in an answer.
 func countEntries(body []byte) int {
 	var answer struct {
 		Endpoints []json.RawMessage `json:"endpoints"`
@@ -130,8 +132,8 @@
 	return len(answer.Endpoints)
 }
 
-// reverseEntries returns an answer with its entries in reverse order or, where it has fewer than two, with an index
-// that goes back.
+// reverseEntries returns an answer with its entries in reverse order, or with its index lowered by indexSetback if it
+// has fewer than two entries.
 func reverseEntries(body []byte) []byte {
 	var answer map[string]json.RawMessage
 	if json.Unmarshal(body, &answer) != nil {
--- a/internal/test/scaletest/cost.go
+++ b/internal/test/scaletest/cost.go
@@ -1,18 +1,18 @@
 package scaletest
 
-// RoleCost is what the processes of a role spent between two instants. CPU is in shares of a core; bytes are those of
-// distribution alone for hosts, and those of all sockets and files but the log for other roles. All figures but
-// Processes and Members are of a process, or of a member of a host.
+// RoleCost is the resource usage of a role's processes between two instants. CPU is in shares of a core. Bytes count
+// only distribution for hosts, and all sockets and files except the log for other roles. All figures except Processes
+// and Members are for one process or, for hosts, for one member.
 type RoleCost struct {
 	Processes  int     `json:"processes"`
-	Members    int     `json:"members,omitempty"` // hollow coordinators of the hosts; 0 for other roles
+	Members    int     `json:"members,omitempty"` // hollow coordinators in the hosts; 0 for other roles
 	CPU        float64 `json:"cpu_share"`         // mean over the processes
-	CPUMax     float64 `json:"cpu_share_most"`    // of the process that spent most
-	CPUPeak    float64 `json:"cpu_share_peak"`    // of any process between any two samples
+	CPUMax     float64 `json:"cpu_share_most"`    // of the process with the highest value
+	CPUPeak    float64 `json:"cpu_share_peak"`    // highest of any process between two consecutive samples
 	KBPerS     float64 `json:"kb_per_s"`          // mean over the processes
-	KBPerSMax  float64 `json:"kb_per_s_most"`     // of the process that read and wrote most
-	KBPerSPeak float64 `json:"kb_per_s_peak"`     // of any process between any two samples
-	MemoryMB   float64 `json:"memory_mb"`         // resident at the end, mean over the processes
+	KBPerSMax  float64 `json:"kb_per_s_most"`     // of the process with the highest value
+	KBPerSPeak float64 `json:"kb_per_s_peak"`     // highest of any process between two consecutive samples
+	MemoryMB   float64 `json:"memory_mb"`         // resident size at the last sample, mean over the processes
 	// MemoryMBMax is the largest resident size of any process in any sample.
 	MemoryMBMax float64 `json:"memory_mb_most"`
 }
@@ -22,7 +22,8 @@
 	kbPerMB    = 1024
 )
 
-// add takes in the samples of one process, of which each of its members has an equal share. Fewer than two say nothing.
+// add adds the samples of one process, whose usage is divided equally among its members. It ignores a process with
+// fewer than two samples, which give no rate.
 func (c *RoleCost) add(samples []sample, members float64) {
 	if len(samples) < 2 {
 		return
@@ -44,7 +45,8 @@
 	}
 }
 
-// average turns the sums over all processes into means. It is to be called once, after the last add.
+// average turns the sums over all processes into means. Call it once, after the last add. It clears Members if there is
+// one member for each process.
 func (c *RoleCost) average() {
 	if c.Processes > 0 {
 		c.CPU /= float64(c.Processes)
@@ -56,8 +58,8 @@
 	}
 }
 
-// costRates returns each member's share of a core and KB a second between two samples of a process. A process that was
-// started again in between has spent what it has spent since that start.
+// costRates returns each member's share of a core and KB per second between two samples of a process. If a counter has
+// decreased, the process was restarted in between, and only its usage since the restart counts.
 func costRates(from, to sample, members float64) (cpu, kbPerS float64) {
 	seconds := to.at.Sub(from.at).Seconds()
 	spentCPU, bytes := to.CPU-from.CPU, to.Bytes-from.Bytes
--- a/internal/test/scaletest/fleet.go
+++ b/internal/test/scaletest/fleet.go
@@ -12,14 +12,14 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// Config says what a run is played with. Run does not check it.
+// Config holds the programs, files and environment of a run. Run does not validate it.
 type Config struct {
-	Dir      string    // existing folder for configurations and logs
-	Program  []string  // the program to run, with the arguments that come before its sub-command
-	Lab      []string  // a program that calls RunHost for HollowCommand, with the arguments before that
-	Env      []string  // environment of all processes, KEY=VALUE, besides this process's own
+	Dir      string    // existing folder for configuration files and logs
+	Program  []string  // the harepass program, with the arguments before its sub-command
+	Lab      []string  // a program that calls RunHost for HollowCommand, with the arguments before it
+	Env      []string  // KEY=VALUE, added to this process's environment for all processes
 	Settings []byte    // the site's settings, as JSON
-	Log      io.Writer // gets a line for each event of the run; nil discards them
+	Log      io.Writer // receives a line for each event of the run; nil discards them
 }
 
 // member is a coordinator, hollow or real.
@@ -29,14 +29,15 @@
 	zone    int
 	region  int
 	real    bool
-	address string // where a real one listens for clients; empty until it is started
-	host    int    // number of the host process of a hollow one
+	address string // where a real one listens for clients; empty until its first start
+	host    int    // number of a hollow one's host process
 }
 
 // traffic is how many bytes the members of a host have read and written since its start.
 type traffic struct{ read, written int64 }
 
-// fleet is everything that runs. One goroutine calls its methods, except those that take the lock themselves.
+// fleet holds all processes and fakes of a run. Its methods must be called from one goroutine, except those that lock
+// mu themselves.
 type fleet struct {
 	Config
 	plan              *Plan
@@ -55,20 +56,20 @@
 	hostProcesses   []*process          // by host number; nil until started
 	sources         [][]SourceSpec      // by region
 	clientPools     []*faultinjection.ClientPool
-	corruptingProxy *corruptingProxy // before the first relay; nil where no fault corrupts answers
+	corruptingProxy *corruptingProxy // in front of the first relay; nil if no fault corrupts answers
 
 	background        sync.WaitGroup // goroutines that end with the run's context; close waits for them
 	stopClientsOnce   sync.Once
-	settingsFileMutex sync.Mutex // locked while the settings file is written and the authority is told of it
+	settingsFileMutex sync.Mutex // held while the settings file is written and the authority is signalled to read it
 
 	mu              sync.Mutex
 	settingsNumber  int64                  // of the latest version of the settings
-	started         map[string][]time.Time // when a member's processes were started, by member
+	started         map[string][]time.Time // start times of each member's processes, by member
 	isolatedRegions map[int]bool
 	hostTraffic     map[string]traffic // by host process
 }
 
-// newFleet opens what runs in this process, and assigns members to zones and hosts.
+// newFleet starts the fakes that run in this process, and assigns members to zones and hosts.
 func newFleet(config Config, plan *Plan) (*fleet, error) {
 	f := &fleet{
 		Config: config, plan: plan,
@@ -112,11 +113,11 @@
 
 func regionName(region int) string { return fmt.Sprintf("r%d", region) }
 
-// pollInterval is the time between two looks at a condition that a run waits for.
+// pollInterval is the time between two checks of a condition that a run waits for.
 const pollInterval = 20 * time.Millisecond
 
-// wait waits for d. It returns an error where ctx has ended, or one that wraps ErrProcessFailed where a process has
-// exited by itself.
+// wait waits for d. It returns the context's error if ctx ends first, or an error that wraps ErrProcessFailed if a
+// process has exited unexpectedly.
 func (f *fleet) wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -125,14 +126,14 @@
 	}
 	for _, p := range f.processes() {
 		if !p.isRunning() && !p.endExpected.Load() {
-			return fmt.Errorf("%w: %s exited by itself: %v; see its log in %s",
+			return fmt.Errorf("%w: %s exited unexpectedly: %v; see its log in %s",
 				ErrProcessFailed, p.name, p.exitErr, f.Dir)
 		}
 	}
 	return nil
 }
 
-// waitUntil waits for an instant, with the errors of wait.
+// waitUntil waits until an instant and returns the same errors as wait.
 func (f *fleet) waitUntil(ctx context.Context, at time.Time) error {
 	for time.Now().Before(at) {
 		if err := f.wait(ctx, min(time.Until(at), time.Second)); err != nil {
@@ -162,8 +163,8 @@
 	return all
 }
 
-// close stops everything that was started. The run's context has to have ended before. Its error joins those of all
-// processes.
+// close stops everything that the fleet has started. The run's context must have ended before. The error joins those of
+// all processes.
 func (f *fleet) close() error {
 	f.stopClients()
 	all := f.processes()
--- a/internal/test/scaletest/hollow.go
+++ b/internal/test/scaletest/hollow.go
@@ -17,7 +17,7 @@
 	coordinator *core.Coordinator // nil without the decision module
 }
 
-// newHollow makes a member of a host. The settings are those that it has at its start.
+// newHollow creates a hollow coordinator for a host. Its decision module, if any, starts with the given settings.
 func newHollow(h *host, spec MemberSpec, settings json.RawMessage) (*hollow, error) {
 	m := &hollow{MemberSpec: spec, host: h}
 	if !spec.Module {
@@ -43,7 +43,8 @@
 	return m, err
 }
 
-// run follows until ctx ends. The decision module runs until the process exits.
+// run follows the endpoint list and the settings, or polls discovery for a member without distribution, until ctx ends.
+// The decision module runs until the process exits.
 func (m *hollow) run(ctx context.Context) {
 	if m.coordinator != nil {
 		go m.coordinator.Run()
--- a/internal/test/scaletest/hollow_baseline.go
+++ b/internal/test/scaletest/hollow_baseline.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// listMaxAge is the settings' ask_every_us in a run: how old an endpoint list may get before discovery is polled
-	// again.
+	// listMaxAge is the value of ask_every_us in a run's settings: the age at which a member polls discovery for a new
+	// endpoint list.
 	listMaxAge = 10 * time.Second
-	// pollStream tells the random draws of polls from others with a member's ordinal.
+	// pollStream separates the random numbers of polls from other streams that are seeded with a member's ordinal.
 	pollStream = 0x70616365
 )
 
-// followDiscovery polls discovery as a coordinator without distribution does, until ctx ends.
+// followDiscovery polls discovery until ctx ends, as a coordinator without distribution does.
 func (m *hollow) followDiscovery(ctx context.Context) {
 	known := platform.List{Index: m.KnownIndex, Endpoints: []platform.Endpoint{{Name: "known"}}}
 	discovery := platform.NewDiscovery(m.DiscoveryAddress, known)
@@ -43,8 +43,8 @@
 	discovery.Run(ctx)
 }
 
-// newestSequence is the sequence number of the newest change among some endpoints: changes carry theirs as the
-// instant of the endpoint's status, in milliseconds.
+// newestSequence returns the sequence number of the newest change among endpoints. The publisher stores the sequence
+// number of a change as the start time of the endpoint's status, in milliseconds.
 func newestSequence(endpoints []core.Endpoint) (sequence int64) {
 	for _, e := range endpoints {
 		sequence = max(sequence, e.StartedAt.Milliseconds())
--- a/internal/test/scaletest/hollow_follow.go
+++ b/internal/test/scaletest/hollow_follow.go
@@ -15,14 +15,14 @@
 	"harepass/internal/wire"
 )
 
-// newFollower returns what a member follows a resource with: check may reject entries, apply gets those that are
-// accepted.
+// newFollower returns a follower of a resource for a member. check may reject entries; apply receives the accepted
+// ones.
 func (m *hollow) newFollower(resource distribution.Path, check func([]versionlog.Entry) error,
 	apply func(distribution.Update)) *distribution.Follower {
 	config := distribution.Config{
 		Path: resource, Locality: failover.Locality{Zone: m.Zone, Region: m.Region}, Check: check, Apply: apply,
 		Heartbeat: m.Heartbeat, Dial: m.host.dial,
-		// The length of the path tells the draws of a member's two followers apart.
+		// The length of the path separates the random numbers of a member's two followers.
 		Rand: rand.New(rand.NewPCG(uint64(m.Ordinal), uint64(len(resource)))),
 	}
 	for _, s := range m.Sources {
@@ -32,8 +32,8 @@
 	return distribution.New(config)
 }
 
-// followList follows the endpoint list as a coordinator does until ctx ends, and passes it to the decision module where
-// there is one.
+// followList follows the endpoint list until ctx ends, as a coordinator does, and passes it to the decision module if
+// the member has one.
 func (m *hollow) followList(ctx context.Context) {
 	list := platform.NewRelayedList(platform.List{})
 	list.Listed = func(kind scatter.UpdateKind, endpoints []core.Endpoint) {
@@ -52,7 +52,7 @@
 	}).Run(ctx)
 }
 
-// followSettings follows the settings until ctx ends. A version that the decision module rejects leaves no record.
+// followSettings follows the settings until ctx ends. It records no version that applySettings rejects.
 func (m *hollow) followSettings(ctx context.Context) {
 	m.newFollower(distribution.Settings, nil, func(u distribution.Update) {
 		for _, entry := range u.Entries {
@@ -74,8 +74,8 @@
 	return wire.JSONSettings(body.Settings)
 }
 
-// applySettings puts a version of the settings in force and returns its number, as decodeSettingsNumber does; ok is
-// false where the version is rejected.
+// applySettings puts a version of the settings in force and returns the results of decodeSettingsNumber for it. ok is
+// false if the version cannot be parsed or the decision module rejects it.
 func (m *hollow) applySettings(entry versionlog.Entry) (number int64, consistent, ok bool) {
 	settings, limits, err := parseSettings(entry)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return number, consistent, true
 }
 
-// record notes the version that is now in force. It is complete only after the last of its slices: until then, entries
-// that have moved to a higher index are still to come.
+// record records the version that is now in force. The version is complete only after the last of its slices: before
+// that, entries that have moved to a higher index are still missing.
 func (m *hollow) record(resource Resource, u distribution.Update, number int64, mixed bool) {
 	version := u.Slice.Version
 	m.host.record(VersionRecord{
--- a/internal/test/scaletest/host.go
+++ b/internal/test/scaletest/host.go
@@ -14,12 +14,12 @@
 	"harepass/internal/http1"
 )
 
-// HollowCommand is the command of the program in Config.Lab that has to call RunHost.
+// HollowCommand is the sub-command for which the program in Config.Lab must call RunHost.
 const HollowCommand = "hollow"
 
-// HostSpec is what a host process reads from its standard input. The process ends when its input does.
+// HostSpec configures a host process, which reads it from standard input. The process ends when its input is closed.
 type HostSpec struct {
-	Settings json.RawMessage // as encodeSettings made them
+	Settings json.RawMessage // as encodeSettings returns them
 	Members  []MemberSpec
 }
 
@@ -30,15 +30,15 @@
 	FleetSize int // coordinators in all
 	Zone      string
 	Region    string
-	Module    bool // run the decision module as well
+	Module    bool // also run the decision module
 	Sources   []SourceSpec
-	Heartbeat time.Duration // how long a watch waits at most
+	Heartbeat time.Duration // longest wait of a watch
 
-	DiscoveryAddress string // set for a member without distribution, which has no Sources and follows no settings
-	KnownIndex       int64  // the index of the endpoint list that a member without distribution has at its start
+	DiscoveryAddress string // set only for a member without distribution, which uses no Sources or settings
+	KnownIndex       int64  // index of the endpoint list with which a member without distribution starts
 }
 
-// SourceSpec is a relay as a member reaches it.
+// SourceSpec describes a relay, with the address by which a member reaches it.
 type SourceSpec struct {
 	Address string
 	Zone    string
@@ -48,19 +48,19 @@
 const (
 	flushInterval     = 50 * time.Millisecond // between two writes of buffered records
 	trafficInterval   = time.Second           // between two lines of bytes read and written
-	trafficLinePrefix = "#bytes"              // begins a line of bytes read and written; no record begins with it
+	trafficLinePrefix = "#bytes"              // begins a line of bytes read and written; records never begin with it
 	recordBufferBytes = 64 << 10
 )
 
-// host runs hollow coordinators in one process, and writes their records and traffic.
+// host runs hollow coordinators in one process and writes their version records and traffic.
 type host struct {
 	mu            sync.Mutex
 	out           *bufio.Writer // under mu
-	read, written atomic.Int64  // bytes of all connections
+	read, written atomic.Int64  // bytes on all connections
 }
 
-// RunHost reads a HostSpec from in, runs its coordinators and writes their records to out, until in or ctx ends. It
-// is to be called once in a process, which has to exit afterwards: decision modules run until then.
+// RunHost reads a HostSpec from in, runs its coordinators and writes their records to out, until in or ctx ends. Call
+// it once per process and exit afterwards, because decision modules run until the process exits.
 func RunHost(ctx context.Context, in io.Reader, out io.Writer) error {
 	var spec HostSpec
 	if err := json.NewDecoder(in).Decode(&spec); err != nil {
@@ -76,7 +76,7 @@
 	for _, memberSpec := range spec.Members {
 		member, err := newHollow(h, memberSpec, spec.Settings)
 		if err != nil {
-			return fmt.Errorf("scaletest: %s: %w", memberSpec.Name, err)
+			return fmt.Errorf("scaletest: hollow coordinator %s: %w", memberSpec.Name, err)
 		}
 		go member.run(ctx)
 	}
@@ -84,7 +84,7 @@
 	return h.flush()
 }
 
-// report writes records and traffic at their intervals until ctx ends or nothing can be written any more.
+// report writes records and traffic at their intervals until ctx ends or a flush fails.
 func (h *host) report(ctx context.Context) {
 	flush, traffic := time.NewTicker(flushInterval), time.NewTicker(trafficInterval)
 	defer flush.Stop()
@@ -105,21 +105,21 @@
 	}
 }
 
-// flush writes what is buffered.
+// flush writes all buffered lines.
 func (h *host) flush() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.out.Flush()
 }
 
-// record buffers a member's record. Any goroutine may call it.
+// record buffers a member's version record. It is safe for concurrent use.
 func (h *host) record(r VersionRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.write(h.out)
 }
 
-// dial connects to an address and counts what the connection reads and writes.
+// dial connects to an address and counts the bytes that the connection reads and writes.
 func (h *host) dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := http1.Dialer(nil).Connect(ctx, address)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return countingConn{conn, h}, nil
 }
 
-// countingConn adds the bytes of a connection to its host's.
+// countingConn adds the bytes of a connection to its host's counters.
 type countingConn struct {
 	net.Conn
 	host *host
--- a/internal/test/scaletest/log_reader.go
+++ b/internal/test/scaletest/log_reader.go
@@ -11,16 +11,16 @@
 	"harepass/internal/logmsg"
 )
 
-// logReader makes version records of a real coordinator's log.
+// logReader extracts version records from a real coordinator's log.
 type logReader struct {
 	member           string
 	records          *records
-	retryAfterNumber int64 // the version of the settings by caps.max_retry_after_us, as the log last had it
-	keepAliveNumber  int64 // the version of the settings by caps.keepalive_us, as the log last had it
+	retryAfterNumber int64 // settings version by the last logged caps.max_retry_after_us
+	keepAliveNumber  int64 // settings version by the last logged caps.keepalive_us
 }
 
-// read reads lines until the log ends. After a line too long for the scanner it discards the rest, so that the process
-// which writes the log is not blocked.
+// read reads lines until the log ends. After a line too long for the scanner, it discards the rest of the log so that
+// the process that writes it does not block.
 func (l *logReader) read(log io.Reader) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
@@ -29,7 +29,7 @@
 	io.Copy(io.Discard, log)
 }
 
-// readLine takes what a line says of versions; other lines say nothing.
+// readLine processes a line about changed settings or a version in force, and ignores any other line.
 func (l *logReader) readLine(line string) {
 	switch {
 	case strings.Contains(line, logmsg.SettingsChanged):
@@ -44,7 +44,7 @@
 	}
 }
 
-// recordVersion adds the record of a version that came into force. A line without all of its numbers gives none.
+// recordVersion adds a record of a version that came into force. It ignores a line that lacks one of the numbers.
 func (l *logReader) recordVersion(line string) {
 	record := VersionRecord{Member: l.member, Resource: List, Complete: true}
 	if strings.Contains(line, logmsg.KeyResource+"="+distribution.Settings.ResourceName()) {
@@ -64,7 +64,7 @@
 	l.records.add(record)
 }
 
-// parseNumberAfter returns the decimal number that follows a key in a line; ok is false where there is none.
+// parseNumberAfter returns the decimal number that follows a key in a line. ok is false if there is none.
 func parseNumberAfter(line, key string) (number int64, ok bool) {
 	_, rest, found := strings.Cut(line, key)
 	if !found {
--- a/internal/test/scaletest/network.go
+++ b/internal/test/scaletest/network.go
@@ -10,8 +10,8 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// network is the links between regions: one for each pair of a region and a process outside of it that the region's
-// processes call. Where the plan says so, calls within a region go through links as well.
+// network holds the links between regions: one for each pair of a region and an external process that the region's
+// processes call. If the plan sets Links.WithinRegions, calls within a region also go through links.
 type network struct {
 	plan *Plan
 
@@ -25,7 +25,8 @@
 	from, to int // regions
 }
 
-// addressFrom returns the address by which processes of one region reach a process of another at its own address.
+// addressFrom returns the address that processes of region from use for the process at address in region to. It is the
+// address of a new link, or address itself for a direct connection within a region.
 func (n *network) addressFrom(from, to int, address string) (string, error) {
 	if from == to && !n.plan.Links.WithinRegions {
 		return address, nil
@@ -43,7 +44,7 @@
 	return link.Address(), nil
 }
 
-// linksOf returns the links that lead out of a region or into it.
+// linksOf returns the links between a region and all others, in both directions.
 func (n *network) linksOf(region int) (links []*regionLink) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,7 +56,8 @@
 	return links
 }
 
-// isolate stalls what is sent between a region and all others; inboundOnly stalls just what is sent into the region.
+// isolate stalls all data between a region and the others. With inboundOnly, it stalls only the data sent into the
+// region.
 func (n *network) isolate(region int, inboundOnly bool) {
 	for _, link := range n.linksOf(region) {
 		inbound, outbound := faultinjection.ToServer, faultinjection.ToClient
@@ -69,7 +71,8 @@
 	}
 }
 
-// heal ends the isolation of a region. Its connections break, like those to a machine that comes back after an outage.
+// heal ends the isolation of a region. It resets the region's connections, as connections to a machine break when the
+// machine returns after an outage.
 func (n *network) heal(region int) {
 	for _, link := range n.linksOf(region) {
 		link.Cut(faultinjection.ToServer, false)
@@ -78,8 +81,8 @@
 	}
 }
 
-// injectLoss stalls or breaks a random link between regions at the plan's interval until ctx ends. Links of regions for
-// which isIsolated is true are left alone.
+// injectLoss stalls a random link between regions, or resets its connections, at the plan's interval until ctx ends. It
+// skips links of regions for which isIsolated is true.
 func (n *network) injectLoss(ctx context.Context, rng *rand.Rand, isIsolated func(region int) bool) {
 	loss := n.plan.Links.Loss
 	if loss.Interval <= 0 {
@@ -109,7 +112,8 @@
 	}
 }
 
-// stall passes nothing in one direction for d. A region that has become isolated by then keeps its links stalled.
+// stall stalls the link in one direction for d. If one of the link's regions is isolated when d has passed, the link
+// stays stalled.
 func (l *regionLink) stall(direction faultinjection.Direction, d time.Duration, isIsolated func(region int) bool) {
 	l.Cut(direction, true)
 	time.AfterFunc(d, func() {
--- a/internal/test/scaletest/process.go
+++ b/internal/test/scaletest/process.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// role is what a process is in the fleet.
+// role is the function of a process in the fleet.
 type role string
 
-// The roles, as reports name them.
+// Roles, under the names that reports print.
 const (
 	roleAuthority   role = "authority"
 	roleRelay       role = "relay"
@@ -24,40 +24,40 @@
 	roleHost        role = "host of hollow coordinators"
 )
 
-// roles are all roles, in the order of reports.
+// roles lists all roles in the order of reports.
 var roles = []role{roleAuthority, roleRelay, roleCoordinator, roleHost}
 
-// stopTimeout is how long after SIGTERM a process that still runs is killed.
+// stopTimeout is how long after SIGTERM a process that is still running is killed.
 const stopTimeout = 10 * time.Second
 
-// process is a process that the run has started. What it writes to standard error is in a file.
+// process is a process that the run has started. Its standard error goes to a log file.
 type process struct {
 	name          string
 	role          role
 	cmd           *exec.Cmd
-	stdin         io.WriteCloser // nil unless its command needs it
-	exited        chan struct{}  // closed when the process has exited and its output has been read
-	exitErr       error          // of exec.Cmd.Wait; to be read once exited is closed
+	stdin         io.WriteCloser // nil unless command.needsStdin is set
+	exited        chan struct{}  // closed once the process has exited and its output has been read
+	exitErr       error          // from exec.Cmd.Wait; read it only after exited is closed
 	outputReaders sync.WaitGroup
 
 	logPath        string
-	logSizeAtStart int64       // bytes; a process that is started again appends to its log
-	endExpected    atomic.Bool // the run has begun to end the process
+	logSizeAtStart int64       // bytes; a restarted process appends to the same log
+	endExpected    atomic.Bool // set when the run begins to end the process
 }
 
-// command says how a process is started.
+// command describes how to start a process.
 type command struct {
 	name       string
 	role       role
 	args       []string        // the program and its arguments
-	env        []string        // KEY=VALUE, besides this process's own environment
+	env        []string        // KEY=VALUE, added to this process's environment
 	dir        string          // folder of the log
-	readStdout func(io.Reader) // reads standard output to its end; nil discards it
-	readStderr func(io.Reader) // reads standard error to its end, besides the log; nil for the log alone
+	readStdout func(io.Reader) // must read standard output to its end; nil discards it
+	readStderr func(io.Reader) // must read standard error, also logged, to its end; nil only logs it
 	needsStdin bool
 }
 
-// startProcess starts a process. The kernel kills it if this process exits without having stopped it.
+// startProcess starts a process. The kernel kills it if this process exits without stopping it.
 func startProcess(c command) (*process, error) {
 	p := &process{
 		name: c.name, role: c.role,
@@ -87,8 +87,8 @@
 	return p, nil
 }
 
-// awaitExit waits until the process has exited. exec.Cmd.Wait closes the pipes, so the output is read to its end
-// before.
+// awaitExit waits until the process has exited. It first waits until all output has been read, because exec.Cmd.Wait
+// closes the pipes.
 func (p *process) awaitExit(log io.Closer) {
 	p.outputReaders.Wait()
 	log.Close()
@@ -96,7 +96,7 @@
 	close(p.exited)
 }
 
-// openOutput starts the readers of what the process will write.
+// openOutput starts the readers of the process's standard output and standard error.
 func (p *process) openOutput(c command, log io.Writer) error {
 	if c.readStdout != nil {
 		stdout, err := p.cmd.StdoutPipe()
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// loggedBytes is how many bytes the process has written to its log.
+// loggedBytes returns how many bytes the process has written to its log since its start.
 func (p *process) loggedBytes() int64 {
 	info, err := os.Stat(p.logPath)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// signal sends a signal; the error is os.ErrProcessDone where the process has exited.
+// signal sends a signal to the process. The error is os.ErrProcessDone if the process has exited.
 func (p *process) signal(s syscall.Signal) error {
 	if !p.isRunning() {
 		return os.ErrProcessDone
@@ -153,14 +153,14 @@
 	<-p.exited
 }
 
-// stop sends SIGTERM and waits until the process has exited; after stopTimeout it kills the process. The error wraps
-// ErrProcessFailed where that was needed, or where the process exited with an error. A process that was killed before
-// is no error.
+// stop sends SIGTERM, waits until the process has exited, and kills it after stopTimeout. The error wraps
+// ErrProcessFailed if the process had to be killed or exited with an error. stop returns nil for a process that the run
+// has already ended.
 func (p *process) stop() error {
 	if p.endExpected.Swap(true) && !p.isRunning() {
 		return nil
 	}
-	p.signal(syscall.SIGCONT) // a paused process would not see SIGTERM
+	p.signal(syscall.SIGCONT) // a paused process does not handle SIGTERM
 	p.signal(syscall.SIGTERM)
 	if p.stdin != nil {
 		p.stdin.Close()
--- a/internal/test/scaletest/process_usage.go
+++ b/internal/test/scaletest/process_usage.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of times in /proc/stat and /proc/PID/stat.
+// ticksPerSecond is the number of clock ticks per second in /proc/stat and /proc/PID/stat.
 const ticksPerSecond = 100
 
-// Positions in /proc/PID/stat after the process's name.
+// Indexes of fields in /proc/PID/stat, counted from 0 after the process's name.
 const (
 	statUserTicks   = 11
 	statSystemTicks = 12
 )
 
-// Usage is what a process has spent since its start.
+// Usage is the resource usage of a process since its start.
 type Usage struct {
 	CPU        time.Duration // user and system time of all threads
-	ResidentKB int           // resident size at present
-	Bytes      int64         // read and written, by sockets and files alike
+	ResidentKB int           // current resident size
+	Bytes      int64         // read and written, on sockets and files together
 }
 
-// readUsage reads what the system says of a process. The error wraps ErrUnreadableUsage where that cannot be
-// understood.
+// readUsage reads a process's resource usage from /proc. The error wraps ErrUnreadableUsage if its stat file has an
+// unknown format.
 func readUsage(pid int) (u Usage, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
 	}
-	_, rest, found := strings.Cut(string(stat), ") ") // the name before it may contain spaces
+	_, rest, found := strings.Cut(string(stat), ") ") // the process's name before it may contain spaces
 	fields := strings.Fields(rest)
 	if !found || len(fields) <= statSystemTicks {
 		return u, fmt.Errorf("%w: /proc/%d/stat", ErrUnreadableUsage, pid)
@@ -45,8 +45,8 @@
 	return u, nil
 }
 
-// readMachineBusy reads how long all processors together have been busy since the machine started. The error wraps
-// ErrUnreadableUsage where what the system says cannot be understood.
+// readMachineBusy returns the total busy time of all processors since the machine started. The error wraps
+// ErrUnreadableUsage if /proc/stat has an unknown format.
 func readMachineBusy() (time.Duration, error) {
 	stat, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -60,7 +60,8 @@
 	return time.Duration(user+nice+system+irq+softirq) * time.Second / ticksPerSecond, nil
 }
 
-// readProcField reads a number from a file of a process; 0 where it is not there.
+// readProcField reads the number after a field's name in a /proc file of a process. It returns 0 if the file or the
+// field is missing.
 func readProcField(pid int, file, name string) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, file))
 	if err != nil {
--- a/internal/test/scaletest/propagation_test.go
+++ b/internal/test/scaletest/propagation_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// A change comes into force at one member after four seconds, while another member is started only later. The delay
-// counts from the publishing until the version is complete, from the end of an isolation for a member behind one, and
-// not at all for the member that was started later. A change that nobody has is counted as never in force.
+// A change comes into force at one member after four seconds; another member is started only after the change was
+// published. The delay counts from the publishing until the version is complete, or from the end of the isolation for
+// an isolated member. The member that was started later is not measured. A change that no running member has counts as
+// never in force.
 func TestDelayCountsFromPublishingOrEndOfIsolation(t *testing.T) {
 	f, began := newSmallFleet(t)
 	partial := listRecord("c0", began.Add(1100*time.Millisecond), 1, 4)
@@ -20,16 +21,16 @@
 	change := Publication{Resource: List, Index: 4, At: began.Add(time.Second)}
 	got := delays.measure([]Publication{change}, f.members)
 	if got.Samples != 1 || got.Max != Seconds(4*time.Second) || got.Never != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("summary %+v, want one sample of 4s and none never in force", got)
 	}
 	delays.isolations = []*faultRun{{
 		begin: began.Add(500 * time.Millisecond), end: began.Add(4500 * time.Millisecond), isolatedRegion: 0,
 	}}
 	if got := delays.measure([]Publication{change}, f.members); got.Max != Seconds(500*time.Millisecond) {
-		t.Errorf("behind an isolation: %+v", got)
+		t.Errorf("isolated member: summary %+v, want a max of 500ms", got)
 	}
 	change.Index = 6
 	if got := delays.measure([]Publication{change}, f.members); got.Samples != 0 || got.Never != 1 {
-		t.Errorf("a change that nobody has: %+v", got)
+		t.Errorf("change that no member has: summary %+v, want no sample and one never in force", got)
 	}
 }
--- a/internal/test/scaletest/publisher.go
+++ b/internal/test/scaletest/publisher.go
@@ -8,10 +8,10 @@
 	"harepass/internal/test/fake"
 )
 
-// Resource is what is distributed in versions.
+// Resource is a resource whose versions are distributed to the members.
 type Resource string
 
-// The resources.
+// Resources that a run publishes.
 const (
 	List     Resource = "list" // the endpoint list
 	Settings Resource = "settings"
@@ -20,29 +20,29 @@
 // Publication is a change of a resource as its source published it.
 type Publication struct {
 	Resource Resource
-	// Sequence tells a change from all others of its resource and rises with each. The endpoint list carries it as the
-	// changed endpoints' since_ms, the settings as the number of their version.
+	// Sequence identifies a change of its resource and increases with each change. The endpoint list carries it as
+	// since_ms of the changed endpoints, the settings as the number of their version.
 	Sequence      int64
 	At            time.Time
 	EndpointNames []string // the endpoints that changed; empty for the settings
-	Status        string   // of these endpoints from here on; empty for the settings
-	Index         int64    // which the authority gave to the change; 0 until that is known
+	Status        string   // new status of these endpoints; empty for the settings
+	Index         int64    // assigned to the change by the authority; 0 until it is known
 }
 
-// publisher changes the endpoint list and records all changes of both resources. Its methods may be called by any
-// goroutine.
+// publisher changes the endpoint list and records all changes of both resources. Its methods are safe for concurrent
+// use.
 type publisher struct {
 	registry *Registry
 
 	mu              sync.Mutex
-	endpoints       []fake.Endpoint        // in their present state
+	endpoints       []fake.Endpoint        // in their current state
 	lastSequence    int64                  // of the endpoint list
-	publications    []*Publication         // in the order of publishing
+	publications    []*Publication         // in publishing order
 	endpointChanges map[int64]*Publication // by sequence number
 	settingsChanges map[int64]*Publication // by sequence number
 }
 
-// newPublisher returns a publisher whose registry has some endpoints, as its first version.
+// newPublisher returns a publisher whose registry initially lists the given endpoints.
 func newPublisher(endpoints []fake.Endpoint) *publisher {
 	return &publisher{
 		registry: NewRegistry(endpoints), endpoints: endpoints,
@@ -50,7 +50,7 @@
 	}
 }
 
-// publishStatus gives some endpoints, by number, a status and a new start, all at one instant.
+// publishStatus publishes a status with a new start time for the endpoints with the given numbers, all at one instant.
 func (p *publisher) publishStatus(status string, numbers ...int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +69,7 @@
 	p.registry.Put(changed...)
 }
 
-// publishSettings records a version of the settings that is about to be given to the authority.
+// publishSettings records a version of the settings as published. Call it just before the authority reads the version.
 func (p *publisher) publishSettings(number int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,15 +78,15 @@
 	p.settingsChanges[number] = publication
 }
 
-// status returns the present status of an endpoint, by number.
+// status returns the current status of the endpoint with the given number.
 func (p *publisher) status(number int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[number].Status
 }
 
-// recordIndex notes the index that the authority gave to an entry of the change with a sequence number. The change
-// itself has the highest index of its entries.
+// recordIndex records the index that the authority gave to an entry of the change with the given sequence number. The
+// change itself gets the highest index of its entries.
 func (p *publisher) recordIndex(resource Resource, sequence, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// recordRemovalIndex notes the index that the authority gave to the removal of an endpoint. A removal carries no
-// sequence number, so it belongs to the latest change that ended an endpoint of its name.
+// recordRemovalIndex records the index that the authority gave to the removal of an endpoint. A removal carries no
+// sequence number, so it is matched to the latest change that terminated an endpoint with this name.
 func (p *publisher) recordRemovalIndex(name string, index int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// published returns the changes so far, in the order of publishing.
+// published returns a copy of all changes so far, in publishing order.
 func (p *publisher) published() []Publication {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/test/scaletest/real_coordinator.go
+++ b/internal/test/scaletest/real_coordinator.go
@@ -8,8 +8,7 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// startReal starts a process of the program that follows the relays. A member that is started again has its address
-// again.
+// startReal starts a real coordinator that follows the relays. A member that is started again keeps its address.
 func (f *fleet) startReal(m *member) error {
 	if m.address == "" {
 		var err error
@@ -41,7 +40,7 @@
 	return nil
 }
 
-// writeDistribution writes the file of the relays that a coordinator may follow.
+// writeDistribution writes the file that lists the relays a coordinator may follow.
 func (f *fleet) writeDistribution(m *member) (path string, err error) {
 	file := distributionFile{Zone: zoneName(m.zone), Region: regionName(m.region), Heartbeat: f.plan.Heartbeat}
 	for _, source := range f.sources[m.region] {
--- a/internal/test/scaletest/registry.go
+++ b/internal/test/scaletest/registry.go
@@ -12,33 +12,33 @@
 	"harepass/internal/test/fake"
 )
 
-// Registry is discovery at a cost: the one source of the endpoint list. It serves calls that have a change to give one
-// after another, and rejects those that would wait for too long; a watch that has none costs it nothing. Endpoints that
-// have ended leave the complete list. Its methods may be called by any goroutine.
+// Registry is a fake of discovery with limited capacity. It serves calls that return a change one after another, and
+// rejects those that would wait too long; a watch that returns no change takes no capacity. The complete list omits
+// terminated endpoints. The methods are safe for concurrent use.
 //
-// It differs from fake.Registry, which serves all calls at once, keeps ended endpoints, and can be made to fail.
+// In contrast, fake.Registry serves all calls at once, keeps terminated endpoints, and can be made to fail.
 type Registry struct {
-	CallDuration time.Duration // how long a call that has a change takes; set before Serve
-	MaxWait      time.Duration // a call that would wait longer before it is served fails with 503; 0 for no bound
+	CallDuration time.Duration // service time of a call that returns a change; set before Serve
+	MaxWait      time.Duration // a call that would wait longer for service fails with 503; 0 for no bound
 
 	mu           sync.Mutex
 	endpoints    map[string]fake.Endpoint
-	changedNames []string      // the endpoint that changed with each version, from 1 on
+	changedNames []string      // name of the endpoint that changed in each version, from version 1
 	changed      chan struct{} // closed and replaced at each change
-	snapshot     []byte        // the complete list in its latest version; nil where it has to be made
-	idleAt       time.Time     // when the calls that were accepted are served
+	snapshot     []byte        // encoded complete list in its latest version; nil until encoded
+	idleAt       time.Time     // when all accepted calls will have been served
 	servedCalls  int
 	failedCalls  int
 }
 
-// NewRegistry returns a registry that lists some endpoints.
+// NewRegistry returns a registry that lists the given endpoints.
 func NewRegistry(endpoints []fake.Endpoint) *Registry {
 	r := &Registry{endpoints: map[string]fake.Endpoint{}, changed: make(chan struct{})}
 	r.Put(endpoints...)
 	return r
 }
 
-// Put adds endpoints or changes them, all at one instant. Each is a version of its own.
+// Put adds or changes endpoints, all at one instant. Each endpoint creates a new version.
 func (r *Registry) Put(endpoints ...fake.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,27 +51,28 @@
 	r.changed = make(chan struct{})
 }
 
-// Index is the list's latest version.
+// Index returns the latest version of the list.
 func (r *Registry) Index() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.index()
 }
 
-// index is the list's latest version. It is to be called under the lock.
+// index returns the latest version of the list. The caller must hold the lock.
 func (r *Registry) index() int64 { return int64(len(r.changedNames)) }
 
-// CallCounts is how many calls were given changes, and how many failed since they would have waited for too long.
+// CallCounts returns how many calls were accepted for service with changes or the complete list, and how many failed
+// because they would have waited too long.
 func (r *Registry) CallCounts() (served, failed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.servedCalls, r.failedCalls
 }
 
-// Serve answers calls until the listener is closed, which gives the error.
+// Serve answers calls until the listener is closed, and returns the resulting error.
 func (r *Registry) Serve(l net.Listener) error { return http.Serve(l, http.HandlerFunc(r.handlePoll)) }
 
-// handlePoll answers a call once there is a change or its wait is over.
+// handlePoll answers a call once there is a change or the call's wait has elapsed.
 func (r *Registry) handlePoll(w http.ResponseWriter, req *http.Request) {
 	poll := fake.ParsePoll(req)
 	if !r.await(req.Context(), poll.From, poll.Wait) {
@@ -85,7 +86,8 @@
 	w.Write(r.encode(poll.From))
 }
 
-// await waits until there is a change since a version or the wait is over. It reports false where the caller has left.
+// await waits until there is a change since version from or the wait has elapsed. It returns false if the caller has
+// disconnected.
 func (r *Registry) await(ctx context.Context, from int64, wait time.Duration) bool {
 	waitOver := time.NewTimer(wait)
 	defer waitOver.Stop()
@@ -106,15 +108,15 @@
 	}
 }
 
-// hasChanges reports whether there is a change since a version.
+// hasChanges reports whether there is a change since version from.
 func (r *Registry) hasChanges(from int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return from < r.index()
 }
 
-// awaitService waits until the call is served, after those before it. It reports false where the call would have had to
-// wait for more than MaxWait before that; it has then waited for MaxWait.
+// awaitService waits until the call is served, after all earlier calls. If the call would have to wait for more than
+// MaxWait before its service begins, awaitService returns false after MaxWait.
 func (r *Registry) awaitService(ctx context.Context) bool {
 	wait, accepted := r.schedule()
 	if wait > 0 {
@@ -126,7 +128,8 @@
 	return accepted
 }
 
-// schedule returns how long a call that has just arrived waits until it is served, or until it fails.
+// schedule returns how long a call that has just arrived waits until it is served, or until it fails, and whether it is
+// accepted.
 func (r *Registry) schedule() (wait time.Duration, accepted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,8 +147,8 @@
 	return r.idleAt.Sub(now), true
 }
 
-// encode returns the answer to a caller who has a version: what has changed since, or the complete list where the
-// version is not one of this registry's.
+// encode returns the answer to a caller that has version from: the endpoints that have changed since then, or the
+// complete list if this registry has no such version.
 func (r *Registry) encode(from int64) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/test/scaletest/replicas.go
+++ b/internal/test/scaletest/replicas.go
@@ -11,31 +11,31 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// The replicas that answer have the first ring positions to themselves. Clients query only the shards whose holders
-// are all among them, so that no part goes to an endpoint that does not answer.
+// The first ring positions are reserved for the replicas that answer. Clients query only shards whose holders are all
+// at these positions, so that no part is sent to an endpoint that does not answer.
 const (
-	// replicationFactor is how many ring positions hold a shard.
+	// replicationFactor is the number of ring positions that hold a shard.
 	replicationFactor = 3
-	// maxReplicaPositions is how many ring positions the replicas that answer have at most.
+	// maxReplicaPositions limits the number of ring positions of the replicas that answer.
 	maxReplicaPositions = 12
-	// minReplicasForClients is how many replicas it takes for a shard that they alone hold.
+	// minReplicasForClients is the number of replicas needed for a shard that is held only by replicas that answer.
 	minReplicasForClients = 2*replicationFactor - 1
 
-	// partDuration is how long a replica takes for a part.
+	// partDuration is how long a replica takes to answer a part.
 	partDuration = 2 * time.Millisecond
 	// unreachableAddress is the address of endpoints that do not answer.
 	unreachableAddress = "127.0.0.1:1"
-	// drainGrace is how long after it has been notified of a drain a coordinator may still send to the replica, by the
-	// platform's rules.
+	// drainGrace is how long a coordinator may still send to a replica after it was notified of the replica's drain,
+	// according to the platform's rules.
 	drainGrace = time.Second
-	// drainSlack is added to drainGrace for delays on the way between a coordinator and the record of the part.
+	// drainSlack is added to drainGrace for delays between a coordinator's sending of a part and its record here.
 	drainSlack = 50 * time.Millisecond
 
-	// nameFactor spreads the numbers of endpoints over all names.
+	// nameFactor spreads the names of endpoints, which derive from their numbers, over all 32-bit values.
 	nameFactor = 2654435761
 )
 
-// makeEndpoints returns a fleet's endpoint list: first the replicas that answer, at their addresses.
+// makeEndpoints returns a fleet's endpoint list. The replicas that answer, at the given addresses, come first.
 func makeEndpoints(plan *Plan, addresses []string) []fake.Endpoint {
 	replicaPositions := plan.replicaPositions()
 	otherPositions := max(1, plan.ringSize()-replicaPositions)
@@ -55,24 +55,24 @@
 	return endpoints
 }
 
-// receivedPart is a part that reached a replica while the list's source said that it takes none.
+// receivedPart is a part that reached a replica while the publisher listed the replica as out of service.
 type receivedPart struct {
 	Member  string // the sender
 	Replica int
 	At      time.Time
 }
 
-// replicas are the fakes of replicas that answer, and what they have received. Its methods may be called by any
-// goroutine.
+// replicas holds the fake replicas that answer, and records the parts that they receive. Its methods are safe for
+// concurrent use.
 type replicas struct {
 	listeners []net.Listener // by replica
 
 	mu                    sync.Mutex
-	queries               map[string]struct{} // queries of which some part was received, by id
-	unavailable           map[int]bool        // replicas that take no parts, as the list's source says
+	queries               map[string]struct{} // ids of queries of which any part was received
+	unavailable           map[int]bool        // replicas that the publisher lists as out of service
 	partsWhileUnavailable []receivedPart
 	partCount             int
-	memberByOrigin        map[string]string // members by the origin in their queries' ids
+	memberByOrigin        map[string]string // member for each origin in query ids
 }
 
 // openReplicas starts count replicas and returns their addresses.
@@ -103,7 +103,7 @@
 	}
 }
 
-// recordPart notes a part that reached a replica.
+// recordPart records a part that reached a replica.
 func (r *replicas) recordPart(replica int, id string) {
 	query, _, _ := strings.Cut(id, ".")
 	r.mu.Lock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// memberOf returns the member to which a query was sent. It is to be called under the lock.
+// memberOf returns the member to which a query was sent. The caller must hold the lock.
 func (r *replicas) memberOf(query string) string {
 	for origin, member := range r.memberByOrigin {
 		if strings.Contains(query, "-"+origin+"-") {
@@ -126,14 +126,14 @@
 	return "unknown member"
 }
 
-// parts is how many parts were received.
+// parts returns the number of received parts.
 func (r *replicas) parts() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.partCount
 }
 
-// hasReceived reports whether some part of a query was received.
+// hasReceived reports whether any part of a query was received.
 func (r *replicas) hasReceived(query string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,7 +141,8 @@
 	return received
 }
 
-// setAvailable notes whether some replicas take parts, as the list's source says. They answer in either case.
+// setAvailable records whether the publisher lists the replicas with the given numbers as in service. They answer in
+// either case.
 func (r *replicas) setAvailable(available bool, numbers ...int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,7 +151,7 @@
 	}
 }
 
-// openClients starts the clients of a member, which query the shards that only these replicas hold.
+// openClients starts the clients of a member, which query only shards whose holders are all replicas that answer.
 func (r *replicas) openClients(
 	plan *Plan, settings []byte, member, address string,
 ) (*faultinjection.ClientPool, error) {
--- a/internal/test/scaletest/report.go
+++ b/internal/test/scaletest/report.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// printMachine writes a line for the machine's load in each phase.
+// printMachine writes a line with the machine's load for each phase.
 func (r *Result) printMachine(w io.Writer) {
 	for _, phase := range []struct{ key, name string }{
 		{phaseStarting, "starting"}, {phaseUndisturbed, "undisturbed"}, {phaseDuringFaults, "during faults"},
--- a/internal/test/scaletest/result.go
+++ b/internal/test/scaletest/result.go
@@ -5,38 +5,38 @@
 	"os"
 )
 
-// The phases of a run, as Result.Machine has them.
+// Phases of a run, as the keys of Result.Machine.
 const (
-	phaseStarting     = "starting" // from the start of the members until each has endpoint list and settings
-	phaseUndisturbed  = "calm"     // from then on, after the clients have settled, until the first fault
+	phaseStarting     = "starting" // from the start of the members until each has both resources
+	phaseUndisturbed  = "calm"     // from settleAfterStart after the clients' start until the first fault
 	phaseDuringFaults = "troubled" // from the first fault on
 )
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Plan         string                 `json:"plan"`
 	Sizes        Sizes                  `json:"sizes"`
 	Started      DelaySummary           `json:"started"`  // from a member's start until it had both resources
-	List         DelaySummary           `json:"list"`     // of the endpoint list, away from faults
-	Settings     DelaySummary           `json:"settings"` // of the settings, away from faults
+	List         DelaySummary           `json:"list"`     // of endpoint list changes that no fault affected
+	Settings     DelaySummary           `json:"settings"` // of settings changes that no fault affected
 	Faults       []FaultDelays          `json:"troubles,omitempty"`
 	Violations   Violations             `json:"broken"`
-	Undisturbed  map[role]RoleCost      `json:"calm,omitempty"`    // before the first fault
-	Starting     map[role]RoleCost      `json:"starting"`          // while all members started
+	Undisturbed  map[role]RoleCost      `json:"calm,omitempty"`    // from settling until the first fault
+	Starting     map[role]RoleCost      `json:"starting"`          // until all members have both resources
 	DuringFaults map[role]RoleCost      `json:"troubled"`          // from the first fault on
 	Machine      map[string]MachineLoad `json:"machine,omitempty"` // by phase
 	Requests     map[string]int         `json:"requests"`          // of the clients, by outcome
-	Parts        int                    `json:"parts"`             // that reached replicas
-	Ratio        *Ratio                 `json:"ratio,omitempty"`   // nil where the plan bounds none
+	Parts        int                    `json:"parts"`             // parts that reached replicas
+	Ratio        *Ratio                 `json:"ratio,omitempty"`   // nil without a bound, or if a real cost is 0
 	Baseline     []BaselineResult       `json:"baseline,omitempty"`
-	// UnobservedChanges are those to which the authority gave no index: a later change overtook them on their way
-	// there.
+	// UnobservedChanges counts the changes to which the authority gave no index, because a later change replaced them
+	// before they reached the authority.
 	UnobservedChanges int      `json:"unseen_changes"`
 	MissedBounds      []string `json:"missed"`  // a sentence for each missed bound and each broken rule
 	Seconds           float64  `json:"seconds"` // duration of the whole run
 }
 
-// Sizes are what a run was made of.
+// Sizes are the sizes of a run's fleet.
 type Sizes struct {
 	Coordinators     int `json:"coordinators"`
 	RealCoordinators int `json:"real"`
@@ -49,13 +49,14 @@
 	Zones            int `json:"zones"`
 }
 
-// FaultDelays are the delays of the changes that were published in a fault, and of the first one after its end.
+// FaultDelays summarizes the delays of the changes that were published during a fault, and of the first endpoint list
+// change after its end.
 type FaultDelays struct {
 	Description      string       `json:"what"`
-	At               float64      `json:"at_s"`      // seconds since the run's beginning
+	At               float64      `json:"at_s"`      // seconds from the run's start to the fault's beginning
 	List             DelaySummary `json:"list"`      // of the endpoint list, to members that were not isolated
 	Settings         DelaySummary `json:"settings"`  // of the settings, to members that were not isolated
-	Recovered        DelaySummary `json:"recovered"` // of the first endpoint list change after the end, to all members
+	Recovered        DelaySummary `json:"recovered"` // of the first list change after the end, to all members
 	CorruptedAnswers int          `json:"spoilt_answers,omitempty"`
 }
 
@@ -65,17 +66,17 @@
 	Bytes float64 `json:"bytes"`
 }
 
-// BaselineResult is what one play of the fleet without distribution measured.
+// BaselineResult holds the measurements of one run of the fleet without distribution.
 type BaselineResult struct {
-	CallDuration Seconds      `json:"turn_s"` // how long discovery took for a call with a change
+	CallDuration Seconds      `json:"turn_s"` // service time of a discovery call with a change
 	List         DelaySummary `json:"list"`
 	ServedCalls  int          `json:"calls_answered"`
-	FailedCalls  int          `json:"calls_failed"` // calls that discovery rejected after MaxWait
+	FailedCalls  int          `json:"calls_failed"` // calls that discovery rejected because of MaxWait
 	Cost         RoleCost     `json:"spent"`        // of a hollow coordinator
 	KBPerS       float64      `json:"kb_per_s"`     // of all coordinators together
 }
 
-// Write writes the result as JSON into a file.
+// Write writes the result to a file as JSON.
 func (r *Result) Write(file string) error {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
--- a/internal/test/scaletest/sampler.go
+++ b/internal/test/scaletest/sampler.go
@@ -11,19 +11,20 @@
 // sampleInterval is the time between two samples of each process.
 const sampleInterval = time.Second
 
-// sample is what a process had spent at an instant.
+// sample is the resource usage of a process since its start, at an instant.
 type sample struct {
 	at time.Time
 	Usage
 }
 
-// machineSample is how long the machine's processors, and this run on them, had been busy at an instant.
+// machineSample is the CPU time that the machine since its start, and this run as part of it, had used at an
+// instant.
 type machineSample struct {
 	at        time.Time
 	busy, own time.Duration
 }
 
-// sampler samples what all processes spend. Its methods may be called by any goroutine.
+// sampler samples the resource usage of all processes. Its methods are safe for concurrent use.
 type sampler struct {
 	fleet *fleet
 
@@ -32,10 +33,10 @@
 	roles          map[string]role     // by process
 	machineSamples []machineSample
 	lastCPU        map[string]time.Duration // each process's CPU time at its last sample
-	ownCPU         time.Duration            // CPU time of all processes of the run, those that have exited included
+	ownCPU         time.Duration            // CPU time of all processes of the run, including those that have exited
 }
 
-// newSampler returns a sampler of a fleet's processes.
+// newSampler returns a sampler for the processes of a fleet.
 func newSampler(f *fleet) *sampler {
 	return &sampler{
 		fleet: f, samples: map[string][]sample{}, roles: map[string]role{}, lastCPU: map[string]time.Duration{},
@@ -57,8 +58,8 @@
 	}
 }
 
-// sampleProcesses takes one sample of each process. A host's bytes are those that its members have counted; the bytes
-// of other processes are those that the system has counted, without their logs.
+// sampleProcesses takes one sample of each process. The bytes of a host are those counted by its members; the bytes of
+// other processes are those counted by the operating system, without their logs.
 func (s *sampler) sampleProcesses() {
 	for _, p := range s.fleet.processes() {
 		usage, err := readUsage(p.pid())
@@ -78,8 +79,8 @@
 	}
 }
 
-// addOwnCPU adds the CPU time that a process has spent since its last sample. The time of one that was started again
-// begins at zero. It is to be called under the lock.
+// addOwnCPU adds the CPU time that a process has used since its last sample. A lower CPU time than at the last sample
+// means that the process was restarted, and counts from zero. The caller must hold the lock.
 func (s *sampler) addOwnCPU(process string, cpu time.Duration) {
 	if last := s.lastCPU[process]; cpu >= last {
 		s.ownCPU += cpu - last
@@ -89,7 +90,7 @@
 	s.lastCPU[process] = cpu
 }
 
-// sampleMachine takes one sample of the machine. This process counts as one of the run's.
+// sampleMachine takes one sample of the machine. It counts this process as part of the run.
 func (s *sampler) sampleMachine() {
 	busy, err := readMachineBusy()
 	self, selfErr := readUsage(os.Getpid())
@@ -102,14 +103,15 @@
 	s.machineSamples = append(s.machineSamples, machineSample{time.Now(), busy, s.ownCPU})
 }
 
-// MachineLoad is how much of the machine was in use, by the run and by whatever else ran on it.
+// MachineLoad is the number of the machine's cores in use, by the run and by all processes together.
 type MachineLoad struct {
-	Cores int     `json:"cores"`      // that the machine has
-	Busy  float64 `json:"busy_cores"` // in use by anything
-	Own   float64 `json:"own_cores"`  // in use by the run
+	Cores int     `json:"cores"`      // number of cores of the machine
+	Busy  float64 `json:"busy_cores"` // cores in use by all processes
+	Own   float64 `json:"own_cores"`  // cores in use by the run
 }
 
-// machineLoad is the mean load between two instants; without two samples in between it is zero.
+// machineLoad returns the mean load between two instants. With fewer than two samples in between, the cores in use are
+// zero.
 func (s *sampler) machineLoad(from, to time.Time) MachineLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,8 +131,8 @@
 	return load
 }
 
-// roleCost sums up the samples of a role between two instants. What a process spent is divided by its membersOf,
-// which is at least 1.
+// roleCost summarizes the samples of a role between two instants. The usage of a process is divided by its number of
+// members, which membersOf returns; a result below 1 divides by 1.
 func (s *sampler) roleCost(of role, from, to time.Time, membersOf func(process string) int) RoleCost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +149,7 @@
 	return total
 }
 
-// samplesBetween returns the samples from one instant to another.
+// samplesBetween returns the samples from one instant to another, both included.
 func samplesBetween(samples []sample, from, to time.Time) (selected []sample) {
 	for _, x := range samples {
 		if !x.at.Before(from) && !x.at.After(to) {
@@ -157,7 +159,7 @@
 	return selected
 }
 
-// hostBytes is how many bytes the members of a host have read and written.
+// hostBytes returns how many bytes the members of a host have read and written.
 func (f *fleet) hostBytes(host string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/test/scaletest/settings.go
+++ b/internal/test/scaletest/settings.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Each version of the settings carries its number in two settings that different parts of the program put in force. A
-// coordinator that has different numbers there has settings of two versions in force.
+// Each version of the settings carries its number in two settings that different parts of the program put in force. If
+// the two numbers differ in a coordinator, it has settings of two versions in force.
 const (
 	retryAfterBase = time.Second      // caps.max_retry_after_us of version 0; version n has n microseconds more
 	keepAliveBase  = 30 * time.Second // caps.keepalive_us of version 0; version n has n microseconds more
 )
 
-// unreachableQuota is a tenant's quota, in queries a second, that the clients of no run reach.
+// unreachableQuota is a tenant's quota, in queries per second, that the clients of a run never reach.
 const unreachableQuota = 10_000_000
 
-// encodeSettings returns a version of the settings for a fleet: those of the site, with the plan's ring, the fleet's
-// size and the version's number. The error wraps ErrInvalidSettings where the site's lack an object that is changed.
+// encodeSettings returns a version of the settings for a fleet: the site's settings with the plan's ring, the fleet
+// size, listMaxAge, unreachableQuota and the version's number. The error wraps ErrInvalidSettings if the site's
+// settings lack an object that is changed.
 func encodeSettings(site json.RawMessage, plan *Plan, number int64) ([]byte, error) {
 	var settings map[string]any
 	if err := json.Unmarshal(site, &settings); err != nil {
@@ -27,7 +28,7 @@
 	caps, _ := settings["caps"].(map[string]any)
 	rules, _ := settings["rules"].(map[string]any)
 	if family == nil || caps == nil || rules == nil {
-		return nil, fmt.Errorf("%w: no family_info, no caps or no rules", ErrInvalidSettings)
+		return nil, fmt.Errorf("%w: family_info, caps and rules must each be an object", ErrInvalidSettings)
 	}
 	settings["balancers"], settings["me"], settings["discovery"] = plan.Coordinators, 0, "ask"
 	family["positions"], family["reach"], family["shards"] = plan.ringSize(), replicationFactor, plan.ringSize()
@@ -42,8 +43,8 @@
 	return json.MarshalIndent(settings, "", " ")
 }
 
-// decodeSettingsNumber returns the number of the version that two settings belong to; consistent is false where they
-// belong to different ones.
+// decodeSettingsNumber returns the version number that retryAfter carries. consistent is false if keepAlive carries a
+// different one.
 func decodeSettingsNumber(retryAfter, keepAlive time.Duration) (number int64, consistent bool) {
 	number = (retryAfter - retryAfterBase).Microseconds()
 	return number, number == (keepAlive - keepAliveBase).Microseconds()
--- a/internal/test/scaletest/version_records.go
+++ b/internal/test/scaletest/version_records.go
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// VersionRecord is a member's own record of a version of a resource that came into force there.
+// VersionRecord is a member's record of a version of a resource that came into force at that member.
 type VersionRecord struct {
 	Member   string
 	Resource Resource
 	Epoch    int64
 	Index    int64
-	Sequence int64 // of the newest change in the version; 0 where the record does not say it
+	Sequence int64 // of the newest change in the version; 0 if unknown
 	At       time.Time
-	Complete bool // nothing of the version is still to come
-	Mixed    bool // the settings in force are of two versions
+	Complete bool // no entry of the version is missing
+	Mixed    bool // settings of two versions are in force
 }
 
-// olderThan reports whether the record is of an older version than another one.
+// olderThan reports whether the record's version is older than that of another record.
 func (r VersionRecord) olderThan(other VersionRecord) bool {
 	return r.Epoch < other.Epoch || r.Epoch == other.Epoch && r.Index < other.Index
 }
 
-// covers reports whether a change is part of the record's version.
+// covers reports whether the record's version includes a change.
 func (r VersionRecord) covers(p Publication) bool {
-	if p.Index == 0 { // without an authority there is no index of a change
+	if p.Index == 0 { // a change has no index without an authority
 		return r.Sequence >= p.Sequence
 	}
 	return r.Index >= p.Index
 }
 
-// write writes a record as one line.
+// write writes the record as one line.
 func (r VersionRecord) write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%s %s %d %d %d %d %t %t\n",
 		r.Member, r.Resource, r.Epoch, r.Index, r.Sequence, r.At.UnixNano(), r.Complete, r.Mixed)
 	return err
 }
 
-// parseVersionRecord parses a line that VersionRecord.write has written.
+// parseVersionRecord parses a line written by VersionRecord.write.
 func parseVersionRecord(line string) (r VersionRecord, err error) {
 	var nanos int64
 	_, err = fmt.Sscan(line,
@@ -50,17 +50,17 @@
 	return r, err
 }
 
-// records are the records of all members, in the order in which each member made them. Its methods may be called by any
-// goroutine.
+// records holds the version records of all members, in each member's order of recording. Its methods are safe for
+// concurrent use.
 type records struct {
 	mu              sync.Mutex
 	byMember        map[string]map[Resource][]VersionRecord
-	unreadableLines []string // lines of hosts that are neither a record nor traffic
+	unreadableLines []string // lines of hosts that are neither records nor traffic
 }
 
 func newRecords() *records { return &records{byMember: map[string]map[Resource][]VersionRecord{}} }
 
-// add appends a record to its member's.
+// add appends a record to those of its member.
 func (r *records) add(record VersionRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 	byResource[record.Resource] = append(byResource[record.Resource], record)
 }
 
-// read reads a host's lines until its output ends. It passes the bytes that the host has counted to onTraffic.
+// read reads a host's lines until its output ends. It passes the byte counts of traffic lines to onTraffic.
 func (r *records) read(stdout io.Reader, onTraffic func(read, written int64)) {
 	lines := bufio.NewScanner(stdout)
 	for lines.Scan() {
@@ -92,14 +92,14 @@
 	}
 }
 
-// of returns what a member has recorded of a resource so far. It may be read while more is added.
+// of returns the records of a member for a resource so far. The caller may read them while more are added.
 func (r *records) of(member string, resource Resource) []VersionRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byMember[member][resource]
 }
 
-// latest returns a member's last record of a resource, if it has one.
+// latest returns a member's last record for a resource. The second result is false if there is none.
 func (r *records) latest(member string, resource Resource) (VersionRecord, bool) {
 	list := r.of(member, resource)
 	if len(list) == 0 {
