--- a/internal/test/scaletest/bounds.go
+++ b/internal/test/scaletest/bounds.go
@@ -9,7 +9,7 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// checkBounds holds the result against the plan's bounds and the rules of every run, and fills in MissedBounds.
+// checkBounds checks the result against the plan's bounds and the rules of every run, and fills in MissedBounds.
 func (r *Result) checkBounds(plan *Plan) {
 	bounds := plan.Bounds
 	r.checkDelays("endpoint list", r.List, bounds.List)
@@ -25,17 +25,18 @@
 		r.checkCostRatio(bounds.CostRatio)
 	}
 	for _, example := range r.Violations.examples {
-		r.miss("%s", example)
+		r.recordMiss("%s", example)
 	}
 	r.checkRequests(plan)
 }
 
-// miss adds a sentence about a bound that was missed or a rule that was broken.
-func (r *Result) miss(format string, args ...any) {
+// recordMiss appends to MissedBounds a sentence that describes a missed bound or a broken rule.
+func (r *Result) recordMiss(format string, args ...any) {
 	r.MissedBounds = append(r.MissedBounds, fmt.Sprintf(format, args...))
 }
 
-// checkDelays holds the delays of something against their bounds. A change that never came into force misses any.
+// checkDelays checks delays against their bounds. A change that never came into force counts as missed, even without a
+// bound.
 func (r *Result) checkDelays(name string, delays DelaySummary, bounds DelayBounds) {
 	for _, c := range []struct {
 		statistic    string
@@ -46,16 +47,16 @@
 		{"max", time.Duration(delays.Max), bounds.Max},
 	} {
 		if c.bound > 0 && c.delay > c.bound {
-			r.miss("%s: the %s is %v, at most %v is allowed",
+			r.recordMiss("%s: the %s is %v, at most %v is allowed",
 				name, c.statistic, c.delay.Round(time.Millisecond), c.bound)
 		}
 	}
 	if delays.Never > 0 {
-		r.miss("%s: never in force %d times", name, delays.Never)
+		r.recordMiss("%s: never in force %d times", name, delays.Never)
 	}
 }
 
-// checkCosts holds the cost of a role before the first fault against its bounds.
+// checkCosts checks the cost of a role before the first fault against its bounds.
 func (r *Result) checkCosts(of role, bounds CostBounds) {
 	cost := r.Undisturbed[of]
 	for _, c := range []struct {
@@ -67,15 +68,16 @@
 		{"KB/s", cost.KBPerSMax, bounds.KBPerS},
 	} {
 		if c.bound > 0 && c.cost > c.bound {
-			r.miss("%s: %.4f %s, at most %.4f is allowed", of, c.cost, c.unit, c.bound)
+			r.recordMiss("%s: %.4f %s, at most %.4f is allowed", of, c.cost, c.unit, c.bound)
 		}
 	}
 }
 
-// checkCostRatio holds the ratio of a hollow coordinator's cost to a real one's against a bound in either direction.
+// checkCostRatio checks that a hollow coordinator's CPU and bytes are at most bound times, and at least 1/bound times,
+// those of a real one.
 func (r *Result) checkCostRatio(bound float64) {
 	if r.Ratio == nil {
-		r.miss("no cost of a real coordinator was measured to compare a hollow one with")
+		r.recordMiss("no cost of a real coordinator was measured to compare a hollow one with")
 		return
 	}
 	for _, c := range []struct {
@@ -83,21 +85,21 @@
 		ratio float64
 	}{{"cpu", r.Ratio.CPU}, {"bytes", r.Ratio.Bytes}} {
 		if c.ratio > bound || c.ratio < 1/bound {
-			r.miss("a hollow coordinator has %.2f times the %s of a real one, at most %.2f either way is allowed",
+			r.recordMiss("a hollow coordinator has %.2f times the %s of a real one, at most %.2f either way is allowed",
 				c.ratio, c.name, bound)
 		}
 	}
 }
 
-// checkRequests holds the outcomes of the clients' requests against the rules: no wrong answer, no second one, and some
-// request served where there are clients.
+// checkRequests checks the outcomes of the clients' requests: no answer is wrong or a duplicate, and if real
+// coordinators have clients, at least one request is served.
 func (r *Result) checkRequests(plan *Plan) {
 	for _, outcome := range slices.Sorted(maps.Keys(r.Requests)) {
 		if outcome == faultinjection.OutcomeWrongAnswer || outcome == faultinjection.OutcomeDuplicateAnswer {
-			r.miss("%d requests were answered %s", r.Requests[outcome], outcome)
+			r.recordMiss("%d requests were answered %s", r.Requests[outcome], outcome)
 		}
 	}
 	if plan.Clients > 0 && plan.RealCoordinators > 0 && r.Requests["200"] == 0 {
-		r.miss("no request was served")
+		r.recordMiss("no request was served")
 	}
 }
--- a/internal/test/scaletest/changes.go
+++ b/internal/test/scaletest/changes.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// drainDuration is how long a drained replica takes no parts.
+	// drainDuration is how long a drained replica stays out of service.
 	drainDuration = 5 * time.Second
-	// changesStream tells the random draws of ordinary changes from others with the plan's seed.
+	// changesStream separates the random numbers of ordinary changes from other streams with the plan's seed.
 	changesStream = 0x6368616e6765
 )
 
-// startChanges publishes the plan's ordinary changes until ctx ends. Each kind of change has a goroutine and random
-// draws of its own.
+// startChanges publishes the plan's ordinary changes until ctx ends. Each kind of change has its own goroutine and
+// its own random numbers.
 func (f *fleet) startChanges(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(f.plan.Seed, changesStream))
 	endpointRand := rand.New(rand.NewPCG(rng.Uint64(), 1))
@@ -24,13 +24,13 @@
 	f.repeat(ctx, f.plan.Changes.EndpointInterval, func() { f.restartEndpoint(endpointRand) })
 	f.repeat(ctx, f.plan.Changes.SettingsInterval, func() {
 		if err := f.changeSettings(); err != nil {
-			f.timeline.note("settings not changed: %v", err)
+			f.timeline.logf("settings change failed: %v", err)
 		}
 	})
 	f.repeat(ctx, f.plan.Changes.DrainInterval, func() { f.drain(ctx, drainRand) })
 }
 
-// repeat starts a goroutine that acts at an interval until ctx ends; an interval of 0 is never.
+// repeat starts a goroutine that calls act at each interval until ctx ends. An interval of 0 starts none.
 func (f *fleet) repeat(ctx context.Context, interval time.Duration, act func()) {
 	if interval <= 0 {
 		return
@@ -49,7 +49,8 @@
 	})
 }
 
-// restartEndpoint publishes that the process of some endpoint that does not answer has been started anew.
+// restartEndpoint publishes a process restart of a random endpoint that does not answer. It does nothing if that
+// endpoint is not in service.
 func (f *fleet) restartEndpoint(rng *rand.Rand) {
 	unanswering := f.plan.Endpoints - f.plan.Replicas
 	if unanswering == 0 {
@@ -61,8 +62,8 @@
 	}
 }
 
-// drain takes some replica that answers out of service for drainDuration, or until ctx ends. The replica itself goes
-// on.
+// drain publishes a random replica as terminating for drainDuration, or until ctx ends. The replica itself continues
+// to answer.
 func (f *fleet) drain(ctx context.Context, rng *rand.Rand) {
 	if f.plan.Replicas == 0 {
 		return
@@ -83,7 +84,7 @@
 	}
 }
 
-// changeSettings publishes the next version of the settings.
+// changeSettings records the next version of the settings as published and has the authority read it.
 func (f *fleet) changeSettings() error {
 	f.mu.Lock()
 	f.settingsNumber++
@@ -93,7 +94,7 @@
 	return f.reloadSettings()
 }
 
-// publishProbe publishes a change of the endpoint list, whose delay shows when members can be reached.
+// publishProbe publishes a change of the last endpoint, whose delay shows when endpoint list changes reach the members.
 func (f *fleet) publishProbe() {
 	f.publisher.publishStatus(fake.StatusInService, f.plan.Endpoints-1)
 }
--- a/internal/test/scaletest/fault.go
+++ b/internal/test/scaletest/fault.go
@@ -10,25 +10,25 @@
 	"harepass/internal/test/fake"
 )
 
-// FaultBegan is the message of Config.Log when a fault begins; a colon and the fault's description follow.
+// FaultBegan is the message in Config.Log when a fault begins, followed by a colon and the fault's description.
 const FaultBegan = "fault began"
 
-// probeDelay is the time from a fault's beginning to the change that shows its effect.
+// probeDelay is the time from a fault's beginning to the probe that measures its effect.
 const probeDelay = 50 * time.Millisecond
 
-// faultRun is a fault as it was played.
+// faultRun records when and how a run injected a fault.
 type faultRun struct {
 	Fault
 	description      string
 	begin            time.Time
-	end              time.Time // when it was undone; for a fault that is not, shortly after its beginning
+	end              time.Time // when the fault was undone; if it is never undone, shortly after begin
 	isolatedRegion   int       // -1 where no region is isolated
 	corruptedAnswers int
 }
 
-// playFaults plays the plan's faults at their times after began. It returns once all have ended; those that last end
-// beside each other.
-func (f *fleet) playFaults(ctx context.Context, began time.Time) (faults []*faultRun, err error) {
+// runFaults injects the plan's faults at their times after began and returns once all have ended. Each fault ends in
+// its own goroutine, so faults may overlap.
+func (f *fleet) runFaults(ctx context.Context, began time.Time) (faults []*faultRun, err error) {
 	var ending sync.WaitGroup
 	defer ending.Wait()
 	var mu sync.Mutex
@@ -39,7 +39,7 @@
 		}
 		run := &faultRun{Fault: fault, description: fault.String(), isolatedRegion: -1, begin: time.Now()}
 		faults = append(faults, run)
-		f.timeline.note("%s: %s", FaultBegan, run.description)
+		f.timeline.logf("%s: %s", FaultBegan, run.description)
 		if err := f.beginFault(ctx, run); err != nil {
 			return faults, err
 		}
@@ -82,7 +82,7 @@
 	return description
 }
 
-// beginFault does what a fault begins with.
+// beginFault injects a fault.
 func (f *fleet) beginFault(ctx context.Context, run *faultRun) error {
 	switch {
 	case run.KillRelay != nil:
@@ -106,7 +106,8 @@
 }
 
 // awaitFaultEnd publishes a probe soon after a fault's beginning, undoes the fault when its duration has passed and
-// publishes another probe. A removed zone and a restart publish changes, or wait for them, by themselves.
+// publishes another probe. It omits the first probe for a removed zone, which itself is a change of the endpoint list,
+// and for a restart of all members, which waits until they have both resources.
 func (f *fleet) awaitFaultEnd(ctx context.Context, run *faultRun) error {
 	if run.RemoveZone == nil && !run.RestartAll {
 		if err := f.wait(ctx, probeDelay); err != nil {
@@ -123,7 +124,7 @@
 	}
 	err := f.endFault(run)
 	run.end = time.Now()
-	f.timeline.note("fault ended: %s", run.description)
+	f.timeline.logf("fault ended: %s", run.description)
 	f.publishProbe()
 	return err
 }
@@ -149,21 +150,21 @@
 	return nil
 }
 
-// setIsolated notes whether a region is isolated.
+// setIsolated records whether a region is isolated.
 func (f *fleet) setIsolated(region int, isolated bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isolatedRegions[region] = isolated
 }
 
-// isIsolated reports whether a fault isolates a region at present.
+// isIsolated reports whether a fault currently isolates a region.
 func (f *fleet) isIsolated(region int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.isolatedRegions[region]
 }
 
-// setZoneStatus gives all endpoints of a zone a status at one instant.
+// setZoneStatus publishes a status for all endpoints of a zone at the same instant.
 func (f *fleet) setZoneStatus(zone int, status string) {
 	var endpoints, answering []int
 	for i := zone; i < f.plan.Endpoints; i += f.plan.Zones {
@@ -174,11 +175,11 @@
 	}
 	f.replicas.setAvailable(status == fake.StatusInService, answering...)
 	f.publisher.publishStatus(status, endpoints...)
-	f.timeline.note("%d endpoints of zone %d: %s", len(endpoints), zone, status)
+	f.timeline.logf("status of %d endpoints of zone %d set to %s", len(endpoints), zone, status)
 }
 
-// restartAll kills all hosts and stops all real coordinators, starts all members at once and waits until all have
-// endpoint list and settings.
+// restartAll kills all hosts and stops all real coordinators, starts all members at once, and waits until each member
+// has the endpoint list and the settings.
 func (f *fleet) restartAll(ctx context.Context) error {
 	var stopping sync.WaitGroup
 	for _, p := range f.hostProcesses {
--- a/internal/test/scaletest/measure.go
+++ b/internal/test/scaletest/measure.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// faultMargin is how long before a fault's beginning and after its end a change counts as affected by it.
+	// faultMargin is how long before a fault's beginning, and after its end, a change still counts as affected by the
+	// fault.
 	faultMargin = time.Second
-	// defaultRecovery takes the place of Bounds.Recovered where a plan has none.
+	// defaultRecovery replaces Bounds.Recovered in a plan that does not set it.
 	defaultRecovery = 30 * time.Second
 )
 
-// measure sums up the records, except for costs.
+// measure summarizes the run's records, except for costs.
 func (f *fleet) measure(faults []*faultRun) *Result {
 	result := &Result{Plan: f.plan.Name, Requests: map[string]int{}, Parts: f.replicas.parts(), Sizes: f.sizes()}
 	var observed, undisturbed []Publication
@@ -34,8 +35,8 @@
 		}
 	}
 	result.Started = f.measureStart()
-	result.List = delays.measure(ofResource(List, undisturbed), f.members)
-	result.Settings = delays.measure(ofResource(Settings, undisturbed), f.members)
+	result.List = delays.measure(filterByResource(List, undisturbed), f.members)
+	result.Settings = delays.measure(filterByResource(Settings, undisturbed), f.members)
 	for _, fault := range faults {
 		result.Faults = append(result.Faults, f.measureFault(delays, fault, observed))
 	}
@@ -48,7 +49,7 @@
 	return result
 }
 
-// sizes returns what the run was made of.
+// sizes returns the sizes of the run's fleet.
 func (f *fleet) sizes() Sizes {
 	return Sizes{
 		Coordinators: f.plan.Coordinators, RealCoordinators: f.plan.RealCoordinators, Modules: f.plan.Modules,
@@ -58,14 +59,14 @@
 	}
 }
 
-// affects reports whether a change was published while a fault, or what it left for some time after its end, could
-// delay it.
+// affects reports whether a change was published when the fault could delay it: at the earliest faultMargin before the
+// fault's beginning, and at the latest the given duration after its end.
 func (r *faultRun) affects(change Publication, after time.Duration) bool {
 	return change.At.After(r.begin.Add(-faultMargin)) && change.At.Before(r.end.Add(after))
 }
 
-// ofResource returns the changes of one resource.
-func ofResource(resource Resource, changes []Publication) (selected []Publication) {
+// filterByResource returns the changes of a resource.
+func filterByResource(resource Resource, changes []Publication) (selected []Publication) {
 	for _, change := range changes {
 		if change.Resource == resource {
 			selected = append(selected, change)
@@ -74,7 +75,8 @@
 	return selected
 }
 
-// measureFault sums up one fault: the changes that were published in it, and the first change after its end.
+// measureFault summarizes the delays of the changes that were published during a fault, and of the first endpoint list
+// change after its end.
 func (f *fleet) measureFault(delays *propagation, fault *faultRun, observed []Publication) FaultDelays {
 	var during, after []Publication
 	for _, change := range observed {
@@ -93,14 +95,15 @@
 	}
 	return FaultDelays{
 		Description: fault.description, At: fault.begin.Sub(f.timeline.began).Seconds(),
-		List:             delays.measure(ofResource(List, during), reachable),
-		Settings:         delays.measure(ofResource(Settings, during), reachable),
+		List:             delays.measure(filterByResource(List, during), reachable),
+		Settings:         delays.measure(filterByResource(Settings, during), reachable),
 		Recovered:        delays.measure(after, f.members),
 		CorruptedAnswers: fault.corruptedAnswers,
 	}
 }
 
-// measureStart sums up how long members took from their first start until they had complete versions of both resources.
+// measureStart summarizes the time that members needed from their first start until they had complete versions of both
+// resources.
 func (f *fleet) measureStart() DelaySummary {
 	var delays []time.Duration
 	never := 0
@@ -114,7 +117,7 @@
 	return summarizeDelays(0, delays, never)
 }
 
-// firstComplete returns when a member first had complete versions of both resources; ok is false where it never did.
+// firstComplete returns when a member first had complete versions of both resources. ok is false if it never did.
 func (f *fleet) firstComplete(m *member) (at time.Time, ok bool) {
 	for _, resource := range []Resource{List, Settings} {
 		list := f.records.of(m.name, resource)
@@ -129,10 +132,10 @@
 	return at, true
 }
 
-// measureCosts sums up what processes and the machine spent in each phase. The time of faults begins with the first
-// one.
+// measureCosts summarizes the resource usage of processes and of the machine in each phase. The phase of faults lasts
+// from the first fault until Plan.Duration has passed.
 func (f *fleet) measureCosts(result *Result, s *sampler, p phases, faults []*faultRun) {
-	firstFault := p.over
+	firstFault := p.end
 	if len(faults) > 0 {
 		firstFault = faults[0].begin
 	}
@@ -152,11 +155,11 @@
 	}
 	result.Starting = costs(p.starting, p.started)
 	result.Undisturbed = costs(p.undisturbed, firstFault)
-	result.DuringFaults = costs(firstFault, p.over)
+	result.DuringFaults = costs(firstFault, p.end)
 	result.Machine = map[string]MachineLoad{
 		phaseStarting:     s.machineLoad(p.starting, p.started),
 		phaseUndisturbed:  s.machineLoad(p.undisturbed, firstFault),
-		phaseDuringFaults: s.machineLoad(firstFault, p.over),
+		phaseDuringFaults: s.machineLoad(firstFault, p.end),
 	}
 	realCost, hollowCost := result.Undisturbed[roleCoordinator], result.Undisturbed[roleHost]
 	if f.plan.Bounds.CostRatio > 0 && realCost.CPU > 0 && realCost.KBPerS > 0 {
--- a/internal/test/scaletest/run.go
+++ b/internal/test/scaletest/run.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// settleAfterStart is the time from the clients' start until the fleet counts as undisturbed.
+	// settleAfterStart is the time from the clients' start until the undisturbed phase begins.
 	settleAfterStart = 3 * time.Second
-	// settleTimeout bounds the wait at the end of a run for every member to have the last versions.
+	// settleTimeout limits the wait at the end of a run until every member has the last versions.
 	settleTimeout = 10 * time.Second
-	// settleInterval is the time between two looks at whether every member has the last versions.
+	// settleInterval is the time between two checks whether every member has the last versions.
 	settleInterval = time.Second
-	// readyTimeout bounds a request to a coordinator's readiness endpoint.
+	// readyTimeout limits a request to a coordinator's readiness endpoint.
 	readyTimeout = time.Second
 
-	// lossStream tells the random draws of lost links from others with the plan's seed.
+	// lossStream separates the random numbers of link losses from other streams with the plan's seed.
 	lossStream = 0x6c6f7373
 )
 
-// Run plays a plan once. The error is ErrBoundMissed where a bound was missed or a rule broken; the result is
-// complete then as well. Other errors say why the run could not be finished. Run returns early once ctx ends, and has
-// ended every process that it started when it returns.
+// Run executes a plan once. The error is ErrBoundMissed if a bound was missed or a rule was broken; the result is
+// complete in this case too. Any other error explains why the run could not be finished. Run returns early if ctx ends.
+// Before it returns, it ends every process that it started.
 func Run(ctx context.Context, plan *Plan, config Config) (*Result, error) {
 	began := time.Now()
 	result := &Result{Plan: plan.Name}
 	if plan.Relays > 0 {
 		var err error
-		if result, err = playDistribution(ctx, plan, config); err != nil {
+		if result, err = runDistribution(ctx, plan, config); err != nil {
 			return result, err
 		}
 	}
 	if plan.Baseline != nil {
 		for _, callDuration := range plan.Baseline.CallDurations {
-			baseline, err := playBaseline(ctx, plan, config, callDuration)
+			baseline, err := runBaseline(ctx, plan, config, callDuration)
 			if err != nil {
 				return result, err
 			}
@@ -51,9 +51,9 @@
 	return result, nil
 }
 
-// playDistribution plays the fleet with an authority and relays. Processes that failed only at their end are bounds
-// missed where there is a result.
-func playDistribution(ctx context.Context, plan *Plan, config Config) (result *Result, err error) {
+// runDistribution runs the fleet with an authority and relays. If there is a result, errors of processes that are
+// stopped at the end are added to its missed bounds instead of being returned.
+func runDistribution(ctx context.Context, plan *Plan, config Config) (result *Result, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f, err := newFleet(config, plan)
@@ -69,26 +69,26 @@
 		}
 		err = errors.Join(err, closeErr)
 	}()
-	return f.play(ctx)
+	return f.run(ctx)
 }
 
-// phases are the instants that divide a run.
+// phases holds the instants at which the phases of a run begin and end.
 type phases struct {
-	starting    time.Time // all members are started from here on
+	starting    time.Time // the start of all members begins
 	started     time.Time // every member has the endpoint list and the settings
 	undisturbed time.Time // the clients have settled; Plan.Duration begins
-	over        time.Time // Plan.Duration has passed; no more ordinary changes
+	end         time.Time // Plan.Duration has passed; ordinary changes have stopped
 }
 
-// play starts everything, plays changes and faults, and measures.
-func (f *fleet) play(ctx context.Context) (*Result, error) {
+// run starts the fleet, runs the plan's changes and faults, and returns the measurements.
+func (f *fleet) run(ctx context.Context) (*Result, error) {
 	sampler := newSampler(f)
 	f.background.Go(func() { sampler.run(ctx) })
 	var p phases
 	if err := f.startAll(ctx, &p); err != nil {
 		return nil, err
 	}
-	faults, err := f.disturb(ctx, &p)
+	faults, err := f.runChangesAndFaults(ctx, &p)
 	if err != nil {
 		return nil, err
 	}
@@ -117,16 +117,16 @@
 	return f.startClients(ctx)
 }
 
-// disturb plays the ordinary changes, the losses of links and the faults for the plan's duration, and returns the
-// faults as they were played.
-func (f *fleet) disturb(ctx context.Context, p *phases) ([]*faultRun, error) {
+// runChangesAndFaults publishes the ordinary changes and injects the faults for the plan's duration, and returns the
+// faults as injected. Link losses start here too and continue until ctx ends.
+func (f *fleet) runChangesAndFaults(ctx context.Context, p *phases) ([]*faultRun, error) {
 	p.undisturbed = time.Now().Add(settleAfterStart)
 	lossRand := rand.New(rand.NewPCG(f.plan.Seed, lossStream))
 	f.background.Go(func() { f.network.injectLoss(ctx, lossRand, f.isIsolated) })
 	changing, stopChanges := context.WithCancel(ctx)
 	defer stopChanges()
 	f.startChanges(changing)
-	faults, err := f.playFaults(ctx, p.undisturbed)
+	faults, err := f.runFaults(ctx, p.undisturbed)
 	if err != nil {
 		return nil, err
 	}
@@ -134,11 +134,11 @@
 		return nil, err
 	}
 	stopChanges()
-	p.over = time.Now()
+	p.end = time.Now()
 	return faults, nil
 }
 
-// startClients starts the clients of each real coordinator once it is ready for them.
+// startClients waits until each real coordinator is ready, and starts its clients.
 func (f *fleet) startClients(ctx context.Context) error {
 	for _, m := range f.members {
 		if !m.real {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// isReady reports whether the coordinator at an address says that it accepts clients.
+// isReady reports whether the readiness endpoint of the coordinator at an address returns 200.
 func isReady(address string) bool {
 	client := http.Client{Timeout: readyTimeout}
 	answer, err := client.Get("http://" + address + "/health/ready")
@@ -172,8 +172,8 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// settle publishes a last change and waits until every member has it and the last settings, or until settleTimeout has
-// passed. After that it stops the clients.
+// settle publishes a last change, waits until every member has it and the last settings, but at most settleTimeout, and
+// then stops the clients.
 func (f *fleet) settle(ctx context.Context) error {
 	f.publishProbe()
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); {
@@ -182,8 +182,8 @@
 		}
 		var v Violations
 		for _, m := range f.members {
-			f.checkEnd(&v, m, List, f.publisher.published())
-			f.checkEnd(&v, m, Settings, f.publisher.published())
+			f.checkLatestVersion(&v, m, List, f.publisher.published())
+			f.checkLatestVersion(&v, m, Settings, f.publisher.published())
 		}
 		if v.Behind == 0 {
 			break
@@ -193,7 +193,8 @@
 	return nil
 }
 
-// stopClients waits until all clients have had the answers to what they have sent. Only the first call does anything.
+// stopClients stops all clients and waits until they have received the answers to their requests. Only the first call
+// has an effect.
 func (f *fleet) stopClients() {
 	f.stopClientsOnce.Do(func() {
 		for _, pool := range f.clientPools {
--- a/internal/test/scaletest/start.go
+++ b/internal/test/scaletest/start.go
@@ -11,11 +11,11 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// startTimeout bounds the time from the start of all members until each has the endpoint list and the settings.
+// startTimeout limits the time from the start of all members until each has the endpoint list and the settings.
 const startTimeout = 3 * time.Minute
 
-// hostProcessors bounds how many processors a host uses at once: several hosts share the machine with everything else
-// that the run starts.
+// hostProcessors limits how many processors a host uses at once, because several hosts share the machine with all other
+// processes of the run.
 const hostProcessors = "GOMAXPROCS=2"
 
 // startControl starts the authority, then the relays, and waits until each has the complete endpoint list and the
@@ -51,10 +51,10 @@
 			return err
 		}
 	}
-	return f.placeSources()
+	return f.openSourceLinks()
 }
 
-// startRelay starts a relay that reaches the authority by a link of its own.
+// startRelay starts a relay that reaches the authority through its own link, or directly if addressFrom opens none.
 func (f *fleet) startRelay(relay *controlProcess) error {
 	upstream, err := f.network.addressFrom(relay.region, f.authority.region, f.authority.address)
 	if err != nil {
@@ -63,8 +63,9 @@
 	return f.startControlProcess(relay, upstream)
 }
 
-// placeSources opens the links by which each region's members reach the relays.
-func (f *fleet) placeSources() error {
+// openSourceLinks opens the links by which the members of each region reach the relays, and places the corrupting proxy
+// in front of the first relay if a fault corrupts answers.
+func (f *fleet) openSourceLinks() error {
 	if f.plan.corruptsAnswers() {
 		var err error
 		if f.corruptingProxy, err = newCorruptingProxy(f.relays[0].address); err != nil {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// startMembers starts all members at once.
+// startMembers starts all hosts and real coordinators without waiting for any of them.
 func (f *fleet) startMembers() error {
 	for host := range f.hostProcesses {
 		if err := f.startHost(host, f.memberSpec); err != nil {
@@ -102,11 +103,11 @@
 			}
 		}
 	}
-	f.timeline.note("%d members started", len(f.members))
+	f.timeline.logf("%d members started", len(f.members))
 	return nil
 }
 
-// startHost starts a host with its hollow members, each as specOf describes it.
+// startHost starts a host with its hollow members, which specOf describes.
 func (f *fleet) startHost(host int, specOf func(*member) MemberSpec) error {
 	spec := HostSpec{}
 	var err error
@@ -122,7 +123,7 @@
 	return f.runHost(host, spec)
 }
 
-// runHost starts a host process and writes its specification to its input.
+// runHost starts a host process and writes its HostSpec to its standard input.
 func (f *fleet) runHost(host int, spec HostSpec) error {
 	name := fmt.Sprintf("host%d", host)
 	p, err := startProcess(command{
@@ -140,8 +141,8 @@
 	return json.NewEncoder(p.stdin).Encode(spec)
 }
 
-// memberSpec describes a hollow member that follows the relays. The members with the decision module are spread evenly
-// over all hollow ones.
+// memberSpec describes a hollow member that follows the relays. It spreads the decision modules evenly over all hollow
+// members.
 func (f *fleet) memberSpec(m *member) MemberSpec {
 	hollowOrdinal, hollowCount := m.ordinal-f.plan.RealCoordinators, f.plan.Coordinators-f.plan.RealCoordinators
 	modulesBefore := hollowOrdinal * f.plan.Modules / hollowCount
@@ -153,14 +154,14 @@
 	}
 }
 
-// recordStart notes that a process of a member is being started.
+// recordStart records that a process of a member is being started.
 func (f *fleet) recordStart(member string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.started[member] = append(f.started[member], time.Now())
 }
 
-// recordTraffic notes how many bytes the members of a host have read and written since its start.
+// recordTraffic records how many bytes the members of a host have read and written since its start.
 func (f *fleet) recordTraffic(host string, read, written int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,7 +169,7 @@
 }
 
 // awaitMembers waits until each member has the complete endpoint list and the settings. The error wraps ErrStartTimeout
-// where that takes longer than startTimeout.
+// if this takes longer than startTimeout.
 func (f *fleet) awaitMembers(ctx context.Context) error {
 	began := time.Now()
 	for {
@@ -176,11 +177,11 @@
 			return !f.hasResource(m, List) || !f.hasResource(m, Settings)
 		})
 		if missing < 0 {
-			f.timeline.note("all members have endpoint list and settings")
+			f.timeline.logf("all members have the endpoint list and the settings")
 			return nil
 		}
 		if time.Since(began) > startTimeout {
-			return fmt.Errorf("%w: %s lacks endpoint list or settings after %v",
+			return fmt.Errorf("%w: %s lacks the complete endpoint list or settings after %v",
 				ErrStartTimeout, f.members[missing].name, startTimeout)
 		}
 		if err := f.wait(ctx, pollInterval); err != nil {
@@ -189,7 +190,8 @@
 	}
 }
 
-// hasResource reports whether a member has had a complete version of a resource since it was last started.
+// hasResource reports whether a member's latest version of a resource is complete and was recorded after the member's
+// last start.
 func (f *fleet) hasResource(m *member, resource Resource) bool {
 	last, ok := f.records.latest(m.name, resource)
 	f.mu.Lock()
--- a/internal/test/scaletest/timeline.go
+++ b/internal/test/scaletest/timeline.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// timeline writes down what the run does, with the time since its beginning. Its methods may be called by any
-// goroutine.
+// timeline logs the events of a run with the time since its beginning. Its methods are safe for concurrent use.
 type timeline struct {
 	began time.Time
 
@@ -16,7 +15,7 @@
 	out io.Writer
 }
 
-// newTimeline begins a timeline at this instant; a nil writer discards its lines.
+// newTimeline starts a timeline now. A nil writer discards its lines.
 func newTimeline(out io.Writer) *timeline {
 	if out == nil {
 		out = io.Discard
@@ -24,8 +23,8 @@
 	return &timeline{began: time.Now(), out: out}
 }
 
-// note writes a line: the seconds since the beginning and a message.
-func (t *timeline) note(format string, args ...any) {
+// logf writes a line with the seconds since the beginning and a formatted message.
+func (t *timeline) logf(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	fmt.Fprintf(t.out, "%8.3f %s\n", time.Since(t.began).Seconds(), fmt.Sprintf(format, args...))
--- a/internal/test/scaletest/violations.go
+++ b/internal/test/scaletest/violations.go
@@ -9,35 +9,35 @@
 	"harepass/internal/test/faultinjection"
 )
 
-// Violations counts what may not happen in any run.
+// Violations counts the violations of the rules that hold in every run.
 type Violations struct {
-	Regressions     int `json:"went_back"`       // records of an older version than the one before, by one process
-	MixedSettings   int `json:"half_settings"`   // records of settings of two versions
-	LostRequests    int `json:"requests_lost"`   // read by a coordinator and never answered
-	ForbiddenParts  int `json:"forbidden_sends"` // sent where the endpoint list in force forbids it
+	Regressions     int `json:"went_back"`       // records of an older version than the process's previous one
+	MixedSettings   int `json:"half_settings"`   // records with settings of two versions in force
+	LostRequests    int `json:"requests_lost"`   // requests that a coordinator read and never answered
+	ForbiddenParts  int `json:"forbidden_sends"` // parts sent to a replica that the endpoint list in force excludes
 	Behind          int `json:"behind_at_end"`   // pairs of a member and a resource without the last version at the end
-	UnreadableLines int `json:"unread_lines"`    // lines of hosts that are neither a record nor traffic
+	UnreadableLines int `json:"unread_lines"`    // lines of hosts that are neither records nor traffic
 
-	examples []string // a sentence for each of the first violations of each kind
+	examples []string // sentences that describe the first violations of each kind
 }
 
-// maxExamples is how many violations of each kind are described.
+// maxExamples is the number of violations of each kind that are described.
 const maxExamples = 3
 
-// count adds a violation to its counter, and describes it if it is among the first.
+// count increments a violation's counter, and describes the violation if it is among the first maxExamples.
 func (v *Violations) count(counter *int, format string, args ...any) {
 	if *counter++; *counter <= maxExamples {
 		v.examples = append(v.examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// findViolations holds what the members, the replicas and the clients have recorded against the rules.
+// findViolations checks the records of the members, the replicas and the clients against the rules.
 func (f *fleet) findViolations(published []Publication) Violations {
 	var v Violations
 	for _, m := range f.members {
 		for _, resource := range []Resource{List, Settings} {
 			f.checkOrder(&v, m, resource)
-			f.checkEnd(&v, m, resource, published)
+			f.checkLatestVersion(&v, m, resource, published)
 		}
 	}
 	f.checkParts(&v, published)
@@ -53,8 +53,8 @@
 	return v
 }
 
-// checkOrder counts a member's versions that went back, and its settings of two versions. A new process may begin
-// with an older version than the one before it had.
+// checkOrder counts a member's returns to an older version of a resource, and its records with settings of two
+// versions. A new process of the member may start with an older version than its predecessor had.
 func (f *fleet) checkOrder(v *Violations, m *member, resource Resource) {
 	list := f.records.of(m.name, resource)
 	starts := f.started[m.name]
@@ -72,8 +72,8 @@
 	}
 }
 
-// checkEnd counts a member that does not have the last version of a resource completely.
-func (f *fleet) checkEnd(v *Violations, m *member, resource Resource, published []Publication) {
+// checkLatestVersion counts a violation if a member does not have the complete last version of a resource.
+func (f *fleet) checkLatestVersion(v *Violations, m *member, resource Resource, published []Publication) {
 	last := lastPublication(published, resource)
 	if last == nil {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// lastPublication returns the last change of a resource, nil where there is none.
+// lastPublication returns the last change of a resource, or nil if there is none.
 func lastPublication(published []Publication, resource Resource) *Publication {
 	for i := range slices.Backward(published) {
 		if published[i].Resource == resource {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// checkParts counts parts that a member sent to a replica more than drainGrace after it had the replica's drain, or its
-// removal, in force.
+// checkParts counts parts that reached a replica more than drainGrace and drainSlack after the replica's drain or
+// removal came into force at the sender.
 func (f *fleet) checkParts(v *Violations, published []Publication) {
 	f.replicas.mu.Lock()
 	defer f.replicas.mu.Unlock()
@@ -116,8 +116,8 @@
 	}
 }
 
-// drainBefore returns the change that took a replica out of service before a part reached it; nil where the replica's
-// latest change before the part put it in service.
+// drainBefore returns the latest change of a part's replica before the part reached it, if this change took the replica
+// out of service. Otherwise it returns nil.
 func (f *fleet) drainBefore(part receivedPart, published []Publication) *Publication {
 	name := f.publisher.endpoints[part.Replica].Name
 	var latest *Publication
