--- a/internal/test/fleetsim/config.go
+++ b/internal/test/fleetsim/config.go
@@ -6,23 +6,23 @@
 	"harepass/internal/decide/scatter"
 )
 
-// Config is the size of a fleet and the traffic that it gets.
+// Config is the size of a simulated fleet, its traffic and the slow start of its replicas.
 type Config struct {
 	Coordinators        int
 	Replicas            int
 	ReplicationFactor   int               // ring positions that hold a shard
-	ReplicasPerPosition int               // replicas at a position of the ring
-	ShardsPerPosition   int               // shards whose holders begin at a position of the ring
-	QueryRate           float64           // queries a second that arrive at the whole fleet
+	ReplicasPerPosition int               // replicas at each ring position
+	ShardsPerPosition   int               // shards whose holders start at the same ring position
+	QueryRate           float64           // queries per second, over the whole fleet
 	LookupShards        int               // consecutive shards that a lookup needs
-	SummaryShards       int               // consecutive shards that a summary asks for
+	SummaryShards       int               // consecutive shards that a summary needs
 	TrafficSkew         float64           // standard deviation of the logarithm of a coordinator's traffic
 	KnowOrdinals        bool              // whether each coordinator knows its ordinal in the fleet
-	Seed                uint64            // source of all draws
-	SlowStart           scatter.SlowStart // how replicas start; DefaultSlowStart if its OverloadFactor is 0
+	Seed                uint64            // seeds all random draws
+	SlowStart           scatter.SlowStart // of the replicas; DefaultSlowStart if its OverloadFactor is 0
 }
 
-// The two classes of query.
+// The two query classes, with their weights and time limits.
 const (
 	classLookup  = "lookup"
 	classSummary = "summary"
@@ -31,23 +31,23 @@
 
 	lookupPriorityWeight  = 1.0
 	summaryPriorityWeight = 3.0
-	lateWeight            = 0.3 // share of the priority weight that is left after the latency objective
-	summaryMinFraction    = 0.7 // share of a summary's weight that suffices for an incomplete answer
+	lateWeight            = 0.3 // share of the priority weight that remains after the latency objective
+	summaryMinFraction    = 0.7 // least share of a summary's weight that an incomplete answer must have
 
 	latencyObjective = 380 * time.Millisecond
 	queryDeadline    = time.Second
 )
 
-// replicaPartRate is the rate, in parts a second, at which BusyConfig loads each replica: two thirds of its capacity.
+// replicaPartRate is the load that BusyConfig puts on each replica, in parts per second: two thirds of its capacity.
 const replicaPartRate = 47.0
 
-// DefaultSlowStart is how replicas start where a Config does not say it.
+// DefaultSlowStart is the slow start of the replicas if Config.SlowStart.OverloadFactor is 0.
 var DefaultSlowStart = scatter.SlowStart{
 	InitialCapacity: 0.21, Duration: 18 * time.Second, OverloadFactor: 2.5, Window: 1500 * time.Millisecond,
 }
 
-// BusyConfig returns the Config of a fleet whose replicas are two thirds busy. Its coordinators do not know their
-// ordinals.
+// BusyConfig returns the Config of a fleet whose replicas run at two thirds of their capacity, and whose coordinators
+// do not know their ordinals.
 func BusyConfig(coordinators, replicas, replicasPerPosition int) Config {
 	c := Config{
 		Coordinators:        coordinators,
@@ -69,8 +69,8 @@
 
 func (c Config) shards() int { return c.ShardsPerPosition * c.ringSize() }
 
-// settings returns the settings of the coordinator with a number from 0, which takes the fleet to have fleetSize
-// coordinators.
+// settings returns the settings of the coordinator with the given number, counted from 0. They state fleetSize as the
+// fleet size.
 func (c Config) settings(number, fleetSize int) scatter.Settings {
 	s := scatter.Settings{
 		Coordinators:      fleetSize,
--- a/internal/test/fleetsim/coordinator.go
+++ b/internal/test/fleetsim/coordinator.go
@@ -9,17 +9,18 @@
 	"harepass/internal/decide/scatter"
 )
 
-// coordinator is one coordinator of a fleet.
+// coordinator is one simulated coordinator of a fleet. The product's decision module makes its decisions.
 type coordinator struct {
 	number            int // index in Fleet.coordinators
 	module            *scatter.Machine
-	attempts          map[string]int           // attempts begun, by part ID
-	cumulativeTraffic float64                  // sum of the relative traffic of this coordinator and those before it
-	knownStarts       map[string]time.Duration // start of each replica by the latest endpoint list, by replica ID
+	attempts          map[string]int           // attempts started, by part ID
+	cumulativeTraffic float64                  // relative traffic of this coordinator and all lower-numbered ones
+	knownStarts       map[string]time.Duration // start of each replica in the latest endpoint list, by replica ID
 }
 
-// start starts the coordinator with a number from 0, which takes the fleet to have fleetSize coordinators, and drops
-// those behind it. It has the endpoint list, and has learned nothing.
+// start adds a new coordinator at index number of Fleet.coordinators and drops all coordinators that were at that index
+// or later. The settings of the new coordinator state fleetSize as the fleet size. It gets the endpoint list and has no
+// learned state.
 func (f *Fleet) start(number, fleetSize int) error {
 	module, err := scatter.New(f.config.Seed<<16|uint64(number), f.config.settings(number, fleetSize))
 	if err != nil {
@@ -38,18 +39,19 @@
 	return nil
 }
 
-// restart replaces a coordinator by a new one with its traffic.
+// restart replaces a coordinator by a new one that gets the same traffic.
 func (f *Fleet) restart(number int) error {
-	behind := slices.Clone(f.coordinators[number+1:])
+	following := slices.Clone(f.coordinators[number+1:])
 	traffic := f.coordinators[number].cumulativeTraffic
 	err := f.start(number, len(f.coordinators))
 	f.coordinators[number].cumulativeTraffic = traffic
-	f.coordinators = append(f.coordinators, behind...)
+	f.coordinators = append(f.coordinators, following...)
 	return err
 }
 
-// resize changes the number of coordinators. Of those that stay, the first ones, as many as notified, get settings
-// with the new size now; the others go on with the old size. Coordinators beyond the new size end at once.
+// resize changes the number of coordinators to fleetSize. Coordinators beyond the new size end at once. Of the
+// remaining ones, as many as notified, from the first one on, get settings with the new size now; the others keep the
+// old size. Added coordinators start with the new size.
 func (f *Fleet) resize(fleetSize, notified int) error {
 	f.coordinators = f.coordinators[:min(len(f.coordinators), fleetSize)]
 	for i, c := range f.coordinators[:min(len(f.coordinators), notified)] {
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// step gives a coordinator's module events and takes the actions that it decides on.
+// step passes events to a coordinator's module and carries out the actions that the module returns.
 func (f *Fleet) step(c *coordinator, events ...scatter.Event) {
 	for _, e := range events {
 		if list, ok := e.(scatter.EndpointUpdate); ok {
@@ -78,7 +80,7 @@
 		switch a := action.(type) {
 		case scatter.SetTimer:
 			f.schedule(c, f.now+a.After, scatter.TimerFired{})
-		case scatter.CancelAttempt: // The replica does its work in spite of the cancellation.
+		case scatter.CancelAttempt: // The replica still does the work of a cancelled attempt.
 			f.schedule(c, f.now, scatter.AttemptEnded{
 				Part: a.Part, Attempt: a.Attempt, Outcome: scatter.Cancelled, Latency: latencyObjective,
 			})
@@ -94,7 +96,7 @@
 	}
 }
 
-// send begins an attempt and schedules its end.
+// send starts an attempt and schedules the event that ends it.
 func (f *Fleet) send(c *coordinator, a scatter.Send) {
 	attempt := c.attempts[a.Part]
 	c.attempts[a.Part]++
--- a/internal/test/fleetsim/doc.go
+++ b/internal/test/fleetsim/doc.go
@@ -1,26 +1,26 @@
-// Package fleetsim simulates a fleet of coordinators in virtual time. Each coordinator runs the decision module of the
-// product; the replicas that it sends to are emulated, with queues, slow starts and connections. A simulation runs
-// faster than real time, so it shows fleets that no machine can hold as processes.
+// Package fleetsim simulates a fleet of coordinators in virtual time. Each coordinator runs the product's decision
+// module and sends to emulated replicas with queues, slow starts and connections. A simulation runs faster than real
+// time, and covers fleets that are too large to run as processes on one machine.
 //
 // # Contract
 //
-// New sets a Fleet up, and its clock then stands still between calls of Run. Between those calls a caller may change
-// the replicas (Restart, Down, Unresponsive) and publish the endpoint list anew. The coordinators hear of a change of
-// StartedAt only by PublishEndpointList. A Fleet is used by one goroutine. Two fleets with equal Configs and equal
-// calls act alike: all draws come from Config.Seed.
+// New sets up a Fleet, whose clock advances only during Run. Between calls of Run a caller may change the replicas
+// (Restart, Down, Unresponsive) and publish the endpoint list again. The coordinators learn of a changed StartedAt only
+// through PublishEndpointList. Only one goroutine may use a Fleet. Two fleets with equal Configs and equal calls behave
+// identically, because Config.Seed seeds all random draws.
 //
 // # What is simulated
 //
-// Queries arrive as a Poisson process. Each asks for consecutive shards, and reaches a coordinator that is drawn by its
-// share of the traffic. An answer earns its priority weight if it arrives within the latency objective; see
-// measurement.go.
+// Queries arrive as a Poisson process. Each query needs consecutive shards, and goes to a coordinator drawn with a
+// probability proportional to its traffic. An answer earns its priority weight if it arrives within the latency
+// objective; see measurement.go.
 //
-// # Where each concern stands
+// # Files
 //
 //	config.go       the size of a fleet, its traffic, and the settings of its coordinators
-//	fleet.go        the clock and the events
-//	coordinator.go  start, restart and resize of coordinators; what their modules decide
-//	traffic.go      arriving queries
+//	fleet.go        the virtual clock and the scheduled events
+//	coordinator.go  start, restart and resize of coordinators, and the actions of their modules
+//	traffic.go      the arriving queries
 //	replica.go      the emulated replicas
-//	measurement.go  what is counted
+//	measurement.go  counts, earned priority weight and load imbalance
 package fleetsim
--- a/internal/test/fleetsim/fleet.go
+++ b/internal/test/fleetsim/fleet.go
@@ -8,7 +8,7 @@
 	"harepass/internal/test/virtualtime"
 )
 
-// Fleet is one simulation. Its clock stands still between calls of Run. It is not safe for concurrent use.
+// Fleet is one simulation. Its clock advances only during Run. It is not safe for concurrent use.
 type Fleet struct {
 	Replicas []*Replica
 
@@ -21,23 +21,23 @@
 	openQueries  map[string]*openQuery // by query ID
 	arrivals     int64                 // queries that have arrived since New
 	measured     measurement
-	partsSent    [][]int // parts sent to each replica, by second since startTime and by replica
+	partsSent    [][]int // parts sent, by second since startTime, then by replica number
 }
 
 // startTime is the virtual clock's reading when a simulation begins.
 const startTime = 100 * time.Second
 
-// rngStream keeps the draws of a fleet apart from others with its seed.
+// rngStream separates a fleet's random draws from those of other generators with the same seed.
 const rngStream = 0x666c6565
 
-// scheduledEvent is an event that a coordinator's module gets at a later instant.
+// scheduledEvent is an event to be delivered to a coordinator's module at a later instant.
 type scheduledEvent struct {
 	to    *coordinator
 	event scatter.Event
 }
 
-// New sets a fleet up: every coordinator has the endpoint list, and no query has arrived. It fails where the module
-// does not accept the settings that follow from c.
+// New sets up a fleet in which every coordinator has the endpoint list and no query has arrived. It returns an error if
+// the decision module rejects the settings derived from c.
 func New(c Config) (*Fleet, error) {
 	if c.SlowStart.OverloadFactor == 0 {
 		c.SlowStart = DefaultSlowStart
@@ -64,14 +64,15 @@
 // Now returns the reading of the virtual clock.
 func (f *Fleet) Now() time.Duration { return f.now }
 
-// PublishEndpointList gives every coordinator the endpoint list as it is now.
+// PublishEndpointList gives every coordinator the current endpoint list.
 func (f *Fleet) PublishEndpointList() {
 	for _, c := range f.coordinators {
 		f.step(c, f.endpointList())
 	}
 }
 
-// Run lets queries arrive for a span of virtual time.
+// Run simulates a span of virtual time. The clock stops at the first arrival drawn at or after the end of the span; no
+// query is created for that arrival.
 func (f *Fleet) Run(span time.Duration) {
 	for until := f.now + span; f.now < until; {
 		next := f.now + time.Duration(f.rng.ExpFloat64()/f.config.QueryRate*float64(time.Second))
@@ -87,7 +88,7 @@
 	}
 }
 
-// endpointList returns the replicas as discovery lists them.
+// endpointList returns the complete endpoint list, as discovery would report it now.
 func (f *Fleet) endpointList() scatter.EndpointUpdate {
 	list := scatter.EndpointUpdate{Kind: scatter.FullUpdate}
 	for _, r := range f.Replicas {
@@ -100,7 +101,8 @@
 	f.pending.Add(at, scheduledEvent{c, event})
 }
 
-// deliver gives a coordinator's module an event that was scheduled. Events of coordinators that have ended are dropped.
+// deliver passes a scheduled event to its coordinator's module. Events of coordinators that have ended or have been
+// replaced are dropped.
 func (f *Fleet) deliver(e scheduledEvent) {
 	if e.to.number >= len(f.coordinators) || f.coordinators[e.to.number] != e.to {
 		return
--- a/internal/test/fleetsim/fleet_test.go
+++ b/internal/test/fleetsim/fleet_test.go
@@ -8,21 +8,22 @@
 	"harepass/internal/decide/scatter"
 )
 
-// A fleet at half load grows from 120 to 130 coordinators, and a third of them get the new size two seconds before the
-// others. While they disagree, replicas stay evenly loaded. Later all replicas restart at full load: none is
-// overloaded while it warms up. Simulations with one seed act alike.
+// A fleet at half load grows from 120 to 130 coordinators, and a third of the old ones get the new fleet size two
+// seconds before the others. The replicas must stay evenly loaded while the coordinators disagree about the size. Later
+// all replicas restart at full load, and none may be overloaded while it warms up. Two simulations with the same seed
+// must give the same counts.
 func TestResizeAndRestartOverloadNoReplica(t *testing.T) {
-	first := playResizeAndRestart(t, 3)
-	if again := playResizeAndRestart(t, 3); again != first {
-		t.Errorf("seed 3 gives %s and %s", first, again)
+	first := simulateResizeAndRestart(t, 3)
+	if again := simulateResizeAndRestart(t, 3); again != first {
+		t.Errorf("two simulations with seed 3 gave different counts: %s and %s", first, again)
 	}
-	if playResizeAndRestart(t, 4) == first {
-		t.Error("seeds 3 and 4 give one result")
+	if simulateResizeAndRestart(t, 4) == first {
+		t.Error("seeds 3 and 4 gave the same counts, want different ones")
 	}
 }
 
-// playResizeAndRestart returns the counts of the last measurement.
-func playResizeAndRestart(t *testing.T, seed uint64) string {
+// simulateResizeAndRestart returns all arrivals, and the attempts and the earned weight of the last measurement.
+func simulateResizeAndRestart(t *testing.T, seed uint64) string {
 	t.Helper()
 	c := BusyConfig(120, 12, 1)
 	c.KnowOrdinals, c.Seed, c.QueryRate = true, seed, c.QueryRate/2
@@ -34,7 +35,7 @@
 	f.BeginMeasurement()
 	f.Run(2 * time.Second)
 	if f.EarnedFraction() < 0.9 {
-		t.Errorf("seed %d: earned %.2f of the weight at half load", seed, f.EarnedFraction())
+		t.Errorf("seed %d: earned fraction at half load is %.2f, want at least 0.9", seed, f.EarnedFraction())
 	}
 	for _, notified := range []int{40, 130} {
 		if err := f.resize(130, notified); err != nil {
@@ -47,11 +48,11 @@
 			parts = append(parts, float64(r.Parts))
 		}
 		if largest, _ := Imbalance(parts); largest > 1.6 || f.EarnedFraction() < 0.9 {
-			t.Errorf("seed %d, %d notified: busiest replica %.2f of the mean, earned %.2f of the weight",
+			t.Errorf("seed %d, %d notified: busiest replica %.2f of the mean (at most 1.6), earned %.2f (at least 0.9)",
 				seed, notified, largest, f.EarnedFraction())
 		}
 	}
-	f.config.QueryRate *= 2 // full load, which warmed-up replicas bear
+	f.config.QueryRate *= 2 // full load, which warmed-up replicas can serve
 	f.Run(2 * time.Second)
 	for _, r := range f.Replicas {
 		r.Restart(f.now)
@@ -62,17 +63,17 @@
 	for _, r := range f.Replicas {
 		worst = max(worst, r.Pressure())
 	}
-	t.Logf("seed %d: a replica that warms up was sent %.2f of what overloads it", seed, worst)
+	t.Logf("seed %d: highest pressure on a replica in slow start: %.2f", seed, worst)
 	if worst > 1 {
-		t.Errorf("seed %d: a replica that warms up was sent %.2f of what overloads it", seed, worst)
+		t.Errorf("seed %d: highest pressure on a replica in slow start is %.2f, want at most 1", seed, worst)
 	}
 	return fmt.Sprint(f.arrivals, f.measured.attempts, f.measured.earnedWeight)
 }
 
-// Five replicas restart, one after the other or all at once. A third of the coordinators is notified 0.7 s after the
-// others, and three coordinators have only just started. Together they must not send a replica that warms up more
-// than it tolerates within its window, also with slow starts other than one deployment's. Windows count in which more
-// than two thirds of the parts came from coordinators that had been notified.
+// Five replicas restart, one after another or all at once. A third of the coordinators is notified 0.7 s after the
+// others, and three coordinators have just restarted. The whole fleet must not send a replica in slow start more parts
+// than it tolerates within its window. This must also hold with slow starts other than the default. A window counts
+// only if more than two thirds of its parts came from notified coordinators.
 func TestSlowStartBoundsTheWholeFleet(t *testing.T) {
 	for _, slowStart := range []scatter.SlowStart{DefaultSlowStart,
 		{InitialCapacity: 0.15, Duration: 16 * time.Second, OverloadFactor: 4, Window: time.Second},
@@ -80,19 +81,19 @@
 		{InitialCapacity: 0.3, Duration: 9 * time.Second, OverloadFactor: 3, Window: 600 * time.Millisecond},
 	} {
 		for coordinators, together := range map[int]bool{20: false, 30: true} {
-			worst := playSlowStarts(t, slowStart, coordinators, together)
-			t.Logf("%+v, %d coordinators, all replicas at once: %t: %.2f of what overloads a replica",
+			worst := simulateSlowStarts(t, slowStart, coordinators, together)
+			t.Logf("%+v, %d coordinators, all replicas at once: %t: highest load is %.2f of what a replica tolerates",
 				slowStart, coordinators, together, worst)
 			if worst > 1 {
-				t.Errorf("%+v, %d coordinators, all replicas at once: %t: a replica was sent %.2f of what overloads it",
+				t.Errorf("%+v, %d coordinators, all at once: %t: a replica got %.2f of what it tolerates (at most 1)",
 					slowStart, coordinators, together, worst)
 			}
 		}
 	}
 }
 
-// playSlowStarts returns the most that a replica was sent within a window, as a share of what it tolerates.
-func playSlowStarts(t *testing.T, slowStart scatter.SlowStart, coordinators int, together bool) (worst float64) {
+// simulateSlowStarts returns the most parts that a replica got within a window, as a share of what it tolerates.
+func simulateSlowStarts(t *testing.T, slowStart scatter.SlowStart, coordinators int, together bool) (worst float64) {
 	t.Helper()
 	c := BusyConfig(coordinators, 12, 1)
 	c.KnowOrdinals, c.SlowStart, c.Seed = true, slowStart, uint64(coordinators)
@@ -101,7 +102,7 @@
 		t.Fatal(err)
 	}
 	f.Run(4 * time.Second)
-	restarted := f.Replicas[:5] // neighbours on the ring, so that shards lose several holders
+	restarted := f.Replicas[:5] // neighbours on the ring, so several holders of a shard restart
 	for i, r := range restarted {
 		if r.Restart(f.now); together && i < len(restarted)-1 {
 			continue
@@ -123,7 +124,7 @@
 	return worst
 }
 
-// notifyThird gives the endpoint list to every third coordinator, or else to all the others.
+// notifyThird gives the endpoint list to every third coordinator if third is set, and otherwise to all the others.
 func (f *Fleet) notifyThird(third bool) {
 	for i, c := range f.coordinators {
 		if (i%3 == 0) == third {
@@ -132,8 +133,8 @@
 	}
 }
 
-// worstWindow returns the most parts within a window of the replica's slow start, as a share of what it tolerates.
-// Windows count in which more than two thirds of the parts came from coordinators that had been notified.
+// worstWindow returns the most parts that the replica got within a window of its slow start, as a share of what it
+// tolerates. A window counts only if more than two thirds of its parts came from notified coordinators.
 func (r *Replica) worstWindow(window time.Duration) (worst float64) {
 	oldest, notified := 0, 0
 	count := func(a warmingArrival, by int) {
--- a/internal/test/fleetsim/replica.go
+++ b/internal/test/fleetsim/replica.go
@@ -12,32 +12,32 @@
 type Replica struct {
 	fake.Machine
 	Zone         int
-	Down         bool // no connection comes up, and no attempt is answered
-	Unresponsive bool // attempts are accepted and not answered
+	Down         bool // connection attempts fail, and no attempt is answered
+	Unresponsive bool // attempts are accepted but never answered
 	Parts        int  // parts sent to it since Fleet.BeginMeasurement
 
 	id               string
 	number           int // index in Fleet.Replicas
 	ringPosition     int
-	connectionUsedAt map[int]time.Duration // last use of each connection, by the coordinator's number
-	warmingArrivals  []warmingArrival      // in order of time
+	connectionUsedAt map[int]time.Duration // last use of each connection, by coordinator number
+	warmingArrivals  []warmingArrival      // oldest first
 }
 
-// warmingArrival is a part that arrived before the replica's slow start was over.
+// warmingArrival is a part that arrived during the replica's slow start.
 type warmingArrival struct {
 	at       time.Duration
-	notified bool // whether its coordinator had been notified of the replica's start
+	notified bool // whether the sending coordinator knew of the replica's start
 }
 
 const (
-	partServiceTime = 30 * time.Millisecond // time that a part takes on a core of a warmed-up replica
+	partServiceTime = 30 * time.Millisecond // time to serve a part on one core of a warmed-up replica
 	replicaCores    = 2
-	replicaQueue    = 30 // parts that wait at a replica; more are rejected
+	replicaQueue    = 30 // parts that may wait at a replica; further parts are rejected
 	zones           = 3
 
-	keepAlive      = 24 * time.Second       // an idle connection is closed after this time
-	connectTime    = time.Millisecond       // time until a new connection is up
-	connectTimeout = 250 * time.Millisecond // time after which an attempt at a replica that is down fails
+	keepAlive      = 24 * time.Second       // time after which an idle connection is closed
+	connectTime    = time.Millisecond       // time to open a new connection
+	connectTimeout = 250 * time.Millisecond // time after which an attempt at a down replica fails
 )
 
 func newReplica(number int, c Config) *Replica {
@@ -65,7 +65,7 @@
 	}
 }
 
-// attempt returns how an attempt ends that a coordinator begins now, and its latency.
+// attempt returns the outcome and the latency of an attempt that a coordinator starts now.
 func (r *Replica) attempt(c *coordinator, now, timeout time.Duration) (scatter.Outcome, time.Duration) {
 	arrival := now
 	if usedAt, open := r.connectionUsedAt[c.number]; !open || now-usedAt > keepAlive {
@@ -94,7 +94,7 @@
 	return scatter.Succeeded, latency
 }
 
-// openConnections counts the connections that are open at an instant.
+// openConnections returns the number of connections that are open at an instant.
 func (r *Replica) openConnections(now time.Duration) (open int) {
 	for _, usedAt := range r.connectionUsedAt {
 		if now-usedAt <= keepAlive {
--- a/internal/test/fleetsim/traffic.go
+++ b/internal/test/fleetsim/traffic.go
@@ -8,15 +8,15 @@
 	"harepass/internal/decide/scatter"
 )
 
-// openQuery is a query that has arrived and was not yet answered, rejected or failed.
+// openQuery is a query that has arrived and has not yet been answered, rejected or failed.
 type openQuery struct {
 	arrivedAt      time.Duration
-	priorityWeight float64 // of all its parts together
+	priorityWeight float64 // sum over all parts
 	parts          int
 	servedParts    int
 }
 
-// receiveQuery draws a coordinator by its traffic and gives it a lookup or a summary of consecutive shards.
+// receiveQuery draws a coordinator by its traffic, and gives it a lookup or a summary of consecutive shards.
 func (f *Fleet) receiveQuery() {
 	f.arrivals++
 	c := f.drawCoordinator()
@@ -34,7 +34,7 @@
 		ID: id, Number: f.arrivals, Class: class, Expires: f.now + queryDeadline, Parts: parts,
 	}}
 	for i := range parts {
-		// Shards whose numbers differ by the ring size have one and the same holders.
+		// Shards whose numbers differ by the ring size have the same holders.
 		events = append(events, scatter.PartArrived{
 			ID: fmt.Sprint(id, ".", i), Number: f.arrivals, Shard: (first + i) % shards, Weight: 1 / float64(parts),
 		})
