--- a/internal/test/experiment/experiment.go
+++ b/internal/test/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs experiments of the laboratory. An experiment plays a change and a baseline of the project's
-// own, and reports figures and the targets that it missed.
+// Package experiment runs the laboratory's experiments. Each experiment compares a change in this project with a
+// baseline from the same project, and reports figures and the targets that were missed.
 package experiment
 
 import (
@@ -10,24 +10,24 @@
 	"strings"
 )
 
-// Experiment is one experiment that the laboratory offers.
+// Experiment is one experiment of the laboratory.
 type Experiment struct {
-	Name  string              // unique; it names the experiment on the command line and in the last line of its report
-	Short string              // one line for the command's help
-	Run   func(*Report) error // plays the experiment; a missed target is no error of it
+	Name  string              // unique; used on the command line and in the last line of the report
+	Short string              // one line for the help of the command
+	Run   func(*Report) error // runs the experiment; it returns no error for a missed target
 }
 
-// Errors that Run and Report.Print return, for errors.Is.
+// Errors that Run and Report.Print return; test for them with errors.Is.
 var (
-	// ErrTargetMissed says that an experiment ran and missed a target.
-	ErrTargetMissed = errors.New("an aim was missed")
-	// ErrUnknownExperiment says that no experiment has the name that was asked for.
-	ErrUnknownExperiment = errors.New("no experiment")
+	// ErrTargetMissed reports that an experiment ran but missed a target.
+	ErrTargetMissed = errors.New("experiment missed a target")
+	// ErrUnknownExperiment reports that no experiment has the requested name.
+	ErrUnknownExperiment = errors.New("unknown experiment")
 )
 
-// Run runs the experiment of a name and prints its report to out. Files of results go to resultFolder; if that is empty
-// none are written. The error is ErrTargetMissed if the experiment ran and missed a target, and wraps
-// ErrUnknownExperiment if there is none of that name.
+// Run runs the experiment with the given name and prints its report to out. It writes result files to resultFolder, or
+// none if resultFolder is empty. Run returns ErrTargetMissed if the experiment missed a target, and an error that wraps
+// ErrUnknownExperiment if no experiment has that name.
 func Run(experiments []Experiment, name string, out io.Writer, resultFolder string) error {
 	i := slices.IndexFunc(experiments, func(e Experiment) bool { return e.Name == name })
 	if i < 0 {
@@ -35,7 +35,7 @@
 		for _, e := range experiments {
 			names = append(names, e.Name)
 		}
-		return fmt.Errorf("%w %q; there is %s", ErrUnknownExperiment, name, strings.Join(names, ", "))
+		return fmt.Errorf("%w %q; available experiments: %s", ErrUnknownExperiment, name, strings.Join(names, ", "))
 	}
 	r := &Report{resultFolder: resultFolder}
 	if err := experiments[i].Run(r); err != nil {
--- a/internal/test/loopsim/clients.go
+++ b/internal/test/loopsim/clients.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// fullQueueRetryAfter is the Retry-After of an attempt that found the loop's queue full.
+	// fullQueueRetryAfter is the Retry-After of an attempt that is rejected because the loop's queue is full.
 	fullQueueRetryAfter = time.Second
 
-	// minRate is the least rate, in queries a second, at which arrivals are drawn. It bounds the step after which the
-	// rate of a load is read again.
+	// minRate is the lowest rate, in queries per second, at which arrivals are drawn. Load.Rate is read again at each
+	// arrival, so minRate limits how long a rate near 0 stays in use.
 	minRate = 0.01
 )
 
-// attempt is one attempt of a client.
+// attempt is one attempt of a client to get a query answered.
 type attempt struct {
-	at      time.Duration // when it arrives
+	at      time.Duration // instant of its arrival
 	load    *Load
-	firstAt time.Duration // when the client's first attempt arrived
-	number  int           // 0 for the first one
+	firstAt time.Duration // arrival of the client's first attempt
+	number  int           // 0 for the first attempt, then counted up with each retry
 }
 
-// drawFirstAttempts schedules the first attempt of every client. Each load has a stream of draws of its own.
+// drawFirstAttempts schedules the first attempt of every client. Each load draws from its own random stream.
 func (r *run) drawFirstAttempts() {
 	for i := range r.Loads {
 		load := &r.Loads[i]
@@ -37,7 +37,8 @@
 	}
 }
 
-// arrive counts an attempt and has it admitted or rejected.
+// arrive counts an attempt, and admits or rejects it. If the loop's queue is full, the attempt is rejected without a
+// call of Admission.Admit.
 func (r *run) arrive(a attempt) {
 	tallies := r.result.tallies(a.load)
 	r.result.countAttempt(a.at)
@@ -61,8 +62,8 @@
 	}
 }
 
-// admit has the loop work on an attempt, and counts it as served or late. The latency counts from the attempt that is
-// admitted, not from the client's first one.
+// admit adds an attempt to the loop's queue, and counts the query as served or late. The latency is measured from the
+// arrival of the admitted attempt, not of the client's first one.
 func (r *run) admit(a attempt, tallies []*Tally) {
 	end := r.enqueue(a)
 	inTime := end-a.at <= r.LatencyObjective
@@ -79,8 +80,8 @@
 	}
 }
 
-// reject has the loop reject an attempt, and schedules the client's retry. A client counts as rejected once it does not
-// retry any more.
+// reject charges the loop for the rejection of an attempt, and schedules the client's retry. A query counts as rejected
+// once its client stops retrying.
 func (r *run) reject(a attempt, retryAfter time.Duration, tallies []*Tally) {
 	r.result.countRejection(a.at)
 	r.freeAt = r.work(max(r.freeAt, a.at), r.RejectionTime)
--- a/internal/test/loopsim/doc.go
+++ b/internal/test/loopsim/doc.go
@@ -1,17 +1,17 @@
-// Package loopsim simulates the event loop of a coordinator in virtual time: one server that works on queries in the
-// order in which they were admitted, before replicas that always keep up. It shows what an admission control does with
-// overload.
+// Package loopsim simulates the event loop of a coordinator in virtual time: a single server that processes queries in
+// the order of their admission. The replicas are taken to keep up always. A simulation shows how an admission control
+// handles overload.
 //
 // # Contract
 //
-// Simulation.Run plays a whole simulation and returns a Result; it may be called again with another Admission. Arrivals
-// are drawn from Simulation.Seed alone, so every Admission of a Simulation gets the same first attempts. Retries depend
-// on what was rejected.
+// Simulation.Run runs a whole simulation and returns a Result. It may be called again with another Admission. Arrivals
+// are drawn from Simulation.Seed alone, so each Admission gets the same first attempts. Retries depend on the attempts
+// that the Admission rejects.
 //
-// # Where each concern stands
+// # Files
 //
-//	simulation.go  what is simulated: the traffic, the loop, and the admission control
-//	clients.go     first attempts, retries, and how each attempt ends
-//	loop.go        the loop's queue and work, and the signals that it gives
-//	result.go      what is counted
+//	simulation.go  the simulation: its traffic, its loop and the admission control
+//	clients.go     first attempts, retries, and the outcome of each attempt
+//	loop.go        the loop's queue, its work, and the signals for the admission control
+//	result.go      the counts and the recorded waits
 package loopsim
--- a/internal/test/loopsim/loop.go
+++ b/internal/test/loopsim/loop.go
@@ -6,20 +6,20 @@
 	"harepass/internal/decide/overload"
 )
 
-// job is an attempt that was admitted.
+// job is an admitted attempt in the loop's queue.
 type job struct {
 	attempt
-	end time.Duration // when the loop has finished it
+	end time.Duration // instant at which the loop finishes it
 }
 
-// signals are what the loop has gathered since the admission control observed it last.
+// signals accumulate what the loop reports at the next call of Admission.Observe.
 type signals struct {
-	busy     time.Duration // work begun
+	busy     time.Duration // loop time of the work started
 	waits    time.Duration // sum of the waits of the admitted attempts
 	admitted int           // admitted attempts
 }
 
-// meanWait returns the mean wait of the admitted attempts; 0 if there were none.
+// meanWait returns the mean wait of the admitted attempts, or 0 if there were none.
 func (s signals) meanWait() time.Duration {
 	if s.admitted == 0 {
 		return 0
@@ -27,8 +27,8 @@
 	return s.waits / time.Duration(s.admitted)
 }
 
-// observeUntil gives the admission control the loop's signals at the end of each interval up to an instant, unless the
-// process is stalled then.
+// observeUntil calls observe at the end of each interval up to an instant. It skips the intervals that end while the
+// process is stalled.
 func (r *run) observeUntil(until time.Duration) {
 	for ; r.nextObserve <= until; r.nextObserve += r.admission.Interval() {
 		if r.Stalled == nil || !r.Stalled(r.nextObserve) {
@@ -37,12 +37,12 @@
 	}
 }
 
-// observe gives the admission control the loop's signals, and begins to gather them anew.
+// observe reports the loop's signals to the admission control and resets them.
 func (r *run) observe() {
 	r.finish(r.nextObserve)
 	wait := r.signals.meanWait()
 	if len(r.queue) > 0 {
-		// The oldest query in the queue arrived so long ago; a stalled loop would otherwise show no wait at all.
+		// Report at least the age of the oldest query in the queue: a stalled loop would otherwise report no wait.
 		wait = max(wait, r.nextObserve-r.queue[0].at)
 	}
 	coresUsed := min(1, r.signals.busy.Seconds()/r.admission.Interval().Seconds())
@@ -50,7 +50,7 @@
 	r.signals = signals{}
 }
 
-// finish removes the jobs that the loop has finished by an instant, and reports them to the admission control.
+// finish removes the jobs that the loop finishes by an instant, and reports each one to the admission control.
 func (r *run) finish(until time.Duration) {
 	for len(r.queue) > 0 && r.queue[0].end <= until {
 		r.admission.QueryDone(r.queue[0].load.Parts)
@@ -58,7 +58,7 @@
 	}
 }
 
-// enqueue adds an admitted attempt to the loop's queue, and returns when the loop will have finished it.
+// enqueue adds an admitted attempt to the loop's queue, records its wait, and returns the end of its processing.
 func (r *run) enqueue(a attempt) (end time.Duration) {
 	span := r.QueryTime + time.Duration(a.load.Parts)*r.PartTime
 	r.freeAt = r.work(max(r.freeAt, a.at), span)
@@ -70,7 +70,8 @@
 	return r.freeAt
 }
 
-// work has the loop work for a span, from an instant on or from the end of a stall, and returns when it is done.
+// work charges the loop for work of a given span and returns the end of that work. The work starts at an instant, or at
+// the end of the stall if the process is stalled then.
 func (r *run) work(from, span time.Duration) time.Duration {
 	for r.Stalled != nil && r.Stalled(from) {
 		from += time.Millisecond
--- a/internal/test/loopsim/result.go
+++ b/internal/test/loopsim/result.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Tally is what came of a kind of traffic. Its counts are of queries; the retries of a client belong to its first
-// attempt.
+// Tally counts the outcomes of one kind of traffic. It counts queries rather than attempts: a query's retries belong to
+// its first attempt.
 type Tally struct {
 	Arrived       float64 // queries whose first attempt arrived
 	Served        float64 // queries finished within the latency objective
 	Late          float64 // queries finished after the latency objective
 	Rejected      float64 // queries whose last attempt was rejected
-	EarnedWeight  float64 // priority weight of the served queries; quotas reduce it for tenants and for the total
-	OfferedWeight float64 // priority weight of the queries that arrived; quotas reduce it for tenants and for the total
+	EarnedWeight  float64 // priority weight of the served queries, reduced by quotas in tenants' tallies and the total
+	OfferedWeight float64 // priority weight of the queries that arrived, reduced likewise
 }
 
-// sliceTime is the span that one element of Result.Attempts and Result.Rejections counts.
+// sliceTime is the span of time that one element of Result.Attempts and Result.Rejections covers.
 const sliceTime = 100 * time.Millisecond
 
-// Result is what came of a Simulation.
+// Result holds the counts and the waits of one Simulation.Run.
 type Result struct {
 	ByClass, ByTenant map[string]*Tally
 	Total             Tally
-	Waits             []time.Duration // how long each admitted attempt waited for the loop, in order of arrival
-	WaitedFrom        []time.Duration // when each of the Waits began
-	Attempts          []int           // attempts by the slice of sliceTime in which they arrived, retries included
-	Rejections        []int           // rejected attempts by the slice of sliceTime in which they arrived
+	Waits             []time.Duration // wait of each admitted attempt for the loop, in order of arrival
+	WaitedFrom        []time.Duration // start of each of the Waits
+	Attempts          []int           // attempts, retries included, by the slice of sliceTime of their arrival
+	Rejections        []int           // rejected attempts, by the slice of sliceTime of their arrival
 }
 
 func newResult(span time.Duration) *Result {
@@ -37,8 +37,8 @@
 	}
 }
 
-// WaitQuantile returns a quantile, from 0 to 1, of the waits for the loop that began at or after from and before to. It
-// is 0 if there were none.
+// WaitQuantile returns a quantile, from 0 to 1, of the waits for the loop that started at or after from and before to.
+// It returns 0 if there were none.
 func (r *Result) WaitQuantile(quantile float64, from, to time.Duration) time.Duration {
 	var waits []time.Duration
 	for i, at := range r.WaitedFrom {
@@ -53,7 +53,7 @@
 	return waits[min(len(waits)-1, int(quantile*float64(len(waits))))]
 }
 
-// tallies returns the tallies that a query of a load counts for.
+// tallies returns the tallies that count a load's queries: those of its class and its tenant, and the total.
 func (r *Result) tallies(l *Load) []*Tally {
 	return []*Tally{tallyOf(r.ByClass, l.Class), tallyOf(r.ByTenant, l.Tenant), &r.Total}
 }
@@ -71,7 +71,7 @@
 
 func (r *Result) countRejection(at time.Duration) { countSlice(r.Rejections, at) }
 
-// countSlice counts an event in its slice. Events after the last slice are not counted.
+// countSlice counts an event in the slice of its instant. Events after the last slice are not counted.
 func countSlice(counts []int, at time.Duration) {
 	if i := int(at / sliceTime); i < len(counts) {
 		counts[i]++
--- a/internal/test/loopsim/simulation.go
+++ b/internal/test/loopsim/simulation.go
@@ -8,14 +8,14 @@
 	"harepass/internal/test/virtualtime"
 )
 
-// Admission decides which queries the loop takes. overload.Controller is one, and FirstCome the baseline.
+// Admission decides which queries the loop admits. overload.Controller implements it; FirstCome is the baseline.
 type Admission interface {
 	// Admit decides on an attempt that arrives now.
 	Admit(a overload.Arrival, now time.Duration) overload.Decision
-	// QueryDone is called when the loop has finished an admitted query with so many parts.
+	// QueryDone is called when the loop has finished an admitted query. The argument is the query's number of parts.
 	QueryDone(parts int)
-	// Observe is called with the loop's signals after each Interval, unless the process is stalled then. The loop does
-	// not use what it returns.
+	// Observe is called with the loop's signals after each Interval, unless the process is stalled at that instant.
+	// The loop ignores the returned value.
 	Observe(s overload.Signals, now time.Duration) bool
 	// Interval is the time between calls of Observe.
 	Interval() time.Duration
@@ -38,30 +38,30 @@
 // Interval implements Admission.
 func (FirstCome) Interval() time.Duration { return 100 * time.Millisecond }
 
-// Load is the traffic of one class that a tenant sends.
+// Load is a tenant's traffic of one class.
 type Load struct {
 	Class, Tenant  string
 	Parts          int                           // parts of each query
 	PriorityWeight float64                       // priority weight of each query
-	Rate           func(t time.Duration) float64 // queries a second at an instant
+	Rate           func(t time.Duration) float64 // queries per second at an instant
 }
 
-// Simulation is the traffic that the loop gets, and what the loop can do.
+// Simulation defines the loop's traffic, its speed, its limits and its stalls.
 type Simulation struct {
 	Loads            []Load
-	Duration         time.Duration // no first attempt or retry arrives after it
+	Duration         time.Duration // length of the traffic; no retry arrives after it, but each load's last query does
 	Seed             uint64
-	Retries          int                        // retries of a rejected client at most, each after its Retry-After
-	Stalled          func(t time.Duration) bool // whether the process is stalled at an instant; nil: never
-	LatencyObjective time.Duration              // from the arrival of the admitted attempt to the end of its work
-	QueryTime        time.Duration              // loop time of an admitted query, without its parts
+	Retries          int                        // most retries of a rejected client; each one waits for the Retry-After
+	Stalled          func(t time.Duration) bool // whether the process is stalled at an instant; nil for never
+	LatencyObjective time.Duration              // from the arrival of the admitted attempt to the end of its processing
+	QueryTime        time.Duration              // loop time of an admitted query, excluding its parts
 	PartTime         time.Duration              // loop time of each part
 	RejectionTime    time.Duration              // loop time of a rejection
-	QueueLength      int                        // queries in the queue at most; beyond it all are rejected
-	Quotas           map[string]float64         // by tenant, in queries a second; a tenant without one is not limited
+	QueueLength      int                        // most queries in the queue; further attempts are rejected
+	Quotas           map[string]float64         // by tenant, in queries per second; a tenant without one has no limit
 }
 
-// Run plays the simulation with an admission control and returns what came of it.
+// Run runs the whole simulation with an admission control and returns its result.
 func (s Simulation) Run(admission Admission) *Result {
 	r := &run{
 		Simulation:     s,
@@ -82,24 +82,24 @@
 	return r.result
 }
 
-// run is a Simulation that is being played.
+// run is the state of a Simulation during Run.
 type run struct {
 	Simulation
 	admission Admission
 	result    *Result
 	pending   virtualtime.Queue[attempt]
 
-	queue   []job         // admitted queries that the loop has not finished, in the order of their admission
-	freeAt  time.Duration // when the loop will have done all work that it has
+	queue   []job         // admitted queries that the loop has not finished, in order of admission
+	freeAt  time.Duration // instant at which the loop finishes all its present work
 	signals signals
 
-	nextObserve time.Duration // when the admission control gets signals next
+	nextObserve time.Duration // instant of the next call of Admission.Observe
 
-	arrivedWeights quotaledger.Ledger // priority weights by the instant of the first attempt
-	servedWeights  quotaledger.Ledger // those served within the latency objective
+	arrivedWeights quotaledger.Ledger // priority weights of all queries, by the arrival of their first attempt
+	servedWeights  quotaledger.Ledger // of the queries served within the latency objective
 }
 
-// applyQuotas replaces the weights of the tenants and of the total by those that their quotas leave.
+// applyQuotas replaces the weights of the tenants and of the total by weights that the tenants' quotas reduce.
 func (r *run) applyQuotas() {
 	total := &r.result.Total
 	total.EarnedWeight, total.OfferedWeight = 0, 0
--- a/internal/test/virtualtime/queue.go
+++ b/internal/test/virtualtime/queue.go
@@ -1,5 +1,6 @@
-// Package virtualtime has the event queue of simulations that run in virtual time. Equal calls give equal events in
-// equal order, as fast as they can be computed. Instants are readings of the simulation's virtual clock.
+// Package virtualtime provides the event queue of simulations that run in virtual time. The same calls always yield the
+// same events in the same order, and no call waits for real time. Instants are readings of the simulation's virtual
+// clock.
 package virtualtime
 
 import (
@@ -8,20 +9,20 @@
 	"time"
 )
 
-// Queue holds events until they are due. It gives them in the order of their instants, and the events of one instant in
-// the order in which they were added. Its zero value is empty and ready to use. It is not safe for concurrent use.
+// Queue holds events until they are due. It yields them in the order of their instants, and events of the same instant
+// in the order of their addition. The zero value is empty and ready to use. A Queue is not safe for concurrent use.
 type Queue[Event any] struct {
 	pending scheduledEvents[Event]
 	added   int // events added so far
 }
 
-// Add schedules an event at an instant, which may lie before those of events already removed.
+// Add schedules an event at an instant. The instant may lie before those of events that were already removed.
 func (q *Queue[Event]) Add(at time.Duration, event Event) {
 	q.added++
 	heap.Push(&q.pending, scheduled[Event]{at: at, number: q.added, event: event})
 }
 
-// Len returns how many events are scheduled.
+// Len returns the number of scheduled events.
 func (q *Queue[Event]) Len() int { return len(q.pending) }
 
 // Pop removes the earliest event and returns it with its instant. It panics if Len is 0.
@@ -42,14 +43,14 @@
 	}
 }
 
-// scheduled is an event with its place in the order.
+// scheduled is an event with the keys that order it in the queue.
 type scheduled[Event any] struct {
 	at     time.Duration
-	number int // how many events had been added with it; it decides among events of one instant
+	number int // sequence number of its addition; it orders events with the same instant
 	event  Event
 }
 
-// scheduledEvents implements heap.Interface.
+// scheduledEvents implements heap.Interface, with the earliest event on top.
 type scheduledEvents[Event any] []scheduled[Event]
 
 func (s scheduledEvents[Event]) Len() int { return len(s) }
--- a/internal/test/virtualtime/queue_test.go
+++ b/internal/test/virtualtime/queue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Two events share an instant, and one is added while the queue is read. Events come in the order of their instants, those
-// of one instant as they were added.
+// Several events share an instant, and one is added while the queue is read. Until must yield events in the order of
+// their instants, and events with the same instant in the order of their addition.
 func TestQueueYieldsEventsInOrderOfInstantThenAddition(t *testing.T) {
 	var q Queue[string]
 	q.Add(2*time.Second, "c")
@@ -22,9 +22,9 @@
 		}
 	}
 	if want := []string{"a", "b", "after b", "c", "d"}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("Until yielded %v, want %v", got, want)
 	}
 	if at, event := q.Pop(); q.Len() != 0 || at != 5*time.Second || event != "later" {
-		t.Errorf("%v %q, %d left", at, event, q.Len())
+		t.Errorf("Pop returned %v %q and left %d events, want 5s \"later\" and 0 events", at, event, q.Len())
 	}
 }
