--- a/internal/test/experiments/choices/choices.go
+++ b/internal/test/experiments/choices/choices.go
@@ -1,6 +1,6 @@
-// Package choices is an experiment on which replicas the coordinators of a fleet choose. It plays fleets of three sizes
-// whose coordinators know their ordinals, and beside each of them a fleet whose coordinators do not: at work, while
-// replicas do not respond, when all replicas have restarted, and when a zone is lost and comes back.
+// Package choices is an experiment on how the coordinators of a fleet choose replicas. For each of three fleet sizes it
+// simulates a fleet whose coordinators know their ordinals and one whose coordinators do not. The situations are normal
+// operation, unresponsive replicas, a restart of all replicas, and the loss and return of a zone.
 package choices
 
 import (
@@ -11,7 +11,7 @@
 	"harepass/internal/test/fleetsim"
 )
 
-// Experiment plays the fleets in virtual time.
+// Experiment simulates all fleets in virtual time.
 var Experiment = experiment.Experiment{
 	Name: "choices",
 	Short: "fleets of 30, 300 and 1,000 that know their place, beside the same without: " +
@@ -19,29 +19,30 @@
 	Run: run,
 }
 
-// fleetSize is a size of fleet that is played. Its spans let a replica get some thousand parts at work, so that
-// counts differ by chance by about a twentieth.
+// fleetSize is a simulated fleet size with its measured spans. In normal operation a replica gets about a thousand
+// parts within the span, so its count varies by chance by about a twentieth.
 type fleetSize struct {
 	coordinators, replicas int
-	work                   time.Duration // span at work that counts
-	afterFault             time.Duration // span after a fault that counts
+	normalSpan             time.Duration // measured span of normal operation
+	afterFault             time.Duration // measured span after a fault
 }
 
 var fleetSizes = []fleetSize{
-	{coordinators: 30, replicas: 20, work: 40 * time.Second, afterFault: 8 * time.Second},
-	{coordinators: 300, replicas: 200, work: 20 * time.Second, afterFault: 6 * time.Second},
-	{coordinators: 1000, replicas: 200, work: 16 * time.Second, afterFault: 4 * time.Second},
+	{coordinators: 30, replicas: 20, normalSpan: 40 * time.Second, afterFault: 8 * time.Second},
+	{coordinators: 300, replicas: 200, normalSpan: 20 * time.Second, afterFault: 6 * time.Second},
+	{coordinators: 1000, replicas: 200, normalSpan: 16 * time.Second, afterFault: 4 * time.Second},
 }
 
-// comparedSize is the index in fleetSizes of the size at which connections and the loss of a zone are judged.
+// comparedSize is the index in fleetSizes of the size at which the targets for connections and for the loss of a zone
+// apply.
 const comparedSize = 1
 
-// replicasPerPosition is how many replicas lie at a position of the ring.
+// replicasPerPosition is the number of replicas at each ring position.
 const replicasPerPosition = 1
 
-// run plays all fleets and reports them.
+// run simulates all fleets and reports the results.
 func run(r *experiment.Report) error {
-	results, err := playAll()
+	results, err := simulateAll()
 	if err != nil {
 		return err
 	}
@@ -56,18 +57,18 @@
 	return nil
 }
 
-// newFleet sets up a fleet of a size.
+// newFleet sets up a fleet of size s.
 func (s fleetSize) newFleet(knowOrdinals bool) (*fleetsim.Fleet, error) {
 	c := fleetsim.BusyConfig(s.coordinators, s.replicas, replicasPerPosition)
 	c.KnowOrdinals = knowOrdinals
 	f, err := fleetsim.New(c)
 	if err != nil {
-		return nil, fmt.Errorf("choices: fleet of %d: %w", s.coordinators, err)
+		return nil, fmt.Errorf("choices: set up a fleet of %d coordinators: %w", s.coordinators, err)
 	}
 	return f, nil
 }
 
-// busyFleet sets up a fleet of a size that has been at work for a while, and begins a measurement.
+// busyFleet sets up a fleet of size s, runs it for a while in normal operation, and begins a measurement.
 func (s fleetSize) busyFleet(knowOrdinals bool) (*fleetsim.Fleet, error) {
 	f, err := s.newFleet(knowOrdinals)
 	if err != nil {
--- a/internal/test/experiments/choices/heatmap.go
+++ b/internal/test/experiments/choices/heatmap.go
@@ -15,10 +15,10 @@
 	"harepass/internal/test/experiment"
 )
 
-// maxColouredLoad is the load, as a multiple of the mean of its second, from which on all have one colour.
+// maxColouredLoad caps the colour scale: all loads of at least this multiple of their second's mean get one colour.
 const maxColouredLoad = 3
 
-// heatMapColours is how many colours a heat map has.
+// heatMapColours is the number of colours in a heat map.
 const heatMapColours = 64
 
 const (
@@ -26,11 +26,11 @@
 	heatMapHeight = 12 * vg.Centimeter
 )
 
-// loadGrid is the load of each replica by second, as a multiple of the mean of the second. It implements
+// loadGrid gives each replica's load in each second, as a multiple of the mean load in that second. It implements
 // plotter.GridXYZ.
 type loadGrid struct{ partsSent [][]int }
 
-// Dims implements plotter.GridXYZ: a column is a second, a row a replica.
+// Dims implements plotter.GridXYZ. A column is a second, and a row is a replica.
 func (g loadGrid) Dims() (c, r int) { return len(g.partsSent), len(g.partsSent[0]) }
 
 // X implements plotter.GridXYZ.
@@ -39,12 +39,12 @@
 // Y implements plotter.GridXYZ.
 func (g loadGrid) Y(r int) float64 { return float64(r) }
 
-// Z implements plotter.GridXYZ.
+// Z implements plotter.GridXYZ. It caps the load at maxColouredLoad.
 func (g loadGrid) Z(c, r int) float64 {
 	return min(maxColouredLoad, float64(g.partsSent[c][r])/g.mean(c))
 }
 
-// mean returns the mean load of a second, of one part in all at least.
+// mean returns the mean load of a second. It assumes at least one part in total, to avoid a division by 0.
 func (g loadGrid) mean(c int) float64 {
 	sum := 0
 	for _, n := range g.partsSent[c] {
@@ -53,8 +53,8 @@
 	return max(1, float64(sum)) / float64(len(g.partsSent[c]))
 }
 
-// drawHeatMap draws the load of the replicas by second, where files of results are wanted. A play of less than two
-// seconds has no heat map.
+// drawHeatMap writes a heat map of the replicas' load by second if result files are wanted. It draws none if partsSent
+// covers less than two seconds.
 func drawHeatMap(r *experiment.Report, name string, replicas int, partsSent [][]int) error {
 	path, wanted := r.ResultPath(name + ".svg")
 	if !wanted || len(partsSent) < 2 {
--- a/internal/test/experiments/choices/play.go
+++ b/internal/test/experiments/choices/play.go
@@ -6,21 +6,21 @@
 	"sync"
 )
 
-// result is what one fleet came to in all situations. A situation sets the fields that it measures.
+// result holds the measurements of one fleet. Each situation sets the fields that it measures.
 type result struct {
 	partImbalance       float64 // parts sent to the busiest replica, as a multiple of the mean
 	partFairness        float64 // Jain's index of the parts sent to the replicas
-	connectionImbalance float64 // connections of the replica with most, as a multiple of the mean
-	connections         float64 // connections of the whole fleet
-	probeImbalance      float64 // parts sent to unresponsive replicas, once they are known: the most, over the mean
+	connectionImbalance float64 // most connections of a replica, as a multiple of the mean
+	connections         float64 // open connections of the whole fleet
+	probeImbalance      float64 // most parts sent to an unresponsive replica after detection, over the mean
 	overloadedReplicas  int     // replicas that got more parts in their slow start than they tolerate
 	slowStartPressure   float64 // most parts that a replica got in its slow start, as a share of what it tolerates
-	earnedFraction      float64 // share of the offered priority weight that was earned at work
-	zoneLostFraction    float64 // share of the offered priority weight that was earned while a zone was lost
+	earnedFraction      float64 // earned share of the offered priority weight in normal operation
+	zoneLostFraction    float64 // earned share of the offered priority weight during the loss of a zone and after
 	partsSent           [][]int // parts by second and replica
 }
 
-// add adds what another situation came to.
+// add merges the result of another situation into r. Only overloadedReplicas is set by several situations.
 func (r *result) add(o result) {
 	r.partImbalance += o.partImbalance
 	r.partFairness += o.partFairness
@@ -36,7 +36,7 @@
 	}
 }
 
-// comparison has the results of two fleets of one size.
+// comparison holds the results of two fleets of the same size.
 type comparison struct {
 	without result // coordinators do not know their ordinals
 	with    result // coordinators know their ordinals
@@ -50,21 +50,21 @@
 	return &c.without
 }
 
-// playAll plays every situation with fleets of all sizes, as many at a time as there are processors. The results are in
-// the order of fleetSizes. The error is the first one that a situation returned.
-func playAll() ([]comparison, error) {
+// simulateAll runs every situation with fleets of all sizes, with at most one simulation per processor at a time. The
+// results are in the order of fleetSizes. The error is the first one that a situation returned.
+func simulateAll() ([]comparison, error) {
 	results := make([]comparison, len(fleetSizes))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var firstErr error
 	slots := make(chan struct{}, max(1, runtime.NumCPU()))
-	for i, size := range slices.Backward(fleetSizes) { // the longest first
+	for i, size := range slices.Backward(fleetSizes) { // longest simulations first
 		for _, knowOrdinals := range []bool{false, true} {
-			for _, play := range []situation{atWork, allRestarted, zoneLost} {
+			for _, simulate := range []situation{normalOperation, allRestarted, zoneLost} {
 				slots <- struct{}{}
 				wg.Go(func() {
 					defer func() { <-slots }()
-					r, err := play(size, knowOrdinals)
+					r, err := simulate(size, knowOrdinals)
 					mu.Lock()
 					defer mu.Unlock()
 					if firstErr == nil {
--- a/internal/test/experiments/choices/report.go
+++ b/internal/test/experiments/choices/report.go
@@ -6,15 +6,15 @@
 	"harepass/internal/test/experiment"
 )
 
-// The targets.
+// Targets of the fleets whose coordinators know their ordinals.
 const (
-	maxImbalance        = 1.15 // busiest replica, as a multiple of the mean
-	maxConnectionsShare = 0.5  // connections of the fleet, as a share of those without ordinals
-	minZoneLostGain     = 1.15 // weight earned while a zone is lost, as a multiple of that without ordinals
-	maxEarnedLoss       = 0.01 // by which the share of the weight earned at work may lie below that without ordinals
+	maxImbalance        = 1.15 // parts, connections or probes of the busiest replica, as a multiple of the mean
+	maxConnectionsShare = 0.5  // open connections of the fleet, as a share of those without ordinals
+	minZoneLostGain     = 1.15 // weight earned with a zone lost, as a multiple of that without ordinals
+	maxEarnedLoss       = 0.01 // largest loss of earned share in normal operation, compared with no ordinals
 )
 
-// reportSize reports the two fleets of one size.
+// reportSize reports the two fleets of one size and checks the targets of the fleet with ordinals.
 func reportSize(r *experiment.Report, size fleetSize, c comparison) error {
 	for _, knowOrdinals := range []bool{false, true} {
 		if err := reportFleet(r, size, knowOrdinals, *c.of(knowOrdinals)); err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// reportFleet adds a fleet's row, and draws its heat map where results are wanted.
+// reportFleet adds the table row of a fleet, and writes its heat map if result files are wanted.
 func reportFleet(r *experiment.Report, size fleetSize, knowOrdinals bool, v result) error {
 	places := "no"
 	if knowOrdinals {
@@ -50,7 +50,7 @@
 	return drawHeatMap(r, fmt.Sprintf("choices-%d-%s", size.coordinators, places), size.replicas, v.partsSent)
 }
 
-// reportComparison judges what the ordinals gain at one size.
+// reportComparison reports the gain from ordinals at comparedSize and checks its targets.
 func reportComparison(r *experiment.Report, c comparison) {
 	r.Figure("connections", "%.2f", c.with.connections/c.without.connections)
 	r.Figure("zone", "%.3f", c.with.zoneLostFraction)
--- a/internal/test/experiments/choices/situation.go
+++ b/internal/test/experiments/choices/situation.go
@@ -6,31 +6,32 @@
 	"harepass/internal/test/fleetsim"
 )
 
-// situation plays a fleet of a size, whose coordinators know their ordinals or not, through what it meets.
+// situation simulates one situation for a fleet of a size. knowOrdinals states whether its coordinators know their
+// ordinals.
 type situation func(size fleetSize, knowOrdinals bool) (result, error)
 
 const (
 	lostZone   = 1
 	zoneOutage = 5 * time.Second
 
-	// Every tenth replica becomes unresponsive, from the fourth on.
+	// Every tenth replica becomes unresponsive, starting with the fourth.
 	firstUnresponsive = 3
 	unresponsiveStep  = 10
-	// detectionTime is time enough for all coordinators to have ejected the unresponsive replicas.
+	// detectionTime is long enough for all coordinators to eject the unresponsive replicas.
 	detectionTime = 8 * time.Second
-	// probingTime is how much longer than afterFault the probes of the unresponsive replicas are counted.
+	// probingTime is added to afterFault for the span in which probes of the unresponsive replicas are counted.
 	probingTime = 8 * time.Second
 )
 
-// atWork plays a fleet at work, then with a tenth of its replicas unresponsive.
-func atWork(size fleetSize, knowOrdinals bool) (res result, err error) {
+// normalOperation simulates a fleet in normal operation, and then with a tenth of its replicas unresponsive.
+func normalOperation(size fleetSize, knowOrdinals bool) (res result, err error) {
 	f, err := size.newFleet(knowOrdinals)
 	if err != nil {
 		return res, err
 	}
 	f.Run(3 * time.Second)
 	f.BeginMeasurement()
-	f.Run(size.work)
+	f.Run(size.normalSpan)
 	res.partImbalance, res.partFairness = fleetsim.Imbalance(partsOf(f.Replicas))
 	connections := f.Connections()
 	res.connectionImbalance, _ = fleetsim.Imbalance(connections)
@@ -51,7 +52,7 @@
 	return res, nil
 }
 
-// allRestarted plays a fleet whose replicas have all just restarted.
+// allRestarted simulates a fleet whose replicas all restart at once.
 func allRestarted(size fleetSize, knowOrdinals bool) (res result, err error) {
 	f, err := size.busyFleet(knowOrdinals)
 	if err != nil {
@@ -69,8 +70,8 @@
 	return res, nil
 }
 
-// zoneLost plays a fleet that loses a zone, of which discovery says nothing, and gets it back with all its replicas
-// restarted.
+// zoneLost simulates a fleet that loses a zone and gets it back with all its replicas restarted. Discovery does not
+// report the loss.
 func zoneLost(size fleetSize, knowOrdinals bool) (res result, err error) {
 	f, err := size.busyFleet(knowOrdinals)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return res, nil
 }
 
-// partsOf returns the parts sent to each of some replicas since the measurement began.
+// partsOf returns the number of parts sent to each replica since the measurement began.
 func partsOf(replicas []*fleetsim.Replica) (parts []float64) {
 	for _, r := range replicas {
 		parts = append(parts, float64(r.Parts))
--- a/internal/test/experiments/handover/handover.go
+++ b/internal/test/experiments/handover/handover.go
@@ -6,7 +6,7 @@
 	"harepass/internal/test/experiment"
 )
 
-// Experiment plays the upgrade with several seeds.
+// Experiment simulates the upgrade with several seeds.
 var Experiment = experiment.Experiment{
 	Name: "hand-over",
 	Short: "a new version takes over while half of the nodes are cold, " +
@@ -17,19 +17,19 @@
 const (
 	seeds = 5
 
-	// minGain is by how much the share of the lookups after the upgrade that are answered within the latency objective
-	// has to be greater with the learned state than without.
+	// minGain is the least difference between the results with and without the learned state. The result is the share
+	// of the lookups arriving after the upgrade that are answered within the latency objective.
 	minGain = 0.05
 )
 
-// run plays all seeds without the learned state and with it, and reports.
+// run simulates all seeds without and with the learned state, and reports the results.
 func run(r *experiment.Report) error {
 	r.Table("learned", "seed", "asked after", "in time before", "in time after", "worst on a cold node")
-	without, err := playSeeds(r, false)
+	without, err := simulateSeeds(r, false)
 	if err != nil {
 		return err
 	}
-	with, err := playSeeds(r, true)
+	with, err := simulateSeeds(r, true)
 	if err != nil {
 		return err
 	}
@@ -40,17 +40,17 @@
 	return nil
 }
 
-// playSeeds plays and reports all seeds. It returns the mean share of the lookups after the upgrade that were answered
-// within the latency objective.
-func playSeeds(r *experiment.Report, handOver bool) (inTime float64, err error) {
+// simulateSeeds simulates all seeds and adds their table rows. It returns the mean share of the lookups arriving after
+// the upgrade that were answered within the latency objective.
+func simulateSeeds(r *experiment.Report, handOver bool) (inTime float64, err error) {
 	learned := "anew"
 	if handOver {
 		learned = "handed on"
 	}
 	for seed := range uint64(seeds) {
-		s, err := play(seed*2+1, handOver)
+		s, err := simulate(seed*2+1, handOver)
 		if err != nil {
-			return 0, fmt.Errorf("handover: seed %d: %w", seed, err)
+			return 0, fmt.Errorf("handover: simulate seed %d: %w", seed, err)
 		}
 		worst := s.greatestPressure()
 		inTime += s.after.inTimeFraction() / seeds
--- a/internal/test/experiments/handover/simulation.go
+++ b/internal/test/experiments/handover/simulation.go
@@ -10,24 +10,24 @@
 	"harepass/internal/test/virtualtime"
 )
 
-// The replicas, one at each position of the ring.
+// The replicas, one at each ring position.
 const (
 	replicas          = 12
 	replicationFactor = 3 // ring positions that hold a shard
 	partServiceTime   = 16 * time.Millisecond
 	replicaCores      = 2
-	replicaQueue      = 40 // parts that wait at a replica; more are rejected
+	replicaQueue      = 40 // parts that may wait at a replica; further parts are rejected
 )
 
 // The lookups.
 const (
-	lookupRate       = 120.0 // lookups a second, which keep warmed-up replicas half busy
-	lookupParts      = 4     // consecutive shards
+	lookupRate       = 120.0 // lookups per second, which keep warmed-up replicas half busy
+	lookupParts      = 4     // consecutive shards, with a part for each
 	latencyObjective = 380 * time.Millisecond
 	queryDeadline    = time.Second
 )
 
-// The instants of a play, as readings of its virtual clock.
+// The instants of a simulation, as readings of its virtual clock.
 const (
 	startAt   = time.Second
 	restartAt = 20 * time.Second // restart of half of the replicas
@@ -35,25 +35,25 @@
 	endAt     = 28 * time.Second
 )
 
-// rngStream keeps the draws of the arrivals apart from others with their seed.
+// rngStream separates the random draws of the arrivals from those of other generators with the same seed.
 const rngStream = 0x68616e64
 
 var slowStart = scatter.SlowStart{
 	InitialCapacity: 0.21, Duration: 18 * time.Second, OverloadFactor: 2.5, Window: 1500 * time.Millisecond,
 }
 
-// simulation is one play.
+// simulation is the state of one simulation.
 type simulation struct {
 	now           time.Duration // reading of the virtual clock
 	rng           *rand.Rand
 	pending       virtualtime.Queue[scheduledEvent]
 	replicas      map[string]*fake.Machine // by ID
-	serving       *version                 // gets the lookups that arrive
+	serving       *version                 // the version that gets arriving lookups
 	arrivedAt     map[string]time.Duration // by lookup ID
-	before, after lookupCounts             // lookups that arrived before the upgrade, and since
+	before, after lookupCounts             // lookups that arrived before upgradeAt, and from then on
 }
 
-// lookupCounts counts lookups by the period of their arrival.
+// lookupCounts counts the lookups that arrived in one period.
 type lookupCounts struct {
 	arrived int
 	inTime  int // answered within the latency objective
@@ -62,8 +62,8 @@
 // inTimeFraction returns the share of the lookups that were answered within the latency objective.
 func (c lookupCounts) inTimeFraction() float64 { return float64(c.inTime) / float64(c.arrived) }
 
-// play plays a seed. With handOver the new version gets what the old one has learned.
-func play(seed uint64, handOver bool) (*simulation, error) {
+// simulate simulates one seed. With handOver, the new version gets the learned state of the old one.
+func simulate(seed uint64, handOver bool) (*simulation, error) {
 	s := newSimulation(seed)
 	if err := s.startVersion(seed); err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 	return s, nil
 }
 
-// newSimulation sets the replicas up. No version serves yet.
+// newSimulation sets up the replicas. No version serves yet.
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
 		now: startAt, rng: rand.New(rand.NewPCG(seed, rngStream)),
@@ -109,7 +109,8 @@
 
 func replicaID(i int) string { return fmt.Sprint("n", i) }
 
-// restartHalf restarts half of the replicas: neighbours on the ring, so that all holders of some shards warm up.
+// restartHalf restarts half of the replicas, and gives the new endpoint list to the serving version. The restarted
+// replicas are neighbours on the ring, so all holders of some shards warm up.
 func (s *simulation) restartHalf() {
 	for i := range replicas / 2 {
 		s.replicas[replicaID(i)].Restart(s.now)
@@ -117,7 +118,7 @@
 	s.step(s.serving, s.endpointList())
 }
 
-// endpointList returns the replicas as discovery lists them.
+// endpointList returns the complete endpoint list, as discovery would report it now.
 func (s *simulation) endpointList() scatter.EndpointUpdate {
 	list := scatter.EndpointUpdate{Kind: scatter.FullUpdate}
 	for i := range replicas {
@@ -128,7 +129,7 @@
 	return list
 }
 
-// receiveLookup gives a lookup of consecutive shards to the version that serves.
+// receiveLookup gives a lookup of consecutive shards to the serving version.
 func (s *simulation) receiveLookup(number int64) {
 	id := fmt.Sprint("q", number)
 	s.arrivedAt[id] = s.now
@@ -145,14 +146,15 @@
 	s.step(s.serving, events...)
 }
 
-// countAnswer counts the answer to a lookup by the period in which the lookup arrived.
+// countAnswer counts the answer to a lookup if it is within the latency objective. The answer counts for the period in
+// which the lookup arrived.
 func (s *simulation) countAnswer(lookup string) {
 	if arrivedAt := s.arrivedAt[lookup]; s.now-arrivedAt <= latencyObjective {
 		s.countsAt(arrivedAt).inTime++
 	}
 }
 
-// countsAt returns the counts of the lookups that arrive at an instant.
+// countsAt returns the counts for the period of an arrival.
 func (s *simulation) countsAt(arrival time.Duration) *lookupCounts {
 	if arrival >= upgradeAt {
 		return &s.after
@@ -160,7 +162,7 @@
 	return &s.before
 }
 
-// greatestPressure returns the most parts that a replica got within a window of its slow start, as a share of what it
+// greatestPressure returns the most parts that any replica got within a window of its slow start, as a share of what it
 // tolerates.
 func (s *simulation) greatestPressure() (greatest float64) {
 	for _, r := range s.replicas {
--- a/internal/test/experiments/handover/version.go
+++ b/internal/test/experiments/handover/version.go
@@ -8,7 +8,7 @@
 	"harepass/internal/decide/scatter"
 )
 
-// lookupClass is the only class of queries.
+// lookupClass is the only query class.
 const lookupClass = "lookup"
 
 var settings = scatter.Settings{
@@ -27,19 +27,20 @@
 	SlowStart: slowStart,
 }
 
-// version is one version of the coordinator.
+// version is one version of the coordinator, with its decision module.
 type version struct {
 	module   *scatter.Machine
-	attempts map[string]int // attempts begun, by part ID
+	attempts map[string]int // attempts started, by part ID
 }
 
-// scheduledEvent is an event that a version's module gets at a later instant.
+// scheduledEvent is an event to be delivered to a version's module at a later instant.
 type scheduledEvent struct {
 	to    *version
 	event scatter.Event
 }
 
-// startVersion lets a new version serve. The old one gets no more lookups, and finishes those that it has.
+// startVersion starts a new version, which gets the endpoint list and all further lookups. The old version finishes its
+// open lookups.
 func (s *simulation) startVersion(seed uint64) error {
 	module, err := scatter.New(seed, settings)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// upgrade starts a new version. With handOver it gets the old one's checkpoint by way of JSON, as the program hands it
-// over.
+// upgrade starts a new version. With handOver, the new version restores the checkpoint of the old one. The checkpoint
+// passes through JSON, as it does in the program.
 func (s *simulation) upgrade(seed uint64, handOver bool) error {
 	data, err := json.Marshal(s.serving.module.Checkpoint())
 	if err != nil {
@@ -68,13 +69,13 @@
 	return nil
 }
 
-// step gives a version's module events and takes the actions that it decides on.
+// step passes events to a version's module and carries out the actions that the module returns.
 func (s *simulation) step(v *version, events ...scatter.Event) {
 	for _, action := range v.module.Step(s.now, events) {
 		switch a := action.(type) {
 		case scatter.SetTimer:
 			s.pending.Add(s.now+a.After, scheduledEvent{v, scatter.TimerFired{}})
-		case scatter.CancelAttempt: // The replica does its work in spite of the cancellation.
+		case scatter.CancelAttempt: // The replica still does the work of a cancelled attempt.
 			s.pending.Add(s.now, scheduledEvent{v, scatter.AttemptEnded{
 				Part: a.Part, Attempt: a.Attempt, Outcome: scatter.Cancelled, Latency: latencyObjective,
 			}})
@@ -86,7 +87,7 @@
 	}
 }
 
-// send begins an attempt and schedules its end.
+// send starts an attempt and schedules the event that ends it.
 func (s *simulation) send(v *version, a scatter.Send) {
 	attempt := v.attempts[a.Part]
 	v.attempts[a.Part]++
