--- a/internal/test/experiments/overload/overload.go
+++ b/internal/test/experiments/overload/overload.go
@@ -8,7 +8,7 @@
 	"harepass/internal/test/loadgen"
 )
 
-// Experiment finds out what normal traffic is on this machine and plays its multiples.
+// Experiment determines the normal traffic rate for this machine and runs multiples of that traffic.
 var Experiment = experiment.Experiment{
 	Name: "overload",
 	Short: "a coordinator on two cores at 1, 2 and 3 times its traffic, and before slow nodes, " +
@@ -19,30 +19,30 @@
 const (
 	memoryMB = 256 // memory of the coordinator's process
 
-	probeRate      = 150.0           // queries a second at which the cost of a query is determined
-	probeDuration  = 2 * time.Second // of the play that determines it
-	normalCPUShare = 0.48            // share of the cores that normal traffic takes
-	maxNormalRate  = 1000.0          // queries a second that the clients' side can send
+	probeRate      = 150.0           // queries per second while the CPU time of a query is measured
+	probeDuration  = 2 * time.Second // duration of that measurement
+	normalCPUShare = 0.48            // share of the cores that normal traffic uses
+	maxNormalRate  = 1000.0          // queries per second that the clients can send
 
-	steadyDuration = 4 * time.Second // of the plays with steady traffic
+	steadyDuration = 4 * time.Second // duration of the runs with steady traffic
 
-	// The play with rushFactor begins and ends with normal traffic.
+	// In the run with rushFactor, the rush lasts from rushBegin to rushEnd; traffic is normal before and after it.
 	rushFactor   = 3
 	rushBegin    = time.Second
 	rushEnd      = 4500 * time.Millisecond
 	rushDuration = 7500 * time.Millisecond
 )
 
-// trafficFactors are the multiples of normal traffic that are played.
+// trafficFactors are the multiples of normal traffic that the experiment runs.
 var trafficFactors = []float64{1, 2, rushFactor}
 
-// variant is one play.
+// variant identifies one run.
 type variant struct {
 	factor     float64 // multiple of normal traffic
-	controlled bool    // with overload control; otherwise first come, first served
+	controlled bool    // whether overload control is on; otherwise first come, first served
 }
 
-// run plays all variants and reports them.
+// run runs all variants and the slow replicas, and reports the results.
 func run(r *experiment.Report) error {
 	normalRate, err := findNormalRate()
 	if err != nil {
@@ -54,9 +54,9 @@
 	for _, factor := range trafficFactors {
 		for _, controlled := range []bool{false, true} {
 			v := variant{factor, controlled}
-			o, err := playVariant(v, normalRate)
+			o, err := runVariant(v, normalRate)
 			if err != nil {
-				return fmt.Errorf("overload: %.0f times normal traffic: %w", factor, err)
+				return fmt.Errorf("overload: run %.0f times normal traffic: %w", factor, err)
 			}
 			e.outcomes[v] = o
 			if err := writeResult(r, v, o.Result); err != nil {
@@ -68,40 +68,40 @@
 	e.judgeWeight(r)
 	e.judgeFairness(r)
 	e.judgeRecovery(r)
-	if err := playSlowReplicas(r); err != nil {
-		return fmt.Errorf("overload: slow replicas: %w", err)
+	if err := runSlowReplicas(r); err != nil {
+		return fmt.Errorf("overload: run with slow replicas: %w", err)
 	}
 	e.addFigures(r)
 	return nil
 }
 
-// findNormalRate returns what normal traffic is, in queries a second. It follows from the CPU time that a query costs
-// on this machine.
+// findNormalRate returns the rate of normal traffic in queries per second. The rate follows from the measured CPU time
+// of a query on this machine.
 func findNormalRate() (float64, error) {
-	probe, err := play(config(10*probeRate, memoryMB, false), func(address string) *loadgen.Plan {
+	probe, err := runPlan(config(10*probeRate, memoryMB, false), func(address string) *loadgen.Plan {
 		return plan(address, probeRate, probeDuration)
 	}, fastReplicas)
 	if err != nil {
-		return 0, fmt.Errorf("overload: cost of a query: %w", err)
+		return 0, fmt.Errorf("overload: measure the CPU time of a query: %w", err)
 	}
 	return min(maxNormalRate, normalCPUShare*cores/(probe.CPUSeconds/float64(probe.Admitted))), nil
 }
 
-// playVariant plays a variant. What is beyond normal traffic comes from the flooding tenant.
-func playVariant(v variant, normalRate float64) (*outcome, error) {
+// runVariant runs a variant. The flooding tenant sends all traffic above normal.
+func runVariant(v variant, normalRate float64) (*outcome, error) {
 	duration, burst := steadyDuration, loadgen.Burst{From: 0, To: time.Hour}
 	if v.factor == rushFactor {
 		duration, burst = rushDuration, loadgen.Burst{From: rushBegin, To: rushEnd}
 	}
 	burst.Tenant, burst.Factor = floodingTenant, 1+(v.factor-1)/trafficShares[floodingTenant]
-	return play(config(normalRate, memoryMB, v.controlled), func(address string) *loadgen.Plan {
+	return runPlan(config(normalRate, memoryMB, v.controlled), func(address string) *loadgen.Plan {
 		p := plan(address, normalRate, duration)
 		p.Bursts = []loadgen.Burst{burst}
 		return p
 	}, fastReplicas)
 }
 
-// writeResult writes a play's result where files of results are wanted.
+// writeResult writes the result of a run if result files are wanted.
 func writeResult(r *experiment.Report, v variant, res *loadgen.Result) error {
 	control := "first-come"
 	if v.controlled {
@@ -121,7 +121,7 @@
 		normalSince(o.Stats.Levels))
 }
 
-// addRow adds a play's row. The column of late queries has late, and the last column has remark.
+// addRow adds the table row of a run, with late in the column of late queries and remark in the last column.
 func (o *outcome) addRow(r *experiment.Report, traffic string, controlled bool, late int, remark string) {
 	total, hazards := o.total(), o.Classes[hazardReport]
 	r.Row(traffic, controlled, total.Arrived, total.Served, total.Rejected, late,
@@ -130,7 +130,8 @@
 		fmt.Sprintf("%.1f", o.WaitP99MS), fmt.Sprintf("%.1f", o.WaitMaxMS), fmt.Sprintf("%.1f", o.CPUSeconds), remark)
 }
 
-// normalSince words when the level came back to normal. It is empty if the level never left normal.
+// normalSince returns the time of the last return to the normal level as text, or "the end" if the run ends at another
+// level. It returns "" if the level never left normal.
 func normalSince(levels []loadgen.LevelChange) string {
 	since := ""
 	for i, l := range levels {
--- a/internal/test/experiments/overload/play.go
+++ b/internal/test/experiments/overload/play.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	replicaCount = 6 // one at each position of the ring
+	replicaCount = 6 // one at each ring position
 	cores        = 2 // of the coordinator's process
 	targetWait   = 10 * time.Millisecond
-	answerTime   = 3 * time.Millisecond // of replicas that keep up
+	answerTime   = 3 * time.Millisecond // answer time of replicas that keep up
 )
 
-// replicas are what the emulated replicas of a play do and hold.
+// replicas defines the behaviour and the documents of a run's emulated replicas.
 type replicas struct {
 	script func(shard, attempt int) fake.Reply
 	data   *fake.Data
 }
 
-// fastReplicas always keep up and hold no documents.
+// fastReplicas are replicas that always keep up and hold no documents.
 var fastReplicas = replicas{script: func(int, int) fake.Reply {
 	return fake.Reply{Kind: fake.Serve, After: answerTime}
 }}
 
-// outcome is what came of a play: the clients' side and the coordinator's.
+// outcome holds the results of a run: those of the clients and those of the coordinator.
 type outcome struct {
 	*loadgen.Result
 	*coordinatorproc.Stats
 }
 
-// total sums up the counts of all classes.
+// total returns the sums over all classes.
 func (o *outcome) total() (sum loadgen.ClassResult) {
 	for _, c := range o.Classes {
 		sum.Arrived += c.Arrived
@@ -50,8 +50,8 @@
 	return sum
 }
 
-// config returns a coordinator for a normal rate in queries a second, with overload control or first come, first
-// served.
+// config returns the configuration of a coordinator for a normal rate in queries per second. Without controlled, the
+// coordinator has no overload control.
 func config(normalRate float64, memoryMB int, controlled bool) coordinatorproc.Config {
 	c := coordinatorproc.Config{Settings: settings(normalRate), Cores: cores, MemoryMB: memoryMB}
 	if controlled {
@@ -60,9 +60,9 @@
 	return c
 }
 
-// play plays a plan, made for the address of the front, against a coordinator before its replicas. It ends the
-// coordinator's process and closes the replicas.
-func play(c coordinatorproc.Config, makePlan func(address string) *loadgen.Plan, n replicas) (*outcome, error) {
+// runPlan starts replicas and a coordinator, runs the plan that makePlan returns for the address of the front, and ends
+// the coordinator's process and the replicas.
+func runPlan(c coordinatorproc.Config, makePlan func(address string) *loadgen.Plan, n replicas) (*outcome, error) {
 	c.Shards = shards
 	c.Indices = indices()
 	c.TenantsByUser = map[string]string{}
--- a/internal/test/experiments/overload/slow_replicas.go
+++ b/internal/test/experiments/overload/slow_replicas.go
@@ -12,16 +12,16 @@
 
 const (
 	slowMemoryMB    = 64              // memory of the coordinator's process
-	slowAnswerBytes = 15 << 10        // size of a shard's answer
-	slowRate        = 150.0           // queries a second
-	slowDuration    = 4 * time.Second // of each play
-	slowAnswerTime  = 4 * time.Second // of slowShard
-	slowShard       = 0               // the shard whose replicas answer late only
+	slowAnswerBytes = 15 << 10        // size of one shard's answer
+	slowRate        = 150.0           // queries per second
+	slowDuration    = 4 * time.Second // duration of each run
+	slowAnswerTime  = 4 * time.Second // answer time for slowShard
+	slowShard       = 0               // the shard for which all replicas answer late
 
 	slowSummaryShare = 0.9 // share of the queries that are summaries; the others are hazard reports
 )
 
-// slowReplicas hold large documents. The replicas answer late for slowShard.
+// slowReplicas returns replicas that hold large documents and answer late for slowShard.
 func slowReplicas() replicas {
 	data := &fake.Data{}
 	note := make([]byte, slowAnswerBytes)
@@ -39,7 +39,7 @@
 	}}
 }
 
-// summariesAndReports returns a plan of summaries and a few hazard reports.
+// summariesAndReports returns a plan with mostly summaries and a few hazard reports.
 func summariesAndReports(address string) *loadgen.Plan {
 	p := plan(address, slowRate, slowDuration)
 	var classes []loadgen.Class
@@ -58,18 +58,18 @@
 	return p
 }
 
-// playSlowReplicas plays traffic at a steady rate before slow replicas, without overload control and with it. The
-// memory fills although no more queries arrive than before: the answers of all shards are held until the slow shard's
-// deadline is over.
-func playSlowReplicas(r *experiment.Report) error {
+// runSlowReplicas runs traffic at a steady rate with slow replicas, without and with overload control. The memory fills
+// although the query rate does not rise, because the coordinator holds the answers of all shards until the slow
+// shard's deadline has passed.
+func runSlowReplicas(r *experiment.Report) error {
 	const limitMB = slowMemoryMB * coordinatorproc.HeapLimitShare
 	slow := slowReplicas()
-	firstCome, err := play(config(10*slowRate, slowMemoryMB, false), summariesAndReports, slow)
+	firstCome, err := runPlan(config(10*slowRate, slowMemoryMB, false), summariesAndReports, slow)
 	if err != nil {
 		return err
 	}
 	addSlowRow(r, false, firstCome)
-	controlled, err := play(config(10*slowRate, slowMemoryMB, true), summariesAndReports, slow)
+	controlled, err := runPlan(config(10*slowRate, slowMemoryMB, true), summariesAndReports, slow)
 	if err != nil {
 		return err
 	}
--- a/internal/test/experiments/overload/targets.go
+++ b/internal/test/experiments/overload/targets.go
@@ -8,30 +8,30 @@
 	"harepass/internal/test/loadgen"
 )
 
-// The targets.
+// The targets of overload control.
 const (
-	maxLoopWaitMS = 50 // 99th percentile of the waits for the coordinator's loop, in ms
+	maxLoopWaitMS = 50 // limit of the 99th percentile of the waits for the coordinator's loop, in ms
 
-	// The gains are multiples of the priority weight that first come, first served earns.
+	// Least earned priority weight, as a multiple of the weight earned by first come, first served.
 	minRushGain   = 1.2
 	minNormalGain = 0.99
 
-	minHazardsServed = 0.99 // share of the hazard reports within the quotas that are served in the rush
+	minHazardsServed = 0.99 // least served share of the hazard reports within the quotas, in the run with the rush
 
-	normalWithin = 2 * time.Second // from the end of the rush until the level is normal
+	normalWithin = 2 * time.Second // limit of the time from the end of the rush to the normal level
 
-	// Retries are judged in the second that begins afterRush after the end of the rush.
+	// The targets for retries apply to the one second that begins afterRush after the end of the rush.
 	afterRush               = 2 * time.Second
-	maxAttemptsFactor       = 2.5 // attempts in that second, as a multiple of the normal rate
-	minAttemptsPerRejection = 20  // attempts in that second for each rejected one
+	maxAttemptsFactor       = 2.5 // limit of the attempts in that second, as a multiple of the normal rate
+	minAttemptsPerRejection = 20  // least attempts in that second for each rejected one
 )
 
-// normalLevel is the overload level without overload, as the coordinator logs it.
+// normalLevel is the name of the overload level without overload, as the coordinator logs it.
 const normalLevel = "normal"
 
-// results are the outcomes of all variants.
+// results holds the outcomes of all variants.
 type results struct {
-	normalRate float64 // queries a second
+	normalRate float64 // queries per second
 	outcomes   map[variant]*outcome
 }
 
@@ -43,18 +43,20 @@
 
 func (e results) rushFirstCome() *outcome { return e.outcomes[variant{rushFactor, false}] }
 
-// rushGain returns the weight earned in the rush, as a multiple of that of first come, first served.
+// rushGain returns the weight earned in the run with the rush under overload control, as a multiple of the weight that
+// first come, first served earned.
 func (e results) rushGain() float64 {
 	return e.rush().EarnedWeight / math.Max(e.rushFirstCome().EarnedWeight, 1e-9)
 }
 
-// hazardsServed returns the share of the hazard reports within the quotas that were served in the rush.
+// hazardsServed returns the served share of the hazard reports within the quotas, in the run with the rush under
+// overload control.
 func (e results) hazardsServed() float64 {
 	hazards := e.rush().Classes[hazardReport]
 	return hazards.ServedWithinQuota / math.Max(1, hazards.WithinQuota)
 }
 
-// lost returns how many attempts with overload control got no answer in time.
+// lost returns the number of attempts without a timely answer in the variants with overload control.
 func (e results) lost() (lost int) {
 	for _, factor := range trafficFactors {
 		lost += e.outcomes[variant{factor, true}].Lost
@@ -62,8 +64,8 @@
 	return lost
 }
 
-// attemptsAfterRush returns the attempts, and the rejected ones among them, of the second that begins afterRush after
-// the end of the rush.
+// attemptsAfterRush returns the number of attempts, and of the rejected ones among them, in the second that begins
+// afterRush after the end of the rush.
 func (e results) attemptsAfterRush() (attempts, rejected int) {
 	from := (rushEnd + afterRush) / loadgen.SliceTime
 	for _, s := range e.rush().Slices[from : from+time.Second/loadgen.SliceTime] {
@@ -72,7 +74,7 @@
 	return attempts, rejected
 }
 
-// judgeWeight judges the weight that is earned, the waits, and what is lost.
+// judgeWeight checks the targets for the earned weight, the loop's waits, the hazard reports and the lost attempts.
 func (e results) judgeWeight(r *experiment.Report) {
 	normal, firstCome := e.normalTraffic(), e.normalFirstCome()
 	r.Expect(e.rush().WaitP99MS < maxLoopWaitMS, "the loop's p99 at three times is %.1f ms, under %d wanted",
@@ -87,7 +89,7 @@
 	r.Expect(e.lost() == 0, "%d tries without a timely answer", e.lost())
 }
 
-// judgeFairness judges whether a tenant within its quota was rejected more often than the flooding tenant.
+// judgeFairness checks that no tenant within its quota had a larger share of rejections than the flooding tenant.
 func (e results) judgeFairness(r *experiment.Report) {
 	rejectedShare := func(t *loadgen.TenantResult) float64 { return float64(t.Rejected) / float64(t.Arrived) }
 	tenants := e.rush().Tenants
@@ -100,7 +102,8 @@
 	r.Expect(excess <= 0, "a tenant within its share was refused %.3f more than the one beyond it", excess)
 }
 
-// judgeRecovery judges whether rejected clients come back too soon after the rush, and the level too late.
+// judgeRecovery checks that rejected clients do not retry too soon after the rush, and that the level returns to normal
+// in time and is normal at the end.
 func (e results) judgeRecovery(r *experiment.Report) {
 	attempts, rejected := e.attemptsAfterRush()
 	r.Expect(rejected*minAttemptsPerRejection <= attempts && float64(attempts) < maxAttemptsFactor*e.normalRate,
--- a/internal/test/experiments/overload/traffic.go
+++ b/internal/test/experiments/overload/traffic.go
@@ -13,21 +13,21 @@
 const (
 	shards            = 24
 	replicationFactor = 3 // ring positions that hold a shard
-	lookupShards      = 8 // consecutive shards that a lookup asks for
+	lookupShards      = 8 // consecutive shards that a lookup needs
 
 	latencyObjective = 1500 * time.Millisecond // of all classes
-	clientTimeout    = 3 * time.Second         // after which clients give up
-	clientRetries    = 2                       // of a rejected client
+	clientTimeout    = 3 * time.Second         // time after which a client gives up
+	clientRetries    = 2                       // retries of a rejected client
 
 	// quotaFactor is each tenant's quota as a multiple of its normal traffic.
 	quotaFactor = 1.1
-	// overQuotaWeight is the share of its priority weight that a query beyond the quota has.
+	// overQuotaWeight is the share of the priority weight that a query beyond the quota keeps.
 	overQuotaWeight = 0.05
 	// floodingTenant is the tenant that sends more than its quota.
 	floodingTenant = "momiji-dake"
 )
 
-// The classes of queries, and the indices that lead to them.
+// The query classes, and the index that selects each of them.
 const (
 	routeLookup       = "route-lookup"
 	hazardReport      = "hazard-report"
@@ -50,7 +50,7 @@
 
 func tenantNames() []string { return slices.Sorted(maps.Keys(trafficShares)) }
 
-// indices are the indices of the front.
+// indices returns the indices of the front, by name.
 func indices() map[string]*opensearch.Index {
 	return map[string]*opensearch.Index{
 		lookupIndex:  {Class: routeLookup},
@@ -59,7 +59,7 @@
 	}
 }
 
-// settings returns the coordinator's settings for a normal rate in queries a second.
+// settings returns the coordinator's settings. The quotas follow from normalRate, in queries per second.
 func settings(normalRate float64) scatter.Settings {
 	s := scatter.Settings{
 		Coordinators:      1,
@@ -93,7 +93,7 @@
 	return s
 }
 
-// plan returns traffic of a rate, in queries a second, for a front at an address.
+// plan returns the plan of traffic at a rate, in queries per second, for the front at an address.
 func plan(address string, rate float64, duration time.Duration) *loadgen.Plan {
 	p := &loadgen.Plan{
 		Target: "http://" + address, Duration: duration, Rate: rate, Seed: 1, Retries: clientRetries,
@@ -120,7 +120,7 @@
 	return p
 }
 
-// quota returns a tenant's quota, in queries a second, for a normal rate of all tenants.
+// quota returns a tenant's quota in queries per second. normalRate is the normal rate of all tenants together.
 func quota(tenant string, normalRate float64) float64 {
 	return quotaFactor * normalRate * trafficShares[tenant]
 }
--- a/internal/test/experiments/twophase/replicas.go
+++ b/internal/test/experiments/twophase/replicas.go
@@ -13,26 +13,26 @@
 
 const (
 	shards            = 12
-	replicaCount      = 6 // one at each position of the ring
+	replicaCount      = 6 // one at each ring position
 	replicationFactor = 3 // ring positions that hold a shard
 	trailsPerShard    = 20
 	maxSnowCM         = 200
-	workUnit          = 500 * time.Microsecond // time that a unit of work takes
+	workUnit          = 500 * time.Microsecond // time for a unit of work
 	coresPerReplica   = 2
 
-	// replicationLag is how much later than the others the last replica has a change, in a morning with faults.
+	// replicationLag is the delay with which the last replica gets each change, in a morning with faults.
 	replicationLag = 300 * time.Millisecond
-	// slowAnswer is how long the slow replica takes for an answer.
+	// slowAnswer is the answer time of the slow replica.
 	slowAnswer = 80 * time.Millisecond
-	// shardStep is how many shards lie between two changes that touch one shard each.
+	// shardStep is the distance between the shards of successive changes, if each change touches one shard.
 	shardStep = 5
-	// firstVersion is the version before that of the first change; it is above those of the first data.
+	// firstVersion is the version before that of the first change. It is greater than all versions of the initial data.
 	firstVersion = 1000
-	// changeStream keeps the draws of changes apart from others with their seed.
+	// changeStream separates the random draws of changes from those of other generators with the same seed.
 	changeStream = 0x636861
 )
 
-// newReplicas returns the replicas of a morning. Faults count from an instant.
+// newReplicas returns the replicas of a morning. The times of their faults count from began.
 func newReplicas(m morning, began time.Time) (replicas []*endtoend.Node) {
 	trails := fakedata.New(m.seed, shards, trailsPerShard)
 	for i := range replicaCount {
@@ -46,8 +46,8 @@
 	return replicas
 }
 
-// fault returns what a replica does at a time since the start. One replica after the other does not respond, fails at
-// once, is slow, answers what cannot be read, and breaks connections.
+// fault returns the behaviour of a replica at a time since the start. One replica after another does not reply, fails
+// at once, is slow, sends unreadable answers, and closes connections.
 func fault(replica int, since time.Duration) fake.Reply {
 	during := func(from, to float64) bool { return since.Seconds() >= from && since.Seconds() < to }
 	switch {
@@ -65,7 +65,7 @@
 	return fake.Reply{}
 }
 
-// workDone returns the units of work that replicas have done.
+// workDone returns the total units of work that the replicas have done.
 func workDone(replicas []*endtoend.Node) (sum float64) {
 	for _, r := range replicas {
 		sum += r.WorkDone()
@@ -73,7 +73,7 @@
 	return sum
 }
 
-// change changes shards as a morning has it, until ctx ends.
+// change changes the data of shards at the morning's interval and for its share of the shards, until ctx ends.
 func (m morning) change(ctx context.Context, replicas []*endtoend.Node) {
 	rng := rand.New(rand.NewPCG(m.seed, changeStream))
 	began, version, next := time.Now(), float64(firstVersion), 0
@@ -95,7 +95,7 @@
 	}
 }
 
-// drawTrail draws a new state of one of a shard's trails.
+// drawTrail draws one of a shard's trails and a new state for it.
 func drawTrail(rng *rand.Rand, shard int, version float64) fake.Document {
 	return fakedata.Trail{
 		ID:      fmt.Sprintf("t%d-%d", shard, rng.IntN(trailsPerShard)),
@@ -105,7 +105,7 @@
 	}.Doc()
 }
 
-// put gives a document to all replicas: to the last one late, in a morning with faults.
+// put gives a document to all replicas. In a morning with faults, the last replica gets it after replicationLag.
 func (m morning) put(replicas []*endtoend.Node, shard int, doc fake.Document) {
 	for i, r := range replicas {
 		if m.faults && i == len(replicas)-1 {
--- a/internal/test/experiments/twophase/twophase.go
+++ b/internal/test/experiments/twophase/twophase.go
@@ -10,20 +10,20 @@
 	"harepass/internal/test/experiment"
 )
 
-// Experiment plays six mornings in one phase and in two.
+// Experiment runs six mornings with one-phase and with two-phase search.
 var Experiment = experiment.Experiment{
 	Name:  "two-phase",
 	Short: "the same mornings in one phase and in two, without failures and with",
 	Run:   run,
 }
 
-// morning is how the data changes during a play.
+// morning is a scenario: how the data changes during a run, and whether replicas have faults.
 type morning struct {
 	name         string
 	interval     time.Duration // time between changes
 	changedShare float64       // share of the shards that each change touches
 	faults       bool          // whether replicas have faults
-	seed         uint64        // source of all draws
+	seed         uint64        // seeds all random draws
 }
 
 const oneShard = 1.0 / shards
@@ -37,29 +37,30 @@
 	{"all, failures", 20 * time.Millisecond, 1, true, 3},
 }
 
-// concurrentMornings is how many mornings are played at a time.
+// concurrentMornings is the number of mornings that run at a time, each in one phase and in two.
 const concurrentMornings = 2
 
-// Indices of mornings without faults.
+// Indices, in mornings, of the mornings without faults.
 const (
 	quiet = iota
 	half
 	all
 )
 
-// The targets: work of the replicas in two phases, as a multiple of that in one.
+// The targets: most work of the replicas in two phases, as a multiple of their work in one phase.
 const (
 	maxQuietWork = 0.6
 	maxAllWork   = 1.05
 )
 
-// pair is a morning in one phase and in two.
+// pair holds the tallies of a morning in one phase and in two.
 type pair struct{ one, two *tally }
 
-// workRatio returns the work of the replicas in two phases, as a multiple of that in one.
+// workRatio returns the work of the replicas in two phases, as a multiple of their work in one phase.
 func (p pair) workRatio() float64 { return p.two.workUnits / p.one.workUnits }
 
-// compareAnswers compares, by arrival, the answers during which the data did not change.
+// compareAnswers compares the one-phase and the two-phase answer to each arrival for which both are complete and the
+// data did not change during either query.
 func (p pair) compareAnswers() (compared, differing int) {
 	for arrival, hits := range p.one.unchanged {
 		other := p.two.unchanged[arrival]
@@ -74,19 +75,19 @@
 	return compared, differing
 }
 
-// playAll plays all mornings. The pairs are in the order of mornings.
-func playAll() ([]pair, error) {
+// runMornings runs all mornings in one phase and in two. The pairs are in the order of mornings.
+func runMornings() ([]pair, error) {
 	pairs := make([]pair, len(mornings))
 	for group := range slices.Chunk(indicesOf(mornings), concurrentMornings) {
 		var wg sync.WaitGroup
 		errs := make([]error, 2*len(mornings))
 		for _, i := range group {
-			wg.Go(func() { pairs[i].one, errs[2*i] = play(mornings[i], false) })
-			wg.Go(func() { pairs[i].two, errs[2*i+1] = play(mornings[i], true) })
+			wg.Go(func() { pairs[i].one, errs[2*i] = runMorning(mornings[i], false) })
+			wg.Go(func() { pairs[i].two, errs[2*i+1] = runMorning(mornings[i], true) })
 		}
 		wg.Wait()
 		if err := errors.Join(errs...); err != nil {
-			return nil, fmt.Errorf("twophase: %w", err)
+			return nil, fmt.Errorf("twophase: run mornings: %w", err)
 		}
 	}
 	return pairs, nil
@@ -99,9 +100,9 @@
 	return indices
 }
 
-// run plays all mornings and reports them.
+// run runs all mornings and reports the results.
 func run(r *experiment.Report) error {
-	pairs, err := playAll()
+	pairs, err := runMornings()
 	if err != nil {
 		return err
 	}
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// judge holds the pairs against the targets.
+// judge checks the pairs against the targets.
 func judge(r *experiment.Report, pairs []pair, differing int) {
 	quietOne, quietTwo := pairs[quiet].one.latency(99), pairs[quiet].two.latency(99)
 	r.Expect(differing == 0, "%d answers differ from those of one phase", differing)
@@ -141,7 +142,8 @@
 	r.Expect(quietTwo <= quietOne, "quiet: p99 %v in two phases, %v in one", quietTwo, quietOne)
 }
 
-// addRow adds a play's row, and judges it. Its work is shown as a multiple of that in one phase.
+// addRow adds the table row of a run, and checks that no answer was late or wrong. The row shows the work as a multiple
+// of the work in one phase.
 func addRow(r *experiment.Report, m morning, phases int, t *tally, workInOnePhase float64) {
 	r.Row(m.name, phases, t.queries, t.answers, t.incomplete, t.rejected, t.late, t.wrong,
 		fmt.Sprintf("%.0f%%", 100*t.prunedShare()), fmt.Sprintf("%.1f", t.workUnits/float64(t.queries)),
