--- a/internal/test/fleetsim/coordinator.go
+++ b/internal/test/fleetsim/coordinator.go
@@ -49,9 +49,9 @@
 	return err
 }
 
-// resize changes the number of coordinators to fleetSize. Coordinators beyond the new size end at once. Of the
-// remaining ones, as many as notified, from the first one on, get settings with the new size now; the others keep the
-// old size. Added coordinators start with the new size.
+// resize changes the number of coordinators to fleetSize. Coordinators beyond the new size end at once.
+// notified is the number of remaining coordinators, counted from the first, that get settings with the new size now;
+// the others keep the old size. Added coordinators start with the new size.
 func (f *Fleet) resize(fleetSize, notified int) error {
 	f.coordinators = f.coordinators[:min(len(f.coordinators), fleetSize)]
 	for i, c := range f.coordinators[:min(len(f.coordinators), notified)] {
--- a/internal/test/loopsim/doc.go
+++ b/internal/test/loopsim/doc.go
@@ -1,6 +1,6 @@
 // Package loopsim simulates the event loop of a coordinator in virtual time: a single server that processes queries in
-// the order of their admission. The replicas are taken to keep up always. A simulation shows how an admission control
-// handles overload.
+// the order of their admission. The simulation assumes that the replicas always keep up. It shows how an admission
+// control handles overload.
 //
 // # Contract
 //
--- a/internal/test/loopsim/simulation.go
+++ b/internal/test/loopsim/simulation.go
@@ -96,7 +96,7 @@
 	nextObserve time.Duration // instant of the next call of Admission.Observe
 
 	arrivedWeights quotaledger.Ledger // priority weights of all queries, by the arrival of their first attempt
-	servedWeights  quotaledger.Ledger // of the queries served within the latency objective
+	servedWeights  quotaledger.Ledger // priority weights of the queries served within the latency objective
 }
 
 // applyQuotas replaces the weights of the tenants and of the total by weights that the tenants' quotas reduce.
