--- a/internal/test/fake/discovery.go
+++ b/internal/test/fake/discovery.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ServeDiscovery answers each call with the list that a function returns, until the listener is closed. A call that may
-// wait is answered after its wait.
+// ServeDiscovery answers each call to discovery with the string that list returns, until the listener is closed. It
+// answers only after the wait that the call allows.
 func ServeDiscovery(l net.Listener, list func() string) {
 	http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if wait := ParsePoll(req).Wait; wait > 0 {
--- a/internal/test/fake/documents.go
+++ b/internal/test/fake/documents.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Document is a document of a shard.
+// Document is one document of a shard.
 type Document struct {
 	ID      string
-	Version any // a number, unless a test wants it otherwise; nil for none
+	Version any // a number, unless a test needs another type; nil for none
 	Fields  map[string]any
 }
 
-// Data is the documents of all shards. The zero value has none.
+// Data holds the documents of all shards. The zero value is empty.
 type Data struct {
-	KeepHistory bool // keep the states that each shard had, for StatesBetween
+	KeepHistory bool // record every state of each shard, for StatesBetween
 
 	mu          sync.Mutex
-	shards      map[int][]Document // in order of ID; a list is replaced, never changed
+	shards      map[int][]Document // sorted by ID; a slice is replaced, never modified
 	history     map[int][]ShardState
-	nextVersion float64 // of the next document that is put without one
+	nextVersion float64 // version of the next document that Put gets without one
 }
 
-// ShardState is what a shard held from an instant on.
+// ShardState is the content of a shard from an instant on.
 type ShardState struct {
 	Since time.Time
-	Docs  []Document // in order of ID
+	Docs  []Document // sorted by ID
 }
 
-// Docs returns a shard's documents, in order of ID. The caller must not change them.
+// Docs returns a shard's documents, sorted by ID. The caller must not modify them.
 func (d *Data) Docs(shard int) []Document {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,7 +46,7 @@
 	d.setLocked(shard, docs)
 }
 
-// setLocked replaces a shard's documents. It is to be called under the lock.
+// setLocked replaces a shard's documents. The caller holds mu.
 func (d *Data) setLocked(shard int, docs []Document) {
 	if d.shards == nil {
 		d.shards, d.history = map[int][]Document{}, map[int][]ShardState{}
@@ -64,7 +64,7 @@
 	}
 }
 
-// Put adds a document or replaces the one of its ID. Without a version it gets the next one.
+// Put adds a document, or replaces the one with the same ID. A document without a version gets the next one.
 func (d *Data) Put(shard int, doc Document) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,12 +81,12 @@
 	d.setLocked(shard, without(d.shards[shard], id))
 }
 
-// without returns a copy of documents without the one of an ID.
+// without returns a copy of docs that lacks the document with the given ID.
 func without(docs []Document, id string) []Document {
 	return slices.DeleteFunc(slices.Clone(docs), func(doc Document) bool { return doc.ID == id })
 }
 
-// StatesBetween lists the states that a shard had between two instants, both included, oldest first. It needs
+// StatesBetween returns the states that a shard had between two instants, both included, oldest first. It requires
 // KeepHistory.
 func (d *Data) StatesBetween(shard int, from, to time.Time) []ShardState {
 	d.mu.Lock()
@@ -94,10 +94,10 @@
 	list := d.history[shard]
 	begin := sort.Search(len(list), func(i int) bool { return !list[i].Since.Before(from) })
 	end := sort.Search(len(list), func(i int) bool { return list[i].Since.After(to) })
-	return list[max(0, begin-1):end:end] // the state before the first of these lasted until it
+	return list[max(0, begin-1):end:end] // includes the state before begin, which lasted until it
 }
 
-// DocumentIDs returns what a frame has of a shard: the IDs of its documents, as a JSON array.
+// DocumentIDs returns the value of a shard in a frame: the IDs of its documents as a JSON array.
 func DocumentIDs(docs []Document) (string, error) {
 	ids := []string{}
 	for _, doc := range docs {
@@ -107,7 +107,7 @@
 	return string(data), err
 }
 
-// fieldValue is the value of a document's field; "section" and "version" are fields of every document.
+// fieldValue returns the value of a document's field. Every document has the fields "section" and "version".
 func fieldValue(shard int, doc Document, field string) any {
 	switch field {
 	case "section":
--- a/internal/test/fake/endpoint_list.go
+++ b/internal/test/fake/endpoint_list.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Statuses of an endpoint, in the form of discovery.
+// Statuses of an endpoint, as discovery writes them.
 const (
 	StatusInService   = "in_service"
-	StatusTerminating = "terminating" // it drains, and is to be sent nothing new
+	StatusTerminating = "terminating" // the endpoint drains; callers must send it nothing new
 	StatusTerminated  = "terminated"
 )
 
@@ -25,7 +25,7 @@
 	SinceMS int64   `json:"since_ms"` // start of the process, in Unix milliseconds
 }
 
-// EndpointList is an answer of discovery: the complete list, or what has changed since the version that a caller has.
+// EndpointList is an answer of discovery: the complete list, or the changes since the version that the caller has.
 type EndpointList struct {
 	Index     int64      `json:"index"` // the list's version
 	Snapshot  bool       `json:"snapshot"`
@@ -34,11 +34,11 @@
 
 // Poll is a call to discovery.
 type Poll struct {
-	From int64         // the version that the caller has; below 0 for none
-	Wait time.Duration // for how long discovery may wait for a newer version
+	From int64         // version that the caller has; negative for none
+	Wait time.Duration // how long discovery may wait for a newer version
 }
 
-// ParsePoll reads a call from its request. A version that cannot be read counts as none, a wait as 0.
+// ParsePoll reads a Poll from its request. An unreadable version counts as none, an unreadable wait as 0.
 func ParsePoll(req *http.Request) Poll {
 	from, err := strconv.ParseInt(req.URL.Query().Get("from"), 10, 64)
 	if err != nil {
--- a/internal/test/fake/frames.go
+++ b/internal/test/fake/frames.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// partCallType begins the frames that ask for a part. All other frames are ignored.
+// partCallType is the first byte of a frame that requests a part. Frames of all other types are ignored.
 const partCallType = '1'
 
-// ServeFrames serves the platform's frames until the listener is closed.
+// ServeFrames serves parts in the platform's frames until the listener is closed.
 func (r *Replicas) ServeFrames(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -25,13 +25,13 @@
 	}
 }
 
-// partCall is a frame that asks for a part.
+// partCall is a frame that requests a part.
 type partCall struct {
 	Part
-	line string // the frame's first line, which has the part
+	line string // the frame's first line, which describes the part
 }
 
-// parsePartCall reads a frame without its length.
+// parsePartCall parses a frame, given without its length prefix.
 func parsePartCall(frame []byte) (call partCall, err error) {
 	call.line, _, _ = strings.Cut(string(frame[1:]), "\n")
 	var length int
@@ -39,13 +39,13 @@
 	return call, err
 }
 
-// frameConn is a connection on which several parts are answered, each by a goroutine of its own.
+// frameConn is a connection on which several parts are answered, each by its own goroutine.
 type frameConn struct {
 	net.Conn
-	mu sync.Mutex // held for each frame that is written
+	mu sync.Mutex // held while a frame is written
 }
 
-// writeFrame writes a frame behind its length.
+// writeFrame writes a length prefix and the frame.
 func (c *frameConn) writeFrame(text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,7 @@
 	c.Write(append(length, text...))
 }
 
-// readFrame reads a frame behind its length.
+// readFrame reads a length prefix and the frame that follows it.
 func readFrame(r io.Reader) ([]byte, error) {
 	var length uint32
 	if err := binary.Read(r, binary.LittleEndian, &length); err != nil {
@@ -64,7 +64,7 @@
 	return frame, err
 }
 
-// serveConnection takes the parts of a connection until it ends, and answers each when its reply is due.
+// serveConnection reads the parts of a connection until it ends, and answers each part when its reply is due.
 func (r *Replicas) serveConnection(conn net.Conn) {
 	defer conn.Close()
 	c, reader := &frameConn{Conn: conn}, bufio.NewReader(conn)
@@ -89,7 +89,7 @@
 	}
 }
 
-// reply does with a part what its kind of reply says.
+// reply answers a part with a kind of reply. It does nothing for NoReply.
 func (r *Replicas) reply(c *frameConn, call partCall, kind Kind) {
 	switch kind {
 	case Serve:
@@ -105,7 +105,7 @@
 	}
 }
 
-// value is what a frame has of a shard, once the work for it is done.
+// value returns a shard's value in a frame. With Data, it first does the work of reading all documents.
 func (r *Replicas) value(shard int) string {
 	if r.Data == nil {
 		return fmt.Sprintf("v%d", shard)
--- a/internal/test/fake/machine.go
+++ b/internal/test/fake/machine.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Machine is what a replica's parts are worked on with, on any clock: cores that take one part at a time, a queue
-// before them, and a slow start. It finishes every part that it accepts. Instants are readings of the caller's clock,
-// which never goes back.
+// Machine models how a replica processes its parts, on any clock: cores that process one part at a time, a queue before
+// them, and a slow start. It finishes every part that it accepts. Instants are readings of the caller's clock, which
+// never goes back.
 type Machine struct {
-	ServiceTime time.Duration // of a part, on a core of a machine that is warmed up
+	ServiceTime time.Duration // of a part on one core of a warmed-up machine
 	Cores       int
-	QueueLength int // parts that may wait; more are rejected
+	QueueLength int // how many parts may wait; further parts are rejected
 
-	StartedAt       time.Duration // when the process started; 0 for long ago
-	InitialCapacity float64       // share of its capacity that a process has when it starts
-	SlowStart       time.Duration // after which a process has all of its capacity; 0 for at once
-	OverloadFactor  float64       // multiple of its present capacity that a process in slow start cannot bear
-	OverloadWindow  time.Duration // for which it would have to bear it before it falls over
+	StartedAt       time.Duration // start of the process; 0 for long ago
+	InitialCapacity float64       // share of its full capacity that a process has at its start
+	SlowStart       time.Duration // time until a process has its full capacity; 0 for at once
+	OverloadFactor  float64       // multiple of its present capacity at which arrivals overload a process in slow start
+	OverloadWindow  time.Duration // how long arrivals must reach that multiple before the process fails
 
-	idleAt            []time.Duration // when each core is idle
-	slowStartArrivals []time.Duration // arrivals during the present slow start, oldest first
+	idleAt            []time.Duration // when each core becomes idle
+	slowStartArrivals []time.Duration // instants of arrivals in the present slow start, oldest first
 }
 
-// Capacity is the share of its capacity that the machine has at now.
+// Capacity returns the share of its full capacity that the machine has at now.
 func (m *Machine) Capacity(now time.Duration) float64 {
 	if m.StartedAt == 0 || m.SlowStart == 0 {
 		return 1
@@ -33,8 +33,8 @@
 	return min(1, m.InitialCapacity+(1-m.InitialCapacity)*running/m.SlowStart.Seconds())
 }
 
-// Accept returns when a part that arrives at now is done. It reports false where the part is rejected, since too many
-// wait.
+// Accept returns when a part that arrives at now is finished. It reports false if the part is rejected because the
+// queue is full.
 func (m *Machine) Accept(now time.Duration) (done time.Duration, accepted bool) {
 	capacity := m.Capacity(now)
 	if capacity < 1 {
@@ -52,13 +52,13 @@
 	return m.idleAt[core], true
 }
 
-// Restart makes the machine a new process that starts at now: idle, and in slow start.
+// Restart replaces the process with a new one that starts at now, idle and in slow start.
 func (m *Machine) Restart(now time.Duration) {
 	m.StartedAt, m.idleAt, m.slowStartArrivals = now, nil, nil
 }
 
-// Pressure is the greatest number of arrivals in a window of the present slow start, as a multiple of what the machine
-// tolerates. It falls over above 1.
+// Pressure returns the greatest number of arrivals in a window of the present slow start, as a multiple of what the
+// machine tolerates. Above 1 the process fails.
 func (m *Machine) Pressure() (greatest float64) {
 	from := 0
 	for i, at := range m.slowStartArrivals {
@@ -70,8 +70,8 @@
 	return greatest
 }
 
-// Tolerates is how many arrivals the machine tolerates in the window that begins at from. To the N that its overload
-// factor grants, 2 root N + 2 are added: so many more may come by chance.
+// Tolerates returns how many arrivals the machine tolerates in the window that begins at from. It adds 2 root N + 2 to
+// the N arrivals that OverloadFactor permits, because random arrivals may exceed N by that many.
 func (m *Machine) Tolerates(from time.Duration) float64 {
 	perSecond := m.OverloadFactor * m.Capacity(from) * float64(m.Cores) / m.ServiceTime.Seconds()
 	n := perSecond * m.OverloadWindow.Seconds()
--- a/internal/test/fake/match.go
+++ b/internal/test/fake/match.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Matches reports whether a document of a shard matches a query of the kinds that replicas know: match_all, match_none,
-// term, terms, range and bool of these. A kind that they do not know matches.
+// Matches reports whether a document of a shard matches a query. Replicas know match_all, match_none, term, terms,
+// range, and bool queries of these; a query of any other kind matches every document.
 func Matches(shard int, doc Document, query map[string]json.RawMessage) bool {
 	for kind, raw := range query {
 		var fields map[string]json.RawMessage
@@ -27,7 +27,8 @@
 	return true
 }
 
-// matchesBool reports whether a document matches a bool query. Where it has should clauses, one of them has to match.
+// matchesBool reports whether a document matches a bool query. If the query has should clauses, at least one must
+// match.
 func matchesBool(shard int, doc Document, clauses map[string]json.RawMessage) bool {
 	hasShould, shouldMatches := false, false
 	for name, raw := range clauses {
@@ -50,7 +51,7 @@
 	return shouldMatches || !hasShould
 }
 
-// clauseQueries are the queries of a bool query's clause: an array of them, or a single one.
+// clauseQueries returns the queries of a clause in a bool query, which holds an array of queries or a single one.
 func clauseQueries(raw json.RawMessage) (queries []map[string]json.RawMessage) {
 	if json.Unmarshal(raw, &queries) == nil {
 		return queries
@@ -60,7 +61,7 @@
 	return append(queries, single)
 }
 
-// matchesValue reports whether a field's value matches what a term, terms or range query wants of it.
+// matchesValue reports whether a field's value satisfies a term, terms or range query.
 func matchesValue(kind string, value any, raw json.RawMessage) bool {
 	var wanted any
 	json.Unmarshal(raw, &wanted)
--- a/internal/test/fake/network.go
+++ b/internal/test/fake/network.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// ErrConnectionRefused says that nobody listens at an address of a Network.
+// ErrConnectionRefused reports that an address of a Network has no listener.
 var ErrConnectionRefused = errors.New("connection refused")
 
-// Network is connections in memory, for tests on a clock of their own. The zero value has no listeners.
+// Network provides in-memory connections, for tests on a virtual clock. The zero value has no listeners.
 type Network struct {
-	// HalfClose makes both directions of a connection end by themselves, as on TCP: a server can then end its answers
-	// and still read the rest of what its client sends. Without it connections are net.Pipe's, which end in both
+	// HalfClose lets each direction of a connection end separately, as on TCP: a server can then end its answers and
+	// still read the rest of what its client sends. Without it, connections are those of net.Pipe, which end in both
 	// directions at once.
 	HalfClose bool
 
@@ -23,7 +23,7 @@
 	listeners map[string]*memoryListener // by address
 }
 
-// Listen opens an address. A listener that had the address before gets no further connections.
+// Listen opens a listener at an address. An earlier listener at the address gets no further connections.
 func (n *Network) Listen(address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -35,8 +35,8 @@
 	return l
 }
 
-// Dial connects to an address, and waits until the connection is accepted. The error wraps ErrConnectionRefused where
-// nobody listens, and is the context's where that ends.
+// Dial connects to an address and waits until the connection is accepted. The error wraps ErrConnectionRefused if the
+// address has no listener, and is the context's error if the context ends first.
 func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -56,7 +56,7 @@
 	}
 }
 
-// pipe returns both ends of a connection.
+// pipe returns both ends of a new connection.
 func (n *Network) pipe() (client, server net.Conn) {
 	if !n.HalfClose {
 		return net.Pipe()
@@ -66,8 +66,8 @@
 	return &memoryConn{Conn: toClient, out: fromClient}, &memoryConn{Conn: toServer, out: fromServer}
 }
 
-// memoryConn is one end of a connection that can end its own direction with CloseWrite and go on reading the peer's.
-// Nothing is buffered: a write waits for the peer's reads.
+// memoryConn is one end of a connection. CloseWrite ends its direction to the peer, while the direction from the peer
+// stays open. Writes are not buffered: each one blocks until the peer has read it.
 type memoryConn struct {
 	net.Conn          // the direction from the peer
 	out      net.Conn // the direction to the peer
@@ -76,7 +76,7 @@
 // Write implements net.Conn.
 func (c *memoryConn) Write(data []byte) (int, error) { return c.out.Write(data) }
 
-// CloseWrite ends the direction to the peer, which then reads io.EOF.
+// CloseWrite ends the direction to the peer. The peer then reads io.EOF.
 func (c *memoryConn) CloseWrite() error { return c.out.Close() }
 
 // Close implements net.Conn.
@@ -90,7 +90,7 @@
 	return errors.Join(c.SetReadDeadline(at), c.SetWriteDeadline(at))
 }
 
-// memoryListener is an address of a Network that is open.
+// memoryListener is an open address of a Network.
 type memoryListener struct {
 	address string
 	conns   chan net.Conn
--- a/internal/test/fake/network_test.go
+++ b/internal/test/fake/network_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A server ends its direction while its client still writes. It gets the rest of what the client sends, and the client
-// gets what was sent before the end.
+// A server ends its direction of the connection while its client still writes. The server must still read the rest of
+// what the client sends, and the client must read what the server sent before the end.
 func TestNetworkHalfClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := Network{HalfClose: true}
@@ -27,7 +27,7 @@
 			defer c.Close()
 			io.WriteString(c, answer)
 			c.(interface{ CloseWrite() error }).CloseWrite()
-			time.Sleep(time.Second) // the client waits in its write
+			time.Sleep(time.Second) // the client is blocked in its write
 			data, _ := io.ReadAll(c)
 			read <- string(data)
 		}()
@@ -41,16 +41,16 @@
 			written <- err
 		}()
 		if data, err := io.ReadAll(c); string(data) != answer || err != nil {
-			t.Errorf("the client read %q, %v", data, err)
+			t.Errorf("client read %q, error %v", data, err)
 		}
 		if err := <-written; err != nil {
-			t.Errorf("the client's write: %v", err)
+			t.Errorf("client failed to write: %v", err)
 		}
 		if err := c.Close(); err != nil {
 			t.Error(err)
 		}
 		if data := <-read; data != strings.Repeat(request, 2) {
-			t.Errorf("the server read %q", data)
+			t.Errorf("server read %q", data)
 		}
 	})
 }
--- a/internal/test/fake/registry.go
+++ b/internal/test/fake/registry.go
@@ -10,24 +10,23 @@
 	"time"
 )
 
-// Registry is discovery with an endpoint list that changes. It answers with the complete list, or keeps a watch waiting
-// until there is a change that the caller does not have. Endpoints that have ended stay in the list. The zero value
-// lists nothing.
+// Registry is a discovery service whose endpoint list changes. It answers with the complete list, or lets a watch wait
+// for a change that the caller does not have. Endpoints that have ended stay in the list. The zero value lists nothing.
 type Registry struct {
 	mu        sync.Mutex
 	index     int64 // the list's version: the number of changes so far
 	endpoints map[string]listedEndpoint
-	changed   chan struct{} // closed and replaced at each change, of an endpoint or of the mode
+	changed   chan struct{} // closed and replaced at each change of an endpoint or of the mode
 	mode      RegistryMode
 }
 
-// listedEndpoint is an endpoint with the version of its latest change.
+// listedEndpoint is an endpoint with the list's version at the endpoint's latest change.
 type listedEndpoint struct {
 	Endpoint
 	version int64
 }
 
-// Put adds an endpoint or changes it. Its address is set for each caller.
+// Put adds or changes an endpoint. List sets its address for each caller.
 func (r *Registry) Put(e Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,7 +38,7 @@
 	r.notify()
 }
 
-// notify wakes all watches. It is to be called under the lock.
+// notify wakes all watches. The caller holds mu.
 func (r *Registry) notify() {
 	if r.changed != nil {
 		close(r.changed)
@@ -47,8 +46,9 @@
 	r.changed = make(chan struct{})
 }
 
-// List returns what has changed since a version, or everything for one below 0, in order of name, for a caller who
-// reaches replicas at addresses of its own. The channel is closed at the next change; it is nil before the first one.
+// List returns the endpoints that changed after the version from, or all of them if from is negative, sorted by name.
+// Each caller reaches replicas at its own addresses, which address returns. The channel is closed at the next change;
+// it is nil before the first one.
 func (r *Registry) List(from int64, address func(replica string) string) (EndpointList, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,8 +62,8 @@
 	return list, r.changed
 }
 
-// Serve answers one caller's calls until the listener is closed, which gives the error. sent is called with each answer
-// once it is written.
+// Serve answers the calls of one caller until the listener is closed, and returns the resulting error. It calls sent
+// with each answer after writing it.
 func (r *Registry) Serve(l net.Listener, address func(replica string) string, sent func(EndpointList)) error {
 	return http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		poll := ParsePoll(req)
@@ -85,8 +85,8 @@
 	}))
 }
 
-// await returns the answer to a call once there is something new or its wait is over. It reports true where the call
-// needs no answer any more: its caller has left, or the mode has treated it.
+// await returns the answer to a call once there is a change that the caller does not have, or once the wait is over. It
+// reports true if the call needs no answer any more, because its caller has left or the mode has handled the call.
 func (r *Registry) await(
 	w http.ResponseWriter, req *http.Request, poll Poll, waitOver <-chan time.Time, address func(string) string,
 ) (list EndpointList, answered bool) {
--- a/internal/test/fake/registry_mode.go
+++ b/internal/test/fake/registry_mode.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// RegistryMode is how a Registry treats calls.
+// RegistryMode selects how a Registry handles calls.
 type RegistryMode string
 
 // The modes of a Registry.
 const (
 	RegistryHealthy    RegistryMode = ""
-	RegistryDown       RegistryMode = "down"    // watches end, and each call is rejected at once
-	RegistryOverloaded RegistryMode = "crowded" // watches are not answered; each call waits and is reset
-	RegistrySilent     RegistryMode = "silent"  // no call and no watch is answered
+	RegistryDown       RegistryMode = "down"    // rejects each call and each waiting watch at once
+	RegistryOverloaded RegistryMode = "crowded" // never answers waiting watches; delays and resets each call
+	RegistrySilent     RegistryMode = "silent"  // answers neither calls nor watches
 )
 
-// overloadedDelay is how long an overloaded Registry keeps a call waiting before it resets the connection.
+// overloadedDelay is how long an overloaded Registry delays a call before it resets the connection.
 const overloadedDelay = time.Second
 
-// SetMode changes how calls are treated from now on, also those of watches that wait.
+// SetMode changes how calls are handled from now on, including watches that already wait.
 func (r *Registry) SetMode(mode RegistryMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -28,15 +28,15 @@
 	r.notify()
 }
 
-// Mode is how calls are treated.
+// Mode returns how calls are handled.
 func (r *Registry) Mode() RegistryMode {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.mode
 }
 
-// applyMode treats a call, or a watch that has been waiting, as a mode says. It reports false where the mode has it
-// answered.
+// applyMode handles a call, or a watch that has been waiting, as the mode requires. It reports false if the mode leaves
+// the call to be answered.
 func applyMode(w http.ResponseWriter, req *http.Request, mode RegistryMode, waiting bool) bool {
 	switch {
 	case mode == RegistryHealthy:
@@ -55,7 +55,7 @@
 	return true
 }
 
-// resetConnection resets a call's connection, where the server lets it be taken over.
+// resetConnection resets a call's connection, if the server allows the handler to take it over.
 func resetConnection(w http.ResponseWriter) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
--- a/internal/test/fake/search.go
+++ b/internal/test/fake/search.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// defaultSearchSize is how many hits a search gets that states no size.
+	// defaultSearchSize is the maximum number of hits of a search that states no size.
 	defaultSearchSize = 10
-	// documentsPerUnit is how many documents are looked at with one unit of work.
+	// documentsPerUnit is how many documents one unit of work examines.
 	documentsPerUnit = 20
 )
 
-// searchWork is the work of a search, in units: one for the search and one for each hit that is fetched, and a share
-// for each document looked at, once more where an aggregation looks at all of them.
+// searchWork returns the work of a search in units: one for the search, one for each hit that it fetches, and
+// 1/documentsPerUnit for each document that it examines. An aggregation examines all documents once more.
 func searchWork(docs, hits int, aggregated bool) float64 {
 	units := 1 + float64(docs)/documentsPerUnit + float64(hits)
 	if aggregated {
@@ -22,7 +22,7 @@
 	return units
 }
 
-// searchBody is what replicas understand of a search.
+// searchBody holds the fields of a search request that replicas understand.
 type searchBody struct {
 	Query map[string]json.RawMessage
 	From  int
@@ -30,7 +30,7 @@
 	Aggs  map[string]aggregation
 }
 
-// aggregation is statistics over all documents of a shard, by name.
+// aggregation requests statistics over all documents of a shard, by name.
 type aggregation struct {
 	Global *struct{}
 	Aggs   map[string]struct {
@@ -38,8 +38,8 @@
 	}
 }
 
-// search answers a search of a shard from one state of it, which is that of the moment when the search arrives. The
-// answer is empty if the caller left before the work began.
+// search answers a search of a shard from a single state of the shard, read before the work begins. The answer is empty
+// if the caller left before the work began.
 func (r *Replicas) search(callerLeft <-chan struct{}, index string, shard int, body []byte) string {
 	var q searchBody
 	if err := json.Unmarshal(body, &q); err != nil {
@@ -73,7 +73,7 @@
 	return string(data)
 }
 
-// page is the documents that the search asks for, of those that match.
+// page returns those of the matching documents that the search asks for.
 func (q *searchBody) page(found []Document) []Document {
 	size := defaultSearchSize
 	if q.Size != nil {
@@ -82,7 +82,7 @@
 	return found[min(q.From, len(found)):min(q.From+size, len(found))]
 }
 
-// hits lists documents in a search result's form.
+// hits returns documents in the form of a search result's hits.
 func hits(index string, shard int, docs []Document) []any {
 	list := []any{}
 	for _, doc := range docs {
@@ -108,7 +108,7 @@
 	return results
 }
 
-// aggregateStats is the statistics of a field's numbers; its other values do not count.
+// aggregateStats returns the statistics of a field's numeric values; it ignores other values.
 func aggregateStats(docs []Document, field string) map[string]any {
 	count, low, high, sum := 0, math.Inf(1), math.Inf(-1), 0.0
 	for _, doc := range docs {
--- a/internal/test/fake/search_api.go
+++ b/internal/test/fake/search_api.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Bodies of the API's replies.
+// Bodies of the API's answers.
 const (
 	searchResult = `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":1,"relation":"eq"},"max_score":1.0,"hits":[{"_index":%q,"_id":"d%d","_score":1.0,` +
@@ -35,7 +35,7 @@
 	http.Serve(l, mux)
 }
 
-// handleSearch answers a search of one shard. A query by shape fails: the replica's documents have no such field.
+// handleSearch answers a search of one shard. A geo_shape query fails, because the documents have no geo field.
 func (r *Replicas) handleSearch(w http.ResponseWriter, req *http.Request) {
 	shard, err := strconv.Atoi(strings.TrimPrefix(req.URL.Query().Get("preference"), "_shards:"))
 	body, _ := io.ReadAll(req.Body)
@@ -53,7 +53,7 @@
 	})
 }
 
-// handleIndex puts a document into a shard.
+// handleIndex stores a document in a shard.
 func (r *Replicas) handleIndex(w http.ResponseWriter, req *http.Request) {
 	var doc struct {
 		Pin string `json:"pin"`
@@ -71,10 +71,10 @@
 	r.respond(w, req, shard, http.StatusCreated, func() string { return fmt.Sprintf(indexResult, index, id) })
 }
 
-// respond records a request and does with it what the script says. A request that is served gets the status, and the
-// body that serve returns.
+// respond records a request and answers it as the script decides. A request that is served gets status and the body
+// that serve returns.
 func (r *Replicas) respond(w http.ResponseWriter, req *http.Request, shard, status int, serve func() string) {
-	io.Copy(io.Discard, req.Body) // only then does the server notice a client that leaves
+	io.Copy(io.Discard, req.Body) // the server detects that a client leaves only after the body is read
 	request := req.Method + " " + req.URL.String()
 	if keys := req.Header.Values("Idempotency-Key"); len(keys) > 0 {
 		request += " key=" + strings.Join(keys, ",")
