--- a/internal/test/endtoend/coordinator.go
+++ b/internal/test/endtoend/coordinator.go
@@ -1,5 +1,5 @@
-// Package endtoend has whole coordinators in this process before emulated map nodes, and holds their answers against what the
-// nodes held. On an injected clock the same events play out the same way every time.
+// Package endtoend runs whole coordinators in the current process against emulated map nodes, and checks their answers
+// against the data that the nodes held. On an injected clock, the same events have the same results every time.
 package endtoend
 
 import (
@@ -17,28 +17,28 @@
 	"harepass/internal/test/fake"
 )
 
-// Node is an emulated map node. Its address on the network in memory is its ID.
+// Node is an emulated map node. Its ID is also its address on the in-memory network.
 type Node struct {
 	fake.Replicas
 	ID     string
 	Cell   int
-	Scheme string // that it speaks; the OpenSearch-style API if empty
+	Scheme string // protocol that the node speaks; empty for the OpenSearch-style API
 }
 
-// Site is what a coordinator is set up for.
+// Site is the configuration of a coordinator and its nodes.
 type Site struct {
 	Settings scatter.Settings
 	Sections int
 	Indices  map[string]*opensearch.Index
 	Memory   int // bytes for retained values
 	Nodes    []*Node
-	Gate     core.Admitter // nil admits all
+	Gate     core.Admitter // nil admits every query
 }
 
-// Coordinator is a whole coordinator in this process: the owner, its callers and its front, with sockets in memory
-// towards the nodes.
+// Coordinator is a whole coordinator in the current process: the owner, its callers and its front. In-memory
+// connections lead to the nodes.
 type Coordinator struct {
-	Planner *twophase.Planner // the owner's: not to be touched while it runs
+	Planner *twophase.Planner // used by the owner: must not be accessed while the owner runs
 	Clock   core.Clock
 
 	owner   *core.Coordinator
@@ -47,14 +47,14 @@
 }
 
 const (
-	connectTimeout = 250 * time.Millisecond
-	quietTimeout   = 300 * time.Millisecond // of a connection on which answers are awaited in vain
-	keepAlive      = 30 * time.Second
-	framesStreams  = 32 // calls that a connection carries at a time
-	listSource     = "testbed"
+	connectTimeout    = 250 * time.Millisecond
+	responseTimeout   = 300 * time.Millisecond // longest silence of a connection while answers are awaited
+	keepAlive         = 30 * time.Second
+	frameCallsPerConn = 32 // concurrent calls on a connection
+	listSource        = "testbed"
 )
 
-// Start starts the nodes and the coordinator.
+// Start starts the nodes and the coordinator, and waits until the coordinator has started.
 func (s Site) Start() (*Coordinator, error) {
 	cfg := &opensearch.Config{Listen: "memory", SectionField: "section", Indices: s.Indices}
 	if err := cfg.Check(s.Settings, s.Sections); err != nil {
@@ -62,7 +62,8 @@
 	}
 	c := &Coordinator{Clock: core.SystemClock(), Planner: twophase.New(s.Memory)}
 	net := &fake.Network{}
-	frames := &platform.Caller{CallsPerConn: framesStreams, ConnectTimeout: connectTimeout, ResponseTimeout: quietTimeout, KeepAlive: keepAlive, Dial: net.Dial}
+	frames := &platform.Caller{CallsPerConn: frameCallsPerConn, ConnectTimeout: connectTimeout,
+		ResponseTimeout: responseTimeout, KeepAlive: keepAlive, Dial: net.Dial}
 	api := &opensearch.Caller{Config: cfg, ConnectTimeout: connectTimeout, KeepAlive: keepAlive, Dial: net.Dial}
 	owner, err := core.New(core.Config{Seed: 1, Settings: s.Settings, Limits: core.Limits{Shards: s.Sections}, Clock: c.Clock,
 		Callers: map[string]core.Caller{platform.Scheme: frames, opensearch.Scheme: api}, Subscribe: func() {}, PolledSource: listSource,
@@ -79,7 +80,7 @@
 	return c, nil
 }
 
-// serveNodes has the nodes listen on the network in memory, and returns them as lists have them.
+// serveNodes starts serving the nodes on the in-memory network, and returns their entries for an endpoint list.
 func (c *Coordinator) serveNodes(net *fake.Network, nodes []*Node) (list []core.Endpoint) {
 	for _, n := range nodes {
 		listener := net.Listen(n.ID)
@@ -96,18 +97,18 @@
 	return list
 }
 
-// Close ends the coordinator, then the nodes.
+// Close stops the coordinator, then closes the listeners of the nodes.
 func (c *Coordinator) Close() {
 	for _, closer := range slices.Backward(c.closers) {
 		closer()
 	}
 }
 
-// Search asks the front, as a client would.
+// Search sends a search to the front, as a client does.
 func (c *Coordinator) Search(target string, body any) (status int, answer []byte) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // the body is the caller's own and has to be fit for JSON
+		panic(err) // callers must pass a body that JSON can encode
 	}
 	m := c.front.Handle(&http1.Message{Method: "POST", Target: target, Header: textproto.MIMEHeader{}, Body: data}, make(chan struct{}))
 	return m.Status, m.Body
--- a/internal/test/endtoend/model_test.go
+++ b/internal/test/endtoend/model_test.go
@@ -19,29 +19,30 @@
 
 const ms = time.Millisecond
 
-// TestMain has the models draw the same scripts every time; other seeds are for whoever looks for more.
+// TestMain fixes the seed, so that rapid draws the same scripts every time. Other seeds serve to search for more
+// faults.
 func TestMain(m *testing.M) {
-	flag.Set("rapid.seed", "7") // a flag given on the command line goes before it
+	flag.Set("rapid.seed", "7") // a flag on the command line overrides it
 	os.Exit(m.Run())
 }
 
-// The model's mountain: few sections and nodes, so that states and texts meet often.
+// Sizes of the model: few sections and nodes, so that states and query texts often meet.
 const (
 	modelSections = 5
 	modelNodes    = 3
 	modelTime     = 4 * time.Second
-	modelBudget   = 1200 * ms
+	queryTimeout  = 1200 * ms
 )
 
-// script is what a run of the model does: all of it drawn beforehand, so that a run can be played again.
+// script is everything that a run of the model does. It is drawn in advance, so that a run can be repeated.
 type script struct {
-	frames   bool // the last node speaks frames
-	changes  []change
-	troubles []trouble
-	queries  []question
+	frames     bool // the last node speaks frames
+	changes    []change
+	nodeFaults []nodeFault
+	queries    []timedQuery
 }
 
-// change alters a section, at each node after a lag of its own.
+// change modifies a section, at each node after a lag of its own.
 type change struct {
 	at      time.Duration
 	section int
@@ -50,20 +51,20 @@
 	lags    []time.Duration
 }
 
-// trouble has a node go wrong for some time.
-type trouble struct {
+// nodeFault makes a node give one kind of reply for some time.
+type nodeFault struct {
 	node     int
 	from, to time.Duration
 	reply    fake.Reply
 }
 
-type question struct {
-	at    time.Duration
-	text  int
-	whole bool
+type timedQuery struct {
+	at           time.Duration
+	text         int
+	completeOnly bool
 }
 
-var texts = []map[string]any{
+var queryTexts = []map[string]any{
 	{"match_all": struct{}{}},
 	{"term": map[string]any{"open": true}},
 	{"bool": map[string]any{"filter": []any{map[string]any{"range": map[string]any{"snow_cm": map[string]any{"gte": 100}}}}}},
@@ -85,16 +86,19 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "troubles") {
 		from := span(modelTime, "from")
-		p.troubles = append(p.troubles, trouble{rapid.IntRange(0, modelNodes-1).Draw(t, "node"), from, from + span(modelTime, "for"),
+		p.nodeFaults = append(p.nodeFaults, nodeFault{rapid.IntRange(0, modelNodes-1).Draw(t, "node"),
+			from, from + span(modelTime, "for"),
 			fake.Reply{Kind: fake.Kind(rapid.IntRange(int(fake.Serve), int(fake.Corrupt)).Draw(t, "trouble")), After: span(400*ms, "after")}})
 	}
 	for range rapid.IntRange(1, 30).Draw(t, "queries") {
-		p.queries = append(p.queries, question{span(modelTime, "asked"), rapid.IntRange(0, len(texts)-1).Draw(t, "text"), rapid.Bool().Draw(t, "whole")})
+		p.queries = append(p.queries, timedQuery{span(modelTime, "asked"),
+			rapid.IntRange(0, len(queryTexts)-1).Draw(t, "text"),
+			rapid.Bool().Draw(t, "whole")})
 	}
 	return p
 }
 
-// apply makes a change at a node.
+// apply makes the change in the data of a node.
 func (c change) apply(d *fake.Data, version float64) {
 	docs := d.Docs(c.section)
 	id := fmt.Sprintf("t%d-%d", c.section, c.doc)
@@ -104,7 +108,7 @@
 		d.Put(c.section, fake.Document{ID: id, Version: version, Fields: fields})
 	case "delete":
 		d.Delete(c.section, id)
-	case "newest": // a max of the versions would go back
+	case "newest": // lowers the maximum of the versions
 		newest := fake.Document{}
 		for _, doc := range docs {
 			if v, _ := doc.Version.(float64); v > 0 && (newest.ID == "" || v > newest.Version.(float64)) {
@@ -112,7 +116,7 @@
 			}
 		}
 		d.Delete(c.section, newest.ID)
-	case "back": // the node was started again with what it first had
+	case "back": // the node restarts with its initial data
 		d.Set(c.section, fakedata.New(1, modelSections, 5).Data(false).Docs(c.section))
 	case "unversioned":
 		d.Put(c.section, fake.Document{ID: id, Version: "", Fields: fields})
@@ -123,8 +127,9 @@
 	}
 }
 
-// play runs a script against the whole path, and returns what is wrong with the answers, and what they were.
-func play(p script) (faults []string, seen map[string]int) {
+// runScript runs a script against a whole coordinator. It returns the faults of the answers, and the number of answers
+// by status; "pruned" counts those with pruned sections.
+func runScript(p script) (faults []string, answerCounts map[string]int) {
 	trails := fakedata.New(1, modelSections, 5)
 	began := time.Now()
 	truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
@@ -134,9 +139,9 @@
 		n.WorkUnit, n.Cores = ms, 2
 		n.Script = func(int, int) fake.Reply {
 			now := time.Since(began)
-			for _, tr := range p.troubles {
-				if tr.node == i && now >= tr.from && now < tr.to {
-					return tr.reply
+			for _, fault := range p.nodeFaults {
+				if fault.node == i && now >= fault.from && now < fault.to {
+					return fault.reply
 				}
 			}
 			return fake.Reply{}
@@ -159,65 +164,68 @@
 			time.AfterFunc(ch.at+lag, func() { ch.apply(truth.Nodes[n].Data, float64(100+i)) })
 		}
 	}
-	seen = map[string]int{}
+	answerCounts = map[string]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, q := range p.queries {
 		wg.Go(func() {
 			time.Sleep(q.at)
 			from := time.Now()
-			status, body := c.Search(fmt.Sprintf("/conditions/_search?size=1000&timeout=%dms&allow_partial_search_results=%t", modelBudget.Milliseconds(), !q.whole),
-				map[string]any{"query": texts[q.text]})
+			status, body := c.Search(fmt.Sprintf(
+				"/conditions/_search?size=1000&timeout=%dms&allow_partial_search_results=%t",
+				queryTimeout.Milliseconds(), !q.completeOnly),
+				map[string]any{"query": queryTexts[q.text]})
 			to := time.Now()
 			var wrong []string
 			if status == 200 {
-				wrong = truth.Check(texts[q.text], all, body, from, to)
-				if q.whole && strings.Contains(string(body), `"timed_out":true`) {
-					wrong = append(wrong, "an answer in part where none was wanted")
+				wrong = truth.Check(queryTexts[q.text], all, body, from, to)
+				if q.completeOnly && strings.Contains(string(body), `"timed_out":true`) {
+					wrong = append(wrong, "partial answer to a query that allows none")
 				}
 			} else if status != 429 {
-				wrong = append(wrong, fmt.Sprintf("status %d: %s", status, body))
+				wrong = append(wrong, fmt.Sprintf("unexpected status %d: %s", status, body))
 			}
-			if took := to.Sub(from); took > modelBudget {
-				wrong = append(wrong, fmt.Sprintf("%d after %v", status, took))
+			if took := to.Sub(from); took > queryTimeout {
+				wrong = append(wrong, fmt.Sprintf("status %d after %v, which is past the time-out", status, took))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			seen[fmt.Sprint(status)]++
+			answerCounts[fmt.Sprint(status)]++
 			if strings.Contains(string(body), `"skipped":`) && !strings.Contains(string(body), `"skipped":0`) {
-				seen["pruned"]++
+				answerCounts["pruned"]++
 			}
 			for _, w := range wrong {
-				faults = append(faults, fmt.Sprintf("asked at %v: %s", q.at, w))
+				faults = append(faults, fmt.Sprintf("query at %v: %s", q.at, w))
 			}
 		})
 	}
 	wg.Wait()
-	time.Sleep(2 * modelBudget) // what was given up ends
+	time.Sleep(2 * queryTimeout) // let abandoned attempts end
 	c.Close()
-	return faults, seen
+	return faults, answerCounts
 }
 
-// Whatever changes, fails and comes late: each section's value in an answer is one that a holder had between the
-// query's arrival and its answer, stated completeness is true, and no answer is late.
+// For any data changes, node faults and delays: each section's value in an answer is one that a holder had between the
+// query's arrival and its answer, the stated completeness is correct, and no answer is late.
 func TestAnswersAreTrue(t *testing.T) {
-	seen := map[string]int{}
+	answerCounts := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		p := drawScript(rt)
 		var faults []string
 		synctest.Test(t, func(t *testing.T) {
 			var got map[string]int
-			faults, got = play(p)
+			faults, got = runScript(p)
 			for k, n := range got {
-				seen[k] += n
+				answerCounts[k] += n
 			}
 		})
 		if len(faults) > 0 {
 			rt.Fatalf("%s", strings.Join(faults, "\n"))
 		}
 	})
-	if seen["200"] < 100 || seen["429"] == 0 || seen["pruned"] < 50 {
-		t.Errorf("%v: the draws no longer reach what they are for", seen)
+	if answerCounts["200"] < 100 || answerCounts["429"] == 0 || answerCounts["pruned"] < 50 {
+		t.Errorf("answers by status: %v, want at least 100 with 200, one with 429 and 50 pruned: draws too narrow",
+			answerCounts)
 	}
-	t.Log(seen)
+	t.Log(answerCounts)
 }
--- a/internal/test/endtoend/truth.go
+++ b/internal/test/endtoend/truth.go
@@ -11,14 +11,14 @@
 	"harepass/internal/test/fake"
 )
 
-// Truth knows what the nodes held at any time, to hold answers against.
+// Truth knows what the nodes held at any time, so that answers can be checked against it.
 type Truth struct {
 	Nodes        []*Node
 	Cells, Reach int
-	Floor        float64 // least share of the sections, all of one weight, in an answer
+	Floor        float64 // minimum fraction of the sections, which all weigh the same, in an answer
 }
 
-// holders are the nodes of a section that speak the API.
+// holders returns the nodes that hold a section.
 func (t Truth) holders(section int) (list []*Node) {
 	for _, n := range t.Nodes {
 		if ((n.Cell-section)%t.Cells+t.Cells)%t.Cells < t.Reach {
@@ -28,8 +28,9 @@
 	return list
 }
 
-// Check holds an answer to a search of all hits in some sections against the truth: the value of each section in it
-// is one that a holder had between the query's arrival and the answer, and the stated completeness is so.
+// Check checks an answer to a search for all hits in some sections. The value of each section must be one that a holder
+// had between from, the query's arrival, and to, its answer; the stated completeness must be correct. Check returns the
+// faults that it finds.
 func (t Truth) Check(query map[string]any, sections []int, body []byte, from, to time.Time) (faults []string) {
 	var a Answer
 	if err := json.Unmarshal(body, &a); err != nil {
@@ -42,26 +43,28 @@
 		delete(values, s)
 		if missing[s] {
 			if value != "" {
-				faults = append(faults, fmt.Sprintf("section %d is called missing and has hits", s))
+				faults = append(faults, fmt.Sprintf("section %d is reported missing but has hits", s))
 			}
 			continue
 		}
 		if had := t.Values(query, s, from, to); !had[value] {
-			faults = append(faults, fmt.Sprintf("section %d: [%s] was at no holder between %v and %v, but %q", s, value, from, to, slices.Sorted(maps.Keys(had))))
+			faults = append(faults, fmt.Sprintf(
+				"section %d: no holder had value [%s] between %v and %v; the holders had %q",
+				s, value, from, to, slices.Sorted(maps.Keys(had))))
 		}
 	}
 	for s := range values {
 		if !missing[s] {
-			faults = append(faults, fmt.Sprintf("section %d was not asked for and has hits", s))
+			faults = append(faults, fmt.Sprintf("section %d was not requested but has hits", s))
 		}
 	}
 	return faults
 }
 
-// docText is a document within a value: its id, its version and what it says.
-func docText(id string, version, says any) string { return fmt.Sprintf("%s@%v=%v", id, version, says) }
+// docText returns a document's text in a value: its ID, its version and its depth of snow.
+func docText(id string, version, snow any) string { return fmt.Sprintf("%s@%v=%v", id, version, snow) }
 
-// Values are those that some holder of a section would have given.
+// Values returns the values that a section had at any of its holders between two instants.
 func (t Truth) Values(query map[string]any, section int, from, to time.Time) map[string]bool {
 	raw, _ := json.Marshal(query)
 	var q map[string]json.RawMessage
