--- a/internal/test/loadgen/arrivals.go
+++ b/internal/test/loadgen/arrivals.go
@@ -10,11 +10,11 @@
 type arrival struct {
 	at            time.Duration // when it is due, from the start of the run
 	class, tenant int           // indices in the plan
-	shard         int           // first shard that it asks for
+	shard         int           // first shard that the query covers
 }
 
-// arrivals draws all first attempts, in the order in which they are due. Each pair of class and tenant has a stream of
-// its own, so that a burst of one leaves the others as they were.
+// arrivals draws all first attempts, sorted by the instant at which they are due. Each pair of class and tenant has its
+// own random stream, so that a burst of one pair does not change the arrivals of the others.
 func (p *Plan) arrivals() (list []arrival) {
 	for c, class := range p.Classes {
 		for t, tenant := range p.Tenants {
@@ -27,8 +27,8 @@
 	return list
 }
 
-// drawArrivals draws the first attempts of a class and tenant with a usual rate in queries a second. It draws at the
-// greatest rate that bursts give, and drops arrivals where the rate is lower.
+// drawArrivals draws the first attempts of a class and tenant whose usual rate is given in queries per second. It draws
+// at the greatest rate that the bursts reach, and drops arrivals at random where the rate is lower.
 func (p *Plan) drawArrivals(class, tenant int, rate float64) (list []arrival) {
 	rng := rand.New(rand.NewPCG(p.Seed, uint64(class<<16|tenant)))
 	name := p.Tenants[tenant].Name
--- a/internal/test/loadgen/counting.go
+++ b/internal/test/loadgen/counting.go
@@ -13,37 +13,37 @@
 	"harepass/internal/test/quotaledger"
 )
 
-// lateSlack is how much later than the client's timeout an answer may come before it counts as late. It covers delays
-// of this process.
+// lateSlack is how long after the client's timeout an answer may arrive without counting as late. It allows for delays
+// in this process.
 const lateSlack = 100 * time.Millisecond
 
-// maxRecordedLatency is the greatest latency that the histograms tell apart.
+// maxRecordedLatency is the greatest latency that the histograms can record.
 const maxRecordedLatency = time.Minute
 
-// percentiles are those of the latencies that results have.
+// percentiles are the percentiles of the latency that a result states.
 var percentiles = []float64{50, 90, 99, 99.9}
 
-// counts is what a run has counted so far. It is safe for concurrent use.
+// counts accumulates the counts of a run. It is safe for concurrent use.
 type counts struct {
 	plan *Plan
 
 	mu             sync.Mutex
 	result         *Result
-	arrivedWeights quotaledger.Ledger // priority weights by the instant of the first attempt
-	earnedWeights  quotaledger.Ledger // those of answers within the latency objective
+	arrivedWeights quotaledger.Ledger // priority weights of all queries, by the instant of the first attempt
+	earnedWeights  quotaledger.Ledger // priority weights of the queries served within the latency objective
 	classes        []*classCounts     // by index in the plan
 }
 
-// classCounts is what was counted of a class.
+// classCounts holds the counts of a class.
 type classCounts struct {
-	arrived, served quotaledger.Ledger      // queries, each with a weight of 1
+	arrived, served quotaledger.Ledger      // queries, each with weight 1
 	latencies       *hdrhistogram.Histogram // microseconds
 }
 
-// attemptResult is how an attempt ended.
+// attemptResult is the outcome of an attempt.
 type attemptResult struct {
 	status  int           // HTTP status, or statusNoAnswer
-	due     time.Duration // when it was to begin, from the start of the run
+	due     time.Duration // when it was due, from the start of the run
 	latency time.Duration // from due to the end of the answer
 	retries bool          // whether the client will retry
 }
@@ -72,7 +72,7 @@
 	return c
 }
 
-// report writes a line on the slice before an instant.
+// report writes a progress line about the slice that precedes an instant.
 func (c *counts) report(progress io.Writer, at time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +93,8 @@
 	c.slice(a.at).Arrived++
 }
 
-// attemptEnded counts the end of an attempt. A client counts as rejected once it does not retry any more.
+// attemptEnded counts the end of an attempt. A query counts as rejected only if the client does not retry the rejected
+// attempt.
 func (c *counts) attemptEnded(a arrival, r attemptResult) {
 	class, tenant := c.plan.Classes[a.class], c.plan.Tenants[a.tenant].Name
 	late := r.latency > class.Timeout+lateSlack
@@ -127,7 +128,7 @@
 	}
 }
 
-// slice returns the slice of an instant. It is called with mu locked.
+// slice returns the slice that contains an instant. The caller holds mu.
 func (c *counts) slice(at time.Duration) *Slice {
 	return &c.result.Slices[min(len(c.result.Slices)-1, int(at/SliceTime))]
 }
@@ -148,7 +149,7 @@
 	return c.result
 }
 
-// finishClass sums up what a class had within the tenants' quotas, and its percentiles.
+// finishClass computes how many queries of a class were within the tenants' quotas, and the percentiles of its latency.
 func (c *counts) finishClass(class *classCounts, result *ClassResult) {
 	for _, t := range c.plan.Tenants {
 		for second, arrived := range class.arrived[t.Name] {
--- a/internal/test/loadgen/plan.go
+++ b/internal/test/loadgen/plan.go
@@ -13,16 +13,16 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ErrInvalidPlan says that a plan cannot be played as it is written.
+// ErrInvalidPlan reports that a plan cannot be run.
 var ErrInvalidPlan = errors.New("invalid plan")
 
-// Plan is open-loop traffic for an OpenSearch-style front.
+// Plan describes open-loop traffic for an OpenSearch-style front.
 type Plan struct {
 	Target   string        `yaml:"target"`  // URL of the front, on a loopback address
-	Duration time.Duration `yaml:"time"`    // no attempt begins after it; maxDuration at most
-	Rate     float64       `yaml:"rate"`    // queries a second of all tenants together, without bursts
-	Seed     uint64        `yaml:"seed"`    // source of all draws
-	Retries  int           `yaml:"retries"` // retries of a rejected client at most, each after its Retry-After
+	Duration time.Duration `yaml:"time"`    // no attempt begins after it; at most maxDuration
+	Rate     float64       `yaml:"rate"`    // queries per second of all tenants together, without bursts
+	Seed     uint64        `yaml:"seed"`    // seed of all random draws
+	Retries  int           `yaml:"retries"` // maximum number of retries of a rejected query, each after its Retry-After
 	Classes  []Class       `yaml:"classes"`
 	Tenants  []Tenant      `yaml:"tenants"`
 	Bursts   []Burst       `yaml:"bursts"`
@@ -32,24 +32,24 @@
 type Class struct {
 	Name             string        `yaml:"name"`
 	Share            float64       `yaml:"share"`    // share of the queries, from 0 to 1
-	Index            string        `yaml:"index"`    // OpenSearch index that is addressed
-	SendsDocument    bool          `yaml:"report"`   // whether a query sends a document rather than searches
-	ShardsPerQuery   int           `yaml:"sections"` // consecutive shards that a search asks for; 0 for all
+	Index            string        `yaml:"index"`    // OpenSearch index that queries address
+	SendsDocument    bool          `yaml:"report"`   // whether a query indexes a document instead of searching
+	ShardsPerQuery   int           `yaml:"sections"` // consecutive shards that a search covers; 0 for all
 	Shards           int           `yaml:"of"`       // shards of the index
 	PriorityWeight   float64       `yaml:"worth"`    // priority weight of an answer within the latency objective
-	LatencyObjective time.Duration `yaml:"aim"`      // an answer after it earns nothing
+	LatencyObjective time.Duration `yaml:"aim"`      // a later answer earns no priority weight
 	Timeout          time.Duration `yaml:"timeout"`  // time after which the client gives up
 }
 
-// Tenant is a caller with a share of the traffic.
+// Tenant is a caller that sends a share of the traffic.
 type Tenant struct {
 	Name   string  `yaml:"name"`
-	Caller string  `yaml:"caller"` // user that it authenticates as; empty for none
+	Caller string  `yaml:"caller"` // user name for authentication; empty for no authentication
 	Share  float64 `yaml:"share"`  // share of the queries, from 0 to 1
-	Quota  float64 `yaml:"quota"`  // queries a second beyond which priority weight is reduced; 0 for no limit
+	Quota  float64 `yaml:"quota"`  // queries per second beyond which priority weight is reduced; 0 for no quota
 }
 
-// Burst multiplies the traffic of a tenant, or of all tenants, for a while.
+// Burst multiplies the traffic of a tenant, or of all tenants, during a span of time.
 type Burst struct {
 	From   time.Duration `yaml:"from"`   // from the start of the run
 	To     time.Duration `yaml:"to"`     // from the start of the run
@@ -60,12 +60,12 @@
 // Bounds of a plan.
 const (
 	maxDuration       = time.Hour
-	maxRate           = 1e5 // queries a second
+	maxRate           = 1e5 // queries per second
 	maxRetries        = 10
-	shareSumTolerance = 0.01 // by which the sum of shares may differ from 1
+	shareSumTolerance = 0.01 // how far the sum of shares may differ from 1
 )
 
-// ReadPlan reads a plan from YAML. The error wraps ErrInvalidPlan where the file is not a valid plan.
+// ReadPlan reads a plan from a YAML file. The error wraps ErrInvalidPlan if the content is not a valid plan.
 func ReadPlan(path string) (*Plan, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -83,32 +83,34 @@
 	return p, nil
 }
 
-// validate returns an error that wraps ErrInvalidPlan for a plan that cannot be played.
+// validate returns an error that wraps ErrInvalidPlan if the plan cannot be run.
 func (p *Plan) validate() error {
 	if !isLoopbackURL(p.Target) {
-		return fmt.Errorf("%w: target %q has to be http://HOST:PORT on a loopback address", ErrInvalidPlan, p.Target)
+		return fmt.Errorf("%w: target %q must be http://HOST:PORT on a loopback address", ErrInvalidPlan, p.Target)
 	}
 	classShares, tenantShares := 0.0, 0.0
 	for _, c := range p.Classes {
 		classShares += c.Share
 		if !c.isValid() {
-			return fmt.Errorf("%w: class %q: name, index, share, aim, timeout and of (sections) are wanted",
+			return fmt.Errorf(
+				"%w: class %q: name, index, aim, timeout and of are required; share is at least 0, sections at most of",
 				ErrInvalidPlan, c.Name)
 		}
 	}
 	for _, t := range p.Tenants {
 		tenantShares += t.Share
 		if t.Name == "" || t.Share < 0 {
-			return fmt.Errorf("%w: tenant %q: name and share are wanted", ErrInvalidPlan, t.Name)
+			return fmt.Errorf("%w: tenant %q: name must be set, and share must not be negative", ErrInvalidPlan, t.Name)
 		}
 	}
 	if math.Abs(classShares-1) > shareSumTolerance || math.Abs(tenantShares-1) > shareSumTolerance {
-		return fmt.Errorf("%w: shares sum to %.2f of the classes and %.2f of the tenants, 1 is wanted",
+		return fmt.Errorf("%w: class shares sum to %.2f and tenant shares to %.2f; both sums must be 1",
 			ErrInvalidPlan, classShares, tenantShares)
 	}
 	if p.Rate <= 0 || p.Rate > maxRate || p.Duration <= 0 || p.Duration > maxDuration ||
 		p.Retries < 0 || p.Retries > maxRetries {
-		return fmt.Errorf("%w: rate, time (an hour at most) and retries (10 at most) are wanted", ErrInvalidPlan)
+		return fmt.Errorf("%w: rate must be above 0 and at most 1e5, time above 0 and at most 1h, retries 0 to 10",
+			ErrInvalidPlan)
 	}
 	return nil
 }
@@ -124,13 +126,13 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// isValid reports whether a class can be played.
+// isValid reports whether the class can be run.
 func (c Class) isValid() bool {
 	return c.Name != "" && c.Index != "" && c.Share >= 0 && c.Timeout > 0 && c.LatencyObjective > 0 &&
 		c.Shards >= 1 && c.ShardsPerQuery <= c.Shards
 }
 
-// trafficFactor returns the multiple of its usual traffic that a tenant sends at an instant.
+// trafficFactor returns the factor by which bursts multiply the usual traffic of a tenant at an instant.
 func (p *Plan) trafficFactor(tenant string, at time.Duration) float64 {
 	factor := 1.0
 	for _, b := range p.Bursts {
@@ -141,7 +143,7 @@
 	return factor
 }
 
-// maxTrafficFactor bounds trafficFactor for all instants.
+// maxTrafficFactor returns an upper bound of trafficFactor over all instants.
 func (p *Plan) maxTrafficFactor(tenant string) float64 {
 	factor := 1.0
 	for _, b := range p.Bursts {
--- a/internal/test/loadgen/request.go
+++ b/internal/test/loadgen/request.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// statusNoAnswer stands for the HTTP status of an attempt that got no complete answer.
+	// statusNoAnswer takes the place of the HTTP status for an attempt without a complete answer.
 	statusNoAnswer = 0
 
-	// responseGrace is how long after the client's timeout an answer is still waited for, so that late answers differ
-	// from missing ones.
+	// responseGrace is how long a client still waits for an answer after its timeout, so that late answers can be
+	// distinguished from missing ones.
 	responseGrace = time.Second
 )
 
@@ -44,7 +44,8 @@
 	return res.StatusCode, time.Duration(seconds * float64(time.Second))
 }
 
-// request returns the path and body of a search that begins at a shard, or of a document for that shard.
+// request returns the path and body of a search that begins at a shard, or of a request that indexes a document in that
+// shard.
 func (c Class) request(shard int) (path, body string) {
 	timeout := c.Timeout.Milliseconds()
 	if c.SendsDocument {
--- a/internal/test/loadgen/result.go
+++ b/internal/test/loadgen/result.go
@@ -15,10 +15,10 @@
 	"harepass/internal/test/experiment"
 )
 
-// SliceTime is the span that one Slice counts.
+// SliceTime is the time span that one Slice covers.
 const SliceTime = 100 * time.Millisecond
 
-// Slice is what one SliceTime of a run had. All its fields count queries or attempts.
+// Slice holds the counts of one SliceTime of a run. All its fields count queries or attempts.
 type Slice struct {
 	Arrived  int `json:"Asked"` // first attempts that were due
 	Attempts int `json:"Tries"` // attempts that ended, by the instant at which they were due
@@ -28,19 +28,19 @@
 	Late     int // attempts without an answer, or with one after the client's timeout
 }
 
-// ClassResult is what came of a class. Its counts are of queries; the retries of a client belong to its first attempt.
+// ClassResult holds the outcomes of a class. It counts queries: a retry belongs to the query of its first attempt.
 type ClassResult struct {
 	Arrived           int `json:"Asked"`
 	Served            int
 	Rejected          int `json:"Refused"` // queries whose last attempt was answered with 429
 	Failed            int
 	Late              int                // queries without an answer, or with one after the client's timeout
-	WithinQuota       float64            `json:"Within"`       // queries that the quotas cover, for the class alone
-	ServedWithinQuota float64            `json:"WithinServed"` // of WithinQuota those that were served
+	WithinQuota       float64            `json:"Within"`       // queries within the quotas, for the class alone
+	ServedWithinQuota float64            `json:"WithinServed"` // queries of WithinQuota that were served
 	Percentiles       map[string]float64 // latency in milliseconds, by percentile
 }
 
-// TenantResult is what came of a tenant. Its counts are of queries.
+// TenantResult holds the outcomes of a tenant. It counts queries.
 type TenantResult struct {
 	Arrived       int `json:"Asked"`
 	Served        int
@@ -49,7 +49,7 @@
 	OfferedWeight float64 `json:"Most"`    // priority weight of all queries, reduced beyond the quota
 }
 
-// Result is what came of a run. The JSON keys are those of results already written.
+// Result holds the outcomes of a run. Its JSON keys must stay as they are in results already written.
 type Result struct {
 	Name          string
 	Slices        []Slice
@@ -58,8 +58,8 @@
 	EarnedWeight  float64       `json:"Worth"` // sum over the tenants
 	OfferedWeight float64       `json:"Most"`  // sum over the tenants
 	Lost          int           // attempts without an answer, or with one after the client's timeout
-	Levels        []LevelChange `json:",omitempty"` // overload levels, where the coordinator reports them
-	Waits         []Point       `json:",omitempty"` // waits for the coordinator's loop in ms, where it reports them
+	Levels        []LevelChange `json:",omitempty"` // changes of the overload level, if the coordinator reports them
+	Waits         []Point       `json:",omitempty"` // waits for the coordinator's loop in ms, if it reports them
 }
 
 // Point is a value at an instant.
@@ -74,7 +74,7 @@
 	Level string
 }
 
-// Write writes the result to a file as JSON, which ReadResults reads.
+// Write writes the result to a JSON file, which ReadResults can read.
 func (r *Result) Write(path string) error {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err == nil {
@@ -83,7 +83,7 @@
 	return err
 }
 
-// Print writes the result as a table, and a last line of figures.
+// Print writes the result as a table, followed by a line of figures.
 func (r *Result) Print(out io.Writer) error {
 	t := &experiment.Report{}
 	t.Table("class", "asked", "served", "refused", "failed", "late", "p50 ms", "p99 ms")
@@ -101,7 +101,7 @@
 	return t.Print("load", out)
 }
 
-// ReadResults reads results from JSON files. A result without a name gets its file's, without the extension.
+// ReadResults reads results from JSON files. A result without a name gets the name of its file, without the extension.
 func ReadResults(paths []string) (list []*Result, err error) {
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
--- a/internal/test/loadgen/run.go
+++ b/internal/test/loadgen/run.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the time between two progress lines.
 const progressInterval = time.Second
 
-// Bounds of the connections to the front.
+// Limits of the connections to the front.
 const (
 	maxIdleConnections    = 2000
 	idleConnectionTimeout = 30 * time.Second
 )
 
-// run is a plan that is being played.
+// run is one execution of a plan.
 type run struct {
 	*Plan
 	client *http.Client
@@ -25,9 +25,9 @@
 	counts *counts
 }
 
-// Run plays the plan and waits for all its clients. When ctx ends no more attempts begin, and the result of those
-// before is returned without an error. The error wraps ErrInvalidPlan for a plan that cannot be played. Each second
-// progress, where not nil, gets a line.
+// Run sends the traffic of the plan and waits until all its clients have finished. Once ctx ends, no more attempts
+// begin, and Run returns the result of the earlier ones without an error. The error wraps ErrInvalidPlan if the plan
+// cannot be run. If progress is not nil, it gets a line each second.
 func (p *Plan) Run(ctx context.Context, progress io.Writer) (*Result, error) {
 	if err := p.validate(); err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 			reported = a.at
 			r.counts.report(progress, reported)
 		}
-		clients.Go(func() { r.playClient(ctx, a) })
+		clients.Go(func() { r.runClient(ctx, a) })
 	}
 	clients.Wait()
 	return r.counts.finish(), nil
@@ -59,8 +59,8 @@
 	}}
 }
 
-// playClient sends a client's first attempt and its retries.
-func (r *run) playClient(ctx context.Context, a arrival) {
+// runClient sends a client's first attempt and its retries.
+func (r *run) runClient(ctx context.Context, a arrival) {
 	r.counts.arrive(a)
 	for number := 0; ; number++ {
 		due := time.Since(r.began)
