--- a/internal/test/logsummary/counts.go
+++ b/internal/test/logsummary/counts.go
@@ -12,7 +12,7 @@
 // counts is a table of counts, by row and column.
 type counts map[string]map[string]int
 
-// add adds one to a cell.
+// add increments a cell.
 func (c counts) add(row, column string) {
 	if c[row] == nil {
 		c[row] = map[string]int{}
@@ -20,7 +20,7 @@
 	c[row][column]++
 }
 
-// columns lists the columns of all rows, in order.
+// columns returns the columns of all rows, sorted.
 func (c counts) columns() []string {
 	all := map[string]bool{}
 	for _, row := range c {
@@ -31,7 +31,7 @@
 	return sortedKeys(all)
 }
 
-// print writes some rows under a title.
+// print writes the given rows under a title.
 func (c counts) print(w io.Writer, title string, rows []string) error {
 	fmt.Fprintf(w, "\n%s\n", title)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -47,8 +47,8 @@
 	return t.Flush()
 }
 
-// sortedKeys lists the keys of a map in order.
+// sortedKeys returns the keys of a map, sorted.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// secondRow is the row of a second. Rows in order of name are in order of time, up to 11 days.
+// secondRow returns the name of the row of a second. Rows sorted by name are in order of time, up to 11 days.
 func secondRow(second int) string { return fmt.Sprintf("%6d", second) }
--- a/internal/test/logsummary/line.go
+++ b/internal/test/logsummary/line.go
@@ -13,12 +13,12 @@
 
 // Errors that the package returns or wraps.
 var (
-	// ErrNoTrace says that logs have no attempt: they were written without -trace.
-	ErrNoTrace = errors.New("lab: no attempt in these logs: were they written with 'harepass serve -trace'?")
-	// ErrNoLogs says that a folder has no logs.
+	// ErrNoTrace reports that logs contain no attempt, because they were written without -trace.
+	ErrNoTrace = errors.New("lab: the logs contain no attempt; write them with 'harepass serve -trace'")
+	// ErrNoLogs reports that a folder contains no logs.
 	ErrNoLogs = errors.New("lab: no *.log file")
-	// ErrQueryNotFound says that logs have no line of a query.
-	ErrQueryNotFound = errors.New("lab: no line of query")
+	// ErrQueryNotFound reports that logs contain no line of a query.
+	ErrQueryNotFound = errors.New("lab: no log line of query")
 )
 
 // maxLineBytes bounds the length of a line.
@@ -26,15 +26,15 @@
 
 // Line is one line of a coordinator's log.
 type Line struct {
-	Coordinator string            // by its file's name
-	At          time.Duration     // since the midnight before, or since the start where seconds stand in front
+	Coordinator string            // name of the log file, without its extension
+	At          time.Duration     // since the preceding midnight, or since the start if the line begins with seconds
 	Level       string            // as slog names it
 	Message     string            // see internal/logmsg
 	Attrs       map[string]string // values by key, unquoted
 }
 
-// ParseLine reads a line as the standard logger writes it for slog: perhaps seconds, then date, time, level, message
-// and attributes. It reports false for any other line, such as a panic's.
+// ParseLine parses a line that the standard logger writes for slog: optional seconds, then date, time, level, message
+// and attributes. It reports false for any other line, such as one of a panic.
 func ParseLine(coordinator, line string) (l Line, ok bool) {
 	l = Line{Coordinator: coordinator, Attrs: map[string]string{}}
 	rest, ok := l.parseTime(line)
@@ -48,7 +48,8 @@
 	return l, l.Message != ""
 }
 
-// parseTime reads the time and returns what follows it. Seconds in front go before the date and the time.
+// parseTime parses the time and returns the rest of the line. Leading seconds take precedence over the date and the
+// time.
 func (l *Line) parseTime(line string) (rest string, ok bool) {
 	first, rest, _ := strings.Cut(line, " ")
 	seconds, err := strconv.ParseFloat(strings.Trim(first, "[]"), 64)
@@ -68,8 +69,8 @@
 	return rest, true
 }
 
-// parseAttrs reads the message's words, and attributes of the form key=value or key="quoted value". It reports false
-// for a quote that does not end.
+// parseAttrs parses the words of the message, and attributes of the form key=value or key="quoted value". It reports
+// false for an unterminated quote.
 func (l *Line) parseAttrs(rest string) bool {
 	var words []string
 	for rest != "" {
@@ -97,8 +98,8 @@
 	return true
 }
 
-// ReadDir hands each line of a folder's *.log files to a function, file by file; what is no line of a log is left out.
-// The error wraps ErrNoLogs for a folder without logs, and is that of reading otherwise.
+// ReadDir calls each with every line of the *.log files in a folder, file by file, and skips text that is not a log
+// line. The error wraps ErrNoLogs if the folder contains no logs; otherwise it is that of a failed read.
 func ReadDir(dir string, each func(Line)) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(files) == 0 {
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// readFile hands each line of a log to a function.
+// readFile calls each with every line of a log file.
 func readFile(path string, each func(Line)) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/test/logsummary/logsummary_test.go
+++ b/internal/test/logsummary/logsummary_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-const traced = `[0.01] 2026/12/01 20:50:30 DEBUG settings read slow_start=18s limits="{Cores:0.3}"
+const tracedLog = `[0.01] 2026/12/01 20:50:30 DEBUG settings read slow_start=18s limits="{Cores:0.3}"
 0.012 2026/12/01 20:50:30 INFO serving listen=127.0.0.1:80
 0.015 2026/12/01 20:50:30 DEBUG endpoint updated replica=old state=ready age=0s
 3.100 2026/12/01 20:50:33 DEBUG endpoint updated replica=new state=ready age=600ms
@@ -22,16 +22,16 @@
 3.500 2026/12/01 20:50:33 DEBUG query ended query_id=a1 class=route-lookup tenant="" status=served complete=true latency=400ms time_left=600ms attempts=2
 `
 
-// tracedElsewhere is another coordinator's log; it sends to a replica whose start only the first log has.
-const tracedElsewhere = `3.900 2026/12/01 20:50:33 DEBUG attempt ended query_id=b7 shard=3 attempt=0 replica=new outcome=full latency=2ms
+// otherLog is the log of a second coordinator. It sends to a replica whose start only the first log contains.
+const otherLog = `3.900 2026/12/01 20:50:33 DEBUG attempt ended query_id=b7 shard=3 attempt=0 replica=new outcome=full latency=2ms
 3.950 2026/12/01 20:50:33 INFO query ended query_id=b7 class=route-lookup status=refused complete=false attempts=0
 `
 
-// A fleet's summary counts the lines of all coordinators: polls, connections, attempts, queries, and parts to a replica
-// in slow start, whichever coordinator's log has its start.
+// A summary counts the lines of all coordinators: polls, connections, attempts, queries, and parts sent to a replica in
+// slow start, even if another coordinator's log contains the replica's start.
 func TestSummaryCountsLines(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"n0.log": traced, "n1.log": tracedElsewhere} {
+	for name, text := range map[string]string{"n0.log": tracedLog, "n1.log": otherLog} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -58,12 +58,12 @@
 		{"queries route-lookup", "refused unsent", 1},
 	} {
 		if n := got[want.table][want.column]; n != want.n {
-			t.Errorf("%s, %s: %d, want %d", want.table, want.column, n, want.n)
+			t.Errorf("table %q, column %q: %d, want %d", want.table, want.column, n, want.n)
 		}
 	}
 	row := s.slowStartTable()[fmt.Sprintf("%6d", 3)]
 	if row["replicas"] != 1 || row["parts"] != 2 || row["mean of a warmed-up one"] != 1 {
-		t.Errorf("parts in slow start: %v", row)
+		t.Errorf("row of parts in slow start: %v, want 1 replica, 2 parts and a mean of 1", row)
 	}
 	var out strings.Builder
 	if err := s.Print(&out, 1); err != nil {
@@ -71,15 +71,15 @@
 	}
 	for _, want := range []string{"2 coordinators", "the 1 of 2", "old"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, &out)
+			t.Errorf("output lacks %q:\n%s", want, &out)
 		}
 	}
 }
 
-// What is printed of a query is its lines alone, in order, with the coordinator of each.
+// PrintQuery writes only the lines of the query, in order of time, each with its coordinator.
 func TestPrintQuery(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(traced), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "n0.log"), []byte(tracedLog), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
@@ -89,34 +89,34 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 3 || !strings.Contains(lines[0], "3.400 n0 attempt ended") ||
 		!strings.Contains(lines[0], "outcome=timeout") || !strings.Contains(lines[2], "status=served") {
-		t.Errorf("path %q", lines)
+		t.Errorf("lines of query a1: %q", lines)
 	}
 	if err := PrintQuery(&out, dir, "nobody"); !errors.Is(err, ErrQueryNotFound) {
-		t.Errorf("a query that is in no log: %v", err)
+		t.Errorf("query that is in no log: error %v, want ErrQueryNotFound", err)
 	}
 }
 
-// Lines without the seconds in front count by their clock; quoted values keep their blanks.
+// A line without leading seconds gets its time from the clock; quoted values keep their spaces.
 func TestParseLine(t *testing.T) {
 	l, ok := ParseLine("n0", `2026/12/01 20:50:33 DEBUG discovery polled target="/a b" latency=2s err=<nil>`)
 	at := 20*time.Hour + 50*time.Minute + 33*time.Second
 	if !ok || l.At != at || l.Message != "discovery polled" || l.Attrs["target"] != "/a b" || l.Attrs["err"] != "<nil>" {
-		t.Errorf("%+v, %t", l, ok)
+		t.Errorf("parsed line %+v, %t", l, ok)
 	}
 	for _, line := range []string{"", "panic: no line", "1.5", `1.5 2026/12/01 20:50:33 DEBUG discovery polled target="/a`} {
 		if l, ok := ParseLine("n0", line); ok {
-			t.Errorf("%q is read as %+v", line, l)
+			t.Errorf("%q is parsed as %+v, want it rejected", line, l)
 		}
 	}
 }
 
-// Logs without a trace give an error rather than empty tables, and so does a folder without logs.
+// Logs without a trace cause an error instead of empty tables, and so does a folder without logs.
 func TestLogsWithoutTraceAreRefused(t *testing.T) {
 	dir := t.TempDir()
 	if err := ReadDir(dir, func(Line) {}); !errors.Is(err, ErrNoLogs) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("empty folder: error %v, want ErrNoLogs", err)
 	}
 	if err := NewSummary().Print(&strings.Builder{}, 5); !errors.Is(err, ErrNoTrace) {
-		t.Errorf("no attempts: %v", err)
+		t.Errorf("summary without attempts: error %v, want ErrNoTrace", err)
 	}
 }
--- a/internal/test/logsummary/print.go
+++ b/internal/test/logsummary/print.go
@@ -9,8 +9,8 @@
 	"harepass/internal/logmsg"
 )
 
-// PrintQuery writes the lines of one query, from all coordinators' logs in a folder, in order of time. The error wraps
-// ErrQueryNotFound where there is none.
+// PrintQuery writes the lines of one query from the logs of all coordinators in a folder, in order of time. The error
+// wraps ErrQueryNotFound if there are none.
 func PrintQuery(w io.Writer, dir, id string) error {
 	var lines []Line
 	if err := ReadDir(dir, func(l Line) {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// Print writes tables of what happened by second, and of the replicas that served the least share of their attempts,
-// at most so many. It returns ErrNoTrace where there was no attempt.
+// Print writes tables of the events by second, then a table of the replicas with the smallest shares of served
+// attempts, at most worst of them. It returns ErrNoTrace if the summary has no attempt.
 func (s *Summary) Print(w io.Writer, worst int) error {
 	tables := s.tables()
 	if tables[attempts] == nil {
@@ -59,7 +59,7 @@
 	return s.Replicas.print(w, title, replicas[:worst])
 }
 
-// tables are the tables by name, with a row for each second in which something happened.
+// tables returns the tables by name, with a row for each second that has events.
 func (s *Summary) tables() map[string]counts {
 	tables := map[string]counts{}
 	for second, happened := range s.Seconds {
@@ -73,7 +73,7 @@
 	return tables
 }
 
-// servedShare is the share of a replica's attempts that were served.
+// servedShare returns the share of a replica's attempts that were served.
 func (s *Summary) servedShare(replica string) float64 {
 	total := 0
 	for column, n := range s.Replicas[replica] {
--- a/internal/test/logsummary/summary.go
+++ b/internal/test/logsummary/summary.go
@@ -6,39 +6,39 @@
 	"harepass/internal/logmsg"
 )
 
-// Tables that a Summary counts by second, besides one for the queries of each class.
+// Tables that a Summary counts by second. Each class has a further table for its queries.
 const (
 	discoveryPolls = "discovery polls"
 	connections    = "connections"
 	attempts       = "attempts"
 )
 
-// Columns that are not values of a log line.
+// Columns whose names are not values in a log line.
 const (
 	pollSucceeded  = "ok"
 	pollFailed     = "failed"
 	opened         = "opened"
 	beyondFirst    = "beyond the first" // retries and hedged requests
-	partial        = "partial"          // served, and not complete
+	partial        = "partial"          // served but incomplete
 	rejectedUnsent = "refused unsent"   // rejected before the first attempt
 )
 
-// queriesOf is the table of a class's queries.
+// queriesOf returns the name of the table of a class's queries.
 func queriesOf(class string) string { return "queries " + class }
 
-// Summary is what the logs of a fleet show.
+// Summary aggregates the logs of a fleet.
 type Summary struct {
-	Coordinators map[string]bool // those that have a line
-	Seconds      map[int]counts  // by second; rows are tables, columns what happened
-	Replicas     counts          // attempts by replica and outcome, and connections
+	Coordinators map[string]bool // those with at least one line
+	Seconds      map[int]counts  // by second; rows are tables, columns are events
+	Replicas     counts          // attempts by replica and outcome, and connections by replica
 
-	slowStart        time.Duration            // how long a replica's slow start lasts
-	startedAt        map[string]time.Duration // when a replica started last, on the clock of the lines
-	partsInSlowStart map[int]map[string]int   // parts by second and replica, while it was in slow start
-	partsWarmedUp    map[int]map[string]int   // parts by second and replica, of all others
+	slowStart        time.Duration            // duration of a replica's slow start
+	startedAt        map[string]time.Duration // latest start of each replica, on the clock of the lines
+	partsInSlowStart map[int]map[string]int   // parts by second and replica, for replicas in slow start
+	partsWarmedUp    map[int]map[string]int   // parts by second and replica, for all other replicas
 }
 
-// NewSummary returns a summary of no lines.
+// NewSummary returns an empty summary.
 func NewSummary() *Summary {
 	return &Summary{
 		Coordinators:     map[string]bool{},
@@ -50,9 +50,9 @@
 	}
 }
 
-// ReadContext takes from a line what parts are judged by: how long slow start lasts, and when replicas started. It is
-// to be called for all lines before the first Add: the coordinator that has a replica's start in its log need not be
-// the one that sent a part. An age of 0 means that a replica has long been warmed up.
+// ReadContext collects from a line what Add needs to classify parts: the duration of slow start, and when replicas
+// started. It must be called for all lines before the first Add, because a replica's start may be in the log of a
+// coordinator other than the one that sent the part. An age of 0 means that a replica has long been warmed up.
 func (s *Summary) ReadContext(l Line) {
 	switch l.Message {
 	case logmsg.SettingsRead:
@@ -92,7 +92,7 @@
 	}
 }
 
-// pollResult says how a poll of discovery ended.
+// pollResult returns the column for the result of a discovery poll.
 func pollResult(l Line) string {
 	if l.Attrs[logmsg.KeyError] != "<nil>" {
 		return pollFailed
@@ -100,7 +100,7 @@
 	return pollSucceeded
 }
 
-// queryResult says how a query ended: by its status, or in more detail.
+// queryResult returns the column for the result of a query: its status, or a more specific result.
 func queryResult(l Line) string {
 	status := l.Attrs[logmsg.KeyStatus]
 	switch {
@@ -112,7 +112,7 @@
 	return status
 }
 
-// countPart counts a part by whether its replica was in slow start.
+// countPart counts a part, separately for replicas that were in slow start.
 func (s *Summary) countPart(l Line, second int) {
 	replica := l.Attrs[logmsg.KeyReplica]
 	parts := s.partsWarmedUp
@@ -133,7 +133,8 @@
 	warmedUpMean      = "mean of a warmed-up one"
 )
 
-// slowStartTable is what replicas in slow start were sent, second by second, beside what one that is warmed up was.
+// slowStartTable returns, by second, how many parts were sent to replicas in slow start and, for comparison, the mean
+// per warmed-up replica.
 func (s *Summary) slowStartTable() counts {
 	table := counts{}
 	for second, replicas := range s.partsInSlowStart {
