--- a/internal/test/fakedata/trails.go
+++ b/internal/test/fakedata/trails.go
@@ -1,5 +1,5 @@
-// Package fakedata has the data of emulated replicas: the trails of each shard, drawn from a seed or read from YAML. It
-// is for tests and the laboratory only.
+// Package fakedata provides the data of emulated replicas: the trails of each shard, drawn from a seed or read from
+// YAML. It is for tests and the laboratory only.
 package fakedata
 
 import (
@@ -17,7 +17,7 @@
 	"harepass/internal/test/fake"
 )
 
-// ErrInvalidData says that a file does not hold trails by shard.
+// ErrInvalidData reports that a file does not hold valid trails by shard.
 var ErrInvalidData = errors.New("fakedata: invalid data")
 
 // Trail is a document of the emulated replicas.
@@ -29,20 +29,20 @@
 	Version float64 `yaml:"version"`
 }
 
-// Shards are trails by the number of their shard, which counts from 0.
+// Shards holds trails by the number of their shard, which counts from 0.
 type Shards map[int][]Trail
 
-// rngStream keeps the draws of the data apart from others with its seed.
+// rngStream separates the random draws of the data from other draws with the same seed.
 const rngStream = 0x6d6f756e
 
-// maxSnowCM bounds the depth of snow that is drawn, in cm.
+// maxSnowCM is the exclusive upper bound of the drawn depths of snow, in cm.
 const maxSnowCM = 200
 
 var trailNames = []string{
 	"north gully", "birch run", "ridge", "gondola line", "lower bowl", "forest path", "saddle", "east face",
 }
 
-// New draws the data of a number of shards with trailsPerShard trails each. Equal arguments give equal data.
+// New draws trailsPerShard trails for each of a number of shards. Equal arguments give equal data.
 func New(seed uint64, shards, trailsPerShard int) Shards {
 	rng := rand.New(rand.NewPCG(seed, rngStream))
 	s := Shards{}
@@ -60,8 +60,8 @@
 	return s
 }
 
-// Read reads trails by shard from a YAML file. The error wraps ErrInvalidData where the file's content is invalid. An
-// empty file has no shards.
+// Read reads trails by shard from a YAML file. The error wraps ErrInvalidData if the content is invalid. An empty file
+// gives no shards.
 func Read(path string) (Shards, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -79,13 +79,14 @@
 	return s, nil
 }
 
-// validate checks the numbers of the shards and the IDs of their trails.
+// validate checks that the numbers of shards are not negative, and that each trail has an ID that is unique in its
+// shard.
 func (s Shards) validate() error {
 	for shard, trails := range s {
 		seen := map[string]bool{}
 		for _, t := range trails {
 			if shard < 0 || t.ID == "" || seen[t.ID] {
-				return fmt.Errorf("section %d, trail %q: sections count from 0, and each trail needs an id of its own",
+				return fmt.Errorf("section %d, trail %q: section must be at least 0, id must be set and unique in it",
 					shard, t.ID)
 			}
 			seen[t.ID] = true
@@ -94,14 +95,14 @@
 	return nil
 }
 
-// Write writes the trails as YAML, which Read reads.
+// Write writes the trails as YAML, which Read can read.
 func (s Shards) Write(w io.Writer) error {
 	enc := yaml.NewEncoder(w)
 	defer enc.Close()
 	return enc.Encode(s)
 }
 
-// Doc returns the trail as a document of a replica.
+// Doc returns the trail in the form of a document that replicas hold.
 func (t Trail) Doc() fake.Document {
 	return fake.Document{
 		ID: t.ID, Version: t.Version,
@@ -109,7 +110,8 @@
 	}
 }
 
-// Data returns a copy of the trails for replicas. It keeps the states that each shard had if keepHistory is set.
+// Data returns a copy of the trails in the form that replicas serve. If keepHistory is set, the copy records every
+// state of each shard.
 func (s Shards) Data(keepHistory bool) *fake.Data {
 	d := &fake.Data{KeepHistory: keepHistory}
 	for shard, trails := range s {
--- a/internal/test/fakeserver/server.go
+++ b/internal/test/fakeserver/server.go
@@ -1,4 +1,4 @@
-// Package fakeserver serves the replicas of an inventory, emulated on real sockets of loopback addresses. It is for the
+// Package fakeserver emulates the replicas of an inventory on real sockets with loopback addresses. It is for the
 // laboratory only.
 package fakeserver
 
@@ -20,17 +20,17 @@
 	"harepass/internal/test/fakedata"
 )
 
-// ErrNotLoopback says that an inventory has a host beyond this machine.
-var ErrNotLoopback = errors.New("no loopback address")
+// ErrNotLoopback reports that a host of an inventory does not have a loopback address.
+var ErrNotLoopback = errors.New("not a loopback address")
 
-// Config is what the replicas hold and do. All replicas serve one and the same data.
+// Config configures the emulated replicas. All of them serve the same data.
 type Config struct {
 	Inventory      string        // CSV or YAML file of the replicas
-	Data           string        // YAML file of the trails; if empty they are drawn from Seed
-	Seed           uint64        // source of all draws
-	Shards         int           // shards of drawn data
+	Data           string        // YAML file of the trails; if empty, they are drawn from Seed
+	Seed           uint64        // seed of all random draws
+	Shards         int           // number of shards of drawn data
 	RingSize       int           // positions of the ring
-	WorkUnit       time.Duration // time that a unit of work takes; 0 for none
+	WorkUnit       time.Duration // duration of a unit of work; 0 for no time
 	ChangeInterval time.Duration // time between changes of the data; 0 for no changes
 }
 
@@ -38,16 +38,16 @@
 	coresPerReplica = 2
 	trailsPerShard  = 8 // of drawn data
 
-	// changeStream keeps the draws of changes apart from others with their seed.
+	// changeStream separates the random draws of changes from other draws with the same seed.
 	changeStream = 0x736572
 )
 
-// Serve listens on every address of the inventory and serves until ctx ends or the program is interrupted by SIGINT or
-// SIGTERM. It writes a line to out for each replica. The error wraps ErrNotLoopback for a host with any other address;
-// fakedata.ErrInvalidData for a file of invalid trails.
+// Serve listens on every address of the inventory and serves until ctx ends or the process receives SIGINT or SIGTERM.
+// It writes a line to out for each replica. The error wraps ErrNotLoopback if a host has any other address, and
+// fakedata.ErrInvalidData if the file of trails is invalid.
 func (c Config) Serve(ctx context.Context, out io.Writer) error {
 	var background sync.WaitGroup
-	defer background.Wait() // deferred first: it runs after the listeners are closed and ctx has ended
+	defer background.Wait() // deferred first, so that it runs after the listeners are closed and ctx has ended
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	trails, err := c.trails()
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// trails returns the data that the replicas serve at first.
+// trails returns the initial data of the replicas.
 func (c Config) trails() (fakedata.Shards, error) {
 	if c.Data != "" {
 		return fakedata.Read(c.Data)
@@ -88,11 +88,11 @@
 	return fakedata.New(c.Seed, c.Shards, trailsPerShard), nil
 }
 
-// listen listens on a host's address.
+// listen opens a listener at a host's address, which must be a loopback address.
 func (c Config) listen(host, address string) (net.Listener, error) {
 	resolved, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil || !resolved.IP.IsLoopback() {
-		return nil, fmt.Errorf("%s: host %s: %s is %w; emulated nodes serve on no other",
+		return nil, fmt.Errorf("%s: host %s: %s is %w; emulated replicas can use no other",
 			c.Inventory, host, address, ErrNotLoopback)
 	}
 	l, err := net.ListenTCP("tcp", resolved)
@@ -102,7 +102,7 @@
 	return l, nil
 }
 
-// changeTrails opens or closes a trail after each ChangeInterval until ctx ends.
+// changeTrails opens or closes a random trail after each ChangeInterval until ctx ends.
 func (c Config) changeTrails(ctx context.Context, data *fake.Data, trails fakedata.Shards) {
 	rng := rand.New(rand.NewPCG(c.Seed, changeStream))
 	for {
@@ -111,8 +111,8 @@
 			return
 		case <-time.After(c.ChangeInterval):
 		}
-		for shard, ofShard := range trails { // one shard, at random
-			doc := ofShard[rng.IntN(len(ofShard))].Doc()
+		for shard, shardTrails := range trails { // iterates in random order and stops after one shard
+			doc := shardTrails[rng.IntN(len(shardTrails))].Doc()
 			doc.Version, doc.Fields["open"] = nil, rng.IntN(2) > 0
 			data.Put(shard, doc)
 			break
--- a/internal/test/loadreport/plots.go
+++ b/internal/test/loadreport/plots.go
@@ -18,26 +18,26 @@
 	"harepass/internal/test/loadgen"
 )
 
-// slicesPerSecond is how many loadgen.Slices there are in a second.
+// slicesPerSecond is the number of loadgen.Slices per second.
 const slicesPerSecond = 10
 
 const (
 	plotWidth  = 14 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
-	lineWidth  = 1.5 // points
-	headroom   = 1.05
+	lineWidth  = 1.5  // points
+	headroom   = 1.05 // top of the vertical axis, as a multiple of the greatest value
 )
 
-// palette has the colours of the lines of one plot, in order of their names.
+// palette holds the colours of a plot's lines, which are assigned in order of the lines' names.
 var palette = []color.Color{
 	color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255},
 	color.RGBA{44, 160, 44, 255}, color.RGBA{148, 103, 189, 255},
 }
 
-// lines are the lines of a plot, by the name that the legend gives them.
+// lines holds the lines of a plot by their names in the legend.
 type lines map[string]plotter.XYs
 
-// linePlot draws lines as SVG for an HTML page. The vertical axis reaches from 0 to a little above top.
+// linePlot draws lines as SVG for an HTML page. The vertical axis ranges from 0 to a little above top.
 func linePlot(title, unit string, top float64, drawn lines) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = title, unit
@@ -49,24 +49,24 @@
 		}
 		line, err := plotter.NewLine(drawn[name])
 		if err != nil {
-			return "", fmt.Errorf("loadreport: line %q of %q: %w", name, title, err)
+			return "", fmt.Errorf("loadreport: cannot draw line %q of plot %q: %w", name, title, err)
 		}
 		line.Color, line.Width = palette[i%len(palette)], vg.Points(lineWidth)
 		p.Add(line)
 		p.Legend.Add(name, line)
 	}
-	p.Y.Min, p.Y.Max = 0, max(top*headroom, 1e-9) // after the lines, each of which widens the axis
+	p.Y.Min, p.Y.Max = 0, max(top*headroom, 1e-9) // set after adding the lines, because each of them widens the axis
 	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", err
 	}
-	_, svg, _ := strings.Cut(b.String(), "<svg") // HTML does not allow the XML declaration before it
+	_, svg, _ := strings.Cut(b.String(), "<svg") // drops the XML declaration, which HTML does not allow
 	return template.HTML("<svg" + svg), nil
 }
 
-// overTime returns lines of counts a second over the seconds of a run.
+// overTime returns lines of counts per second over the duration of a run.
 func overTime(r *loadgen.Result, counts map[string]func(loadgen.Slice) int) lines {
 	drawn := lines{}
 	for name, count := range counts {
@@ -94,7 +94,7 @@
 	})
 }
 
-// waitsOverTime returns the waits for the coordinator's loop; nil if the result has none.
+// waitsOverTime returns the waits for the coordinator's loop, or nil if the result has none.
 func waitsOverTime(r *loadgen.Result) lines {
 	if len(r.Waits) == 0 {
 		return nil
@@ -106,7 +106,7 @@
 	return lines{"worst wait": line}
 }
 
-// latencies returns a line for each class. Its horizontal axis is the index of the percentile.
+// latencies returns a line of latency percentiles for each class. The horizontal axis is the index of the percentile.
 func latencies(r *loadgen.Result) lines {
 	drawn := lines{}
 	for name, c := range r.Classes {
--- a/internal/test/loadreport/report.go
+++ b/internal/test/loadreport/report.go
@@ -1,4 +1,4 @@
-// Package loadreport draws the results of several runs of loadgen as one HTML page, side by side.
+// Package loadreport renders the results of several loadgen runs side by side as one HTML page.
 package loadreport
 
 import (
@@ -15,22 +15,22 @@
 
 var page = template.Must(template.New("report").Funcs(template.FuncMap{"share": formatShare}).Parse(pageText))
 
-// formatShare words x as a share of a total, also of a total of 0.
+// formatShare formats x as a share of a total, which may be 0.
 func formatShare(x, total float64) string { return fmt.Sprintf("%.3f", x/max(total, 1e-9)) }
 
-// pageData is what the page shows. Its field names are those that page.html uses.
+// pageData is the data of the page. page.html uses its field names.
 type pageData struct {
 	Results []*loadgen.Result
 	Plots   []plotRow
 }
 
-// plotRow is a row of plots on one scale, one for each result.
+// plotRow is a row of plots with the same scale, one for each result.
 type plotRow struct {
 	Title    string
 	Pictures []template.HTML
 }
 
-// plotKind is what the plots of a row show.
+// plotKind describes what the plots of a row show.
 type plotKind struct {
 	title, unit string
 	lines       func(*loadgen.Result) lines
@@ -43,7 +43,7 @@
 	{"Latency by percentile", "ms", latencies},
 }
 
-// Write writes one HTML page on several results. Rows that no result has values for are left out.
+// Write writes one HTML page about several results. It omits rows for which no result has values.
 func Write(out io.Writer, results []*loadgen.Result) error {
 	data := pageData{Results: results}
 	for _, kind := range plotKinds {
@@ -60,7 +60,7 @@
 	return page.Execute(out, data)
 }
 
-// greatest returns the greatest value of all results, and whether there is any value. It is never below 0.
+// greatest returns the greatest value in all results, at least 0, and whether there is any value.
 func (k plotKind) greatest(results []*loadgen.Result) (top float64, hasValues bool) {
 	for _, r := range results {
 		for _, line := range k.lines(r) {
@@ -72,7 +72,7 @@
 	return top, hasValues
 }
 
-// draw draws one plot for each result, all with a vertical axis up to top.
+// draw draws one plot for each result. All plots have the same vertical axis, which covers top.
 func (k plotKind) draw(results []*loadgen.Result, top float64) (plotRow, error) {
 	row := plotRow{Title: k.title}
 	for _, r := range results {
