--- a/internal/test/endtoend/model_test.go
+++ b/internal/test/endtoend/model_test.go
@@ -58,10 +58,11 @@
 	reply    fake.Reply
 }
 
+// timedQuery is a search that the script sends at an instant.
 type timedQuery struct {
 	at           time.Duration
 	text         int
-	completeOnly bool
+	completeOnly bool // the client accepts no partial answer
 }
 
 var queryTexts = []map[string]any{
--- a/internal/test/fake/registry_mode.go
+++ b/internal/test/fake/registry_mode.go
@@ -35,8 +35,8 @@
 	return r.mode
 }
 
-// applyMode handles a call, or a watch that has been waiting, as the mode requires. It reports false if the mode leaves
-// the call to be answered.
+// applyMode handles a call, or a watch that has been waiting, as the mode requires. It reports false if the call still
+// has to be answered.
 func applyMode(w http.ResponseWriter, req *http.Request, mode RegistryMode, waiting bool) bool {
 	switch {
 	case mode == RegistryHealthy:
