--- a/internal/test/capacity/bench_test.go
+++ b/internal/test/capacity/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// One changed entry by the nodes in the list, without queries and where queries have asked every section: for profiles of
-// what grows with the list.
+// BenchmarkChangedEntry measures one changed entry by the length of the list, without queries and after queries have
+// asked every section. Its profiles show which work grows with the list.
 func BenchmarkChangedEntry(b *testing.B) {
 	for _, c := range []struct {
 		name    string
--- a/internal/test/capacity/capacity.go
+++ b/internal/test/capacity/capacity.go
@@ -1,6 +1,7 @@
-// Package capacity measures what harepass costs as its fleet grows, fits how each cost grows, and writes the tables of
-// the page docs/CAPACITY.md from the results. Costs of the processor are CPU time of this process (getrusage), never time on
-// the clock, so that a busy machine changes them as little as possible. For tests and the laboratory only.
+// Package capacity measures how the costs of harepass grow with its fleet, fits a curve to each cost, and generates the
+// tables of docs/CAPACITY.md from the results. It measures processor costs as CPU time of this process (getrusage),
+// never as wall-clock time, because other load on the machine affects CPU time least. It is for tests and the
+// laboratory only.
 package capacity
 
 import (
@@ -14,39 +15,39 @@
 	"strings"
 )
 
-// Point is what was measured at one size.
+// Point is the measurement at one size.
 type Point struct {
 	X       float64 `json:"x"`
 	Median  float64 `json:"median"` // of the repeats
 	Low     float64 `json:"low"`
 	High    float64 `json:"high"`
 	Repeats int     `json:"repeats"`
-	Count   int     `json:"count"` // operations in all repeats together
+	Count   int     `json:"count"` // operations, sum over all repeats
 }
 
-// Form is the curve that a series is taken to follow.
+// Form is the kind of curve that a series is expected to follow.
 type Form string
 
-// The forms.
+// The forms of a series.
 const (
 	Power  Form = "power"  // y = c x^k
 	Linear Form = "linear" // y = a + b x
 )
 
-// Series is one cost by one variable.
+// Series holds one cost as a function of one variable.
 type Series struct {
 	Name     string  `json:"name"`
 	Title    string  `json:"title"`
 	Variable string  `json:"variable"`
 	Unit     string  `json:"unit"`
 	Form     Form    `json:"form"`
-	Residual float64 `json:"residual_bound"` // the most that the fit's residual may be
+	Residual float64 `json:"residual_bound"` // upper bound of the fit's residual
 	Points   []Point `json:"points"`
 	Fit      Fit     `json:"fit"`
 }
 
-// At is the cost at a size: the median where it was measured, else a derived one. That is the fit's between the sizes that were
-// measured; beyond the largest, it goes on from the median there with the fit's exponent or slope.
+// At returns the cost at size x. At a measured size it is the median. Any other cost is derived: below the largest
+// measured size it is the fit's value; above, it extends the median at the largest size by the fit's exponent or slope.
 func (s Series) At(x float64) (y float64, derived bool) {
 	for _, p := range s.Points {
 		if p.X == x {
@@ -63,7 +64,7 @@
 	return largest.Median * math.Pow(x/largest.X, s.Fit.Exponent), true
 }
 
-// Spread is the widest range of one point's repeats, over its median.
+// Spread returns the largest relative spread of a point: the range of its repeats divided by their median.
 func (s Series) Spread() (spread float64) {
 	for _, p := range s.Points {
 		if p.Median > 0 {
@@ -73,16 +74,16 @@
 	return spread
 }
 
-// Bound is a figure beside what it may be.
+// Bound is a figure together with its upper bound.
 type Bound struct {
 	Name   string  `json:"name"`
 	Figure float64 `json:"figure"`
 	Most   float64 `json:"most"`
 	Unit   string  `json:"unit"`
-	Stated bool    `json:"stated"` // as held: a run that misses it fails
+	Stated bool    `json:"stated"` // stated as held: a run that exceeds the bound fails
 }
 
-// Met tells whether the figure is within its bound.
+// Met reports whether the figure is within its bound.
 func (b Bound) Met() bool { return b.Figure <= b.Most }
 
 // Run is the result of one run of the experiment.
@@ -96,7 +97,7 @@
 	Bounds  []Bound  `json:"bounds"`
 }
 
-// Find is the series of a name; nil if the run has none.
+// Find returns the series with the given name, or nil if the run has none.
 func (r *Run) Find(name string) *Series {
 	i := slices.IndexFunc(r.Series, func(s Series) bool { return s.Name == name })
 	if i < 0 {
@@ -105,7 +106,7 @@
 	return &r.Series[i]
 }
 
-// Missed names the fits whose residual is over its bound, and the bounds stated as held that are not.
+// Missed describes each fit whose residual exceeds its bound, and each bound that is stated as held and exceeded.
 func (r *Run) Missed() (missed []string) {
 	for _, s := range r.Series {
 		if !(s.Fit.Residual <= s.Residual) {
@@ -120,7 +121,7 @@
 	return missed
 }
 
-// Load reads a run's file.
+// Load reads a run from a JSON file.
 func Load(path string) (*Run, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -133,7 +134,7 @@
 	return r, nil
 }
 
-// Write writes a run's file.
+// Write writes the run to a JSON file.
 func (r *Run) Write(path string) error {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -142,12 +143,12 @@
 	return os.WriteFile(path, append(data, '\n'), 0o644)
 }
 
-// describe notes what was run, and on what.
+// describe records the command, Go version, number of cores and commit of a run.
 func (r *Run) describe() {
 	r.Command, r.Go, r.Cores, r.Commit = "bin/lab run capacity", runtime.Version(), runtime.NumCPU(), commit()
 }
 
-// commit is the one that is checked out where the program runs, as far as git tells.
+// commit returns the commit checked out in the working directory, or "unknown" if git reports none.
 func commit() string {
 	out, err := exec.Command("git", "describe", "--always", "--dirty", "--abbrev=10", "--exclude=*").Output()
 	if err != nil {
@@ -156,7 +157,7 @@
 	return strings.TrimSpace(string(out))
 }
 
-// round keeps four digits, which is more than a repeat gives again.
+// round rounds to four significant digits; repeats agree in fewer.
 func round(x float64) float64 {
 	if x == 0 || math.IsInf(x, 0) || math.IsNaN(x) {
 		return x
--- a/internal/test/capacity/control.go
+++ b/internal/test/capacity/control.go
@@ -17,27 +17,28 @@
 	"harepass/internal/platform"
 )
 
-// control is a coordinator's whole path for its list: discovery's client, the owner, and the module, before a discovery that
-// gives one answer to each call, on a loopback connection. The answering side's writes are counted with it.
+// control is the control path of a coordinator without relays: the discovery client, the coordinator's loop and the
+// decision module. A stand-in for discovery gives one answer to each call on a loopback connection. The stand-in runs
+// in this process, so the CPU time of its writes counts too.
 type control struct {
-	owner    *core.Coordinator
-	listener net.Listener
-	cancel   context.CancelFunc
-	answers  chan []byte
-	asked    chan struct{} // a token for each call that has come in
-	turns    chan struct{} // a token for each turn of the owner
-	listed   atomic.Int64  // lists given to the owner
-	index    int64
-	sent     int64 // bytes of answers, heads included
-	heard    atomic.Int64
-	no       int
+	owner     *core.Coordinator
+	listener  net.Listener
+	cancel    context.CancelFunc
+	answers   chan []byte
+	asked     chan struct{} // receives a token for each call to the stand-in
+	turns     chan struct{} // receives a token for each tick of the coordinator
+	listed    atomic.Int64  // endpoint updates given to the coordinator
+	index     int64
+	sent      int64 // bytes of answers, HTTP heads included
+	bytesRead atomic.Int64
+	no        int
 }
 
-const answerWait = 30 * time.Second // for the coordinator to have taken an answer, on however busy a machine
+const answerWait = 30 * time.Second // for one step of a measurement; long enough for a busy machine
 
-var errNoWord = errors.New("capacity: the coordinator has not taken an answer")
+var errWaitTimeout = errors.New("capacity: timed out waiting for the coordinator to process an answer")
 
-// newControl starts a coordinator and gives it its whole list.
+// newControl starts a coordinator and sends it the full list.
 func newControl(nodes int) (*control, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +47,7 @@
 	c := &control{listener: l, answers: make(chan []byte), asked: make(chan struct{}, 1), turns: make(chan struct{}, 1)}
 	disc := platform.NewDiscovery(l.Addr().String(), platform.List{})
 	c.owner, err = core.New(core.Config{Seed: 1, Clock: core.SystemClock(), Settings: settings(nodes), Subscribe: disc.Subscribe,
-		PolledSource: platform.Source, Callers: map[string]core.Caller{platform.Scheme: nowhere{}}, Admitter: turnGate(c.turns)})
+		PolledSource: platform.Source, Callers: map[string]core.Caller{platform.Scheme: noopCaller{}}, Admitter: tickAdmitter(c.turns)})
 	if err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
@@ -57,7 +58,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
 	go c.serve()
-	c.owner.UpdateEndpoints(platform.Source, scatter.CachedUpdate, nil) // its first turn subscribes
+	c.owner.UpdateEndpoints(platform.Source, scatter.CachedUpdate, nil) // the first tick subscribes to discovery
 	go c.owner.Run()
 	go disc.Run(ctx)
 	if err := wait(c.asked); err != nil {
@@ -66,17 +67,17 @@
 	if err := c.whole(nodes); err != nil {
 		return nil, errors.Join(err, c.end())
 	}
-	return c, wait(c.owner.Started()) // a long list is taken in several turns
+	return c, wait(c.owner.Started()) // a long list takes several ticks
 }
 
-// end stops the coordinator.
+// end stops the coordinator and the stand-in for discovery.
 func (c *control) end() error {
 	c.cancel()
 	c.owner.Stop()
 	return c.listener.Close()
 }
 
-// serve answers the calls of the one connection at a time that discovery's client has.
+// serve answers calls, one connection at a time: the discovery client opens no more at once.
 func (c *control) serve() {
 	for {
 		conn, err := c.listener.Accept()
@@ -96,7 +97,7 @@
 			if err != nil {
 				return
 			}
-			c.heard.Add(int64(len(line)))
+			c.bytesRead.Add(int64(len(line)))
 			if len(line) == len("\r\n") {
 				break
 			}
@@ -108,8 +109,9 @@
 	}
 }
 
-// give answers the call that waits, and waits for the next one; heed tells that the owner has to have taken a turn too.
-func (c *control) give(snapshot bool, list []wireEntry, heed bool) error {
+// sendList answers the pending call with a list and waits for the next call. With awaitTick it also waits until the
+// coordinator has completed a tick.
+func (c *control) sendList(snapshot bool, list []wireEntry, awaitTick bool) error {
 	if len(list) > 0 {
 		c.index++
 	}
@@ -117,24 +119,24 @@
 	if err != nil {
 		return err
 	}
-	return c.reply(body, heed)
+	return c.sendBody(body, awaitTick)
 }
 
-// reply gives a body that has been made before.
-func (c *control) reply(body []byte, heed bool) error {
+// sendBody does the same with a body that is already encoded.
+func (c *control) sendBody(body []byte, awaitTick bool) error {
 	data := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body)), body...)
 	c.sent += int64(len(data))
 	drain(c.turns)
 	c.answers <- data
-	if err := wait(c.asked); err != nil || !heed {
+	if err := wait(c.asked); err != nil || !awaitTick {
 		return err
 	}
 	return wait(c.turns)
 }
 
-func (c *control) whole(nodes int) error { return c.give(true, entries(nodes), true) }
+func (c *control) whole(nodes int) error { return c.sendList(true, entries(nodes), true) }
 
-// changed is an answer with so many nodes that have restarted, made beforehand so that its making costs nothing later.
+// changed returns entries for count nodes that have restarted. Operations call it, so its CPU time is measured too.
 func (c *control) changed(nodes, count int) []wireEntry {
 	list := make([]wireEntry, count)
 	for i := range list {
@@ -149,7 +151,7 @@
 	case <-c:
 		return nil
 	case <-time.After(answerWait):
-		return errNoWord
+		return errWaitTimeout
 	}
 }
 
@@ -160,39 +162,39 @@
 	}
 }
 
-// turnGate admits all and puts a token for each turn of an owner.
-type turnGate chan struct{}
+// tickAdmitter admits every query and receives a token for each tick of a coordinator.
+type tickAdmitter chan struct{}
 
-// Admit implements core.Gate.
-func (turnGate) Admit(overload.Arrival) (bool, time.Duration) { return true, 0 }
+// Admit implements core.Admitter.
+func (tickAdmitter) Admit(overload.Arrival) (bool, time.Duration) { return true, 0 }
 
-// Turn implements core.Gate.
-func (g turnGate) ObserveTick(core.Tick) {
+// ObserveTick implements core.Admitter.
+func (g tickAdmitter) ObserveTick(core.Tick) {
 	select {
 	case g <- struct{}{}:
 	default:
 	}
 }
 
-// Done implements core.Gate.
-func (turnGate) QueryDone(int) {}
+// QueryDone implements core.Admitter.
+func (tickAdmitter) QueryDone(int) {}
 
-// nowhere is a caller that nobody calls.
-type nowhere struct{}
+// noopCaller is a core.Caller that does nothing; these measurements send no queries.
+type noopCaller struct{}
 
 // Call implements core.Caller.
-func (nowhere) Call(core.Endpoint, []*core.Attempt) {}
+func (noopCaller) Call(core.Endpoint, []*core.Attempt) {}
 
-// Abandon implements core.Caller.
-func (nowhere) Cancel(*core.Attempt) {}
+// Cancel implements core.Caller.
+func (noopCaller) Cancel(*core.Attempt) {}
 
-// Disconnect implements core.Caller.
-func (nowhere) CloseIdleConnections(string) {}
+// CloseIdleConnections implements core.Caller.
+func (noopCaller) CloseIdleConnections(string) {}
 
-// changePath is one changed entry, from the wire to the module.
+// changePath measures one changed entry, from the wire to the decision module.
 func changePath(nodes int) (*subject, error) { return changesTogether(nodes)(1) }
 
-// changesTogether is an answer with so many changed entries in a list of nodes.
+// changesTogether measures one answer with count changed entries, for a list of the given length.
 func changesTogether(nodes int) func(count int) (*subject, error) {
 	return func(count int) (*subject, error) {
 		c, err := newControl(nodes)
@@ -201,12 +203,12 @@
 		}
 		before := c.listed.Load()
 		return &subject{unit: time.Microsecond, end: func() { c.end() },
-			operate: func() error { return c.give(false, c.changed(nodes, count), true) },
-			check:   func(operated int) error { return c.took(int(c.listed.Load()-before), operated) }}, nil
+			operate: func() error { return c.sendList(false, c.changed(nodes, count), true) },
+			check:   func(operated int) error { return c.checkListCount(int(c.listed.Load()-before), operated) }}, nil
 	}
 }
 
-// changesSingly is as many answers with one changed entry each.
+// changesSingly measures count answers with one changed entry each.
 func changesSingly(nodes int) func(count int) (*subject, error) {
 	return func(count int) (*subject, error) {
 		s, err := changesTogether(nodes)(1)
@@ -227,15 +229,15 @@
 	}
 }
 
-// took tells whether the owner was given as many lists as were sent.
-func (c *control) took(lists, sent int) error {
+// checkListCount returns an error unless the coordinator received as many lists as were sent.
+func (c *control) checkListCount(lists, sent int) error {
 	if lists != sent {
-		return fmt.Errorf("capacity: %d answers, %d lists at the owner", sent, lists)
+		return fmt.Errorf("capacity: sent %d answers, coordinator received %d lists", sent, lists)
 	}
 	return nil
 }
 
-// listPath is the whole list, from the wire to the module of a coordinator that has just started.
+// listPath measures the full list at a start, from the wire to the decision module.
 func listPath(nodes int) (*subject, error) {
 	return &subject{unit: time.Millisecond, operate: func() error {
 		c, err := newControl(nodes)
@@ -246,31 +248,31 @@
 	}}, nil
 }
 
-// renewal is a watch that brings nothing and is renewed.
+// renewal measures a watch that ends without changes and is renewed.
 func renewal(nodes int) (*subject, error) {
 	c, err := newControl(nodes)
 	if err != nil {
 		return nil, err
 	}
 	return &subject{unit: time.Microsecond, end: func() { c.end() }, operate: func() error {
-		return c.give(false, []wireEntry{}, false)
+		return c.sendList(false, []wireEntry{}, false)
 	}}, nil
 }
 
-// renewalBytes is what a renewal takes on the wire, both ways, without the heads of TCP.
+// renewalBytes measures the bytes of a renewal on the wire, both ways, without TCP headers.
 func renewalBytes(nodes int) (*subject, error) {
 	return &subject{figure: func() (float64, error) {
 		c, err := newControl(nodes)
 		if err != nil {
 			return 0, err
 		}
-		before := c.sent + c.heard.Load()
-		err = c.give(false, []wireEntry{}, false)
-		return float64(c.sent + c.heard.Load() - before), errors.Join(err, c.end())
+		before := c.sent + c.bytesRead.Load()
+		err = c.sendList(false, []wireEntry{}, false)
+		return float64(c.sent + c.bytesRead.Load() - before), errors.Join(err, c.end())
 	}}, nil
 }
 
-// listBytes is the whole list's answer.
+// listBytes measures the size of an answer with the full list, in megabytes.
 func listBytes(nodes int) (*subject, error) {
 	return &subject{figure: func() (float64, error) {
 		body, err := json.Marshal(wireList{Index: int64(nodes), Snapshot: true, Endpoints: entries(nodes)})
@@ -278,7 +280,7 @@
 	}}, nil
 }
 
-// listMemory is the live heap of a coordinator with its list, over that without one.
+// listMemory measures the live heap that a coordinator with its list adds to the process.
 func listMemory(nodes int) (*subject, error) {
 	return &subject{figure: func() (float64, error) {
 		before := settledMemory()
@@ -293,33 +295,33 @@
 }
 
 const (
-	settledFor  = 20 * time.Millisecond
-	settledMost = 2 * time.Second
-	leastMemory = 4 << 10 // what is less, or less than nothing, cannot be told from what the runtime itself does
+	quietPeriod   = 20 * time.Millisecond
+	maxSettleTime = 2 * time.Second
+	minMemory     = 4 << 10 // a smaller or negative difference may come from the runtime itself
 )
 
-// memory is live heap, and that together with stacks.
+// memory holds the live heap, and the sum of live heap and stacks.
 type memory struct{ heap, all bytes }
 
-// bytes are some.
+// bytes is a size in bytes.
 type bytes uint64
 
-// over is by how many megabytes there are more than before.
+// over returns the increase since before, in megabytes, but at least minMemory.
 func (b bytes) over(before bytes) (megabytes float64) {
-	return max(float64(b)-float64(before), leastMemory) / 1e6
+	return max(float64(b)-float64(before), minMemory) / 1e6
 }
 
-// settledMemory waits until goroutines that are about to end have done so, collects what they leave behind, and reads what is
-// left.
+// settledMemory waits until the number of goroutines is stable, so that those about to end are gone, collects garbage,
+// and reads the memory in use.
 func settledMemory() memory {
 	began, since, count := time.Now(), time.Now(), runtime.NumGoroutine()
-	for time.Since(since) < settledFor && time.Since(began) < settledMost {
-		time.Sleep(settledFor / 10)
+	for time.Since(since) < quietPeriod && time.Since(began) < maxSettleTime {
+		time.Sleep(quietPeriod / 10)
 		if now := runtime.NumGoroutine(); now != count {
 			count, since = now, time.Now()
 		}
 	}
-	for range 2 { // the first one may be under way already
+	for range 2 { // a first call may only finish a collection that is already running
 		runtime.GC()
 	}
 	var m runtime.MemStats
--- a/internal/test/capacity/fit.go
+++ b/internal/test/capacity/fit.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is how a cost grows: the exponent of its variable, and a straight line.
+// Fit describes how a cost grows with its variable, as a power law and as a straight line.
 type Fit struct {
 	Exponent      float64 `json:"exponent"` // k of y = c x^k, by regression on logarithms
 	ExponentError float64 `json:"exponent_error"`
@@ -19,18 +19,18 @@
 	R2            float64 `json:"r2"`        // on logarithms
 }
 
-// leastPoints is how many sizes a fit has to have.
-const leastPoints = 4
+// minPoints is the smallest number of sizes that a fit accepts.
+const minPoints = 4
 
-// fit fits a series' points, and tells by how much they miss its form.
+// fit fits both forms to a series' points. The residual is that of the given form.
 func fit(form Form, points []Point) (Fit, error) {
-	if len(points) < leastPoints {
-		return Fit{}, fmt.Errorf("capacity: %d points, %d at least", len(points), leastPoints)
+	if len(points) < minPoints {
+		return Fit{}, fmt.Errorf("capacity: series has %d points, a fit needs at least %d", len(points), minPoints)
 	}
 	var x, y, logX, logY, weights []float64
 	for _, p := range points {
 		if p.X <= 0 || p.Median <= 0 {
-			return Fit{}, fmt.Errorf("capacity: %g at %g cannot be fitted", p.Median, p.X)
+			return Fit{}, fmt.Errorf("capacity: cannot fit value %g at size %g: both must be positive", p.Median, p.X)
 		}
 		x, y = append(x, p.X), append(y, p.Median)
 		logX, logY = append(logX, math.Log(p.X)), append(logY, math.Log(p.Median))
@@ -40,7 +40,7 @@
 	logFactor, exponent := stat.LinearRegression(logX, logY, nil, false)
 	f.Exponent, f.Factor = exponent, math.Exp(logFactor)
 	if f.R2 = stat.RSquared(logX, logY, nil, logFactor, exponent); math.IsNaN(f.R2) {
-		f.R2 = 1 // a constant, which any line through it explains whole
+		f.R2 = 1 // a constant series has no variance; the fitted line explains it fully
 	}
 	f.ExponentError = slopeError(logX, logY, nil, logFactor, exponent)
 	f.Intercept, f.Slope = stat.LinearRegression(x, y, weights, false)
@@ -54,7 +54,7 @@
 	return f, nil
 }
 
-// at is the value of a form at x.
+// at returns the fitted value at x for a form.
 func (f Fit) at(form Form, x float64) float64 {
 	if form == Linear {
 		return f.Intercept + f.Slope*x
@@ -62,7 +62,7 @@
 	return f.Factor * math.Pow(x, f.Exponent)
 }
 
-// slopeError is the standard error of a regression's slope.
+// slopeError returns the standard error of a regression's slope.
 func slopeError(x, y, weights []float64, intercept, slope float64) float64 {
 	mean := stat.Mean(x, weights)
 	var squares, width float64
--- a/internal/test/capacity/fleet.go
+++ b/internal/test/capacity/fleet.go
@@ -9,13 +9,13 @@
 	"harepass/internal/platform"
 )
 
-// The size that the page designs for.
+// The fleet size that the capacity page designs for.
 const (
 	Coordinators = 1500
 	DataNodes    = 7000
 	Regions      = 7
 	Zones        = 19
-	QueriesAll   = 270_000 // a second, over all coordinators
+	QueriesAll   = 270_000 // a second, sum over all coordinators
 	QueryParts   = 120
 	AnswerAim    = 69 * time.Millisecond
 	AnswerShare  = 0.99 // of the queries, answered within AnswerAim
@@ -29,17 +29,18 @@
 	ControlMemory   = 128.0 // MB
 	ControlBytes    = 27e3  // a second
 	ControlMachines = 10
-	Descriptors     = 1024 // of a process on a scored day
+	Descriptors     = 1024 // limit of one process on a scored day
 )
 
 const (
-	holders  = 3 // of a section: the nodes of so many cells in a row
-	served   = 20 * time.Millisecond
-	started  = 100 * time.Second // on the virtual clock
-	interval = time.Millisecond  // between changes that come one by one, on the virtual clock
+	holders        = 3                     // of a section: the nodes at this many consecutive ring positions
+	served         = 20 * time.Millisecond // time that a node takes to serve a part, on the virtual clock
+	virtualStart   = 100 * time.Second     // start of the virtual clock
+	changeInterval = time.Millisecond      // between single changes, on the virtual clock
 )
 
-// settings are those of one coordinator of the fleet, before so many nodes, each a cell of its own.
+// settings returns the settings of one coordinator of the fleet, for the given number of nodes. Each node has its own
+// ring position.
 func settings(nodes int) scatter.Settings {
 	return scatter.Settings{Coordinators: Coordinators, Ordinal: 1, RingSize: nodes, ReplicationFactor: min(holders, nodes), PartsPerCall: 1, TickInterval: time.Millisecond,
 		MaxAttempts: 4, Cancellation: true, Subscribe: true, ListMaxAge: 10 * time.Second, RetryAfter: time.Second,
@@ -47,10 +48,10 @@
 		Classes:   []scatter.Class{{Name: "search", LatencyObjective: AnswerAim, Deadline: time.Second, PriorityWeight: 1, LateWeight: 0.3, CompleteFraction: 1, MinFraction: 0.7}}}
 }
 
-// nodeName is alike for all sizes.
+// nodeName returns a node's name, which has the same length for all list sizes.
 func nodeName(no int) string { return fmt.Sprintf("s-%08x", no) }
 
-// replicas is the list of so many nodes as the module hears it.
+// replicas returns a list of nodes in the form that the decision module receives.
 func replicas(nodes int) (list []scatter.Replica) {
 	for i := range nodes {
 		list = append(list, scatter.Replica{ID: nodeName(i), RingPosition: i, Zone: zone(i)})
@@ -60,7 +61,7 @@
 
 func zone(no int) string { return string(rune('a' + no%Zones)) }
 
-// coreNodes is the list of so many nodes as the owner hears it, all at one address.
+// coreNodes returns a list of nodes in the form that the coordinator receives, all at one address.
 func coreNodes(nodes int, address string) (list []core.Endpoint) {
 	for _, r := range replicas(nodes) {
 		list = append(list, core.Endpoint{Replica: r, Address: address, Scheme: platform.Scheme})
@@ -68,7 +69,7 @@
 	return list
 }
 
-// wireEntry is an entry in discovery's form, of the length that its entries have.
+// wireEntry is an entry in discovery's JSON form, as long as discovery's own entries.
 type wireEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -80,7 +81,7 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// wireList is an answer of discovery.
+// wireList is an answer of discovery in its JSON form.
 type wireList struct {
 	Index     int64       `json:"index"`
 	Snapshot  bool        `json:"snapshot"`
--- a/internal/test/capacity/helper.go
+++ b/internal/test/capacity/helper.go
@@ -14,50 +14,52 @@
 	"harepass/internal/test/fake"
 )
 
-// Helpers starts the other side of what is measured: data nodes, a relay, or readers of one. In a process of its own its CPU
-// time does not count.
+// Helpers starts a helper: the data nodes, the relay or the relay's readers that the measured code talks to. The CPU
+// time of a helper in its own process is not measured.
 type Helpers func(args ...string) (*helper, error)
 
-// helper is the other side. It tells a line at its start, and one for each line that it is told.
+// helper is the peer of the measured code. It writes a line when it has started. A relay and readers also reply
+// to each input line.
 type helper struct {
 	in  io.WriteCloser
 	out *bufio.Reader
 	end func()
 }
 
-// say tells the helper a line and returns its answer.
-func (h *helper) say(line string) (answer string, err error) {
+// request sends a line to the helper and returns the helper's reply.
+func (h *helper) request(line string) (answer string, err error) {
 	if _, err := fmt.Fprintln(h.in, line); err != nil {
 		return "", err
 	}
-	return h.hear()
+	return h.readLine()
 }
 
-func (h *helper) hear() (answer string, err error) {
+func (h *helper) readLine() (answer string, err error) {
 	answer, err = h.out.ReadString('\n')
 	return strings.TrimSpace(answer), err
 }
 
-// close ends the helper and waits for it.
+// close closes the input, which ends the helper, and waits until it has ended.
 func (h *helper) close() {
 	h.in.Close()
 	h.end()
 }
 
-// startHelper starts one and returns the line that it tells first.
+// startHelper starts a helper and returns its first line.
 func startHelper(start Helpers, args ...string) (h *helper, first string, err error) {
 	if h, err = start(args...); err != nil {
 		return nil, "", err
 	}
-	if first, err = h.hear(); err != nil {
+	if first, err = h.readLine(); err != nil {
 		h.close()
-		return nil, "", fmt.Errorf("capacity: helper %q: %w", args, err)
+		return nil, "", fmt.Errorf("capacity: helper %q wrote no first line: %w", args, err)
 	}
 	return h, first, nil
 }
 
-// HelpHere has helpers in this process, whose CPU time then counts theirs too: for tests.
-func HelpHere(args ...string) (*helper, error) {
+// HelpInThisProcess runs a helper in this process, so that its CPU time is measured too. It is for tests, and for
+// refusalByParts, whose rejected queries send no parts to the helper.
+func HelpInThisProcess(args ...string) (*helper, error) {
 	in, toHelper := io.Pipe()
 	fromHelper, out := io.Pipe()
 	done := make(chan struct{})
@@ -68,8 +70,8 @@
 	return &helper{in: toHelper, out: bufio.NewReader(fromHelper), end: func() { <-done }}, nil
 }
 
-// HelpInProcess has helpers in processes of their own, started as a command of this program.
-func HelpInProcess(command string) Helpers {
+// HelpInChildProcess returns Helpers that run each helper in its own process, as a command of this program.
+func HelpInChildProcess(command string) Helpers {
 	return func(args ...string) (*helper, error) {
 		self, err := os.Executable()
 		if err != nil {
@@ -92,39 +94,45 @@
 	}
 }
 
-// The kinds of helper, the first of their arguments.
+// The kinds of helper: the first argument of Help.
 const (
-	helpNodes   = "nodes"   // data nodes that serve each part after some milliseconds, all at the address told
-	helpRelay   = "relay"   // NODES: an authority, at the address told, with so many entries; each line publishes a change
-	helpReaders = "readers" // ADDRESS EPOCH INDEX COUNT HOLD: readers that watch; a line has one more read the whole list
+	// helpNodes serves data nodes at one address, which it writes first. Each part takes some milliseconds.
+	helpNodes = "nodes"
+	// helpRelay takes the argument NODES. It runs an authority with that number of entries, writes its address first,
+	// and publishes a change for each input line.
+	helpRelay = "relay"
+	// helpReaders takes the arguments ADDRESS EPOCH INDEX COUNT HOLD. It runs COUNT readers that watch the relay at
+	// ADDRESS from that version, each watch held for HOLD milliseconds. For each input line, one more reader reads the
+	// full list.
+	helpReaders = "readers"
 )
 
-// errHelp tells of a helper that does not exist.
-var errHelp = errors.New("capacity: no such helper")
+// errUnknownHelper is returned for an unknown kind of helper or a wrong number of arguments.
+var errUnknownHelper = errors.New("capacity: unknown kind of helper or wrong number of arguments")
 
-// Help is a helper until its input ends.
+// Help runs a helper until its input ends.
 func Help(args []string, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	switch {
 	case args[0] == helpNodes:
-		return helpWithNodes(lines, out)
+		return runNodesHelper(lines, out)
 	case args[0] == helpRelay && len(args) == 2:
-		return helpWithRelay(args[1], lines, out)
+		return runRelayHelper(args[1], lines, out)
 	case args[0] == helpReaders && len(args) == 6:
-		return helpWithReaders(args[1:], lines, out)
+		return runReadersHelper(args[1:], lines, out)
 	}
-	return errHelp
+	return errUnknownHelper
 }
 
-// helpWithNodes serves data nodes.
-func helpWithNodes(in io.Reader, out io.Writer) error {
+// runNodesHelper serves data nodes until its input ends.
+func runNodesHelper(in io.Reader, out io.Writer) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer l.Close()
 	go (&fake.Replicas{OnPart: func(fake.Part, fake.Kind) {}, Script: func(shard, _ int) fake.Reply {
-		return fake.Reply{After: time.Duration(5+shard*37%15) * time.Millisecond} // apart from each other
+		return fake.Reply{After: time.Duration(5+shard*37%15) * time.Millisecond} // service times differ between shards
 	}}).ServeFrames(l)
 	if _, err := fmt.Fprintln(out, l.Addr()); err != nil {
 		return err
@@ -133,8 +141,8 @@
 	return err
 }
 
-// obey answers each line of a helper's input with the outcome of a function.
-func obey(in *bufio.Reader, out io.Writer, do func() error) error {
+// handleLines calls do for each input line and replies with a line. It returns the first error.
+func handleLines(in *bufio.Reader, out io.Writer, do func() error) error {
 	for {
 		if _, err := in.ReadString('\n'); err != nil {
 			return nil
--- a/internal/test/capacity/measure.go
+++ b/internal/test/capacity/measure.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// Effort is how much is spent on a point.
+// Effort sets how much measurement a point gets.
 type Effort struct {
 	Repeats int
-	CPU     time.Duration // that one repeat takes at least, unless it has Most operations before
-	Most    int
+	CPU     time.Duration // minimum of one repeat, unless it reaches Most operations first
+	Most    int           // operations in one repeat
 }
 
-// probe is one series to be measured.
+// probe is a series with the means to measure it.
 type probe struct {
 	Series
 	sizes   []int
 	prepare func(size int) (*subject, error)
 }
 
-// subject is what a probe measures at one size: an operation whose CPU time counts, or a figure such as bytes.
+// subject is what a probe measures at one size: the CPU time of an operation, or a figure such as a number of bytes.
 type subject struct {
 	operate func() error             // one operation
-	figure  func() (float64, error)  // in place of operate
-	unit    time.Duration            // that a point counts in
-	parts   int                      // that one operation is divided by; 0 for 1
-	once    bool                     // one operation is a repeat
-	check   func(operated int) error // whether all that was asked for has happened; nil for nothing
-	end     func()                   // nil for nothing
+	figure  func() (float64, error)  // measured if operate is nil
+	unit    time.Duration            // of the point's values
+	parts   int                      // of one operation; its cost is divided by them; 0 counts as 1
+	once    bool                     // a repeat has exactly one operation
+	check   func(operated int) error // optional; verifies that the operations did all their work
+	end     func()                   // optional; releases what the subject holds
 }
 
-// measure takes all points of a probe and fits them.
+// measure measures all points of a probe and fits them.
 func (p probe) measure(e Effort) (Series, error) {
 	s := p.Series
 	for _, size := range p.sizes {
@@ -74,10 +74,10 @@
 			return point, err
 		}
 	}
-	return point.summed(costs), nil
+	return point.summarized(costs), nil
 }
 
-// figures reads a figure as often as costs are measured.
+// figures reads a figure Effort.Repeats times.
 func (p probe) figures(size int, s *subject, e Effort) (Point, error) {
 	point := Point{X: float64(size), Count: e.Repeats}
 	var values []float64
@@ -88,12 +88,12 @@
 		}
 		values = append(values, value)
 	}
-	return point.summed(values), nil
+	return point.summarized(values), nil
 }
 
-// repeat is the mean cost of an operation over as many as the effort asks for.
+// repeat runs as many operations as the effort requires and returns their mean cost.
 func (s *subject) repeat(e Effort) (cost float64, count int, err error) {
-	runtime.GC() // what came before is not paid for here
+	runtime.GC() // so that garbage of earlier work is not collected during this repeat
 	began := cpuTime()
 	spent := time.Duration(0)
 	for count == 0 || !s.once && spent < e.CPU && count < e.Most {
@@ -107,15 +107,15 @@
 	return float64(spent) / float64(count) / parts / float64(s.unit), count, nil
 }
 
-// summed is the point with the median and the range of its repeats.
-func (p Point) summed(values []float64) Point {
+// summarized returns the point with the median and the range of its repeats.
+func (p Point) summarized(values []float64) Point {
 	slices.Sort(values)
 	p.Repeats = len(values)
 	p.Median, p.Low, p.High = round(values[len(values)/2]), round(values[0]), round(values[len(values)-1])
 	return p
 }
 
-// cpuTime is what this process has used so far, in user and system mode.
+// cpuTime returns the CPU time that this process has used so far, in user and system mode.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/test/capacity/member.go
+++ b/internal/test/capacity/member.go
@@ -13,22 +13,23 @@
 	"harepass/internal/platform"
 )
 
-// member is a coordinator's whole path for its list from a relay, which is a helper: follower, owner, module.
+// member is the control path of a coordinator that reads its list from a relay: the follower, the coordinator's loop
+// and the decision module. The relay is a helper.
 type member struct {
 	owner    *core.Coordinator
 	follower *distribution.Follower
 	cancel   context.CancelFunc
-	done     chan struct{} // closed when the follower has ended
-	turns    chan struct{} // a token for each turn of the owner
-	whole    chan struct{} // closed when the list is whole
+	done     chan struct{} // closed when the follower has returned
+	turns    chan struct{} // receives a token for each tick of the coordinator
+	whole    chan struct{} // closed when the snapshot is complete
 }
 
-// newMember starts a member and waits until it has its list; hold is how long its watches are held.
+// newMember starts a member and waits until it has its list. The relay holds each watch without news for hold.
 func newMember(nodes int, address string, hold time.Duration) (*member, error) {
 	m := &member{done: make(chan struct{}), turns: make(chan struct{}, 1), whole: make(chan struct{})}
 	var err error
 	m.owner, err = core.New(core.Config{Seed: 1, Clock: core.SystemClock(), Settings: settings(nodes), Subscribe: func() {},
-		PolledSource: platform.Source, Callers: map[string]core.Caller{platform.Scheme: nowhere{}}, Admitter: turnGate(m.turns)})
+		PolledSource: platform.Source, Callers: map[string]core.Caller{platform.Scheme: noopCaller{}}, Admitter: tickAdmitter(m.turns)})
 	if err != nil {
 		return nil, err
 	}
@@ -55,15 +56,15 @@
 	return m, wait(m.owner.Started())
 }
 
-// end stops the member.
+// end stops the member and waits for its follower.
 func (m *member) end() error {
 	m.cancel()
 	m.owner.Stop()
 	return wait(m.done)
 }
 
-// memberOf starts a relay and a member of it.
-func memberOf(nodes int, hold time.Duration, helpers Helpers) (*member, *helper, error) {
+// startMember starts a relay and a member that follows it.
+func startMember(nodes int, hold time.Duration, helpers Helpers) (*member, *helper, error) {
 	h, address, err := startHelper(helpers, helpRelay, fmt.Sprint(nodes))
 	if err != nil {
 		return nil, nil, err
@@ -76,10 +77,10 @@
 	return m, h, nil
 }
 
-// memberChange is one changed entry, from a relay's answer to the module.
+// memberChange measures one changed entry, from a relay's answer to the decision module.
 func memberChange(helpers Helpers) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) {
-		m, h, err := memberOf(nodes, longHold, helpers)
+		m, h, err := startMember(nodes, longHold, helpers)
 		if err != nil {
 			return nil, err
 		}
@@ -87,21 +88,21 @@
 		return &subject{unit: time.Microsecond, end: func() { m.end(); h.close() },
 			operate: func() error {
 				drain(m.turns)
-				if _, err := h.say("change"); err != nil {
+				if _, err := h.request("change"); err != nil {
 					return err
 				}
 				return wait(m.turns)
 			},
 			check: func(operated int) error {
 				if taken := m.follower.Counters().Entries - before; taken != int64(operated) {
-					return fmt.Errorf("capacity: %d changes, %d entries taken", operated, taken)
+					return fmt.Errorf("capacity: relay published %d changes, follower applied %d entries", operated, taken)
 				}
 				return nil
 			}}, nil
 	}
 }
 
-// memberList is the whole list in slices, to a coordinator that has just started.
+// memberList measures the start of a coordinator that reads the full list in slices.
 func memberList(helpers Helpers) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) {
 		h, address, err := startHelper(helpers, helpRelay, fmt.Sprint(nodes))
@@ -118,11 +119,11 @@
 	}
 }
 
-// memberListBytes is what that takes on the wire, both ways.
+// memberListBytes measures the bytes of that on the wire, both ways, in megabytes.
 func memberListBytes(helpers Helpers) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) {
 		return &subject{figure: func() (float64, error) {
-			m, h, err := memberOf(nodes, longHold, helpers)
+			m, h, err := startMember(nodes, longHold, helpers)
 			if err != nil {
 				return 0, err
 			}
@@ -134,44 +135,44 @@
 }
 
 const (
-	shortHold = 2 * time.Millisecond // of watches that are renewed all the time
-	renewals  = 50                   // of one operation
+	shortHold = 2 * time.Millisecond // of watches in the series on renewals, which renew them continuously
+	renewals  = 50                   // in one operation
 )
 
-// renewed waits until a member has renewed its watch so often.
-func (m *member) renewed(times int64) error {
+// awaitRenewals waits until a member has renewed its watch the given number of times.
+func (m *member) awaitRenewals(times int64) error {
 	from := m.follower.Counters().Calls
 	for began := time.Now(); time.Since(began) < answerWait; time.Sleep(renewals * shortHold / 5) {
 		if m.follower.Counters().Calls >= from+times {
 			return nil
 		}
 	}
-	return errNoWord
+	return errWaitTimeout
 }
 
-// memberRenewal is a watch at a relay that brings nothing and is renewed.
+// memberRenewal measures a watch at a relay that ends without changes and is renewed.
 func memberRenewal(helpers Helpers) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) {
-		m, h, err := memberOf(nodes, shortHold, helpers)
+		m, h, err := startMember(nodes, shortHold, helpers)
 		if err != nil {
 			return nil, err
 		}
 		return &subject{unit: time.Microsecond, parts: renewals, end: func() { m.end(); h.close() },
-			operate: func() error { return m.renewed(renewals) }}, nil
+			operate: func() error { return m.awaitRenewals(renewals) }}, nil
 	}
 }
 
-// memberRenewalBytes is what one takes on the wire, both ways.
+// memberRenewalBytes measures the bytes of such a renewal on the wire, both ways.
 func memberRenewalBytes(helpers Helpers) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) {
 		return &subject{figure: func() (float64, error) {
-			m, h, err := memberOf(nodes, shortHold, helpers)
+			m, h, err := startMember(nodes, shortHold, helpers)
 			if err != nil {
 				return 0, err
 			}
 			defer h.close()
 			before := m.follower.Counters()
-			err = m.renewed(renewals)
+			err = m.awaitRenewals(renewals)
 			after := m.follower.Counters()
 			bytes := after.BytesRead + after.BytesWritten - before.BytesRead - before.BytesWritten
 			return float64(bytes) / float64(after.Calls-before.Calls), errors.Join(err, m.end())
--- a/internal/test/capacity/module.go
+++ b/internal/test/capacity/module.go
@@ -8,40 +8,40 @@
 	"harepass/internal/decide/scatter"
 )
 
-// module is the decision module alone on a virtual clock: it has a list of nodes, and each part that it sends is served after
-// the same time. Every arrival and outcome is a step of its own, as sockets bring them.
+// module runs the decision module alone, on a virtual clock and with a list of nodes. Nodes serve each part in the same
+// time. Each arrival and each outcome is a separate step, as with real sockets.
 type module struct {
-	agg      *scatter.Machine
-	now      time.Duration
-	nodes    int
-	sections int // that queries ask
-	number   int64
-	attempts map[string]int // of each part that is out
-	due      []outcome      // in order of time
-	sent     int
-	answered int
-	gaveUp   int
-}
-
-// outcome is on its way.
+	machine          *scatter.Machine
+	now              time.Duration
+	nodes            int
+	sections         int // number of sections that queries ask
+	number           int64
+	attempts         map[string]int // attempts of each open part, by part
+	due              []outcome      // pending outcomes, in order of time
+	sent             int
+	answered         int
+	rejectedOrFailed int
+}
+
+// outcome is the end of an attempt that occurs at a later virtual time.
 type outcome struct {
 	at    time.Duration
 	event scatter.AttemptEnded
 }
 
-// newModule gives a module its list of nodes; its queries ask the first so many sections in turn.
+// newModule returns a module that has its list of nodes. Its queries ask the first sections of the list in rotation.
 func newModule(nodes, sections int) (*module, error) {
-	agg, err := scatter.New(1, settings(nodes))
+	machine, err := scatter.New(1, settings(nodes))
 	if err != nil {
 		return nil, err
 	}
-	m := &module{agg: agg, now: started, nodes: nodes, sections: sections, attempts: map[string]int{}}
+	m := &module{machine: machine, now: virtualStart, nodes: nodes, sections: sections, attempts: map[string]int{}}
 	m.step(scatter.EndpointUpdate{Kind: scatter.FullUpdate, Replicas: replicas(nodes)})
 	return m, nil
 }
 
 func (m *module) step(events ...scatter.Event) {
-	for _, action := range m.agg.Step(m.now, events) {
+	for _, action := range m.machine.Step(m.now, events) {
 		switch a := action.(type) {
 		case scatter.Send:
 			m.sent++
@@ -51,12 +51,12 @@
 		case scatter.Answer:
 			m.answered++
 		case scatter.Reject, scatter.Fail:
-			m.gaveUp++
+			m.rejectedOrFailed++
 		}
 	}
 }
 
-// advance goes on to a time, and takes the outcomes that are due before it.
+// advance moves the virtual clock to a time and delivers the outcomes that are due by then.
 func (m *module) advance(to time.Duration) {
 	for len(m.due) > 0 && m.due[0].at <= to {
 		next := m.due[0]
@@ -68,14 +68,14 @@
 	m.now = to
 }
 
-// change tells of one node that has restarted.
+// change delivers an endpoint update for one node that has restarted.
 func (m *module) change(no int) {
-	m.advance(m.now + interval)
+	m.advance(m.now + changeInterval)
 	m.step(scatter.EndpointUpdate{Kind: scatter.IncrementalUpdate, Replicas: []scatter.Replica{
 		{ID: nodeName(no), RingPosition: no, Zone: zone(no), StartedAt: m.now}}})
 }
 
-// query opens a query of so many parts, some time after the last one.
+// query advances the clock by after and opens a query with the given number of parts.
 func (m *module) query(parts int, after time.Duration) {
 	m.advance(m.now + after)
 	m.number++
@@ -88,8 +88,9 @@
 	m.step(events...)
 }
 
-// touch has every section asked once, and all answered, so that the module keeps shares of each.
-func (m *module) touch() {
+// queryEverySection has queries ask every section, and waits for their answers, so that the module keeps routing shares
+// of each section.
+func (m *module) queryEverySection() {
 	parts := min(QueryParts, m.sections)
 	for range (m.sections + parts - 1) / parts {
 		m.query(parts, 2*served)
@@ -97,16 +98,16 @@
 	m.advance(m.now + 2*served)
 }
 
-// settled tells whether all queries were answered from as many parts as were asked for.
-func (m *module) settled() error {
+// checkAllAnswered returns an error unless every query was answered, with none rejected or failed.
+func (m *module) checkAllAnswered() error {
 	m.advance(m.now + 2*served)
-	if m.gaveUp > 0 || m.answered != int(m.number) {
-		return fmt.Errorf("capacity: %d queries, %d answered, %d refused or failed", m.number, m.answered, m.gaveUp)
+	if m.rejectedOrFailed > 0 || m.answered != int(m.number) {
+		return fmt.Errorf("capacity: sent %d queries, %d answered, %d rejected or failed", m.number, m.answered, m.rejectedOrFailed)
 	}
 	return nil
 }
 
-// changeModule is one changed entry in a list that is watched, without queries.
+// changeModule measures one changed entry, without queries.
 func changeModule(nodes int) (*subject, error) {
 	m, err := newModule(nodes, 1)
 	no := 0
@@ -117,7 +118,7 @@
 	}}, err
 }
 
-// changeTouched is the same where queries have asked every section.
+// changeTouched measures the same after queries have asked every section.
 func changeTouched(nodes int) (*subject, error) {
 	s, err := changeModule(nodes)
 	if err != nil {
@@ -127,32 +128,32 @@
 	if err != nil {
 		return nil, err
 	}
-	m.touch()
+	m.queryEverySection()
 	no := 0
 	s.operate = func() error {
 		no++
 		m.change(no % nodes)
 		return nil
 	}
-	s.check = func(int) error { return m.settled() }
+	s.check = func(int) error { return m.checkAllAnswered() }
 	return s, nil
 }
 
-// renewShares is what the module does once a second by itself where queries have asked every section.
+// renewShares measures what the module does by itself each second, after queries have asked every section.
 func renewShares(nodes int) (*subject, error) {
 	m, err := newModule(nodes, nodes)
 	if err != nil {
 		return nil, err
 	}
-	m.touch()
+	m.queryEverySection()
 	return &subject{unit: time.Microsecond, operate: func() error {
 		m.advance(m.now + time.Second)
 		m.step(scatter.TimerFired{})
 		return nil
-	}, check: func(int) error { return m.settled() }}, nil
+	}, check: func(int) error { return m.checkAllAnswered() }}, nil
 }
 
-// idleSecond is what it does once a second where nobody asks.
+// idleSecond measures what the module does by itself each second, without queries.
 func idleSecond(nodes int) (*subject, error) {
 	m, err := newModule(nodes, 1)
 	return &subject{unit: time.Microsecond, operate: func() error {
@@ -162,33 +163,33 @@
 	}}, err
 }
 
-// queryByNodes is a query of QueryParts parts over the same sections, at the pace of one coordinator.
+// queryByNodes measures a query of QueryParts parts, always over the same sections, at the rate of one coordinator.
 func queryByNodes(nodes int) (*subject, error) { return queries(nodes, pace()) }
 
-// queryTouched is one at the same pace whose sections come in turn from all there are, every one of them asked before: the renewal of
-// shares is in it, whenever the module does that. One operation is so many queries.
+// queryTouched measures queries at the same rate that ask all sections in rotation, after each section was asked once.
+// Its cost includes the renewal of routing shares, whenever the module does that. One operation is count queries.
 func queryTouched(count int) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) {
 		m, err := newModule(nodes, nodes)
 		if err != nil {
 			return nil, err
 		}
-		m.touch()
+		m.queryEverySection()
 		return &subject{unit: time.Microsecond, parts: count, operate: func() error {
 			for range count {
 				m.query(min(QueryParts, nodes), pace())
 			}
 			return nil
-		}, check: func(int) error { return m.settled() }}, nil
+		}, check: func(int) error { return m.checkAllAnswered() }}, nil
 	}
 }
 
-// queryByOpen is one before leastNodes nodes while about so many are open.
+// queryByOpen measures a query for openNodes nodes while about the given number of queries are open.
 func queryByOpen(open int) (*subject, error) { return queries(openNodes, served/time.Duration(open)) }
 
-const openNodes = 700 // of the measurement by open queries
+const openNodes = 700 // list size of queryByOpen
 
-// pace is the time between two queries at one coordinator.
+// pace returns the time between two queries at one coordinator.
 func pace() time.Duration { return time.Second * Coordinators / QueriesAll }
 
 func queries(nodes int, every time.Duration) (*subject, error) {
@@ -196,16 +197,16 @@
 	if err != nil {
 		return nil, err
 	}
-	for range 3 * int(served/every+1) { // so that as many are open as there will be
+	for range 3 * int(served/every+1) { // until the number of open queries is steady
 		m.query(QueryParts, every)
 	}
 	return &subject{unit: time.Microsecond, operate: func() error {
 		m.query(QueryParts, every)
 		return nil
-	}, check: func(int) error { return m.settled() }}, nil
+	}, check: func(int) error { return m.checkAllAnswered() }}, nil
 }
 
-// changesBySecond is a second at DataNodes nodes with so many changes, without queries.
+// changesBySecond measures one second with the given number of changes, without queries.
 func changesBySecond(nodes int) func(changes int) (*subject, error) {
 	return func(changes int) (*subject, error) {
 		m, err := newModule(nodes, 1)
@@ -213,7 +214,7 @@
 		return &subject{unit: time.Millisecond, operate: func() error {
 			for range changes {
 				no++
-				m.advance(m.now + time.Second/time.Duration(changes) - interval)
+				m.advance(m.now + time.Second/time.Duration(changes) - changeInterval)
 				m.change(no % nodes)
 			}
 			return nil
--- a/internal/test/capacity/page.go
+++ b/internal/test/capacity/page.go
@@ -11,20 +11,20 @@
 	"strings"
 )
 
-// The files of the page's runs, beside each other in one folder. Only the first one has to be there.
+// The files of the page's runs, all in one folder. Only baselineFile is required.
 const (
 	baselineFile = "baseline.json"
 	currentFile  = "current.json"
 	scaleFile    = "scale.json"
-	earlierFile  = "scale-120-cells.json" // a fleet's run with 175 holders of a section, before mends that it asked for
+	earlierFile  = "scale-120-cells.json" // a scale run with 175 holders of a section, before the fixes that it led to
 )
 
-// Results are the runs that the page is made from.
+// Results holds the runs that the page is generated from.
 type Results struct {
 	Baseline *Run
-	Current  *Run   // nil where there is none yet
-	Scale    *Scale // likewise
-	Earlier  *Scale // shown, and its figures stand in no row
+	Current  *Run   // nil if there is none yet
+	Scale    *Scale // nil if there is none yet
+	Earlier  *Scale // only shown as a table; no row uses its figures
 }
 
 // LoadResults reads the runs of a folder.
@@ -38,14 +38,14 @@
 	if err != nil {
 		return r, err
 	}
-	if r.Scale, err = loadScaleIfThere(filepath.Join(folder, scaleFile)); err != nil {
+	if r.Scale, err = loadOptionalScale(filepath.Join(folder, scaleFile)); err != nil {
 		return r, err
 	}
-	r.Earlier, err = loadScaleIfThere(filepath.Join(folder, earlierFile))
+	r.Earlier, err = loadOptionalScale(filepath.Join(folder, earlierFile))
 	return r, err
 }
 
-func loadScaleIfThere(path string) (*Scale, error) {
+func loadOptionalScale(path string) (*Scale, error) {
 	s, err := LoadScale(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -53,13 +53,13 @@
 	return s, err
 }
 
-// pair is a row before and after the mechanism; either may be missing.
+// pair is a row before and after the introduction of a mechanism; either may be nil.
 type pair struct{ before, now *Row }
 
-// any is the row that says more.
+// any returns the current row if there is one, else the earlier one.
 func (p pair) any() *Row { return cmp.Or(p.now, p.before) }
 
-// pairs are the rows of both trees, in order, those with a common key together.
+// pairs returns the rows of the baseline and the current run in order, and joins rows with the same key.
 func (r Results) pairs(size Size) (list []pair) {
 	byKey := map[string]int{}
 	for _, row := range Rows(size, r.Baseline, nil, false) {
@@ -79,7 +79,7 @@
 	return list
 }
 
-// Regions are the generated parts of the page by name.
+// Regions returns the generated parts of the page by name.
 func (r Results) Regions() map[string]string {
 	regions := map[string]string{"tail": tailText(Asked), "over": r.overText(Asked), "choice": r.choiceText(), "scale": scaleText(r.Scale), "scale-earlier": scaleText(r.Earlier), "twice": r.twiceText(), "slopes-baseline": slopesText(r.Baseline),
 		"slopes-current": "Not run yet.\n"}
@@ -92,7 +92,7 @@
 	return regions
 }
 
-// slopesText is a table of all series of a run.
+// slopesText returns a table of all series of a run.
 func slopesText(r *Run) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "`%s`, commit %s, %s, %d cores, %s s.\n\n", r.Command, r.Commit, r.Go, r.Cores, number(r.Seconds))
@@ -122,7 +122,7 @@
 	return "no"
 }
 
-// roleText is the table of one role.
+// roleText returns the table of one role.
 func (r Results) roleText(role Role) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "| situation | what | before | now | bound | before / bound | now / bound | basis | carried by |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
@@ -146,7 +146,7 @@
 	return b.String()
 }
 
-// value words a row's figure.
+// value formats a row's figure.
 func (r *Row) value() string {
 	switch {
 	case r == nil:
@@ -157,7 +157,7 @@
 	return quantity(r.Figure, r.Unit)
 }
 
-// quantity words a figure with its unit; shares of a core are in percent.
+// quantity formats a figure with its unit; shares of a core are in percent.
 func quantity(x float64, unit string) string {
 	switch {
 	case math.IsInf(x, 1):
@@ -168,7 +168,7 @@
 	return number(x) + " " + unit
 }
 
-// ratio words a row's figure over its bound.
+// ratio formats the ratio of a row's figure to its bound.
 func (r *Row) ratio() string {
 	switch {
 	case r == nil || r.Ratio() == 0:
@@ -181,7 +181,7 @@
 	return number(r.Ratio())
 }
 
-// basis words how the figures came about.
+// basis formats the origin of the figures.
 func (p pair) basis() string {
 	row := p.any()
 	text := string(row.Basis) + ": " + row.How
@@ -191,7 +191,7 @@
 	return text
 }
 
-// mechanism words what carries a row.
+// mechanism formats the mechanism of a row, before and now if they differ.
 func (p pair) mechanism() string {
 	if p.before == nil || p.now == nil || p.before.Mechanism == p.now.Mechanism {
 		return cmp.Or(p.any().Mechanism, "**none**")
@@ -199,10 +199,10 @@
 	return "before: " + cmp.Or(p.before.Mechanism, "**none**") + "; now: " + cmp.Or(p.now.Mechanism, "**none**")
 }
 
-// overText lists the rows over their bound, before and now.
+// overText lists the rows that exceed their bound, before and now.
 func (r Results) overText(size Size) string {
 	var b strings.Builder
-	before, now := r.trees(size)
+	before, now := r.rowsBeforeAndNow(size)
 	fmt.Fprintf(&b, "Before (commit %s):\n\n%s", r.Baseline.Commit, overTable(before))
 	if now != nil {
 		fmt.Fprintf(&b, "\nNow (commit %s):\n\n%s", r.Current.Commit, overTable(now))
@@ -210,7 +210,7 @@
 	return b.String()
 }
 
-// twiceText lists the same for twice the size.
+// twiceText lists the rows that exceed their bound at twice the size.
 func (r Results) twiceText() string {
 	twice := Asked.Twice()
 	if r.Current == nil {
@@ -219,8 +219,8 @@
 	return overTable(Rows(twice, r.Current, nil, true))
 }
 
-// trees are the rows of both; now is nil without a run.
-func (r Results) trees(size Size) (before, now []Row) {
+// rowsBeforeAndNow returns the rows of the baseline and of the current run; now is nil without a current run.
+func (r Results) rowsBeforeAndNow(size Size) (before, now []Row) {
 	before = Rows(size, r.Baseline, nil, false)
 	if r.Current != nil {
 		now = Rows(size, r.Current, r.Scale, true)
@@ -242,7 +242,7 @@
 	return b.String()
 }
 
-// choiceText names what is missing first: the rows without a mechanism that were furthest over their bound.
+// choiceText lists the baseline rows that exceed their bound and have no mechanism, the largest ratio first.
 func (r Results) choiceText() string {
 	var b strings.Builder
 	for i, row := range missingFirst(Rows(Asked, r.Baseline, nil, false)) {
@@ -255,7 +255,7 @@
 	return b.String()
 }
 
-// missingFirst are the rows over their bound that nothing in the code carries, the largest ratio first.
+// missingFirst returns the rows that exceed their bound and have no mechanism in the code, the largest ratio first.
 func missingFirst(rows []Row) []Row {
 	return slices.DeleteFunc(Over(rows), func(r Row) bool { return r.Mechanism != "" })
 }
@@ -264,27 +264,28 @@
 	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(b.Ratio(), a.Ratio()) })
 }
 
-// The marks of a generated region.
+// The markers of a generated region.
 const (
 	regionBegin = "<!-- generated: %s -->\n"
 	regionEnd   = "<!-- end of generated -->\n"
 )
 
-// Rewrite gives a page with its generated regions made anew. Each region has to stand there once.
+// Rewrite returns the page with its generated regions replaced. The page must contain each region exactly once.
 func Rewrite(page string, regions map[string]string) (string, error) {
 	for name, text := range regions {
 		begin := fmt.Sprintf(regionBegin, name)
 		head, rest, found := strings.Cut(page, begin)
 		_, tail, ends := strings.Cut(rest, regionEnd)
 		if !found || !ends || strings.Contains(tail, begin) {
-			return "", fmt.Errorf("capacity: the page does not have the region %q once", name)
+			return "", fmt.Errorf("capacity: page must contain the generated region %q exactly once", name)
 		}
 		page = head + begin + "\n" + text + "\n" + regionEnd + tail
 	}
 	return page, nil
 }
 
-// RewriteFile makes the generated regions of a page anew from the runs of a folder, and draws the runs beside them.
+// RewriteFile regenerates the regions of a page from the runs in a folder, and plots each run as a PNG file in that
+// folder.
 func RewriteFile(path, folder string) error {
 	results, err := LoadResults(folder)
 	if err != nil {
--- a/internal/test/capacity/page_test.go
+++ b/internal/test/capacity/page_test.go
@@ -11,7 +11,7 @@
 	runFolder = "../../../docs/capacity"
 )
 
-// The page's tables are those that its runs give: whoever changes one of them by hand, or a run, has to make the page anew.
+// The tables of the page match its runs. After a change of a table or a run the page must be regenerated.
 func TestPageIsMadeFromItsRuns(t *testing.T) {
 	results, err := LoadResults(runFolder)
 	if err != nil {
@@ -26,14 +26,14 @@
 		t.Fatal(err)
 	}
 	if text != string(page) {
-		t.Error("the page differs from its runs: bin/lab capacity-page makes it anew")
+		t.Error("the page differs from its runs; run bin/lab capacity-page to regenerate it")
 	}
 	if begun, known := strings.Count(text, "<!-- generated: "), len(results.Regions()); begun != known {
-		t.Errorf("%d regions on the page, %d are made", begun, known)
+		t.Errorf("page has %d generated regions, Regions returns %d", begun, known)
 	}
 }
 
-// A run that misses nothing it states is the only one that the page may hold as held.
+// The runs of the page keep all bounds that they state as held.
 func TestRunsHoldWhatTheyState(t *testing.T) {
 	results, err := LoadResults(runFolder)
 	if err != nil {
@@ -41,12 +41,13 @@
 	}
 	for _, r := range []*Run{results.Baseline, results.Current} {
 		if r != nil && len(r.Missed()) > 0 {
-			t.Errorf("commit %s: %v", r.Commit, r.Missed())
+			t.Errorf("run of commit %s exceeds its bounds: %v", r.Commit, r.Missed())
 		}
 	}
 }
 
-// Rows over their bound stand by their ratio, and what nothing bounds comes first.
+// Over sorts rows by their ratio, so that rows with an unbounded figure come first, and returns only rows over their
+// bound.
 func TestOverIsSortedByRatio(t *testing.T) {
 	results, err := LoadResults(runFolder)
 	if err != nil {
@@ -55,22 +56,22 @@
 	over := Over(Rows(Asked, results.Baseline, nil, false))
 	for i, r := range over {
 		if r.Ratio() <= 1 || i > 0 && r.Ratio() > over[i-1].Ratio() {
-			t.Errorf("row %d, %s, has ratio %g", i, r.Key, r.Ratio())
+			t.Errorf("row %d, %s, has ratio %g: want more than 1 and at most that of the row before", i, r.Key, r.Ratio())
 		}
 	}
 }
 
-// A page without a region, or with one twice, is not taken for one that was rewritten.
+// Rewrite fails for a page that lacks a region, contains it twice or does not end it.
 func TestRewriteWantsEachRegionOnce(t *testing.T) {
 	const region = "<!-- generated: a -->\nold\n<!-- end of generated -->\n"
 	made := map[string]string{"a": "new\n"}
 	text, err := Rewrite("head\n"+region+"tail\n", made)
 	if want := "head\n<!-- generated: a -->\n\nnew\n\n<!-- end of generated -->\ntail\n"; err != nil || text != want {
-		t.Errorf("%v: %q", err, text)
+		t.Errorf("Rewrite: err %v, text %q", err, text)
 	}
 	for _, page := range []string{"", region + region, strings.Replace(region, "end", "and", 1)} {
 		if _, err := Rewrite(page, made); err == nil {
-			t.Errorf("%q was rewritten", page)
+			t.Errorf("Rewrite accepted the page %q", page)
 		}
 	}
 }
--- a/internal/test/capacity/plan.go
+++ b/internal/test/capacity/plan.go
@@ -9,46 +9,46 @@
 	"harepass/internal/distribution"
 )
 
-// Plan is what a run measures: at which sizes, and with how much effort.
+// Plan sets the sizes that a run measures and the effort that it spends on each.
 type Plan struct {
 	Nodes       []int
-	Wide        []int // nodes, for what grows with their square
-	Asked       []int // nodes, whose sections are all asked
-	Queries     int   // of one operation there: those of a second, for shares are renewed once in it
+	Wide        []int // nodes, for costs that grow with the square of the nodes
+	Asked       []int // nodes, in series whose queries ask all sections
+	Queries     int   // of one operation in these series: those of one second, because shares are renewed once a second
 	Open        []int
 	Parts       []int
-	Entries     []int // changed in one answer
-	Rates       []int // changes a second
+	Entries     []int // changed entries in one answer
+	Rates       []int // changed entries a second
 	Connections []int
 	Fleet       []int // coordinators
 	Effort      Effort
-	Readers     []int         // of a relay
-	Heartbeat   time.Duration // of watches at a relay
+	Readers     []int         // readers of one relay
+	Heartbeat   time.Duration // how long a relay holds a watch without news
 	Helpers     Helpers
 }
 
-// Full is the plan of the page: some minutes.
+// Full is the plan whose run the page shows. It takes some minutes.
 func Full(helpers Helpers) Plan {
 	return Plan{Nodes: []int{70, 220, 700, 2200, DataNodes}, Wide: []int{70, 220, 700, 2200, DataNodes}, Asked: []int{QueryParts, 350, 1000, 2600, DataNodes}, Queries: QueriesAll / Coordinators, Open: []int{1, 4, 12, 36}, Parts: []int{4, 12, 40, QueryParts},
 		Entries: []int{4, 12, 37, 115, zoneEntries}, Rates: []int{1, 3, 10, 32}, Connections: []int{46, 146, 466, 1466, keptNodes},
 		Fleet: []int{15, 47, 150, 475, Coordinators}, Effort: Effort{Repeats: 5, CPU: 25 * time.Millisecond, Most: 2000}, Readers: []int{10, 32, 100, 320, 1000}, Heartbeat: heartbeat, Helpers: helpers}
 }
 
-// Small is the same shape at small size, for tests: a few operations for each point.
+// Small has the same series as Full at small sizes, for tests. Each point takes a few operations.
 func Small() Plan {
 	return Plan{Nodes: []int{6, 12, 24, 60}, Wide: []int{6, 12, 24, 60}, Asked: []int{6, 12, 24, 60}, Queries: 2, Open: []int{1, 2, 4, 10}, Parts: []int{1, 2, 4, 10}, Entries: []int{1, 2, 4, 10},
-		Rates: []int{1, 2, 4, 10}, Connections: []int{1, 2, 4, 10}, Fleet: []int{3, 10, 20, 30}, Effort: Effort{Repeats: 1, CPU: 100 * time.Microsecond, Most: 50}, Readers: []int{1, 2, 4, 10}, Heartbeat: 20 * time.Millisecond, Helpers: HelpHere}
+		Rates: []int{1, 2, 4, 10}, Connections: []int{1, 2, 4, 10}, Fleet: []int{3, 10, 20, 30}, Effort: Effort{Repeats: 1, CPU: 100 * time.Microsecond, Most: 50}, Readers: []int{1, 2, 4, 10}, Heartbeat: 20 * time.Millisecond, Helpers: HelpInThisProcess}
 }
 
 const (
 	heartbeat   = distribution.DefaultHeartbeat
-	zoneEntries = DataNodes / Zones                     // nodes of a zone
-	keptNodes   = (2*DataNodes + holders - 1) / holders // that one coordinator keeps connections with: two holders of each section
+	zoneEntries = DataNodes / Zones                     // nodes in a zone
+	keptNodes   = (2*DataNodes + holders - 1) / holders // nodes connected to a coordinator: two holders of each section
 )
 
 func last(sizes []int) int { return sizes[len(sizes)-1] }
 
-// probes are the series of a plan.
+// probes returns the probes of a plan, one for each series.
 func (p Plan) probes() []probe {
 	list := last(p.Nodes)
 	return []probe{
@@ -82,15 +82,15 @@
 		{Series{Name: "relay-idle", Title: "a second at a relay without news, heartbeats of 0.5 s", Variable: "readers", Unit: "us CPU", Form: Linear, Residual: 0.35}, p.Readers, relayIdle(list, p.Heartbeat, p.Helpers)},
 		{Series{Name: "relay-list", Title: "one reader's whole list at a relay", Variable: "nodes", Unit: "us CPU", Form: Linear, Residual: 0.5}, p.Nodes, relayList(p.Helpers)},
 		{Series{Name: "relay-memory", Title: "heap and stacks of a relay with its list", Variable: "readers", Unit: "MB", Form: Linear, Residual: 0.35}, p.Readers, relayMemory(list, p.Helpers)},
-		{Series{Name: "fleet-start", Title: "virtual time until the last coordinator has its list, all started at once, 0.1 s a call assumed", Variable: "coordinators", Unit: "s", Form: Power, Residual: 0.8}, p.Fleet, lastHeard},
+		{Series{Name: "fleet-start", Title: "virtual time until the last coordinator has its list, all started at once, 0.1 s a call assumed", Variable: "coordinators", Unit: "s", Form: Power, Residual: 0.8}, p.Fleet, lastListTime},
 	}
 }
 
-// Measure runs a plan. progress is told of each series.
+// Measure runs a plan. It writes a line to progress after each series.
 func Measure(p Plan, progress io.Writer) (*Run, error) {
 	r := &Run{}
 	r.describe()
-	defer slog.SetLogLoggerLevel(slog.SetLogLoggerLevel(slog.LevelError)) // each member tells of the relay that it follows
+	defer slog.SetLogLoggerLevel(slog.SetLogLoggerLevel(slog.LevelError)) // each member logs the relay that it follows
 	began := time.Now()
 	for _, probe := range p.probes() {
 		s, err := probe.measure(p.Effort)
@@ -105,22 +105,23 @@
 	return r, nil
 }
 
-// mostGrowth is how much dearer one changed entry may be at the largest list than at the smallest, a hundredth of it.
-const mostGrowth = 2
+// maxGrowth is the largest allowed ratio of the cost of one changed entry in the largest list to the cost in the
+// smallest one, which has a hundredth of the nodes in the full plan.
+const maxGrowth = 2
 
-// growing are the series that the tree is stated to hold to that.
-var growing = []string{"change-module", "change-path", "member-change", "change-touched"}
+// growthBounded are the series for which maxGrowth is stated as held: a run that exceeds it fails.
+var growthBounded = []string{"change-module", "change-path", "member-change", "change-touched"}
 
-// bounds are a run's figures beside what they may be.
+// bounds returns a run's growth figures with their bounds.
 func bounds(r *Run) (list []Bound) {
-	for _, name := range growing {
+	for _, name := range growthBounded {
 		s := r.Find(name)
 		if s == nil {
 			continue
 		}
 		first, largest := s.Points[0], s.Points[len(s.Points)-1]
 		list = append(list, Bound{Name: fmt.Sprintf("`%s`: %s nodes over %s", name, number(largest.X), number(first.X)), Figure: round(largest.Median / first.Median),
-			Most: mostGrowth, Unit: "times", Stated: true})
+			Most: maxGrowth, Unit: "times", Stated: true})
 	}
 	return list
 }
--- a/internal/test/capacity/plot.go
+++ b/internal/test/capacity/plot.go
@@ -15,13 +15,13 @@
 const (
 	panelWidth  = 12 * vg.Centimeter
 	panelHeight = 9 * vg.Centimeter
-	legendRow   = 0.06 // of the height of the lines, for each of them
+	legendRow   = 0.06 // height of a legend row, as a share of the height of the lines
 )
 
 var palette = []color.Color{color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255}, color.RGBA{44, 160, 44, 255},
 	color.RGBA{148, 103, 189, 255}, color.RGBA{255, 127, 14, 255}, color.RGBA{23, 190, 207, 255}}
 
-// Plot draws a run's series on logarithmic axes, those of one unit and variable in one panel, as a PNG file.
+// Plot draws a run's series on logarithmic axes as a PNG file. Series with the same unit and variable share a panel.
 func Plot(r *Run, path string) (err error) {
 	var titles []string
 	panels := map[string][]Series{}
@@ -54,7 +54,7 @@
 	return out.Close()
 }
 
-// panel draws some series of one unit and variable.
+// panel plots series with the same unit and variable.
 func panel(title string, list []Series) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
@@ -78,6 +78,6 @@
 		p.Add(line, marks)
 		p.Legend.Add(s.Name, line, marks)
 	}
-	p.Y.Max *= math.Pow(p.Y.Max/p.Y.Min, legendRow*float64(len(list))) // room for the legend above the lines
+	p.Y.Max *= math.Pow(p.Y.Max/p.Y.Min, legendRow*float64(len(list))) // leaves room for the legend above the lines
 	return p, nil
 }
--- a/internal/test/capacity/relay.go
+++ b/internal/test/capacity/relay.go
@@ -20,14 +20,14 @@
 const (
 	relayEpoch    = 7
 	relayRemovals = 10_000
-	relayBudget   = 1 << 30 // bytes a second: nobody waits, for it is CPU time that counts
+	relayBudget   = 1 << 30 // bytes a second; no reader waits for it, because only CPU time is measured
 	relayReaders  = 4000
-	relayBody     = 64 << 10         // of an answer
-	longHold      = 20 * time.Second // no measurement waits for its end
+	relayBody     = 64 << 10         // size limit of an answer
+	longHold      = 20 * time.Second // no measurement waits until a watch of this length ends
 	pollEvery     = time.Millisecond
 )
 
-// relaySource is an authority with a list, served on a loopback address.
+// relaySource is an authority that serves a list of nodes on a loopback address.
 type relaySource struct {
 	instances *relay.Resource
 	server    *relay.Server
@@ -42,7 +42,7 @@
 	settings := relay.NewResource(versionlog.New(relayEpoch, relayRemovals), budget)
 	var changes []versionlog.Change
 	for _, e := range entries(nodes) {
-		changes = append(changes, published(e))
+		changes = append(changes, versionChange(e))
 	}
 	if _, err := r.instances.Publish(changes); err != nil {
 		return nil, err
@@ -56,18 +56,18 @@
 	return r, nil
 }
 
-func published(e wireEntry) versionlog.Change {
+func versionChange(e wireEntry) versionlog.Change {
 	object, err := json.Marshal(e)
 	if err != nil {
-		panic(err) // numbers and strings
+		panic(err) // cannot fail: only numbers and strings
 	}
 	return versionlog.Change{Name: e.Name, Object: object}
 }
 
-// change publishes that one more node has restarted.
+// change publishes the restart of the next node.
 func (r *relaySource) change() error {
 	r.no++
-	_, err := r.instances.Publish([]versionlog.Change{published(entry(r.no%r.nodes, time.Duration(time.Now().UnixNano())))})
+	_, err := r.instances.Publish([]versionlog.Change{versionChange(entry(r.no%r.nodes, time.Duration(time.Now().UnixNano())))})
 	return err
 }
 
@@ -76,8 +76,8 @@
 	r.server.Shutdown()
 }
 
-// helpWithRelay is a relay of so many nodes.
-func helpWithRelay(nodes string, in *bufio.Reader, out io.Writer) error {
+// runRelayHelper serves a list with the given number of nodes, and publishes a change for each input line.
+func runRelayHelper(nodes string, in *bufio.Reader, out io.Writer) error {
 	n, err := strconv.Atoi(nodes)
 	if err != nil {
 		return err
@@ -90,16 +90,16 @@
 	if _, err := fmt.Fprintln(out, r.listener.Addr()); err != nil {
 		return err
 	}
-	return obey(in, out, r.change)
+	return handleLines(in, out, r.change)
 }
 
-// reader is one reader of a relay.
+// reader reads endpoint lists from a relay.
 type reader struct {
 	client http1.Client
 	from   versionlog.Cursor
 }
 
-// read has one answer: the whole list's next slice, or what is newer.
+// read makes one call, which returns the next slice of the full list or newer changes.
 func (r *reader) read(ctx context.Context, hold time.Duration) (more bool, err error) {
 	target := fmt.Sprintf("%s?epoch=%d&from=%d&base=%d&hold_ms=%d", relay.EndpointsPath, r.from.Epoch, r.from.Index, r.from.Base, hold.Milliseconds())
 	answer, _, err := r.client.Do(ctx, &http1.Message{Method: "GET", Target: target, Header: textproto.MIMEHeader{"Host": {r.client.Address}}})
@@ -107,7 +107,7 @@
 		return false, err
 	}
 	if answer.Status != 200 {
-		return false, fmt.Errorf("capacity: the relay answered with %d", answer.Status)
+		return false, fmt.Errorf("capacity: relay returned status %d, want 200", answer.Status)
 	}
 	slice, err := versionlog.ParseSlice(answer.Body)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return &reader{client: http1.Client{Address: address, Limits: http1.Limits{Head: 4 << 10, Body: relayBody}}, from: from}
 }
 
-// readWhole reads a whole list, slice by slice.
+// readWhole reads the full list, slice by slice.
 func readWhole(address string) error {
 	r := newReader(address, versionlog.Cursor{})
 	defer r.client.Close()
@@ -133,8 +133,8 @@
 	}
 }
 
-// helpWithReaders has so many readers watch.
-func helpWithReaders(args []string, in *bufio.Reader, out io.Writer) error {
+// runReadersHelper runs readers that watch, and reads the full list once for each input line.
+func runReadersHelper(args []string, in *bufio.Reader, out io.Writer) error {
 	var numbers [4]int64
 	for i, text := range args[1:] {
 		var err error
@@ -160,17 +160,17 @@
 	if _, err := fmt.Fprintln(out, "reading"); err != nil {
 		return err
 	}
-	return obey(in, out, func() error { return readWhole(args[0]) })
+	return handleLines(in, out, func() error { return readWhole(args[0]) })
 }
 
-// watched is a relay in this process with readers elsewhere.
-type watched struct {
+// watchedRelay is a relay in this process whose readers are a helper.
+type watchedRelay struct {
 	*relaySource
 	readers *helper
 	count   int
 }
 
-func newWatched(nodes, count int, hold time.Duration, helpers Helpers) (*watched, error) {
+func newWatched(nodes, count int, hold time.Duration, helpers Helpers) (*watchedRelay, error) {
 	r, err := newRelaySource(nodes)
 	if err != nil {
 		return nil, err
@@ -182,32 +182,32 @@
 		r.end()
 		return nil, err
 	}
-	w := &watched{r, readers, count}
-	if err := w.await(int64(count)); err != nil {
+	w := &watchedRelay{r, readers, count}
+	if err := w.awaitReaders(int64(count)); err != nil {
 		w.end()
 		return nil, err
 	}
 	return w, nil
 }
 
-func (w *watched) end() {
+func (w *watchedRelay) end() {
 	w.readers.close()
 	w.relaySource.end()
 }
 
-var errReaders = errors.New("capacity: not all readers have come back")
+var errReadersTimeout = errors.New("capacity: timed out waiting for all readers to watch again")
 
-// await waits until so many calls have come in, and all readers watch again.
-func (w *watched) await(calls int64) error {
+// awaitReaders waits until the relay has received the given number of calls and all readers watch again.
+func (w *watchedRelay) awaitReaders(calls int64) error {
 	for began := time.Now(); time.Since(began) < answerWait; time.Sleep(pollEvery) {
 		if s := w.instances.Status(); s.Calls >= calls && s.Waiting == w.count {
 			return nil
 		}
 	}
-	return errReaders
+	return errReadersTimeout
 }
 
-// relayChange is one changed entry at a relay with so many readers.
+// relayChange measures one changed entry at a relay with the given number of readers.
 func relayChange(nodes int, helpers Helpers) func(readers int) (*subject, error) {
 	return func(readers int) (*subject, error) {
 		w, err := newWatched(nodes, readers, longHold, helpers)
@@ -219,7 +219,7 @@
 			if err := w.change(); err != nil {
 				return err
 			}
-			return w.await(before + int64(readers))
+			return w.awaitReaders(before + int64(readers))
 		}
 		before := w.instances.Status()
 		return &subject{unit: time.Microsecond, end: w.end, operate: operate, check: func(operated int) error {
@@ -233,7 +233,7 @@
 	}
 }
 
-// relayIdle is a heartbeat's time at a relay with so many readers and no news, in microseconds a second.
+// relayIdle measures a relay without news for the length of a heartbeat, in microseconds of CPU time per second.
 func relayIdle(nodes int, heartbeat time.Duration, helpers Helpers) func(readers int) (*subject, error) {
 	return func(readers int) (*subject, error) {
 		w, err := newWatched(nodes, readers, heartbeat, helpers)
@@ -248,7 +248,7 @@
 	}
 }
 
-// relayList is one reader's whole list at a relay of so many nodes.
+// relayList measures one reader that reads the full list from a relay.
 func relayList(helpers Helpers) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) {
 		w, err := newWatched(nodes, 0, longHold, helpers)
@@ -258,19 +258,19 @@
 		before := w.instances.Status().Snapshots
 		return &subject{unit: time.Microsecond, end: w.end,
 			operate: func() error {
-				_, err := w.readers.say("list")
+				_, err := w.readers.request("list")
 				return err
 			},
 			check: func(operated int) error {
 				if begun := w.instances.Status().Snapshots - before; begun != int64(operated) {
-					return fmt.Errorf("capacity: %d whole lists were read, %d begun", operated, begun)
+					return fmt.Errorf("capacity: reader read %d full lists, relay started %d snapshots", operated, begun)
 				}
 				return nil
 			}}, nil
 	}
 }
 
-// relayMemory is live heap and stacks of a relay for so many readers.
+// relayMemory measures live heap and stacks of a relay with its list and the given number of readers.
 func relayMemory(nodes int, helpers Helpers) func(readers int) (*subject, error) {
 	return func(readers int) (*subject, error) {
 		return &subject{figure: func() (float64, error) {
--- a/internal/test/capacity/rows.go
+++ b/internal/test/capacity/rows.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Basis is what a row's figure rests on.
+// Basis is the origin of a row's figure.
 type Basis string
 
-// The bases.
+// The bases of figures.
 const (
 	Measured Basis = "measured"
 	Derived  Basis = "derived"
@@ -17,10 +17,10 @@
 	NotRun   Basis = "not run yet"
 )
 
-// Role is whose cost a row is.
+// Role is the component that bears the cost of a row.
 type Role string
 
-// The roles, in the page's order.
+// The roles, in the order of the page.
 const (
 	ControlPath Role = "control"
 	DataPath    Role = "data"
@@ -30,21 +30,21 @@
 	Operators   Role = "operators"
 )
 
-// Row is one figure at the size asked, beside its bound.
+// Row is one figure at the requested size, with its bound.
 type Row struct {
 	Key       string // the same before and after a mechanism
 	Role      Role
 	Situation string
 	What      string
-	Figure    float64 // +Inf where nothing bounds it
+	Figure    float64 // +Inf if nothing bounds it
 	Unit      string
 	Basis     Basis
 	How       string  // the series, or the arithmetic
-	Mechanism string  // empty: none
+	Mechanism string  // what in the code handles this load; empty for nothing
 	Most      float64 // 0 for no bound
 }
 
-// Ratio is the figure over its bound; 0 without a bound or a figure.
+// Ratio returns the figure divided by its bound, or 0 without a bound or a figure.
 func (r Row) Ratio() float64 {
 	if r.Most == 0 || r.Basis == NotRun {
 		return 0
@@ -52,22 +52,22 @@
 	return r.Figure / r.Most
 }
 
-// model makes rows from a run.
+// model derives rows from a run.
 type model struct {
 	size  Size
 	run   *Run
-	scale *Scale // nil where there is none
+	scale *Scale // nil if there is none
 	rows  []Row
 }
 
-// figure is a value with how it came about.
+// figure is a value with its origin.
 type figure struct {
 	value float64
 	how   string
 	basis Basis
 }
 
-// at reads a series at a size. A series that the run does not have leaves the row not run.
+// at returns the value of a series at a size. If the run has no such series, the basis is NotRun.
 func (m *model) at(series string, x float64) figure {
 	s := m.run.Find(series)
 	if s == nil {
@@ -80,7 +80,8 @@
 	return figure{y, fmt.Sprintf("`%s` at %s", series, number(x)), Measured}
 }
 
-// times is a figure in another unit or so many times over; the words are the factor's.
+// times returns the figure multiplied by a factor, for another unit or a number of occurrences; words describe the
+// factor.
 func (f figure) times(by float64, words string) figure {
 	if f.basis == NotRun {
 		return f
@@ -88,23 +89,23 @@
 	return figure{f.value * by, fmt.Sprintf("%s (%s) x %s", f.how, number(f.value), words), Derived}
 }
 
-// derived is arithmetic on the size asked.
+// derived returns a figure that is arithmetic on the requested size.
 func derived(value float64, format string, args ...any) figure {
 	return figure{value, fmt.Sprintf(format, args...), Derived}
 }
 
-// assumed is a figure that nothing has shown.
+// assumed returns a figure that no measurement supports.
 func assumed(value float64, format string, args ...any) figure {
 	return figure{value, fmt.Sprintf(format, args...), Assumed}
 }
 
-// add enters a row.
+// add appends a row.
 func (m *model) add(role Role, key, situation, what, unit string, f figure, most float64, mechanism string) {
 	m.rows = append(m.rows, Row{Key: key, Role: role, Situation: situation, What: what, Figure: f.value, Unit: unit, Basis: f.basis, How: f.how,
 		Mechanism: mechanism, Most: most})
 }
 
-// The situations.
+// The situations of rows.
 const (
 	ordinary  = "ordinary day"
 	atStart   = "start of everything"
@@ -113,7 +114,7 @@
 	regionCut = "region cut off, and back"
 )
 
-// Rows are the page's rows for a size by a run; distributed tells that lists and settings come from relays.
+// Rows returns the page's rows for a size, from a run. With distributed, lists and settings come from relays.
 func Rows(size Size, run *Run, scale *Scale, distributed bool) []Row {
 	m := &model{size: size, run: run, scale: scale}
 	m.controlState()
@@ -132,7 +133,7 @@
 
 const coreSecond = 1e6 // microseconds of CPU time
 
-// controlState is what the control path holds and does by itself.
+// controlState adds the state of the control path and the work that it does by itself.
 func (m *model) controlState() {
 	n := m.size.Nodes
 	m.add(ControlPath, "memory", ordinary, "state: the list, live heap", "MB", m.at("list-memory", n), ControlMemory, "`internal/core`, module: a map each")
@@ -143,7 +144,7 @@
 	m.add(ControlPath, "day-cpu-touched", ordinary, "CPU: the same, every section asked (module alone)", "of a core", m.at("change-touched", n).times(rate/coreSecond, how), ControlCores, "`onList`, shares of sections")
 }
 
-// changeRows are changes of the list in trouble; who brings them makes no difference to the coordinator's own work.
+// changeRows adds the changes of the list in failures. The coordinator's own work does not depend on who delivers them.
 func (m *model) changeRows(distributed bool) {
 	n, zone, region, window := m.size.Nodes, m.size.zoneNodes(), m.size.regionNodes(), InForce.Seconds()
 	over := fmt.Sprintf("1 / %g s", window)
@@ -178,7 +179,7 @@
 	return "watch from the known index; the whole list if discovery gives that"
 }
 
-// discoveryRows are the control path and its source as they are without relays.
+// discoveryRows adds the control path and its source as they are without relays.
 func (m *model) discoveryRows() {
 	s := m.size
 	list := m.at("list-bytes", s.Nodes).times(1e6, "1e6")
@@ -195,23 +196,24 @@
 	m.add(Source, "source-change", ordinary, "time to answer all watches with one change", "s", turns(s), InForce.Seconds(), "")
 	m.add(Source, "source-start", atStart, "bytes: the list to all", "MB", m.at("list-bytes", s.Nodes).times(s.Coordinators, number(s.Coordinators)), 0, "")
 	m.add(Source, "source-start-rate", atStart, fmt.Sprintf("bytes: the same within %d s", startWithin), "MB/s", m.at("list-bytes", s.Nodes).times(s.Coordinators/startWithin, fmt.Sprintf("%s / %d s", number(s.Coordinators), startWithin)), 0, "")
-	m.add(Source, "source-zone", zoneLost, "time to answer all watches with each of its entries singly", "s", derived(s.zoneNodes()*s.Coordinators*serviceTurn.Seconds(), "%s entries x %s coordinators x %g s", number(s.zoneNodes()), number(s.Coordinators), serviceTurn.Seconds()), InForce.Seconds(), "")
+	m.add(Source, "source-zone", zoneLost, "time to answer all watches with each of its entries singly", "s", derived(s.zoneNodes()*s.Coordinators*serviceCallTime.Seconds(), "%s entries x %s coordinators x %g s", number(s.zoneNodes()), number(s.Coordinators), serviceCallTime.Seconds()), InForce.Seconds(), "")
 }
 
-// fleetStart is played in virtual time by what a call is assumed to take.
+// fleetStart returns the simulated start time of the fleet. Its basis is Assumed because the cost of a call is.
 func (m *model) fleetStart() figure {
 	f := m.at("fleet-start", m.size.Coordinators)
 	if f.basis != NotRun {
-		f.how, f.basis = f.how+fmt.Sprintf(", %g s a call", serviceTurn.Seconds()), Assumed
+		f.how, f.basis = f.how+fmt.Sprintf(", %g s a call", serviceCallTime.Seconds()), Assumed
 	}
 	return f
 }
 
+// turns returns the time in which the discovery service answers each coordinator once, one call after the other.
 func turns(s Size) figure {
-	return assumed(s.Coordinators*serviceTurn.Seconds(), "%s coordinators x %g s a call (assumed in `decide/backoff`; a run against the real service would prove it)", number(s.Coordinators), serviceTurn.Seconds())
+	return assumed(s.Coordinators*serviceCallTime.Seconds(), "%s coordinators x %g s a call (assumed in `decide/backoff`; a run against the real service would prove it)", number(s.Coordinators), serviceCallTime.Seconds())
 }
 
-// dataRows are the data path of a coordinator.
+// dataRows adds the data path of a coordinator.
 func (m *model) dataRows(distributed bool) {
 	shares := "`refillShard`, `hold`: all nodes for each section"
 	if distributed {
@@ -232,7 +234,7 @@
 	m.add(DataPath, "data-refusal", ordinary, "CPU: all queries refused at the gate", "of a core", m.at("refusal", s.Parts).times(s.queriesEach()/coreSecond, each), dataCores, "`guard`: by the query's head")
 }
 
-// nodeRows are the data nodes, as far as harepass causes it.
+// nodeRows adds the cost that harepass causes at data nodes.
 func (m *model) nodeRows() {
 	s := m.size
 	m.add(DataNode, "node-parts", ordinary, "messages: parts", "a second", derived(s.partsEach(), "%s queries/s x %s parts / %s nodes", number(s.Queries), number(s.Parts), number(s.Nodes)), 0, "`draw`: shares, 1.2 equal ones at most")
@@ -245,7 +247,7 @@
 	m.add(DataNode, "node-return", regionCut, "messages: connections opened at a node that is back, if all come within 1 s", "a second", derived(s.kept()/s.Nodes*s.Coordinators, "%s kept / %s nodes x %s coordinators / 1 s", number(s.kept()), number(s.Nodes), number(s.Coordinators)), 0, "")
 }
 
-// operatorRows are the operators' tools.
+// operatorRows adds the work with the operators' tools.
 func (m *model) operatorRows(distributed bool) {
 	s := m.size
 	files, how, mechanism := s.Settings*s.Coordinators/day, fmt.Sprintf("%s changes x %s coordinators / 86,400 s", number(s.Settings), number(s.Coordinators)), ""
@@ -256,7 +258,7 @@
 	m.add(Operators, "operators-node", ordinary, "messages: to take one node out by hand everywhere", "calls", derived(s.Coordinators, "%s coordinators, each at its own door", number(s.Coordinators)), 0, "")
 }
 
-// Over are the rows over their bound, the largest ratio first.
+// Over returns the rows that exceed their bound, the largest ratio first.
 func Over(rows []Row) (over []Row) {
 	for _, r := range rows {
 		if r.Ratio() > 1 {
@@ -267,10 +269,10 @@
 	return over
 }
 
-// leastWorded is the least figure that a page words.
-const leastWorded = 0.001
+// minShown is the smallest figure that a page shows as a number.
+const minShown = 0.001
 
-// number words a figure: three digits, with commas in thousands.
+// number formats a figure with three digits; from 1000 on, as an integer with thousands separators.
 func number(x float64) string {
 	switch {
 	case math.IsInf(x, 1):
@@ -281,8 +283,8 @@
 		return fmt.Sprintf("%.0f", x)
 	case math.Abs(x) >= 100:
 		return fmt.Sprintf("%.0f", x)
-	case math.Abs(x) < leastWorded:
-		return fmt.Sprintf("under %g", leastWorded)
+	case math.Abs(x) < minShown:
+		return fmt.Sprintf("under %g", minShown)
 	}
 	return fmt.Sprintf("%.3g", x)
 }
--- a/internal/test/capacity/scale.go
+++ b/internal/test/capacity/scale.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Scale is what the page takes from a scale run's result (`bin/lab scale -o`): a fleet of the whole size on one machine.
+// Scale holds the fields that the page uses of a scale run's result (`bin/lab scale -o`). A scale run is a fleet of
+// full size on one machine.
 type Scale struct {
 	Plan     string                `json:"plan"`
 	Seconds  float64               `json:"seconds"`
@@ -23,7 +24,7 @@
 	Missed   []string              `json:"missed"`
 }
 
-// ScaleSizes are what the run was made of.
+// ScaleSizes holds the numbers of processes and entries of a scale run.
 type ScaleSizes struct {
 	Coordinators float64 `json:"coordinators"`
 	Real         float64 `json:"real"`
@@ -32,15 +33,16 @@
 	Control      float64 `json:"control_processes"`
 }
 
-// ScaleTimes are seconds from a change's publishing, or a member's start, until it was in force.
+// ScaleTimes holds the seconds from a change's publication, or a member's start, until the change or the list is in
+// force.
 type ScaleTimes struct {
 	Median float64 `json:"median_s"`
 	P99    float64 `json:"p99_s"`
 	Last   float64 `json:"last_s"`
-	Never  float64 `json:"never"` // members that never had a change in force, summed over the changes
+	Never  float64 `json:"never"` // members that never had a change in force, sum over the changes
 }
 
-// ScaleTrouble are those of one trouble.
+// ScaleTrouble holds the times of one trouble, an injected failure.
 type ScaleTrouble struct {
 	What      string     `json:"what"`
 	List      ScaleTimes `json:"list"`
@@ -48,7 +50,8 @@
 	Recovered ScaleTimes `json:"recovered"`
 }
 
-// ScaleSpent is what one process of a role spent, in the mean and at most; of hosts, one of its members.
+// ScaleSpent holds the mean and the maximum use of resources of one process of a role. For hosts it is that of one of
+// their members.
 type ScaleSpent struct {
 	CPU        float64 `json:"cpu_share"`
 	CPUMost    float64 `json:"cpu_share_most"`
@@ -58,7 +61,7 @@
 	MemoryMost float64 `json:"memory_mb_most"`
 }
 
-// ScaleBaseline is the fleet without distribution, at a cost of discovery's calls.
+// ScaleBaseline holds the times of the fleet without relays, for an assumed time of discovery's calls.
 type ScaleBaseline struct {
 	Turn float64    `json:"turn_s"`
 	List ScaleTimes `json:"list"`
@@ -72,7 +75,7 @@
 	scaleHost        = "host of hollow coordinators"
 )
 
-// scaleText is what a run came to, with all that it missed.
+// scaleText returns the result of a scale run, with all expectations that it missed.
 func scaleText(s *Scale) string {
 	if s == nil {
 		return "Not run yet.\n"
@@ -104,7 +107,7 @@
 	return b.String()
 }
 
-// LoadScale reads a scale run's file.
+// LoadScale reads a scale run from a JSON file.
 func LoadScale(path string) (*Scale, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/test/capacity/service.go
+++ b/internal/test/capacity/service.go
@@ -9,12 +9,12 @@
 	"harepass/internal/decide/backoff"
 )
 
-// The service that gives out lists, as it is without relays: it takes calls in turn, fails what has waited for too long, and
-// has spent the turn on it all the same. Its figures are assumed; decide/backoff goes by the same ones.
+// The discovery service that serves lists without relays. It serves calls one after the other. A call that has waited
+// too long fails but still takes its service time. These figures are assumed, and decide/backoff assumes the same ones.
 const (
-	serviceTurn     = 100 * time.Millisecond
-	servicePatience = 2 * time.Second
-	serviceEnd      = 6 * time.Hour // nobody is waited for any longer
+	serviceCallTime  = 100 * time.Millisecond // time that the service spends on a call
+	serviceWaitLimit = 2 * time.Second        // longest wait of a call that still succeeds
+	maxSimulatedTime = 6 * time.Hour          // the simulation fails if it takes longer
 )
 
 // serviceCall is the next call of one coordinator.
@@ -23,7 +23,7 @@
 	who int
 }
 
-// serviceCalls are in order of time.
+// serviceCalls is a heap of calls, ordered by time.
 type serviceCalls []serviceCall
 
 func (c serviceCalls) Len() int           { return len(c) }
@@ -36,8 +36,8 @@
 	return last
 }
 
-// fleetStart plays, in virtual time, a fleet that starts in one instant until each coordinator has been answered once; it
-// returns when the last was, and how many calls that took.
+// fleetStart simulates, in virtual time, a fleet whose coordinators all start at once, until each has received one
+// answer. It returns the time of the last answer and the number of calls.
 func fleetStart(coordinators int, seed uint64) (last time.Duration, calls int, err error) {
 	var schedules []*backoff.Schedule
 	var due serviceCalls
@@ -48,24 +48,24 @@
 	free := time.Duration(0)
 	for len(due) > 0 {
 		c := heap.Pop(&due).(serviceCall)
-		if c.at > serviceEnd {
-			return 0, calls, fmt.Errorf("capacity: after %v not all of %d coordinators have their list", serviceEnd, coordinators)
+		if c.at > maxSimulatedTime {
+			return 0, calls, fmt.Errorf("capacity: %v after the start, some of %d coordinators have no list", maxSimulatedTime, coordinators)
 		}
 		calls++
 		begun := max(free, c.at)
-		free = begun + serviceTurn
-		if begun-c.at <= servicePatience {
+		free = begun + serviceCallTime
+		if begun-c.at <= serviceWaitLimit {
 			schedules[c.who].Succeeded()
 			last = max(last, free)
 			continue
 		}
-		heap.Push(&due, serviceCall{c.at + servicePatience + schedules[c.who].Failed(servicePatience), c.who})
+		heap.Push(&due, serviceCall{c.at + serviceWaitLimit + schedules[c.who].Failed(serviceWaitLimit), c.who})
 	}
 	return last, calls, nil
 }
 
-// lastHeard is when the last coordinator of a fleet that starts at once has its list.
-func lastHeard(coordinators int) (*subject, error) {
+// lastListTime measures when the last coordinator of a fleet that starts at once has its list.
+func lastListTime(coordinators int) (*subject, error) {
 	seed := uint64(0)
 	return &subject{figure: func() (float64, error) {
 		seed++
--- a/internal/test/capacity/size.go
+++ b/internal/test/capacity/size.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// Size is a fleet, what it is asked for, and what happens to it.
+// Size describes a fleet, its load and its rates of changes and failures.
 type Size struct {
 	Coordinators float64
 	Nodes        float64
 	Regions      float64
 	Zones        float64
-	Queries      float64 // a second, over all coordinators
+	Queries      float64 // a second, sum over all coordinators
 	Parts        float64 // of a query
-	Settings     float64 // changes of the configuration a day
+	Settings     float64 // configuration changes a day
 	Failures     float64 // machines a day
 	Restarts     float64 // machines a day, replaced ones included
-	Machines     float64 // set aside for control
+	Machines     float64 // reserved for control
 }
 
-// Asked is the size that the page designs for.
+// Asked is the fleet size that the capacity page designs for.
 var Asked = Size{Coordinators: Coordinators, Nodes: DataNodes, Regions: Regions, Zones: Zones, Queries: QueriesAll, Parts: QueryParts,
 	Settings: ChangesOfSettings, Failures: Failures, Restarts: Restarts, Machines: ControlMachines}
 
-// Twice is a fleet with twice as many coordinators and nodes in as many zones and on as many control machines; each
-// coordinator is asked as much as before.
+// Twice returns a fleet with twice as many coordinators and nodes in the same number of zones and with the same number
+// of control machines. The load of each coordinator stays the same.
 func (s Size) Twice() Size {
 	s.Coordinators *= 2
 	s.Nodes *= 2
@@ -31,45 +31,46 @@
 	return s
 }
 
-// What the rows assume; the page says what would prove each.
+// Assumptions of the rows; the page states what would prove each.
 const (
 	entriesOfRestart = 3   // terminating, terminated, and in service again
 	entriesOfFailure = 2   // terminated, and its replacement in service
 	rackNodes        = 40  // data nodes behind one rack or switch
 	settingsBytes    = 3e3 // of one configuration
-	partBytes        = 110 // of a part on the wire, both ways: a line with its text, and an answer with a short value
-	startWithin      = 10  // seconds for the whole start of a coordinator while all start
-	dataCores        = 1   // of a coordinator's data path: the limit that holds where no platform tells one
-	dataMemory       = 192 // MB, likewise
+	partBytes        = 110 // of a part on the wire, both ways: one line with its text, and an answer with a short value
+	startWithin      = 10  // seconds in which a coordinator has to start while all others start too
+	dataCores        = 1   // for a coordinator's data path: the limit where no platform states one
+	dataMemory       = 192 // MB for the same, where no platform states a limit
 )
 
-// day is in seconds.
+// day is the length of a day in seconds.
 const day = 24 * 60 * 60
 
-// queriesEach is how many queries a second one coordinator has.
+// queriesEach returns the queries a second of one coordinator.
 func (s Size) queriesEach() float64 { return s.Queries / s.Coordinators }
 
-// partsEach is how many parts a second one data node has.
+// partsEach returns the parts a second of one data node.
 func (s Size) partsEach() float64 { return s.Queries * s.Parts / s.Nodes }
 
-// entriesOfDay is how many entries of the list change on an ordinary day.
+// entriesOfDay returns how many entries of the list change on an ordinary day.
 func (s Size) entriesOfDay() float64 {
 	return entriesOfRestart*s.Restarts + entriesOfFailure*s.Failures
 }
 
-// restartBytes is what coordinators read that are restarted, as often as any machine.
+// restartBytes returns the rate at which restarted coordinators read lists. It assumes that coordinators restart as
+// often as other machines.
 func (s Size) restartBytes(list figure) figure {
 	share := s.Coordinators / (s.Coordinators + s.Nodes)
 	return list.times(1e6*s.Restarts*share/day, fmt.Sprintf("1e6 x %s restarts x %s / (%s + %s) machines / 86,400 s", number(s.Restarts), number(s.Coordinators),
 		number(s.Coordinators), number(s.Nodes)))
 }
 
-// zoneNodes is how many nodes a zone has, regionNodes how many a region.
+// zoneNodes returns the number of nodes in a zone, and regionNodes the number in a region.
 func (s Size) zoneNodes() float64   { return float64(int(s.Nodes / s.Zones)) }
 func (s Size) regionNodes() float64 { return s.Nodes / s.Regions }
 
-// kept is how many nodes a coordinator keeps connections with: two of three holders of each section.
+// kept returns the number of nodes that a coordinator keeps connections to: two of the three holders of each section.
 func (s Size) kept() float64 { return float64((2*int(s.Nodes) + holders - 1) / holders) }
 
-// hedgeShare is the module's (aggregator.go): further attempts on suspicion, as a share of parts taken.
+// hedgeShare is the share of parts that may get a hedged request; it equals hedgeShare in internal/decide/scatter.
 const hedgeShare = 0.15
--- a/internal/test/capacity/sockets.go
+++ b/internal/test/capacity/sockets.go
@@ -20,8 +20,8 @@
 	"harepass/internal/platform"
 )
 
-// coordinator is the data path of one: the platform's front, the owner and its connections to nodes. Queries come without a
-// client's connection.
+// coordinator is the data path of a coordinator: the platform's front, the coordinator's loop and its connections to
+// nodes. Queries are passed to the front directly, without a client connection.
 type coordinator struct {
 	front  *platform.Front
 	owner  *core.Coordinator
@@ -30,7 +30,7 @@
 	number int
 }
 
-func newCoordinator(nodes int, helpers Helpers, gate core.Admitter) (*coordinator, error) {
+func newCoordinator(nodes int, helpers Helpers, admitter core.Admitter) (*coordinator, error) {
 	helper, address, err := startHelper(helpers, helpNodes)
 	if err != nil {
 		return nil, err
@@ -38,9 +38,9 @@
 	clock := core.SystemClock()
 	caller := &platform.Caller{CallsPerConn: 32, ConnectTimeout: time.Second, ResponseTimeout: time.Second, KeepAlive: time.Minute}
 	set := settings(nodes)
-	set.Classes[0].LatencyObjective = time.Second // no query is refused for a busy machine's sake
+	set.Classes[0].LatencyObjective = time.Second // so that a busy machine does not cause rejections
 	set.Classes[0].Deadline = 10 * time.Second
-	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Settings: set, Subscribe: func() {}, PolledSource: platform.Source, Admitter: gate,
+	owner, err := core.New(core.Config{Seed: 1, Clock: clock, Settings: set, Subscribe: func() {}, PolledSource: platform.Source, Admitter: admitter,
 		Callers: map[string]core.Caller{platform.Scheme: caller}})
 	if err != nil {
 		helper.close()
@@ -59,7 +59,7 @@
 	c.nodes()
 }
 
-// body is a query over so many sections.
+// body returns the body of a query with the given number of parts, each for its own section.
 func body(parts int) []byte {
 	type slice struct {
 		Slice int     `json:"slice"`
@@ -74,12 +74,12 @@
 	}
 	data, err := json.Marshal(q)
 	if err != nil {
-		panic(err) // numbers and a string
+		panic(err) // cannot fail: only numbers and strings
 	}
 	return data
 }
 
-// ask has a query answered, and returns its status.
+// ask sends a query, waits for its answer and returns the status.
 func (c *coordinator) ask(body []byte) int {
 	c.number++
 	req := &http1.Message{Method: "POST", Target: "/api", Body: body, Header: textproto.MIMEHeader{"X-Call-Id": {"q" + strconv.Itoa(c.number)},
@@ -87,12 +87,12 @@
 	return c.front.Handle(req, nil).Status
 }
 
-// queryByParts is a query through the front and the nodes' connections, one after the other.
+// queryByParts measures a query through the front and the nodes' connections, with one query open at a time.
 func queryByParts(nodes int, helpers Helpers) func(parts int) (*subject, error) {
 	return func(parts int) (*subject, error) { return socketQuery(nodes, parts, helpers) }
 }
 
-// socketQueryByNodes is one of QueryParts parts while the list has so many nodes.
+// socketQueryByNodes measures such a query of QueryParts parts by the number of nodes in the list.
 func socketQueryByNodes(helpers Helpers) func(nodes int) (*subject, error) {
 	return func(nodes int) (*subject, error) { return socketQuery(nodes, QueryParts, helpers) }
 }
@@ -105,11 +105,11 @@
 	text := body(parts)
 	s := &subject{unit: time.Microsecond, end: c.end, operate: func() error {
 		if status := c.ask(text); status != 200 {
-			return fmt.Errorf("capacity: a query was answered with %d", status)
+			return fmt.Errorf("capacity: query returned status %d, want 200", status)
 		}
 		return nil
 	}}
-	for range 4 { // opens connections
+	for range 4 { // opens the connections before the measurement
 		if err := s.operate(); err != nil {
 			c.end()
 			return nil, err
@@ -118,47 +118,47 @@
 	return s, nil
 }
 
-// refuser is a gate that lets nobody in.
-type refuser struct{ turnGate }
+// rejectingAdmitter rejects every query.
+type rejectingAdmitter struct{ tickAdmitter }
 
-// Admit implements core.Gate.
-func (refuser) Admit(overload.Arrival) (bool, time.Duration) { return false, time.Second }
+// Admit implements core.Admitter.
+func (rejectingAdmitter) Admit(overload.Arrival) (bool, time.Duration) { return false, time.Second }
 
-// refusalByParts is a query of so many parts that is refused.
+// refusalByParts measures a query of the given number of parts that the admitter rejects.
 func refusalByParts(parts int) (*subject, error) {
-	c, err := newCoordinator(1, HelpHere, refuser{})
+	c, err := newCoordinator(1, HelpInThisProcess, rejectingAdmitter{})
 	if err != nil {
 		return nil, err
 	}
 	text := body(parts)
 	return &subject{unit: time.Microsecond, end: c.end, operate: func() error {
 		if status := c.ask(text); status != 429 {
-			return fmt.Errorf("capacity: a query that was to be refused was answered with %d", status)
+			return fmt.Errorf("capacity: query returned status %d, want 429", status)
 		}
 		return nil
 	}}, nil
 }
 
-// connections are some to nodes, one to each, all idle.
+// connections holds idle connections to nodes, one to each.
 type connections struct {
 	nodes   *platform.Caller
-	address string // of the nodes
+	address string // of all nodes
 	end     func()
 	ended   atomic.Int64
 	done    chan struct{}
 	most    int64
 }
 
-// Ended implements core.Reporter.
+// AttemptEnded implements core.AttemptReporter.
 func (c *connections) AttemptEnded(_ *core.Attempt, outcome scatter.Outcome, _ []byte) {
 	if outcome == scatter.Succeeded && c.ended.Add(1) == c.most {
 		close(c.done)
 	}
 }
 
-var errNoConnections = errors.New("capacity: not all connections came up")
+var errNoConnections = errors.New("capacity: not all connections to nodes were opened")
 
-// openConnections opens so many by sending a part on each.
+// openConnections opens count connections by sending a part on each.
 func openConnections(count int, helpers Helpers) (*connections, error) {
 	helper, address, err := startHelper(helpers, helpNodes)
 	if err != nil {
@@ -182,7 +182,7 @@
 	c.end()
 }
 
-// connectionMemory is live heap and stacks for so many connections.
+// connectionMemory measures live heap and stacks of the given number of connections.
 func connectionMemory(helpers Helpers) func(count int) (*subject, error) {
 	return func(count int) (*subject, error) {
 		return &subject{figure: func() (float64, error) {
@@ -197,7 +197,7 @@
 	}
 }
 
-// connectionDescriptors is how many descriptors so many connections take.
+// connectionDescriptors measures how many file descriptors the given number of connections take.
 func connectionDescriptors(helpers Helpers) func(count int) (*subject, error) {
 	return func(count int) (*subject, error) {
 		return &subject{figure: func() (float64, error) {
@@ -211,7 +211,7 @@
 	}
 }
 
-// descriptorsTo counts this process's sockets that are connected to an address.
+// descriptorsTo returns how many file descriptors of this process are sockets connected to an address.
 func descriptorsTo(address string) (float64, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/test/capacity/summary.go
+++ b/internal/test/capacity/summary.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Summary is a row for each series, with what was measured at its largest size.
+// Summary returns a row for each series, with the measurement at its largest size and the fit.
 func (r *Run) Summary() (rows [][]any) {
 	for _, s := range r.Series {
 		p, f := s.Points[len(s.Points)-1], s.Fit
--- a/internal/test/experiments/capacity/capacity.go
+++ b/internal/test/experiments/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity is the experiment on what a coordinator and a relay cost by the size of their fleet. The
-// measurements stand in internal/test/capacity; this package offers and reports them.
+// Package capacity is the experiment that measures the costs of a coordinator and a relay by the size of their fleet.
+// The measurements are in internal/test/capacity; this package runs and reports them.
 package capacity
 
 import (
@@ -10,7 +10,7 @@
 	"harepass/internal/test/experiment"
 )
 
-// Experiment measures all costs on this machine. Progress goes to the standard error.
+// Experiment measures all costs on this machine and writes its progress to standard error.
 var Experiment = experiment.Experiment{
 	Name: "capacity",
 	Short: "what a coordinator and a relay cost by nodes, coordinators, changes, open queries and connections, " +
@@ -18,13 +18,13 @@
 	Run: run,
 }
 
-// HelperCommand is the command of the laboratory's program that plays the other side of the measurements, in a process
-// of its own.
+// HelperCommand is the command of the laboratory's program that runs the peer of a measurement, such as a relay, in its
+// own process.
 const HelperCommand = "capacity-helper"
 
-// run measures and fits all costs. Where files of results are wanted they are the run as JSON and its plot.
+// run measures and fits all costs. If result files are requested, it writes the run as JSON and its plot.
 func run(r *experiment.Report) error {
-	result, err := capacity.Measure(capacity.Full(capacity.HelpInProcess(HelperCommand)), os.Stderr)
+	result, err := capacity.Measure(capacity.Full(capacity.HelpInChildProcess(HelperCommand)), os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 	return writeFiles(r, result)
 }
 
-// writeFiles writes the run's files where files of results are wanted.
+// writeFiles writes the run's result files if they are requested.
 func writeFiles(r *experiment.Report, result *capacity.Run) (err error) {
 	if path, wanted := r.ResultPath("run.json"); wanted {
 		err = result.Write(path)
