--- a/cmd/harepass/idempotency_test.go
+++ b/cmd/harepass/idempotency_test.go
@@ -43,7 +43,9 @@
 	b.start("  claims: {class: claim-update, reports: true}\n", func(discovery net.Listener) string {
 		return b.platformFile(discovery, json.RawMessage(exampleSettings(t)))
 	})
-	eventually(t, "the process listens", func() bool { return b.logged(logmsg.ListenerOpened) })
+	eventually(t, "both fronts listen", func() bool {
+		return strings.Count(b.log.String(), logmsg.ListenerOpened) == 2
+	})
 	sent := 0
 	eventually(t, "both kinds of replicas receive updates", func() bool {
 		sent++
