--- a/internal/platform/ended_idle_test.go
+++ b/internal/platform/ended_idle_test.go
@@ -91,8 +91,12 @@
 	replicaEnd.Close()
 	time.Sleep(10 * time.Millisecond)
 	second := &core.Attempt{QueryID: "second", ReplicaID: "n"}
+	endedBefore := connsEndedWhileIdle.Value()
 	fx.caller.Call(fx.replica, []*core.Attempt{second})
-	time.Sleep(20 * time.Millisecond)
+	// The writer must find the close before the reader may: the reader alone would end the queued call as ConnectFailed.
+	for end := time.Now().Add(5 * time.Second); connsEndedWhileIdle.Value() == endedBefore && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
 	for range 5 {
 		reads <- struct{}{}
 	}
