--- a/internal/core/endpoint_updates.go
+++ b/internal/core/endpoint_updates.go
@@ -23,15 +23,17 @@
 }
 
 // UpdateEndpoints delivers a source's full list of endpoints, changes to it, or the notice that the list is
-// unavailable. A full list removes only endpoints that the same source had listed. UpdateEndpoints waits while the
-// queue is full.
+// unavailable. Each endpoint belongs to the source that listed it last. A full list removes the endpoints of its source
+// that it lacks, but none of other sources. An entry in the state Removed removes its endpoint whatever its source.
+// UpdateEndpoints waits while the queue is full.
 func (c *Coordinator) UpdateEndpoints(source string, kind scatter.UpdateKind, endpoints []Endpoint) {
 	c.post(endpointUpdate{source: source, kind: kind, endpoints: endpoints})
 }
 
 // UpdateEndpointsPartially delivers some entries of a source's first list, with more to follow. The entries take effect
-// at once, but do not make the coordinator Ready: the caller delivers the last entries by UpdateEndpoints, which does.
-// UpdateEndpointsPartially waits while the queue is full.
+// at once, but do not themselves make the coordinator Ready. The caller delivers the last entries by UpdateEndpoints as
+// an IncrementalUpdate, which does; a FullUpdate would remove the entries delivered before. UpdateEndpointsPartially
+// waits while the queue is full.
 func (c *Coordinator) UpdateEndpointsPartially(source string, endpoints []Endpoint) {
 	c.post(endpointUpdate{source: source, kind: scatter.IncrementalUpdate, endpoints: endpoints, partial: true})
 }
@@ -45,14 +47,15 @@
 }
 
 // mergeTable applies an update to the endpoint table and closes the idle connections to endpoints that it removes. It
-// returns the event for the decision module. mayWithhold is true if the update may have made an endpoint unsendable.
+// returns the event for the decision module. mayWithhold is true if some endpoint may no longer be
+// sendable (Coordinator.sendable) after the update.
 func (c *Coordinator) mergeTable(u endpointUpdate) (event scatter.EndpointUpdate, mayWithhold bool) {
-	before := map[string]listedEndpoint{} // endpoints that the update may remove
+	before := map[string]listedEndpoint{} // former entries, for disconnectRemoved; zero for ids not in the table
 	if u.isFull() {
 		c.removeListed(u.source, before)
 	}
 	event.Kind, mayWithhold = c.eventKind(u), u.isFull()
-	for _, e := range slices.Concat(u.endpoints, c.unlisted(u)) {
+	for _, e := range slices.Concat(u.endpoints, c.missingFromList(u)) {
 		before[e.ID] = c.endpoints.byID[e.ID]
 		entry := listedEndpoint{e, u.source}
 		if e.State == scatter.Removed {
@@ -71,8 +74,8 @@
 	return event, mayWithhold
 }
 
-// afterMerge handles the consequences of a merged update, in this order: it withholds attempts, logs uncovered shards,
-// and checks whether the list now counts as known.
+// afterMerge handles the consequences of a merged update: it withholds attempts, logs uncovered shards, and checks
+// whether the list now counts as known.
 func (c *Coordinator) afterMerge(u endpointUpdate, mayWithhold bool) {
 	if mayWithhold {
 		c.withholdUnsendable()
@@ -93,7 +96,8 @@
 	return u.kind
 }
 
-// removeListed removes all endpoints that a source has listed and adds them to removed.
+// removeListed removes all endpoints that a source was the last to list, and adds them to removed. mergeTable then puts
+// back those that the source's new list contains.
 func (c *Coordinator) removeListed(source string, removed map[string]listedEndpoint) {
 	for id, e := range c.endpoints.byID {
 		if e.source == source {
@@ -103,9 +107,9 @@
 	}
 }
 
-// unlisted returns, as removed, the endpoints that are missing from a source's list that came in pieces. It returns nil
-// unless the update is the last of these pieces.
-func (c *Coordinator) unlisted(u endpointUpdate) (removed []Endpoint) {
+// missingFromList returns, with the state Removed, the endpoints of a source that are missing from its list if that
+// came in pieces. It returns nil unless the update is the last of these pieces.
+func (c *Coordinator) missingFromList(u endpointUpdate) (removed []Endpoint) {
 	if u.listed == nil {
 		return nil
 	}
@@ -120,7 +124,7 @@
 }
 
 // disconnectRemoved closes the idle connections to endpoints that are no longer listed. A connection with an
-// outstanding attempt stays open until it has been idle.
+// outstanding attempt stays open; its Caller closes it later.
 func (c *Coordinator) disconnectRemoved(before map[string]listedEndpoint) {
 	for id, e := range before {
 		if _, listed := c.endpoints.byID[id]; !listed {
--- a/internal/core/first_phase.go
+++ b/internal/core/first_phase.go
@@ -11,9 +11,10 @@
 
 // The decision module sees a query of two phases as one query with all its parts, and admits, counts and answers it
 // like any other. The parts that the Planner wants asked cheaply first are deferred. Their first phase is a second
-// query in the module. It belongs to no tenant, and has a class of its own so that its fast parts do not make replicas
-// look fast. If the first phase proves a part's value, the part is pruned: it is reported to the module as resolved and
-// not sent as a full query. Otherwise the part is released.
+// query in the module. This second query has no tenant, and has a class of its own so that its fast parts do not make
+// replicas look fast. If the first phase proves a part's value, the part is pruned: it is reported to the module as
+// resolved, and the module does not send its full query, or cancels it if the part was released before. Otherwise the
+// part is released.
 
 // firstPhase is the first phase of a query.
 type firstPhase struct {
@@ -21,18 +22,20 @@
 	id           string  // the module's id of the first phase
 	parts        []*part // first-phase parts, one for each deferred part of the query
 	releaseTimer *timer  // releases the parts that are still deferred when it is due
-	ended        bool    // the query is over
+	ended        bool    // endFirstPhase has run, because the query is over
 }
 
-// firstPhaseSuffix is appended to a class's name to name the class of its first phases. Clients cannot use that class:
-// validate checks against the settings, which do not contain it.
+// firstPhaseSuffix is appended to a class's name to name the class of its first phases, and to a query's id in the
+// module to form the id of its first phase. Clients cannot use that class: only the module's settings contain it, and
+// validate checks against the coordinator's (inForce).
 const firstPhaseSuffix = "/first"
 
-// withFirstPhases adds the classes of first phases to the settings. Each has the latency objective of its original
-// class, so values that the decision module derives from the tightest objective stay the same.
-func withFirstPhases(s scatter.Settings, classes []string) scatter.Settings {
+// withFirstPhases returns the decision module's settings: the given ones, with a class for the first phases of each
+// named class. It has the latency objective of its original class, so values that the decision module derives from the
+// tightest objective stay the same.
+func withFirstPhases(s scatter.Settings, classNames []string) scatter.Settings {
 	s.Classes = slices.Clone(s.Classes)
-	for _, name := range classes {
+	for _, name := range classNames {
 		for _, class := range s.Classes {
 			if class.Name == name {
 				class.Name += firstPhaseSuffix
@@ -66,7 +69,9 @@
 	return deferred
 }
 
-// planRequest describes a query for the Planner.
+// planRequest describes a query, already counted as open, for the Planner. If a first phase of all its parts would
+// exceed the open limit, all shards are declared incapable of first phases. If the settings no longer contain the
+// query's class, ObjectiveAt stays 0: no time is left, so no part is deferred.
 func (c *Coordinator) planRequest(q *query) twophase.Request {
 	request := twophase.Request{Topic: q.topic(), Body: string(q.Body), Capable: c.supportsFirstPhase, Now: c.now}
 	if class := c.inForce().class(q.Class); class != nil {
@@ -75,17 +80,18 @@
 	for _, p := range q.parts {
 		request.Shards = append(request.Shards, p.shard)
 	}
-	if c.exceedsOpenLimit(len(q.parts)) { // a first phase of all parts would exceed the limit
+	if c.exceedsOpenLimit(len(q.parts)) {
 		request.Capable = func(int) bool { return false }
 	}
 	return request
 }
 
 // supportsFirstPhase reports whether a shard has holders that are ready according to the list and to maintenance, and
-// all of them support a first phase. It ignores the lease on the list, because nothing is sent while that has expired.
-// The endpoint table caches the result until one of the holders changes.
+// all of them support a first phase. It may ignore an expired lease, which only excludes holders: those that remain
+// support first phases too, and if none remains, neither phase is sent. The endpoint table caches the result until one
+// of the holders, the lease, the maintenance or the settings change.
 func (c *Coordinator) supportsFirstPhase(shard int) bool {
-	shard = c.endpoints.ring.position(shard)
+	shard = c.endpoints.ring.position(shard) // shards at the same ring position have the same holders
 	supported, known := c.endpoints.firstPhaseSupport[shard]
 	if known {
 		return supported
@@ -122,8 +128,8 @@
 }
 
 // releaseDeferred releases all parts that are still deferred, because the first phase has used up its time or the
-// decision module has ended it. Outcomes that arrive later may still prove a value. It does nothing for a nil first
-// phase.
+// decision module has ended it. A first-phase outcome that arrives later may still prove a part's value, which cancels
+// the part's full attempt. releaseDeferred does nothing for a nil first phase.
 func (c *Coordinator) releaseDeferred(f *firstPhase) {
 	if f == nil || !c.open.isOpen(f.query) {
 		return
@@ -179,8 +185,8 @@
 	}
 }
 
-// learnFull handles the value of a full query: it passes a versioned value to the Planner and ends the part's first
-// phase.
+// learnFull handles the value of a full query: it ends the part's first phase, after it has passed the value to the
+// Planner if a version was requested. The answer may lack that version.
 func (c *Coordinator) learnFull(at *Attempt, value []byte) {
 	p := at.part
 	if at.WithVersion {
@@ -189,12 +195,13 @@
 	c.endPartFirstPhase(p)
 }
 
-// learnFirstPhase handles the outcome of a part's first phase: the full part either gets its value from it or is
-// released.
+// learnFirstPhase handles the outcome of a first-phase attempt: the full part either gets its value from it or is
+// released. Any outcome ends the part's first phase, so a failed attempt is not retried. If the full part was released
+// earlier and gets its value here, the decision module cancels its outstanding attempts.
 func (c *Coordinator) learnFirstPhase(at *Attempt, succeeded bool) {
 	p, q, full := at.part, at.part.query, at.part.full
-	if full.firstPhasePart != p || !c.open.isOpen(q) { // the full part no longer needs it
-		return
+	if full.firstPhasePart != p || !c.open.isOpen(q) {
+		return // the query is over, or the full part's value or another first-phase attempt came earlier
 	}
 	evidence := at.Evidence
 	evidence.Readable = evidence.Readable && succeeded
--- a/internal/core/list_readiness.go
+++ b/internal/core/list_readiness.go
@@ -6,17 +6,21 @@
 	"harepass/internal/decide/scatter"
 )
 
-// cachedListDelay is how long a coordinator that starts with a cached list waits for a new one. A watch without changes
-// sends nothing, and discovery may be overloaded; clients are then served by the cached list.
+// cachedListDelay is how long a coordinator that starts with a cached list waits for a new one before it serves clients
+// with the cached list. The new list can take long in two cases: discovery is overloaded, or the coordinator watches
+// for changes since its cached list (discovery sends nothing while there are none).
 const cachedListDelay = 200 * time.Millisecond
 
-// listReadiness tells whether the endpoint list counts as known, which makes the coordinator Ready.
+// listReadiness tells whether the endpoint list counts as known. Once it does, updatePhase sets the phase to Ready. The
+// polled source is Config.PolledSource.
 type listReadiness struct {
-	known         bool // the polled source has answered, possibly with a failure, or cachedListDelay is over
-	mayStartDelay bool // the polled source has been asked, and cachedListDelay has not started
+	known         bool // the polled source has answered, even if with a failure, or the delay timer has fired
+	mayStartDelay bool // the polled source was asked (subscribe) after the delay timer was last started, if ever
 }
 
-// noteListReadiness updates listReadiness after an update is merged.
+// noteListReadiness updates listReadiness after an update is merged. Any update of the polled source counts as its
+// answer, except a cached list, which the source did not send. Any complete update may start the delay timer. A partial
+// update has no effect, because half a list must not make the coordinator Ready.
 func (c *Coordinator) noteListReadiness(u endpointUpdate) {
 	if u.partial {
 		return
@@ -27,9 +31,9 @@
 	c.startCachedListDelay()
 }
 
-// startCachedListDelay starts cachedListDelay, after which the cached list counts as known. It does so once the cached
-// list is present and a new one was requested, in either order: if the cached list had to come first, a coordinator
-// that receives it shortly after the request would not be Ready for as long as the watch is silent.
+// startCachedListDelay starts the delay timer: after cachedListDelay the list counts as known. It does so once any
+// source lists an endpoint and the polled source was asked, in either order: if the cached list had to come first, a
+// coordinator that receives it shortly after the request would not be Ready for as long as the watch is silent.
 func (c *Coordinator) startCachedListDelay() {
 	l := &c.listReadiness
 	if l.mayStartDelay && !l.known && len(c.endpoints.byID) > 0 {
--- a/internal/core/phase.go
+++ b/internal/core/phase.go
@@ -14,9 +14,9 @@
 
 // The phases, in order. A coordinator never returns to an earlier one.
 const (
-	Starting Phase = iota // the endpoint list is not known yet: not ready for clients, but queries are accepted
+	Starting Phase = iota // the endpoint list is not known yet: CheckReady fails, but queries are accepted
 	Ready                 // serving
-	Draining              // not ready for clients; open queries are answered, and new ones are still accepted
+	Draining              // CheckReady fails; open queries are answered, and new ones are still accepted
 	Stopped               // no query is open, and none is accepted
 )
 
@@ -66,14 +66,14 @@
 }
 
 // Drain sets the phase to Draining and ends the calls of Config.OnCheckpoint. It also bounds the time of all queries,
-// both open ones and those accepted later: each is answered within Limits.DrainTimeout plus answerGrace of the first
-// Drain. A second Drain does not move that bound. Drain waits while the queue is full; any goroutine except the
-// coordinator's own may call it.
+// both open ones and those accepted later, unless Limits.DrainTimeout is 0: each is answered within that time-out after
+// the first Drain, plus answerGrace for the decision module's answer. A second Drain does not move that bound. Drain
+// waits while the queue is full; any goroutine except the coordinator's own may call it.
 func (c *Coordinator) Drain() { c.post(drainRequest{}) }
 
 // Stop sets the phase to Draining, then to Stopped once no query is open, and returns when Run has returned. It does
-// not bound the time of queries; call Drain first for that. All fronts should have shut down before Stop is called:
-// queries that are still in the queue after the last tick are rejected.
+// not bound the time of queries; call Drain first for that. Shut down all fronts before calling Stop: queries that are
+// still in the queue after the last tick are rejected.
 //
 // A program ends in this order: Drain, shutdown of the fronts, Stop. Any goroutine except the coordinator's own may
 // call Stop.
@@ -87,8 +87,8 @@
 	stopRequest  struct{}
 )
 
-// apply also bounds the time of open queries and of those accepted later, because the platform kills the process some
-// time after it has requested the shutdown.
+// apply sets the phase to Draining. It also bounds the time of open queries and of those accepted later, because the
+// platform kills the process some time after it has requested the shutdown.
 func (drainRequest) apply(c *Coordinator) {
 	c.phaseState.moveTo(Draining)
 	timeout := c.inForce().limits.DrainTimeout
@@ -120,7 +120,9 @@
 	c.phaseState.stopping = true
 }
 
-// updatePhase moves to the next phase at the end of a tick if its condition is met.
+// updatePhase runs at the end of a tick. It sets the phase to Ready once the endpoint list is known, unless the
+// coordinator is already draining (moveTo), and to Stopped once Stop was called and no query is open. Attempts that
+// still run after their query was answered do not delay Stopped.
 func (c *Coordinator) updatePhase() {
 	if c.listReadiness.known {
 		c.phaseState.moveTo(Ready)
--- a/internal/core/tick.go
+++ b/internal/core/tick.go
@@ -48,8 +48,9 @@
 	c.rejectSubmitted()
 }
 
-// tick applies the queued messages, runs the timers that are due, and steps the decision module. Messages that arrive
-// while it applies others wait for the next tick, so that every tick ends.
+// tick applies the latest maintenance register, then the message that has woken Run, if any, and the queued messages.
+// It runs the timers that are due, steps the decision module, updates the phase, and reports the tick to the Admitter.
+// Messages that arrive while it applies others wait for the next tick, so that every tick ends.
 func (c *Coordinator) tick(received ...posted) {
 	c.now = max(c.now, c.cfg.Clock())
 	c.load.begin(c.now)
@@ -73,9 +74,9 @@
 }
 
 // step runs the decision module and performs its actions until these add no more events. The first round runs even
-// without events, because the module's timer may be due or time has passed since its last step. A further round needs
-// an event that an action has caused immediately: an attempt was not sent, or a first phase has begun or ended. The
-// loop terminates because the module requests finitely many such actions.
+// without events, because time has passed since the module's last step. A further round needs an event that an action
+// has caused immediately: an attempt was not sent, or a first phase or a deferral has ended. The loop terminates
+// because first phases and deferrals end once, and the module limits the attempts of a part.
 func (c *Coordinator) step() {
 	for first := true; first || len(c.events) > 0; first = false {
 		events := c.events
