--- a/internal/core/endpoint_updates.go
+++ b/internal/core/endpoint_updates.go
@@ -47,8 +47,8 @@
 }
 
 // mergeTable applies an update to the endpoint table and closes the idle connections to endpoints that it removes. It
-// returns the event for the decision module. mayWithhold is true if some endpoint may no longer be
-// sendable (Coordinator.sendable) after the update.
+// returns the event for the decision module. mayWithhold is true if some endpoint may no longer be sendable
+// (Coordinator.sendable) after the update.
 func (c *Coordinator) mergeTable(u endpointUpdate) (event scatter.EndpointUpdate, mayWithhold bool) {
 	before := map[string]listedEndpoint{} // former entries, for disconnectRemoved; zero for ids not in the table
 	if u.isFull() {
--- a/internal/decide/backoff/schedule.go
+++ b/internal/decide/backoff/schedule.go
@@ -8,11 +8,13 @@
 const (
 	// minFailureDelay is the shortest delay after a failed call.
 	minFailureDelay = NotifiedAfter / 24 // 0.25 s
-	// firstCallShare is the share of ListMaxAge within which a process makes its first call. The rest leaves time to
-	// repeat a failed call before ListMaxAge is over.
+	// firstCallShare is the share of ListMaxAge within which a process makes its first call, in a fleet that discovery
+	// cannot answer in time and if ListMaxAge is set. The rest leaves time to repeat a failed call before ListMaxAge is
+	// over.
 	firstCallShare = 0.5
 	// watchLostSlots is the spreading interval after a lost watch, in call slots per coordinator. The whole fleet has
-	// probably lost its watches together, so the interval allows for calls that take longer than one call slot.
+	// probably lost its watches together, so the interval allows for calls that take longer than one call slot. In a
+	// fleet of more than 4 coordinators it is longer than MaxSpread, which then replaces it.
 	watchLostSlots = 3
 )
 
@@ -21,9 +23,10 @@
 type Schedule struct {
 	// FleetSize is the number of coordinators that call the same discovery service.
 	FleetSize int
-	// ListMaxAge is the time after which changes count as notified to a coordinator that has not called discovery. It
-	// bounds the spreading interval of a fleet that discovery cannot answer in time (maxIntervalInTime). 0 sets no
-	// such bound.
+	// ListMaxAge is the time after which changes count as notified to a coordinator that has started and whose first
+	// call to discovery has not ended, if it is longer than NotifiedAfter (lease.New). Later, the times in
+	// notification.go hold. ListMaxAge also bounds the spreading interval of a fleet that discovery cannot answer in
+	// time (maxIntervalInTime). 0 sets no such bound.
 	ListMaxAge time.Duration
 	// UsesAgent reports whether calls go to an agent of this coordinator instead of the shared service.
 	UsesAgent bool
@@ -46,8 +49,8 @@
 
 // FirstDelayAtNewService returns how long to wait before the first call to a service that a reload has named, if the
 // endpoint list expires after expiresIn. A reload reaches the whole fleet at one instant. The coordinators of a fleet
-// that needs the whole time until its lists expire (needsWholeLease) spread their calls over that time; all others call
-// at once.
+// that needs the whole time until its lists expire (needsWholeLease) spread their calls over the interval that the
+// fleet needs, which ends CallTimeout before the expiry at the latest; all others call at once.
 func (s *Schedule) FirstDelayAtNewService(expiresIn time.Duration) time.Duration {
 	if s.UsesAgent || !s.needsWholeLease() {
 		return 0
@@ -55,8 +58,9 @@
 	return s.draw(min(s.spreadingInterval(1)-s.queueTime(), expiresIn-CallTimeout))
 }
 
-// WatchLostDelay returns how long to wait before the call that follows a lost watch. Unlike Failed it records nothing:
-// a lost watch does not show discovery's load, so it counts neither as a failure nor as a success.
+// WatchLostDelay returns how long to wait before the call that follows a lost watch. It is at most MaxSpread, so that
+// discovery answers this call before a change counts as notified (notification.go). Unlike Failed, WatchLostDelay
+// records nothing: a lost watch does not show discovery's load, so it counts neither as a failure nor as a success.
 func (s *Schedule) WatchLostDelay() time.Duration {
 	if s.UsesAgent {
 		return agentDelay
@@ -74,15 +78,16 @@
 }
 
 // Failed records that a call other than a watch failed after took, and returns how long to wait before the next call.
-// It is for a coordinator whose endpoint list does not expire.
+// It is for a coordinator whose endpoint list does not expire. With an agent it records nothing, and the delay is
+// always agentDelay.
 func (s *Schedule) Failed(took time.Duration) (delay time.Duration) {
 	return s.FailedBeforeExpiry(took, 0)
 }
 
 // FailedBeforeExpiry records what Failed records, and returns the delay for a coordinator whose endpoint list expires
 // after expiresIn. If the fleet is small enough (maxIntervalInLease), the next call is early enough for an answer
-// before the list expires. A list that has expired, or that expires before discovery can answer, does not shorten the
-// delay.
+// before the list expires. A list that has expired (expiresIn is 0 or less), or that expires before discovery can
+// answer, does not shorten the delay. Failed therefore passes 0.
 func (s *Schedule) FailedBeforeExpiry(took, expiresIn time.Duration) (delay time.Duration) {
 	if s.UsesAgent {
 		return agentDelay
@@ -92,13 +97,14 @@
 }
 
 // failureInterval is the interval, after minFailureDelay, from which the instant of the next call is drawn. In a fleet
-// that discovery cannot answer in time, its bound grows by MaxSpread with each call slot that failures add, up to
-// ListMaxAge, so that discovery can work off the calls that it has failed.
+// that discovery cannot answer in time, its bound is MaxSpread for each call slot per coordinator, up to ListMaxAge.
+// Failures multiply these slots (slotsGrowth), so that discovery can work off the calls that it has failed.
 //
 // A fleet that needs the whole time until its lists expire (needsWholeLease) is spread over its whole interval once a
 // call has failed because discovery lacked capacity: earlier calls would wait in discovery's queue until they fail, and
-// no coordinator would get an answer. This does not apply to a call that fails at once. Such a call takes no time of
-// discovery, so discovery may answer the next one.
+// no coordinator would get an answer. This applies until a call succeeds or the service changes, even after a call that
+// fails at once. It does not apply if all calls since then failed at once: such calls take no time of discovery, so
+// discovery may answer the next one.
 func (s *Schedule) failureInterval(expiresIn time.Duration) time.Duration {
 	slots := s.load.slots
 	longest := min(s.ListMaxAge, time.Duration(slots)*MaxSpread)
--- a/internal/decide/retry/key.go
+++ b/internal/decide/retry/key.go
@@ -6,15 +6,17 @@
 	"strings"
 )
 
-// IdempotencyKeyHeader is the name of the header in which clients of either front send the idempotency key.
+// IdempotencyKeyHeader is the name of the header in which clients of the platform front and of the OpenSearch front
+// send the idempotency key.
 const IdempotencyKeyHeader = "Idempotency-Key"
 
-// MaxKeyLength is the length of the longest valid key, in bytes.
+// MaxKeyLength is the length of the longest valid key, in bytes. All valid characters take one byte.
 const MaxKeyLength = 128
 
 // keyPunctuation lists the characters that a key may contain besides letters and digits. A comma, an equals sign or a
-// space would end the key in the list of keys that a frame carries. HTTP servers differ in how they read quotation
-// marks.
+// space would end the key in a frame, package platform's message to a replica, which carries the key in a list such as
+// "d=20,k=key". HTTP servers differ in how they read quotation marks, so a replica might read another key than the one
+// sent.
 const keyPunctuation = "-._~+/:"
 
 // Errors of Policy.Key. Their texts are sent to the client, so each names the header.
@@ -25,7 +27,8 @@
 	ErrRepeatedKey = errors.New(IdempotencyKeyHeader + " stands more than once")
 	// ErrEmptyKey is the error for an empty key.
 	ErrEmptyKey = errors.New(IdempotencyKeyHeader + " is empty")
-	// ErrLongKey is the error for a key of more than MaxKeyLength bytes.
+	// ErrLongKey is the error for a key of more than MaxKeyLength bytes, even if it also has characters that are not
+	// allowed.
 	ErrLongKey = fmt.Errorf("%s is longer than %d characters", IdempotencyKeyHeader, MaxKeyLength)
 	// ErrMalformedKey is the error for a key with a character that is not allowed in keys.
 	ErrMalformedKey = errors.New(IdempotencyKeyHeader + " may hold letters, digits and " + keyPunctuation + " only")
--- a/internal/decide/retry/policy.go
+++ b/internal/decide/retry/policy.go
@@ -1,10 +1,12 @@
 // Package retry decides whether and until when the coordinator may send a part of a query again, and which idempotency
-// key the attempts of the part carry. Package scatter decides how many retries are allowed (retry_budget.go).
+// key the attempts of the part carry. Package scatter decides how many retries are allowed, by the maximum number of
+// attempts of a part and by the retry budget (attempts.go, retry_budget.go).
 //
 // # Contract
 //
 // A Policy is a value without state, and its methods may be called from any goroutine. Queries do not affect each
-// other: a retry by the client is a separate query with its own deduplication window, even if it has the same key.
+// other: a retry by the client is a separate query, even if it has the same key, and its deduplication window begins
+// with its own attempts. Whether replicas drop it as a repeat is not decided here.
 package retry
 
 import (
@@ -12,7 +14,8 @@
 	"time"
 )
 
-// Idempotency states whether a part of a query may run more than once on replicas. It is a property of the class.
+// Idempotency states whether a part of a query may run more than once on replicas. It is a property of the query's
+// class.
 type Idempotency int
 
 const (
@@ -37,9 +40,9 @@
 	NeverRetryable = time.Duration(math.MinInt64)
 )
 
-// RetryableUntil returns the last instant at which another attempt of a part may begin if an earlier attempt may have
-// run. firstSent is the instant at which the first attempt that may have run was sent; the result is on the same clock.
-// The limit does not apply to a part none of whose attempts may have run.
+// RetryableUntil returns the last instant at which another attempt of a part may begin, that is, write its first byte,
+// if an earlier attempt may have run. firstSent is the instant at which the first attempt that may have run was sent;
+// the result is on the same clock. Callers apply the limit only to a part that has such an attempt.
 func (p Policy) RetryableUntil(firstSent time.Duration) time.Duration {
 	switch p.Idempotency {
 	case Idempotent:
--- a/internal/decide/settingsdiff/paths.go
+++ b/internal/decide/settingsdiff/paths.go
@@ -16,17 +16,19 @@
 // Flat holds settings by flat paths, in which a list entry is identified by its index: "classes.0.name".
 type Flat map[string]string
 
-// Named holds settings by paths in which a list entry is identified by its name: "classes[map].name".
+// Named holds settings by paths in which a list entry is identified by its name: "classes[search].name" for the
+// class named search.
 type Named map[string]string
 
-// lists are the settings' lists whose entries have names.
+// lists holds the path prefixes of the settings' lists whose entries have names.
 var lists = []string{classes, customers}
 
 const (
 	classes   = "classes"
 	customers = "customers"
 
-	// byClass is the path suffix of lists with one value for each class, in the order of the classes.
+	// byClass is the path suffix that marks a list with one value for each class, in the order of the classes. Such a
+	// list without the suffix (family_info.second_step) is compared as one setting.
 	byClass = "_by_class"
 )
 
@@ -52,7 +54,8 @@
 // indexedPath is the path of a key of a list entry, in the flat form "list.index.key".
 type indexedPath struct{ list, index, key string }
 
-// parseIndexedPath parses a path in the form of indexedPath. ok is false for a path outside the lists.
+// parseIndexedPath parses a path in the form of indexedPath. ok is false for a path outside the lists, and for a list's
+// length, such as "classes.count".
 func parseIndexedPath(path string) (p indexedPath, ok bool) {
 	for _, list := range lists {
 		if rest, found := strings.CutPrefix(path, list+"."); found {
@@ -64,8 +67,8 @@
 }
 
 // ByName converts settings to paths with entry names instead of indexes, so that an entry that moves within its list
-// does not count as changed. It splits a list with one value for each class into one setting for each class. An entry
-// without a name key keeps its index.
+// does not count as changed. It splits a list with one value for each class (byClass) into one setting for each class.
+// An entry without a name key keeps its index, but a class without one loses its values in such lists.
 func ByName(flat Flat) Named {
 	names := entryNames(flat)
 	named := Named{}
@@ -88,7 +91,7 @@
 	return named
 }
 
-// entryNames returns the names of all list entries, by their indexed paths without a key.
+// entryNames returns the names of the list entries that have one, by their indexed paths with an empty key.
 func entryNames(flat Flat) map[indexedPath]string {
 	names := map[indexedPath]string{}
 	for path, value := range flat {
--- a/internal/decide/twophase/shard_state.go
+++ b/internal/decide/twophase/shard_state.go
@@ -25,7 +25,7 @@
 	savingIfNotCached float64       // probability that a first phase saves a full query whose value is not cached
 	fullLatency       time.Duration // moving mean of the latency of full answers; 0 before the first one
 
-	versioned bool          // the latest readable answer had versions
+	versioned bool          // the latest answer had versions; unreadable first-phase answers do not count
 	hasNewest bool          // newest is valid
 	newest    Version       // newest version that any replica has shown
 	newestAt  time.Duration // when a replica last showed the newest version
--- a/internal/decide/twophase/verdict.go
+++ b/internal/decide/twophase/verdict.go
@@ -15,10 +15,13 @@
 
 // The verdicts.
 const (
-	Inconclusive Verdict = iota // nothing: the request failed, the answer is unreadable, or the replica lags behind
-	NeedsFull                   // the shard may have matches that are not cached
-	Empty                       // the shard has no match
-	Unchanged                   // the cached value equals the shard's present answer
+	// Inconclusive proves nothing: the request failed, the answer is unreadable, or the replica may lag behind. A
+	// replica may lag behind if its version is older than or conflicts with the newest one, or if it shows none although
+	// some replica has shown one.
+	Inconclusive Verdict = iota
+	NeedsFull            // the shard may have matches, and no cached value is proven to be valid
+	Empty                // the shard has no match
+	Unchanged            // the cached value equals the shard's present answer
 )
 
 // String returns the verdict in a word or two.
@@ -30,11 +33,14 @@
 func (v Verdict) Proves() bool { return v == Empty || v == Unchanged }
 
 // ObserveFirstPhase judges a shard's first-phase answer at now. It returns the cached value if the verdict is
-// Unchanged. deferred is whether the full query is still unsent: only then can the answer have saved it.
+// Unchanged. It also records the shard's newest version, drops cached values that the answer shows to be outdated, and
+// learns whether the first phase saved the full query. deferred is whether the full query is still unsent: only then
+// can the answer have saved it. The caller also passes failed first phases, with evidence that is not Readable: they
+// count as saving nothing.
 func (p *Planner) ObserveFirstPhase(t Topic, shard int, body string, ev Evidence, deferred bool,
 	now time.Duration) (v Verdict, value []byte) {
 	s := p.shard(t.Index, shard)
-	_, wasCached := s.lookUp(body)
+	_, wasCached := s.lookUp(body) // before judge, which may drop the value
 	v, value = p.judge(s, body, ev, now)
 	s.observeSaving(wasCached, v.Proves() && deferred)
 	return v, value
@@ -49,13 +55,13 @@
 		if !p.acceptVersion(s, ev.Version, now) {
 			return Inconclusive, nil
 		}
-	} else if s.hasNewest { // other replicas showed versions, so this one may lag behind by an unknown amount
+	} else if s.hasNewest { // some replica has shown a version, so this one may lag behind by an unknown amount
 		return Inconclusive, nil
 	}
 	if ev.Matches == 0 {
 		return Empty, nil
 	}
-	if value, ok := p.cache.get(s, body); ok && ev.Versioned {
+	if value, ok := p.cache.get(s, body); ok && ev.Versioned { // acceptVersion has dropped an outdated value
 		return Unchanged, value
 	}
 	return NeedsFull, nil
@@ -75,9 +81,10 @@
 func (p *Planner) WantsVersion(t Topic, shard int) bool { return p.shard(t.Index, shard).versioned }
 
 // ObserveFullWithVersion records the answer to a full query that requested the shard's version. It caches the value
-// unless the replica lags behind. An answer without versions shows that the shard no longer has them: no value of the
-// shard is then cached until a first-phase answer shows versions again. So it must not be called for a full query that
-// did not request the version.
+// unless the replica lags behind. An answer that is unreadable or has no versions counts as a sign that the shard no
+// longer has them: full queries then stop requesting the version, so no value of the shard is cached, until another
+// answer shows versions, usually that of a first phase. ObserveFullWithVersion must not be called for a full query that
+// did not request the version, because an answer without versions would then be no such sign.
 func (p *Planner) ObserveFullWithVersion(t Topic, shard int, body string, ev Evidence, value []byte,
 	now time.Duration) {
 	s := p.shard(t.Index, shard)
