--- a/internal/decide/twophase/verdict.go
+++ b/internal/decide/twophase/verdict.go
@@ -16,8 +16,8 @@
 // The verdicts.
 const (
 	// Inconclusive proves nothing: the request failed, the answer is unreadable, or the replica may lag behind. A
-	// replica may lag behind if its version is older than or conflicts with the newest one, or if it shows none although
-	// some replica has shown one.
+	// replica may lag behind if its version is older than or conflicts with the newest one, or if it shows none
+	// although some replica has shown one.
 	Inconclusive Verdict = iota
 	NeedsFull            // the shard may have matches, and no cached value is proven to be valid
 	Empty                // the shard has no match
