--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -34,15 +34,19 @@
 	// Dial opens the connection; nil for plain TCP.
 	Dial Dialer
 
+	// Only the goroutine that uses the Client accesses conn, so Abort, which any goroutine may call, reads opened.
 	conn   net.Conn                 // nil while there is no connection
 	reader *Reader                  // parses the answers on conn
-	opened atomic.Pointer[net.Conn] // the connection that was opened last, for Abort; nil before the first
+	opened atomic.Pointer[net.Conn] // the connection that was opened last, even if closed; nil before the first
 }
 
 // Do sends a request and returns its answer. written reports whether the whole request was written; if not, the server
-// cannot have handled it. The end of ctx ends the call. The error is an error of the connection, or an *Error for an
-// invalid answer. Do closes the connection after an error, after an answer with Close, when ctx has ended, and when
-// bytes follow the answer, because the next call would read them as its answer.
+// cannot have handled it. If ctx ends during the exchange, the error is a time-out of the connection, not ctx.Err().
+// Other errors are those of Connect or of the connection, or an *Error for an invalid answer.
+//
+// Do closes the connection after an error, because a message on it may be incomplete; after an answer with Close,
+// because the server ends the connection too; when ctx has ended, because the connection's deadline has passed; and
+// when bytes follow the answer, because the next call would read them as its answer.
 func (cl *Client) Do(ctx context.Context, req *Message) (answer *Message, written bool, err error) {
 	if cl.conn == nil {
 		if err := cl.Connect(ctx); err != nil {
@@ -59,14 +63,15 @@
 	if _, err := c.Write(req.Append(nil)); err != nil {
 		return nil, false, err
 	}
-	for {
+	for { // skips interim answers, with status 1xx, which precede the final one
 		if answer, err = cl.reader.Read(c); err != nil || answer.Status >= firstFinalStatus {
 			return answer, true, err
 		}
 	}
 }
 
-// Connect opens the connection. The error is the one that Dial returned.
+// Connect opens the connection. The error is the one that Dial returned. Connect must not be called while a connection
+// is open, because it would not close that one.
 func (cl *Client) Connect(ctx context.Context) error {
 	c, err := cl.Dial.Connect(ctx, cl.Address)
 	if err == nil {
@@ -76,18 +81,21 @@
 	return err
 }
 
-// Abort closes the connection before it returns. If another goroutine is in Do, that call ends with an error.
+// Abort closes the connection that was opened last, before it returns. If another goroutine is in Do and exchanges
+// messages on that connection, its call ends with an error; a Do that is still connecting continues. Abort does not
+// reset conn: if no Do is running, Alive does not notice the close, and the next Do fails instead of connecting.
 func (cl *Client) Abort() {
 	if c := cl.opened.Load(); c != nil {
 		(*c).Close()
 	}
 }
 
-// Alive reports whether the idle connection can be used for a request: it is open, and neither bytes nor an end of
-// stream nor an error wait to be read from it.
+// Alive reports whether the idle connection can be used for a request: there is one, and neither bytes nor an end of
+// stream nor an error wait to be read from it. Alive does not notice that Abort has closed the connection.
 func (cl *Client) Alive() bool { return cl.conn != nil && !socket.HasUnread(cl.conn) }
 
-// Close closes the connection. The next Do opens a new one.
+// Close closes the connection. The next Do opens a new one. Until then, Abort closes the old connection again, which
+// has no effect.
 func (cl *Client) Close() {
 	if cl.conn != nil {
 		cl.conn.Close()
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// pollInterval is the time between two polls of other processes' state files. It lets a call to one process take
-	// effect in all of them within a second.
+	// pollInterval is the time between two polls of other processes' state files. It lets a maintenance call to one
+	// process take effect in all of them within a second.
 	pollInterval = 100 * time.Millisecond
 	// syncTimeout is how long sync waits for files to be read and written. A maintenance call waits up to twice that,
 	// once before and once after the call takes effect.
 	syncTimeout = 300 * time.Millisecond
 	// writeErrorInterval is the minimum time between two log lines while the state file cannot be written.
 	writeErrorInterval = 10 * time.Second
-	// checkpointLifetime is the age from which a checkpoint is not restored: its rates are valid for a few rebalances
-	// of one second each.
+	// checkpointLifetime is the age from which a checkpoint is not restored: its rates, in parts per second, are valid
+	// for a few rebalances of the machine (package scatter), which happen once per second.
 	checkpointLifetime = 5 * time.Second
 )
 
@@ -35,7 +35,8 @@
 
 var errSyncTimeout = errors.New("operator: timed out waiting for state files to be read and written")
 
-// Coordinator is the coordinator that a Store notifies and queries. None of its methods may block.
+// Coordinator is the part of this process's coordinator that a Store calls: to notify it of changes, and to ask for its
+// state. None of its methods may block.
 type Coordinator interface {
 	// SetMaintenance replaces the register of maintenance calls. The caller must not change the register afterwards.
 	SetMaintenance(maintenance.Register)
@@ -44,12 +45,13 @@
 	// CheckReady returns nil if the coordinator is ready for queries, else an error with the reason.
 	CheckReady() error
 	// SetLimitsShared sets whether another process of the coordinator serves beside this one, so that both share the
-	// coordinator's limits.
+	// coordinator's limit on open queries and parts.
 	SetLimitsShared(bool)
 }
 
 // Store holds the state that the processes of a coordinator share. It is the Handler of an AdminServer. Create it with
-// NewStore, set Coordinator and EncodeList, call NotifyCoordinator, then start Run. Methods may be called from any
+// NewStore, set Coordinator and EncodeList, call NotifyCoordinator, then start Run. InheritedList and Checkpoint must
+// be called before Run, SetList and SetCheckpoint, which replace what they return. Methods may be called from any
 // goroutine unless their comment says otherwise.
 type Store struct {
 	Name        string               // of the coordinator; state files of other coordinators are ignored
@@ -72,7 +74,7 @@
 	nextEncoding time.Duration // earliest instant at which the endpoint list is encoded again
 	peers        peerWatch     // whether another process serves
 	writeErrorAt time.Duration // when a failed write was last logged; 0 for never
-	leftOut      []string      // parts that the last state file written lacks because of the size limit
+	leftOut      []string      // what StateDir.Write reported as left out of the last written file
 }
 
 // NewStore returns a Store that starts with the state that other processes stored. dir is nil if nothing is shared.
@@ -104,7 +106,8 @@
 	return c, false
 }
 
-// SetCheckpoint stores this process's checkpoint for a new process.
+// SetCheckpoint stores this process's checkpoint for a new process. It replaces the stored one, which merge may have
+// taken over from another process.
 func (s *Store) SetCheckpoint(c scatter.Checkpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,14 +138,15 @@
 		if c := o.Checkpoint; c != nil && (s.own.Checkpoint == nil || c.At > s.own.Checkpoint.At) {
 			s.own.Checkpoint = c
 		}
-		if o.ListAt > s.own.ListAt { // even if its list was left out: an older list must not count as the latest
+		if o.ListAt > s.own.ListAt { // even if Write left the list out: an older one must not count as latest
 			s.own.ListAt, s.own.List, s.own.Discovery = o.ListAt, o.List, o.Discovery
 		}
 	}
 	return registerChanged
 }
 
-// Run reads and writes files until ctx is done. It blocks and is called once, in a goroutine of the caller's.
+// Run calls syncFiles at each poll, and when sync asks for it, until ctx is done. A change that is not written by then
+// is not written at all. Run blocks and is called once, in a goroutine of the caller's.
 func (s *Store) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -161,8 +165,8 @@
 	}
 }
 
-// syncFiles reads the state files that other processes have changed, and writes this process's own if its state has
-// changed.
+// syncFiles reads the state files that other processes have changed, and notifies the coordinator of what they change
+// for it. It encodes the endpoint list if that is due, and writes this process's own file if its state has changed.
 func (s *Store) syncFiles() {
 	if s.StateDir == nil {
 		return
@@ -181,13 +185,14 @@
 		s.writeFailed(err)
 		return
 	}
-	if !slices.Equal(leftOut, s.leftOut) {
+	if !slices.Equal(leftOut, s.leftOut) { // also logged, with an empty leftOut, once nothing is left out any more
 		s.leftOut = leftOut
 		slog.Warn("state file written without the parts over its size limit", "left_out", strings.Join(leftOut, ", "))
 	}
 }
 
-// mergeAndTake merges other processes' state files, and returns this process's own and whether it must be written.
+// mergeAndTake merges other processes' state files, and returns this process's own and whether it must be written. It
+// clears unsaved; writeFailed sets it again.
 func (s *Store) mergeAndTake(others []StateFile) (own StateFile, unsaved bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
