--- a/internal/opensearch/search_answer.go
+++ b/internal/opensearch/search_answer.go
@@ -23,8 +23,8 @@
 // shardCounts is the wire form of the number of shards in an answer, by result.
 type shardCounts struct {
 	Total      int            `json:"total"`
-	Successful int            `json:"successful"` // skipped ones included
-	Skipped    int            `json:"skipped"`
+	Successful int            `json:"successful"` // parts with a value, pruned ones included
+	Skipped    int            `json:"skipped"`    // pruned parts, and those that a complete answer lacks
 	Failed     int            `json:"failed"`
 	Failures   []shardFailure `json:"failures,omitempty"`
 }
@@ -36,8 +36,8 @@
 	Reason cause  `json:"reason"`
 }
 
-// hits is the wire form of the hits of a search: of all shards in an answer to a client, of one shard in the value of a
-// part.
+// hits is the wire form of a search's hits. An answer to a client has those of all shards; the value of a part has
+// those of one shard.
 type hits struct {
 	Total    *hitCount         `json:"total,omitempty"`
 	MaxScore *float64          `json:"max_score"`
@@ -56,12 +56,14 @@
 	countAtLeast = "gte"
 )
 
-// emptyHits is the value of a shard without any hit, in the form in which a replica gives it.
+// emptyHits is the value of a shard without any hit, in the form in which a replica gives it. The core uses it for a
+// part if the first phase proves that the part's shard has no hit.
 var emptyHits = []byte(`{"total":{"value":0,"relation":"eq"},"max_score":null,"hits":[]}`)
 
 // searchReply builds the answer to a served search: the merged hits of all shards or, if a replica found a fault in the
-// request, that fault. The answer is marked complete, by timed_out false and no failed shards, only if the core reports
-// it complete.
+// request, that fault, of the first part that has one. The fault outweighs the values of all other parts, because it
+// concerns the request itself: other replicas would find the same. The answer is marked complete, by timed_out false
+// and no failed shards, only if the core reports it complete. took is the time since the search was parsed.
 func searchReply(s *search, q *core.Query, a core.Answer, took time.Duration) *http1.Message {
 	if m := replicaFault(a); m != nil {
 		return m
@@ -75,7 +77,8 @@
 	})
 }
 
-// countShards counts the parts of a query by result, and lists the failed ones.
+// countShards counts the parts of a query by result, and lists the failed ones. A pruned part counts as successful and
+// as skipped. A failed part gets the same reason whether it was late or failed otherwise; a section is a shard.
 func countShards(s *search, q *core.Query, a core.Answer) shardCounts {
 	counts := shardCounts{Total: len(q.Parts)}
 	for i, p := range q.Parts {
@@ -137,7 +140,8 @@
 	return m
 }
 
-// page returns at most size hits, after skipping the first from hits.
+// page returns at most size hits, after skipping the first from hits. MaxScore is the highest score of all merged hits,
+// on this page or not; it is null if size is 0.
 func (m *mergedHits) page(from, size int) hits {
 	page := hits{Total: &m.total, Hits: []json.RawMessage{}}
 	for _, h := range m.ranked[min(from, len(m.ranked)):min(from+size, len(m.ranked))] {
@@ -149,8 +153,9 @@
 	return page
 }
 
-// add adds the value of a shard. A value that is not hits counts as one hit. Hits that are not JSON objects are left
-// out.
+// add adds the value of a shard. A value that does not begin with a brace, cannot be decoded as hits, or has no list of
+// hits counts as one hit. A hit that is neither a JSON object nor null, or whose _score is neither a number nor null,
+// is left out.
 func (m *mergedHits) add(s *search, shard int, queryID string, value []byte) {
 	var v hits
 	if !bytes.HasPrefix(value, []byte("{")) || json.Unmarshal(value, &v) != nil || v.Hits == nil {
--- a/internal/opensearch/shard_set.go
+++ b/internal/opensearch/shard_set.go
@@ -8,13 +8,16 @@
 	"strings"
 )
 
-// This file determines the shards whose documents a search's query can match. It evaluates what a query requires of the
-// section field and leaves other clauses to the replicas. The result may contain too many shards, never too few.
+// This file determines the shards whose documents a search's query can match. A section is a shard, and the section
+// field is the field of a document that names its section. The coordinator evaluates term, terms and range queries on
+// the section field, match_none, and bool queries that combine them. It leaves all other queries to the replicas. The
+// result may contain too many shards, never too few.
 
-// maxQueryDepth is how deeply the queries of a search may be nested.
+// maxQueryDepth is how deeply queries may be nested within the outermost query of a search, which does not count.
 const maxQueryDepth = 20
 
-// leafQueries are the kinds of query whose content only replicas read, unless it is about the section field.
+// leafQueries are the kinds of query whose content only replicas read, except for term, terms and range queries on the
+// section field.
 var leafQueries = []string{"match_all", "match", "match_phrase", "match_phrase_prefix", "multi_match", "query_string",
 	"simple_query_string", "term", "terms", "range", "exists", "prefix", "wildcard", "regexp", "fuzzy", "ids",
 	"geo_bounding_box", "geo_distance", "geo_polygon", "geo_shape"}
@@ -42,9 +45,10 @@
 	s.contains = func(shard int) bool { return before(shard) && condition(shard) }
 }
 
-// parseQuery checks a query and returns the shards that can have hits for it. Its error is for the client: an unknown
-// kind of query, a malformed query, or queries nested too deeply. sectionField is the field that names a document's
-// section; depth is the number of queries that enclose this one.
+// parseQuery checks a query and returns the shards that can have hits for it. A query whose content only replicas read,
+// even match_all, gives all shards as an inexact set. The error is for the client: an unknown kind of query, a key that
+// a bool or range query does not support, a malformed query or section, or queries nested too deeply. depth is the
+// number of queries that enclose this one.
 func parseQuery(sectionField string, raw json.RawMessage, depth int) (shardSet, error) {
 	var query map[string]json.RawMessage
 	if json.Unmarshal(raw, &query) != nil || len(query) != 1 {
@@ -190,7 +194,8 @@
 	"lt":  func(shard, bound int) bool { return shard < bound },
 }
 
-// parseSection parses the number of a section, which clients may also send as a string.
+// parseSection parses the number of a section, which clients may also send as a string. It also accepts unbalanced
+// quotes, and numbers that no shard of the index has: the caller compares them with the index's shards.
 func parseSection(raw json.RawMessage) (shard int, err error) {
 	shard, err = strconv.Atoi(strings.Trim(string(raw), `"`))
 	if err != nil {
@@ -199,4 +204,6 @@
 	return shard, nil
 }
 
+// malformedSection returns the error for a section that is not a whole number in the range of int, and for a terms or
+// range query on the section field whose sections are not in a list or object.
 func malformedSection() error { return badRequestf(typeParsing, "sections are whole numbers") }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -23,7 +23,8 @@
 	Clock       core.Clock // the coordinator's clock
 }
 
-// queryBody is the JSON body of a query.
+// queryBody is the JSON body of a query. Each slice becomes a core.Part: its number is the part's Shard, its mass the
+// part's Weight. The filter becomes Query.Body, which each replica receives; it is not the HTTP body.
 type queryBody struct {
 	Slices []struct {
 		Slice *int     `json:"slice"`
@@ -73,8 +74,8 @@
 	return textReply(http.StatusNotFound, "no such path")
 }
 
-// query answers a query. The coordinator decides on admission by the class and tenant in the head, before the body is
-// parsed.
+// query answers a query. The coordinator decides on admission by the class, the tenant and the retry mark in the head,
+// before the body is parsed.
 func (f *Front) query(req *http1.Message, clientLeft <-chan struct{}) *http1.Message {
 	q, err := f.parseHead(req)
 	if err != nil {
@@ -85,7 +86,7 @@
 		return rejection(retryAfter)
 	}
 	q.Admitted = true
-	if err := parseBody(q, req.Body); err != nil {
+	if err := parseBody(q, req.Body); err != nil { // the admission is not undone
 		return textReply(http.StatusBadRequest, err.Error())
 	}
 	a := f.Coordinator.Execute(q, clientLeft)
@@ -109,14 +110,15 @@
 		}
 	}
 	data, err := json.Marshal(body)
-	if err != nil {
+	if err != nil { // not reached: numbers, strings and a bool can be encoded
 		return textReply(http.StatusInternalServerError, "failed")
 	}
 	header := textproto.MIMEHeader{"Content-Type": {"application/json"}}
 	return &http1.Message{Status: http.StatusOK, Header: header, Body: data}
 }
 
-// rejection returns the answer to a rejected query. It has no Retry-After header if retryAfter is 0.
+// rejection returns the answer to a rejected query. It has no Retry-After header if retryAfter is 0. This protocol's
+// Retry-After is in seconds, and may have a fraction.
 func rejection(retryAfter time.Duration) *http1.Message {
 	m := textReply(http.StatusTooManyRequests, "refused")
 	if retryAfter > 0 {
@@ -128,7 +130,8 @@
 // singleHeaders are the headers that a query may have at most once.
 var singleHeaders = []string{"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget", "X-Again"}
 
-// parseHead reads the headers of this protocol. The core checks the rules that apply to the queries of every protocol.
+// parseHead reads the headers of this protocol. The value 1 of X-Again marks a query that the client has sent before;
+// any other value marks none. The core checks the rules that apply to the queries of every protocol.
 func (f *Front) parseHead(req *http1.Message) (*core.Query, error) {
 	for _, h := range singleHeaders {
 		if len(req.Header[h]) > 1 {
@@ -150,8 +153,8 @@
 	}, nil
 }
 
-// parseBody reads a query's body and parts. It rejects a body that is not UTF-8, because decoding would change the data
-// that the parts carry.
+// parseBody reads a query's body and parts. It rejects a body that is not UTF-8, because decoding would change the
+// filter.
 func parseBody(q *core.Query, data []byte) error {
 	var body queryBody
 	if !utf8.Valid(data) {
@@ -173,14 +176,17 @@
 	return nil
 }
 
-// maxBudget is the longest time that a client may allow for a query.
+// maxBudget is the longest time that a client may allow for a query. The bound keeps the budget in the range of a
+// Duration; the core also applies the deadline of the query's class.
 const maxBudget = time.Hour
 
-// budgetUnits maps the letter at the end of a budget to its unit.
+// budgetUnits maps the letter at the end of a budget to its unit: m for milliseconds, u for microseconds.
 var budgetUnits = map[byte]time.Duration{'m': time.Millisecond, 'u': time.Microsecond}
 
-// parseBudget parses the time that a client allows: a number followed by the letter of its unit.
+// parseBudget parses X-Budget, the time that a client allows for a query from when the server has read the request: a
+// number without sign or exponent, followed by the letter of its unit. It rejects an empty or missing X-Budget.
 func parseBudget(s string) (time.Duration, error) {
+	// Trim removes all characters of a number; what remains is not allowed.
 	if s == "" || budgetUnits[s[len(s)-1]] == 0 || strings.Trim(s[:len(s)-1], "0123456789.") != "" {
 		return 0, invalidf("bad X-Budget %.40q", s)
 	}
--- a/internal/platform/replica_reader.go
+++ b/internal/platform/replica_reader.go
@@ -15,14 +15,18 @@
 	"harepass/internal/socket"
 )
 
-// lateReadTime bounds the time to read bytes that arrived before a deadline, after that deadline has passed.
+// lateReadTime bounds the time to read bytes that arrived before a deadline, after that deadline has passed. It has an
+// effect only within an answer: while no bytes are buffered, read sets another deadline. Each expiry that finds unread
+// bytes starts it again, without a limit.
 const lateReadTime = 50 * time.Millisecond
 
 // read handles answers until the connection ends or is no longer usable. Each answer has to arrive completely within
-// Caller.ResponseTimeout of its first bytes, so that an answer which never ends does not delay those behind it.
+// Caller.ResponseTimeout of its first bytes, so that an answer which never ends does not delay those behind it. read
+// fetches the time-outs for each read, since Configure may change them. After it has returned, run closes the
+// connection, and endOutstanding ends the attempts that remain.
 func (c *replicaConn) read(conn net.Conn) {
 	var b buffer.Buffer
-	inAnswer := false // an answer has begun, and has its deadline
+	inAnswer := false // an answer has begun, and the read deadline is that answer's
 	for {
 		handled, usable := c.handleBuffered(&b)
 		if !usable {
@@ -33,7 +37,7 @@
 		switch {
 		case b.Len() == 0: // the deadline makes the reader check periodically whether the connection is idle
 			conn.SetReadDeadline(time.Now().Add(idle))
-		case c.closeIfIdle(0): // no attempt awaits these bytes, and they would corrupt the next answer
+		case c.closeIfIdle(0): // only if no attempt awaits these bytes, which would corrupt the next answer
 			return
 		case !inAnswer:
 			inAnswer = true
@@ -41,7 +45,9 @@
 		}
 		_, err := b.Fill(conn)
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
-		case late && socket.HasUnread(conn): // this process was delayed: it still reads bytes that arrived in time
+		// If this process was delayed, it still reads bytes that arrived in time. HasUnread cannot tell these from
+		// bytes that arrived after the deadline.
+		case late && socket.HasUnread(conn):
 			conn.SetReadDeadline(time.Now().Add(lateReadTime))
 		case late && b.Len() > 0:
 			c.rejectAnswer(b.Bytes(), fmt.Errorf("%w: answer incomplete at its time-out", errMalformed))
@@ -77,7 +83,7 @@
 	switch kind {
 	case frameAnswer:
 		return c.handleAnswer(payload, moreBuffered)
-	case frameError: // the replica closes the connection
+	case frameError: // the replica closes the connection, so the attempts end as after a connection error
 		slog.Debug("replica rejected a frame", logmsg.KeyReplica, c.replica, "text", string(payload))
 		return false
 	}
@@ -85,8 +91,10 @@
 	return false
 }
 
-// handleAnswer handles an answer. A duplicate answer, or one to a part that was cancelled, changes nothing. Bytes
-// behind the last awaited answer are malformed: handleAnswer closes the connection before another call can use it.
+// handleAnswer handles an answer. A duplicate answer, or one to an attempt that is settled, changes nothing; an
+// attempt that is cancelled but not settled takes its answer. Bytes behind the last awaited answer are malformed:
+// handleAnswer closes the connection before another call can use it. It need not discard the connection, because no
+// other attempt is outstanding on it.
 func (c *replicaConn) handleAnswer(payload []byte, moreBuffered bool) (usable bool) {
 	a, err := parseAnswer(payload)
 	if err != nil {
@@ -112,9 +120,10 @@
 	return !hasUnexpectedBytes
 }
 
-// rejectAnswer discards the connection because of a malformed answer. data is that answer from its length on, as far as
-// it has arrived. If data names no outstanding part and the frame of exactly one part has been begun, the answer counts
-// as that part's. The reader then ends, and endOutstanding reports the outcomes.
+// rejectAnswer discards the connection because of a malformed answer. data is that answer's frame, from its length
+// field on, as far as it has arrived; nil if it cannot name an attempt. If find returns no attempt for data, and
+// exactly one outstanding attempt's frame has been begun, the answer counts as that attempt's. The reader then ends,
+// and endOutstanding reports the outcomes.
 func (c *replicaConn) rejectAnswer(data []byte, err error) {
 	slog.Debug("replica answer malformed", logmsg.KeyReplica, c.replica, logmsg.KeyError, err)
 	var failed *sentAttempt
@@ -138,8 +147,8 @@
 }
 
 // find returns the attempt that an answer belongs to: the part's first attempt whose frame has been begun and that is
-// not cancelled, or else one that is cancelled but not settled. known reports whether this connection carries or has
-// carried the part.
+// not cancelled, or else one that is cancelled but not settled. known reports whether the part has such an attempt or
+// is in settledIDs. It is false for a part whose attempts are all queued, or that was settled too long ago.
 func (c *replicaConn) find(id string) (found *sentAttempt, known bool) {
 	c.caller.mu.Lock()
 	defer c.caller.mu.Unlock()
