--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -15,8 +15,8 @@
 
 // Update is what one answer has changed. Config.Apply may keep it after it has returned.
 type Update struct {
-	// Slice is the answer as received, for consumers that keep a version log of their own. The other fields are for
-	// consumers that keep entries.
+	// Slice is the answer as received. Relays apply it to their own version log. Consumers that keep entries use
+	// Entries and MissingFromSnapshot instead, and only the slice's version.
 	Slice versionlog.Slice
 	// Entries are the changed entries and the tombstones of removed entries, in the order of their indexes.
 	Entries []versionlog.Entry
@@ -25,7 +25,8 @@
 	MissingFromSnapshot []string
 	// SnapshotCompleted reports that the answer was the last slice of a snapshot.
 	SnapshotCompleted bool
-	// Complete reports that the local copy has the log's whole state at the slice's version.
+	// Complete reports that the local copy has the whole state of the source's log at the slice's version, and
+	// that no newer version is known.
 	Complete bool
 	// Source is the address of the source that answered.
 	Source string
@@ -34,7 +35,7 @@
 // Follower keeps a local copy of one resource. Create it with New, and start it with Run.
 type Follower struct {
 	cfg       Config
-	dial      http1.Dialer // cfg.Dial with a count of the bytes
+	dial      http1.Dialer // cfg.Dial; its connections add their bytes to totals
 	startedAt time.Time    // origin of the selector's clock
 
 	// Only Run's goroutine uses the following fields.
@@ -49,7 +50,9 @@
 	totals totals
 }
 
-// currentSource is what the answers of the current source have shown.
+// currentSource is what the answers of the current source have shown. When the Follower switches to a source that it
+// has probed, it sets served at once. The other fields, and Follower.lag, keep the former source's values until the
+// next answer is applied.
 type currentSource struct {
 	served        bool          // the source has sent a usable answer since it became the current one
 	moreAvailable bool          // the last applied answer contained something new and announced another slice
@@ -93,9 +96,9 @@
 // follow polls the source, and any better source that it switches to, until it leaves the current one or ctx ends.
 func (f *Follower) follow(ctx context.Context, source failover.Source) {
 	client := f.client(source)
-	defer func() { client.Close() }()
+	defer func() { client.Close() }() // closes the client as of the return: a switch replaces it
 	defer f.clearSource()
-	for first := true; ; {
+	for first := true; ; { // first: the next poll is the first of its source
 		err := f.poll(ctx, client, f.maxWait(first))
 		first = false
 		if ctx.Err() != nil {
@@ -118,7 +121,7 @@
 		Limits: http1.Limits{Head: http1.DefaultLimits.Head, Body: f.cfg.MaxBody}}
 }
 
-// recordFollowed records and logs that a new current source has sent its first usable answer.
+// recordFollowed records and logs that a new current source has sent its first usable answer, to a poll or a probe.
 func (f *Follower) recordFollowed(source failover.Source) {
 	f.current.served = true
 	f.totals.switches.Add(1)
@@ -127,7 +130,8 @@
 		"zone", source.Zone, "region", source.Region)
 }
 
-// clearSource records that no source is followed.
+// clearSource records that no source is followed. The next source's first applied answer replaces moreAvailable and
+// staleness.
 func (f *Follower) clearSource() {
 	f.current.served = false
 	f.lag.reset()
--- a/internal/inventory/csv.go
+++ b/internal/inventory/csv.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	// columns are the columns that a CSV file may have.
+	// columns are the columns that a CSV file may have. The cell is the ring position.
 	columns = []string{columnName, columnAddress, columnPort, columnCell, columnZone, columnAPI}
 	// requiredColumns are the columns that a CSV file must have.
 	requiredColumns = []string{columnName, columnPort, columnCell}
@@ -19,7 +19,7 @@
 // byteOrderMark is written by some spreadsheet programs at the start of a file.
 const byteOrderMark = "\ufeff"
 
-// readCSV reads the hosts of a CSV file, one per row.
+// readCSV reads the hosts of a CSV file, one per row. Lines that begin with # are comments.
 func (f *file) readCSV(data []byte) error {
 	r := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(data, []byte(byteOrderMark))))
 	r.TrimLeadingSpace = true
@@ -41,6 +41,7 @@
 		}
 		values := map[string]string{}
 		for i, value := range row {
+			// i is in range: the CSV reader rejects rows that do not have as many fields as the header.
 			values[header[i]] = strings.TrimSpace(value)
 		}
 		line, _ := r.FieldPos(0)
@@ -50,7 +51,8 @@
 	}
 }
 
-// normalizeHeader converts the names in the header row to the spelling in columns, and checks them.
+// normalizeHeader converts the names in the header row to the spelling in columns, in place, and checks them. Its
+// errors name line 1, even if comment lines precede the header row.
 func (f *file) normalizeHeader(header []string) error {
 	for i, name := range header {
 		header[i] = strings.ToLower(strings.TrimSpace(name))
@@ -69,7 +71,9 @@
 	return nil
 }
 
-// csvError adds the line in the file to an error of the CSV reader.
+// csvError adds the line in the file to an error of the CSV reader: the line of the fault, which may come after the
+// line on which the row begins. io.EOF can only come from reading the header row, since readCSV handles it for other
+// rows.
 func (f *file) csvError(err error) error {
 	var syntax *csv.ParseError
 	switch {
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// batchInterval is how long changes are collected after the first change of a batch, so that changes with one cause
-	// reach readers in one slice.
+	// batchInterval is how long changes are collected after the first change of a batch, so that several changes with a
+	// common cause reach readers in one slice.
 	batchInterval = 30 * time.Millisecond
 	// maxDiscoveryBody is the size limit of the body of a discovery answer, in bytes.
 	maxDiscoveryBody = 4 << 20
@@ -40,7 +40,7 @@
 	// CheckSettings checks settings before they are published.
 	CheckSettings SettingsCheck
 
-	settings json.RawMessage // the settings published last; nil before the first publication
+	settings json.RawMessage // the settings published last; nil before the first publication; only Load uses it
 }
 
 // Load reads the files and publishes their changes. It is called at the start and for each reload, by one goroutine at
@@ -93,10 +93,13 @@
 	return nil
 }
 
-// neverStale is the staleness function of a resource that is published from a file: no newer version exists.
+// neverStale is the staleness function of a resource that is published from a file. A file that has changed since the
+// last Load does not count as a newer version.
 func neverStale() time.Duration { return 0 }
 
 // Run follows the discovery service and publishes its changes until ctx ends. It returns at once if Discovery is empty.
+// Load may run concurrently. The resource's staleness is that of the follower's copy: it includes neither the time that
+// changes wait in a batch nor that the log has rejected some.
 func (a *Authority) Run(ctx context.Context) {
 	if a.Discovery == "" {
 		return
@@ -107,7 +110,7 @@
 		Apply: func(update distribution.Update) {
 			select {
 			case changes <- changesOf(update):
-			case <-ctx.Done():
+			case <-ctx.Done(): // publishBatches may have returned, and must not block the follower
 			}
 		}})
 	a.Endpoints.SetStaleness(func() time.Duration { return follower.Status().Staleness })
@@ -119,8 +122,8 @@
 
 // publishBatches publishes incoming changes in batches, each of them batchInterval after its first change, until ctx
 // ends. A batch that is not due by then is dropped. Changes that the log rejects are left out of their batch. The line
-// "version published" is logged for each batch with at least one valid change, even if the batch changes nothing: then
-// its count of changes is 0, and its version is the previous one.
+// "version published" is logged for each batch that is empty or has at least one valid change, even if the batch
+// changes nothing: then its count of changes is 0, and its version is the previous one.
 func (a *Authority) publishBatches(ctx context.Context, incoming <-chan []versionlog.Change) {
 	var batch []versionlog.Change
 	var due <-chan time.Time
@@ -140,8 +143,8 @@
 }
 
 // publishBatch publishes the valid changes of a batch. The log accepts a batch as a whole or not at all, so a batch
-// with an invalid change is published change by change. Otherwise the valid changes, which may include a drain, would
-// wait until discovery sends them again.
+// with an invalid change is published change by change. If the whole batch were dropped, its valid changes, which may
+// include a drain, would wait until discovery sends them again.
 func (a *Authority) publishBatch(batch []versionlog.Change) {
 	published, err := a.Endpoints.Publish(batch)
 	if err == nil {
@@ -191,7 +194,8 @@
 	return buffer.Bytes()
 }
 
-// logPublished logs the number of published changes of a resource, and the resource's version after them.
+// logPublished logs the number of published changes of a resource, and the resource's version after them. It reads the
+// version under a lock of its own, so the version may already include a later publication.
 func logPublished(path distribution.Path, resource *Resource, changes int) {
 	head := resource.Head()
 	slog.Info("version published", logmsg.KeyResource, path.ResourceName(), "changes", changes, "epoch", head.Epoch,
--- a/internal/relay/read.go
+++ b/internal/relay/read.go
@@ -13,7 +13,7 @@
 // limit get emptyRetryAfter without the extra wait.
 const emptyRetryAfter = 400 * time.Millisecond
 
-// Rejection is the reason why a reader gets no slice.
+// Rejection is the reason why a reader gets no slice, or NotRejected if it gets one.
 type Rejection int
 
 // Reasons of rejections.
@@ -32,12 +32,15 @@
 	RetryAfter time.Duration
 	// Body is the slice as JSON. Readers share it, so it must not be modified.
 	Body []byte
-	// Staleness is the time since the resource was last known to be the authority's newest version.
+	// Staleness is the time since the resource was last known to be the authority's newest version; 0 in a rejection.
+	// In an authority that follows discovery, it disregards changes that are not published yet or were rejected
+	// (Authority.Run).
 	Staleness time.Duration
 }
 
-// Read answers a reader's call. It returns at once if the call is rejected or the reader lacks something that the
-// resource has. Otherwise it waits for a new version, until maxWait is over, clientLeft is closed or ctx has ended.
+// Read answers a reader's call. It returns at once if the call is rejected, the reader's version is not the resource's,
+// or the reader is within a snapshot. Otherwise it waits for a new version, until maxWait is over, clientLeft is closed
+// or ctx has ended. If there is none by then, it returns a heartbeat, which is a slice without entries.
 func (r *Resource) Read(ctx context.Context, clientLeft <-chan struct{}, from versionlog.Cursor,
 	maxWait time.Duration) Reply {
 	timer := time.NewTimer(maxWait)
@@ -76,7 +79,7 @@
 	case r.log.Behind(from):
 		r.counters.RejectedBehind++
 		return Reply{Rejection: Behind}, nil
-	case !last && from.Version == r.log.Version() && from.Base == 0:
+	case !last && from.Version == r.log.Version() && from.Base == 0: // up to date and not within a snapshot
 		r.waiting++
 		return Reply{}, r.changed
 	}
@@ -94,12 +97,13 @@
 }
 
 // admit reports whether a reader may get its next slice now; if not, it returns how long to wait before the next call.
-// A reader that begins a snapshot needs budget for the whole snapshot. The caller must hold the lock.
+// A reader that begins a snapshot needs budget for the whole snapshot, unless that fits into a single answer
+// (SnapshotBudget.admit). The caller must hold the lock.
 func (r *Resource) admit(from versionlog.Cursor) (retryAfter time.Duration, admitted bool) {
 	if !r.log.NeedsSnapshot(from) {
 		return 0, true
 	}
-	_, bytes := r.log.Live()
+	_, bytes := r.log.Live() // size of the bodies of all entries that are not tombstones
 	if retryAfter, admitted := r.budget.admit(bytes); !admitted {
 		r.counters.SnapshotsRejected++
 		return retryAfter, false
