--- a/internal/decide/scatter/admission.go
+++ b/internal/decide/scatter/admission.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Admission depends on pressure: a query's predicted latency as a share of its latency objective.
+// Admission depends on pressure: the predicted latency of the slowest part that a query's minimum answer needs, as a
+// share of the query's latency objective.
 const (
 	overQuotaPressure = 0.25 // above this, queries beyond their tenant's quota are rejected
 	shedFrom          = 0.4  // above this, queries are shed at random, with a probability that grows from 0
@@ -18,9 +19,10 @@
 	// maxTimeShare is the largest share of its remaining time that an admitted query may be predicted to need.
 	maxTimeShare = 0.9
 
-	// Above a pressure of skipLowWeightFrom, low-weight parts are left out of queries that allow partial answers. The
-	// weight limit grows from 0, would reach 1 at skipLowWeightAll, and is capped at maxLowWeight, as multiples of the
-	// mean weight of the query's parts.
+	// Above a pressure of skipLowWeightFrom, low-weight parts are left out of queries that allow partial answers. A
+	// part has low weight if it weighs less than a multiple of the mean weight of the query's parts. That multiple
+	// grows with the pressure from 0 at skipLowWeightFrom, would reach 1 at skipLowWeightAll, and is capped at
+	// maxLowWeight.
 	skipLowWeightFrom = 0.25
 	skipLowWeightAll  = 0.4
 	maxLowWeight      = 0.9
@@ -51,7 +53,8 @@
 	return &quota{rate: rate, burst: burst, tokens: burst}
 }
 
-// withRate returns the bucket at another rate, with the tokens saved so far. For a nil quota it returns a full bucket.
+// withRate returns the bucket at another rate, with the tokens saved so far, at most the new burst. The time since
+// updatedAt will be credited at the new rate. For a nil quota, of a tenant that had none, it returns a full bucket.
 func (b *quota) withRate(rate float64) *quota {
 	next := newQuota(rate)
 	if b != nil {
@@ -72,8 +75,8 @@
 	return within
 }
 
-// admit rejects a query that cannot meet its objective, sheds load as pressure grows, and leaves out the parts of an
-// admitted query that its answer can do without.
+// admit rejects a query that is predicted to need too much of the time until its answer is due, sheds load as pressure
+// grows, and leaves out the parts of an admitted query that its answer can do without.
 func (m *Machine) admit(q *query) {
 	q.admissionDecided = true
 	q.normalizeWeights()
@@ -87,8 +90,9 @@
 	m.skipParts(q, pressure)
 }
 
-// decideShed decides whether a query is rejected: because it is predicted to be late, because its tenant is beyond its
-// quota, or at random.
+// decideShed decides whether a query is rejected: because it is predicted to need more than maxTimeShare of the time
+// until its answer is due; because its tenant is beyond its quota, pressure is above overQuotaPressure, and
+// OverQuotaWeight is below 1; or at random.
 func (m *Machine) decideShed(q *query, pressure float64) bool {
 	remaining := float64(q.answerDue - m.now)
 	shed := pressure*float64(q.class.LatencyObjective) > maxTimeShare*remaining
@@ -103,17 +107,19 @@
 	return probability > 0 && m.random.Float64() < min(probability, maxShed)
 }
 
-// relaxPrediction lowers the prediction after a rejection, as if the query had brought one sample at the initial
-// latency. Rejected queries bring no samples of their own, so the prediction would otherwise stay high.
+// relaxPrediction lowers the prediction after a rejection, as if the query had brought one sample: it pulls loadFactor
+// down towards 1, and the class's mean latency down towards the initial latency. Rejected queries bring no samples of
+// their own, so the prediction would otherwise stay high.
 func (m *Machine) relaxPrediction(c *class) {
 	m.loadFactor -= meanGain * max(0, m.loadFactor-1)
 	initial := initialLatency * c.LatencyObjective.Seconds()
 	c.meanLatency += meanGain * (min(c.meanLatency, initial) - c.meanLatency)
 }
 
-// skipParts leaves out parts of unavailable shards if a partial answer without them is allowed. It also leaves out
-// low-weight parts and parts of overloaded shards, but at most until the remaining weight is halfway between the
-// complete and the minimum fraction. A query that needs an unavailable shard is given up.
+// skipParts leaves out parts of unavailable shards, parts with low weight, and parts of overloaded shards. It goes
+// through the parts in ascending order of weight and counts the remaining weight down from CompleteFraction: to the
+// minimum weight for unavailable shards, and to halfway between the two for the others. A query is given up at the
+// first part of an unavailable shard that it cannot do without, possibly because low-weight parts were left out before.
 func (m *Machine) skipParts(q *query, pressure float64) {
 	byWeight := slices.Clone(q.parts)
 	slices.SortStableFunc(byWeight, func(x, y *part) int { return cmp.Compare(x.Weight, y.Weight) })
@@ -141,8 +147,9 @@
 	return m.expectedLatency(p) > overloadedFrom*objective && m.random.Float64() < skipOverloaded
 }
 
-// shardUnavailable reports whether all holders of a part's shard are being avoided: the part would add to an overload
-// and wait there without being served. A coordinator of a small fleet always tries.
+// shardUnavailable reports whether all ready holders of a part's shard are being avoided, or it has none: the part
+// would add to an overload and wait there without being served. In a small fleet, which avoids no replicas, no shard is
+// unavailable.
 func (m *Machine) shardUnavailable(p *part) bool {
 	open := func(r *replica) bool { return m.now >= r.health.avoidUntil }
 	return m.placement.fleetFactor > 1 && !slices.ContainsFunc(m.shardOf(p.Shard).readyHolders, open)
--- a/internal/decide/scatter/attempts.go
+++ b/internal/decide/scatter/attempts.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// retryDelayShare is the delay before a part's third attempt and later ones, as a share of the latency objective: two
-// failures in a row mean that the part's shard is overloaded or lost. A probe counts as an attempt.
+// retryDelayShare is the delay before a part's next attempt, as a share of the latency objective, when an attempt ends
+// without success and is not the part's only one: two attempts without success mean that the part's shard is overloaded
+// or lost. Probes, hedged requests and cancelled attempts count too.
 const retryDelayShare = 0.2
 
 // mayAttempt reports whether another attempt of a part may begin now. The first one always may. A later one has to keep
@@ -20,8 +21,8 @@
 		(!p.mayHaveRun || m.now <= c.RetryPolicy().RetryableUntil(p.firstSent))
 }
 
-// sendPart sends an attempt of a part and, if a probe is due, that probe as well. Without hedged requests the probe
-// replaces the attempt.
+// sendPart sends an attempt of a part and, if a probe is due, that probe as well. The probe replaces the attempt
+// without hedged requests, and if mayAttempt then refuses a second attempt.
 func (m *Machine) sendPart(p *part) {
 	r, probed := m.pickReplica(p, false), m.dueProbe(p)
 	if probed != nil {
@@ -40,14 +41,14 @@
 		r.slowStart.tokens--
 	}
 	if r.health.ejected {
-		r.health.nextProbe = m.now + r.health.probeBackoff
+		r.health.nextProbe = m.now + r.health.probeBackoff // without fleetBackoff; the outcome may change it
 	}
 	at := &attempt{part: p, number: len(p.attempts), replica: r, sentAt: m.now, toEjected: r.health.ejected}
 	if len(r.attempts) == 0 && r.lastUsed > 0 {
 		at.connectionIdle = m.now - r.lastUsed
 	}
 	if !m.idleConnections.trusts(at.connectionIdle) {
-		at.connectionIdle = 0
+		at.connectionIdle = 0                     // its connection will be new
 		m.do(CloseIdleConnections{Replica: r.ID}) // so that the part opens a new connection
 	}
 	r.lastUsed = m.now
@@ -72,7 +73,7 @@
 	at.replica.lastUsed = m.now
 	at.detach(e.Outcome.neverRan())
 	m.recordOutcome(at.replica, p.query.class, at, e)
-	if p.query.closed || !slices.Contains(p.query.parts, p) {
+	if p.query.closed || !slices.Contains(p.query.parts, p) { // ended, or the part is of its first round
 		m.cancelAttempts(p)
 		return
 	}
@@ -84,8 +85,9 @@
 	}
 }
 
-// cancelAttempts cancels a part's outstanding attempts if the settings allow it, except those at ejected replicas:
-// these are probes, whose outcome is needed. A part without outstanding attempts is forgotten.
+// cancelAttempts cancels a part's outstanding attempts if the settings allow it, except those to replicas that were
+// ejected at the time of sending: their outcome shows whether the replica has recovered, for probes and for attempts
+// that found no usable replica. A part without outstanding attempts is forgotten.
 func (m *Machine) cancelAttempts(p *part) {
 	for _, at := range p.attempts {
 		if m.settings.Cancellation && !at.ended && !at.cancelled && !at.toEjected {
@@ -123,7 +125,8 @@
 	p.outstandingCount++
 }
 
-// detach records the end of an attempt. neverRan means that the attempt is proven not to have run.
+// detach records the end of an attempt, which remains in its part's list. neverRan means that the attempt is proven not
+// to have run. An attempt that is still outstanding counts as one that may have run.
 func (at *attempt) detach(neverRan bool) {
 	at.ended, at.neverRan = true, neverRan
 	r, p := at.replica, at.part
--- a/internal/decide/scatter/checkpoint.go
+++ b/internal/decide/scatter/checkpoint.go
@@ -8,15 +8,16 @@
 
 // Checkpoint is what a Machine has learned. It is passed on to another Machine of the same coordinator that uses the
 // same clock. Without it, a new version of the program would send to replicas that are in slow start, ejected or
-// overloaded as if it knew nothing of them. Instants are on the coordinator's clock. The JSON names are part of the
-// stored format and must not change.
+// overloaded as to healthy ones until it had learned their state itself. Instants are on the coordinator's clock. The
+// JSON names are part of the stored format and must not change.
 type Checkpoint struct {
-	At           time.Duration `json:"at"`
-	WarmedUpRate float64       `json:"warm"`    // parts per second served by each warmed up replica
-	DemandRate   float64       `json:"asked"`   // parts per second of admitted queries for each usable replica
-	Intervals    float64       `json:"refills"` // rebalance intervals over which these rates were observed
-	LoadFactor   float64       `json:"strain"`  // recent latency of parts, as a multiple of what class and replica take
-	// IdleLimit is the shortest time that lost connections had been unused.
+	At           time.Duration `json:"at"`   // time of the Machine's last step
+	WarmedUpRate float64       `json:"warm"` // parts per second served by each warmed up replica
+	// DemandRate is parts per second of admitted queries for each usable replica, of which at most RingSize count.
+	DemandRate float64 `json:"asked"`
+	Intervals  float64 `json:"refills"` // rebalance intervals over which these rates were observed
+	LoadFactor float64 `json:"strain"`  // recent latency of parts, relative to class mean times latency ratio
+	// IdleLimit is the shortest time that lost connections had been unused, raised since at each periodic rebalance.
 	IdleLimit time.Duration       `json:"idle_limit"`
 	Classes   []ClassCheckpoint   `json:"classes"`
 	Replicas  []ReplicaCheckpoint `json:"replicas"`
@@ -34,7 +35,7 @@
 // ReplicaCheckpoint is what was learned of a replica. Lists are by class, in the order of Checkpoint.Classes.
 type ReplicaCheckpoint struct {
 	ID                    string        `json:"id"`
-	StartedAt             time.Duration `json:"since"` // start of the process that this was learned of
+	StartedAt             time.Duration `json:"since"` // start of the process that the figures are of
 	LatencyRatio          float64       `json:"ratio"`
 	SlowStartFrom         time.Duration `json:"cold_from,omitempty"`
 	Ejected               bool          `json:"suspect,omitempty"`
@@ -59,7 +60,8 @@
 	ClassLastUnanswered    []time.Duration `json:"lost_at,omitempty"`
 }
 
-// ShardCheckpoint is a shard's traffic by class, in parts per rebalance interval.
+// ShardCheckpoint is a shard's traffic by class. Rates are sums of its parts that decay at each periodic rebalance, as
+// in shard.rates.
 type ShardCheckpoint struct {
 	Number int       `json:"no"`
 	Rates  []float64 `json:"rates"`
@@ -127,8 +129,10 @@
 }
 
 // Restore takes over what another Machine has learned of the classes and replicas that this one knows, so the endpoint
-// list has to be passed to Step before. It is for a Machine that has learned nothing yet. Figures of a replica that has
-// restarted since are skipped, and so are impossible figures. Open queries and saved tokens are not passed on.
+// list has to be passed to Step before, and of all shards of the checkpoint. It is for a Machine that has learned
+// nothing yet. Figures of a replica that has restarted since are skipped, and so are lists of the wrong length and
+// impossible latencies, ratios, rates, load factors and idle limits; counts and other instants are not checked. Not
+// passed on are, among others, open queries, saved tokens, the retry budget's counts and idleBeforeReset.
 func (m *Machine) Restore(c Checkpoint) {
 	from := make([]int, len(m.classes.list)) // a class's index in the checkpoint; negative if it is missing
 	for i, k := range m.classes.list {
@@ -172,7 +176,8 @@
 	c.updateQuantiles()
 }
 
-// appliesTo reports whether a checkpoint is of the replica's present process and has figures for each of its classes.
+// appliesTo reports whether a checkpoint is of the replica's listed process or a later one, has a possible latency
+// ratio, and has figures for each of the checkpoint's classes.
 func (saved *ReplicaCheckpoint) appliesTo(r *replica, classes int) bool {
 	return r.StartedAt <= saved.StartedAt && isPositive(saved.LatencyRatio) &&
 		len(saved.ClassConsecutiveFaults) == classes && len(saved.ClassExcludedUntil) == classes &&
@@ -202,7 +207,7 @@
 		idleBeforeReset:       r.health.idleBeforeReset,
 		mayHaveRestarted:      saved.MayHaveRestarted,
 	}
-	r.classHealth = reorder(saved.byClass(), from)
+	r.classHealth = reorder(saved.healthByClass(), from)
 	r.slowStart.from = max(r.slowStart.from, saved.SlowStartFrom)
 	r.slowStart.tokens, r.slowStart.updatedAt = 0, m.now
 }
@@ -226,8 +231,9 @@
 	return figures
 }
 
-// byClass returns a replica's health by class, from its lists of figures, which have the same length.
-func (saved *ReplicaCheckpoint) byClass() []classHealth {
+// healthByClass returns a replica's health by class, from its lists of figures; appliesTo ensures that these have the
+// same length.
+func (saved *ReplicaCheckpoint) healthByClass() []classHealth {
 	list := make([]classHealth, len(saved.ClassConsecutiveFaults))
 	for i := range list {
 		list[i] = classHealth{
--- a/internal/decide/scatter/completeness.go
+++ b/internal/decide/scatter/completeness.go
@@ -47,8 +47,8 @@
 	return 1, least
 }
 
-// decidePastObjective ends a query at its objective, unless its class gives weight to late answers and the predicted
-// latency is so low that continuing makes no other query miss its own objective.
+// decidePastObjective ends a query one tick before its answer is due, unless its class gives weight to late answers and
+// the predicted latency is so low that continuing makes no other query miss its own objective.
 func (m *Machine) decidePastObjective(q *query) {
 	if q.lateDecided || m.now < q.answerDue-m.settings.TickInterval {
 		return
@@ -88,9 +88,9 @@
 	return cmp.Compare(m.expectedLatency(x), m.expectedLatency(y))
 }
 
-// canStillBeServed reports whether a part can still be served: an attempt is outstanding, or one may begin now. If it
-// may not begin, even only because the retry budget is spent, the part counts as lost, so that a query that needs it
-// ends at once.
+// canStillBeServed reports whether a part can still be served: an attempt is outstanding, or one may begin now. A part
+// whose next attempt may not begin, even only because the retry budget is spent, is taken to be never served, so that a
+// query that needs it ends at once.
 func (m *Machine) canStillBeServed(p *part) bool { return p.outstanding() || m.mayAttempt(p) }
 
 // sendMissingAttempts sends the selected parts that have no outstanding attempt, and returns the weight that the query
@@ -114,11 +114,14 @@
 		m.now < p.query.endBy && m.now >= p.notBefore
 }
 
-// endQuery answers a query in part or gives it up when that is due, and reports whether it did.
+// endQuery answers a query in part or gives it up when that is due, and reports whether it did. complete and least are
+// the weights from requiredWeights. If the served weight is enough for least, the query is answered at endBy, at
+// answerBy, or once nothing more can be served and a complete answer is out of reach. Otherwise it is given up at
+// endBy, or once least is out of reach. servedWeight > 0 prevents an empty answer where MinFraction is 0.
 func (m *Machine) endQuery(q *query, reachable, complete, least float64) (ended bool) {
 	expired := m.now >= q.endBy
 	enough := q.servedWeight > 0 && q.servedWeight >= least-weightSlack
-	cannotComplete := len(q.parts) > 0 && reachable < complete-weightSlack // a second round has no parts for one step
+	cannotComplete := len(q.parts) > 0 && reachable < complete-weightSlack // a second round begins without parts
 	switch {
 	case enough && (expired || m.now >= m.answerBy(q) || cannotComplete && q.servedWeight >= reachable-weightSlack):
 		m.answer(q, false)
@@ -130,8 +133,9 @@
 	return false
 }
 
-// answerBy returns when a query is answered with the parts served so far: before its objective, by the time that the
-// answer takes to its client and, if a second round follows, also by the time of a slow part of that round.
+// answerBy returns when a query is answered with the parts served so far: before its answer is due by answerTicks, the
+// time that the answer takes to its client, and, if a second round follows, also by overdueAfter, the time of a slow
+// part of that round.
 func (m *Machine) answerBy(q *query) time.Duration {
 	by := q.answerDue - answerTicks*m.settings.TickInterval
 	if q.round == 0 && q.class.SecondRoundParts > 0 {
@@ -155,7 +159,8 @@
 	q.servedWeight, q.parts, q.admissionDecided = 0, nil, true
 }
 
-// giveUp ends a query without an answer: it is rejected if the client may safely retry it, and fails otherwise.
+// giveUp ends a query without an answer: it is rejected if the client may safely retry it, and fails otherwise. A
+// second round always fails, as the client has the first round's answer.
 func (m *Machine) giveUp(q *query) {
 	mayHaveEffect := func(p *part) bool { return p.mayHaveRun && q.class.Idempotency != Idempotent }
 	if q.round > 0 || slices.ContainsFunc(q.parts, mayHaveEffect) {
@@ -166,7 +171,8 @@
 	m.closeQuery(q)
 }
 
-// closeQuery removes a query and cancels its attempts.
+// closeQuery removes a query and cancels its attempts as far as cancelAttempts does: not those to ejected replicas, and
+// none without Cancellation.
 func (m *Machine) closeQuery(q *query) {
 	q.closed = true
 	m.queries.remove(q)
--- a/internal/decide/scatter/doc.go
+++ b/internal/decide/scatter/doc.go
@@ -57,8 +57,8 @@
 //   - It is not in this coordinator's subset (placement.go).
 //   - It is ejected and gets probes only (ejection.go, probes.go).
 //   - It has just rejected parts, or is avoided after that in a large fleet (outcomes.go, ejection.go).
-//   - The part's class is excluded there, or parts of the class that may not run twice are kept from it after an error
-//     or an unanswered attempt (picker.go).
+//   - The part's class is excluded there, or the part may not run twice and other holders are preferred after an error
+//     or an unanswered attempt there (picker.go).
 //   - It is in slow start (slow_start.go).
 //   - Other holders have fewer outstanding calls (picker.go).
 //
--- a/internal/decide/scatter/hedging.go
+++ b/internal/decide/scatter/hedging.go
@@ -3,27 +3,29 @@
 import "slices"
 
 const (
-	// hedgeShare is the share of parts that may get a hedged request.
+	// hedgeShare is the share of parts whose overdue attempt may be relieved: by a hedged request, by another part of
+	// the query, or by a cancellation for a retry. Each part that arrives adds it to the tokens that these take.
 	hedgeShare = 0.15
-	// maxSavedHedges is how many unused hedged requests may accumulate: about the number of parts in flight at one
-	// replica when it fails.
+	// maxSavedHedges is how many unused tokens may accumulate: about the number of parts in flight at one replica when
+	// it fails.
 	maxSavedHedges = 10.0
-	// lastPartsWeight is the served weight of a query from which on its overdue parts are relieved without a token of
-	// the allowance: if these last parts fail, the work for the other parts is wasted.
+	// lastPartsWeight is the served weight of a query from which on parts and hedged requests are sent beside its
+	// overdue parts without a token of the allowance: if these last parts fail, the work for the other parts is wasted.
+	// A cancellation still takes a token, unless the attempt is at an ejected replica.
 	lastPartsWeight = 0.85
-	// minLostShare is the least share of lostPart's meanTimes that a coordinator waits for in a large fleet, where each
-	// coordinator finds an unresponsive replica with a query of its own.
+	// minLostShare is the least factor by which a large fleet shortens lostPart's meanTimes. Each coordinator there
+	// finds an unresponsive replica with a query of its own.
 	minLostShare = 0.5
 )
 
-// relieveOverdue handles a part whose only outstanding attempt is overdue; it relieves each attempt at most once.
-// Without hedged requests, it cancels an attempt that may be cancelled for a retry, and the retry is sent when that has
-// ended. Otherwise it sends another part of the query if the query does not need all of them, or else a hedged request
-// of the same part, which the retry budget bounds too.
+// relieveOverdue handles a part with one outstanding attempt, if that is its latest attempt and is overdue; it relieves
+// each attempt at most once. Without hedged requests, it cancels an attempt that may be cancelled for a retry; the
+// retry is sent once the cancelled attempt has ended. Otherwise it sends another part of the query if the query does
+// not need all of them, or else a hedged request of the same part, which the retry budget bounds too.
 //
-// An allowance of tokens bounds all of this. No token is needed for what is sent for a query's last parts, for
-// cancelling an attempt at an ejected replica, and for what is sent beside an attempt that could be cancelled but whose
-// part may not be retried.
+// An allowance of tokens bounds these cancellations and sends. No token is needed to send for a query's last parts
+// (lastPartsWeight), to cancel an attempt at an ejected replica, or to send beside an attempt that mayCancelForRetry
+// accepts but whose part may not be retried.
 func (m *Machine) relieveOverdue(p *part) {
 	c := p.query.class
 	if p.outstandingCount != 1 || m.now >= p.query.endBy {
--- a/internal/decide/scatter/latency.go
+++ b/internal/decide/scatter/latency.go
@@ -11,8 +11,8 @@
 	initialLatency = 0.2
 	// meanGain is the weight of a new sample in a class's mean latency: an average over about twenty parts.
 	meanGain = 0.05
-	// ratioGain is the weight of a new sample in a replica's latency ratio: an average over about five parts, because a
-	// coordinator sends to each replica rarely.
+	// ratioGain is the weight of a new sample in a replica's latency ratio: an average over only about five parts,
+	// because a coordinator sends to each replica rarely and gets few samples of it.
 	ratioGain = 0.2
 
 	// maxSamples is how many latencies a class keeps for its quantiles.
@@ -43,7 +43,7 @@
 	samples      samples       // latest latencies of served parts
 	overdueAfter time.Duration // an attempt is overdue when it has been outstanding for this
 	meanLatency  float64       // over all replicas, in seconds
-	minService   float64       // least time that a part takes, as observed, in seconds
+	minService   float64       // lower decile of its samples, in seconds; begins at initialLatency and never rises
 }
 
 // newClass returns a class without samples.
@@ -61,7 +61,7 @@
 // samples are the latest latencies of a class, in seconds, in a ring buffer.
 type samples struct {
 	values [maxSamples]float64
-	count  int // how many were ever added
+	count  int // how many were added, or taken over by Restore
 }
 
 func (s *samples) add(seconds float64) {
@@ -88,7 +88,8 @@
 	c.overdueAfter = min(max(slow, scale(c.LatencyObjective, minOverdue)), scale(c.LatencyObjective, maxOverdue))
 }
 
-// observe adds the latency of a served part, in seconds, to the class's mean.
+// observe adds the latency of a served part, in seconds, to the class's mean. The first sample replaces the initial
+// mean.
 func (c *class) observe(seconds float64) {
 	c.meanLatency += max(meanGain, 1/float64(c.samples.count)) * (seconds - c.meanLatency)
 }
@@ -105,7 +106,7 @@
 	value float64
 }
 
-// medianRatioOf returns medianRatio, computed once per step as soon as it cannot change any more.
+// medianRatioOf returns medianRatio. Once healthFixed holds, it is computed only once per step.
 func (m *Machine) medianRatioOf(cached *memo, replicas []*replica) float64 {
 	if !m.healthFixed {
 		return medianRatio(replicas)
@@ -137,8 +138,8 @@
 	return list
 }
 
-// adoptSiblingRatio sets a replica's latency ratio to the mean of its usable siblings' ratios, or to 1 if there are
-// none.
+// adoptSiblingRatio sets the latency ratio of a new, restarted or reinstated replica to the mean of its usable
+// siblings' ratios, or to 1 if there are none.
 func (r *replica) adoptSiblingRatio() {
 	r.latencyRatio = 1
 	for i, v := range usableRatios(r.siblings, nil) {
@@ -147,7 +148,8 @@
 }
 
 // lateness is a degree of being late. An attempt has reached it when it has been outstanding for overdueTimes as long
-// as its class's overdueAfter, and for meanTimes as long as its replica's siblings take at present.
+// as its class's overdueAfter (longer in slow start), and for meanTimes as long as its replica's siblings take at
+// present (at most the class's deadline).
 type lateness struct {
 	overdueTimes float64
 	meanTimes    float64
@@ -162,7 +164,8 @@
 )
 
 // lateAfter returns the time after which an attempt is late at a replica: the longer of the two times of a lateness,
-// since what slows all siblings is load. The one by the siblings' latency is capped at the class's deadline.
+// since what slows all siblings is load. The one by overdueAfter is divided by the replica's capacityFraction; the one
+// by the siblings' latency is capped at the class's deadline.
 func (m *Machine) lateAfter(r *replica, c *class, l lateness) time.Duration {
 	usual := l.meanTimes * c.meanLatency * m.medianRatioOf(&r.siblingRatio, r.siblings)
 	usual = min(usual, c.Deadline.Seconds())
--- a/internal/decide/scatter/machine.go
+++ b/internal/decide/scatter/machine.go
@@ -9,10 +9,11 @@
 const (
 	// pollTicks is the number of ticks between two checks of open queries.
 	pollTicks = 4
-	// minPollInterval is the least time between two such checks, for ticks that are shorter or not known.
+	// minPollInterval is the least time between two such checks; it applies where pollTicks ticks are shorter, as with
+	// a TickInterval of 0, which lets steps follow at once.
 	minPollInterval = time.Millisecond
-	// stalledShare is the share of the tightest latency objective by which a timer may fire late before the coordinator
-	// itself counts as stalled.
+	// stalledShare is the share of the tightest latency objective by which a step may come after the timer's time
+	// before the coordinator itself counts as stalled.
 	stalledShare = 0.1
 	// randomStream is the second half of the generator's seed.
 	randomStream = 0x756d62
@@ -27,7 +28,7 @@
 	step    int           // number of the present step
 	actions []Action      // requested so far by the present step
 	timer   timer
-	stalled bool // this step came late because the coordinator itself was stalled
+	stalled bool // this step came so late after the timer's time that the coordinator counts as stalled
 
 	classes   classTable
 	quotas    map[string]*quota // by tenant
@@ -39,14 +40,14 @@
 	queries   queryTable
 
 	traffic         trafficRates
-	loadFactor      float64 // recent latency of parts, as a multiple of what class and replica take; 1 is usual
+	loadFactor      float64 // recent latency of parts, as a multiple of class mean times latency ratio; 1 is usual
 	lastSuccess     time.Duration
 	idleConnections idleTrust
 	responses       responseWatch
 	retries         retryBudget
 	hedges          allowance
 	probes          allowance
-	healthFixed     bool // no replica's health or latency ratio changes in the rest of this step
+	healthFixed     bool // no replica is ejected or reinstated, and no latency ratio changes, in the rest of this step
 	examined        examined
 	scratch         scratch
 }
@@ -55,10 +56,11 @@
 // list may depend only on the replicas and shards that the change affects.
 type examined struct{ replicas, shards int }
 
-// scratch holds buffers that each computation of a shard's shares reuses. Lists are by holder, order is by class.
+// scratch holds buffers that each computation of a shard's shares reuses. equal, capacity, keys and usable are by index
+// in readyHolders, and tied holds such indexes. order holds the classes in the order in which they are filled.
 type scratch struct {
 	equal, capacity, keys []float64
-	ready                 []bool
+	usable                []bool
 	tied                  []int
 	order                 []*class
 }
@@ -106,11 +108,13 @@
 	return nil
 }
 
-// Step processes the events that have happened by now, and returns the actions to carry out, in order.
+// Step processes the events that have happened by now, and returns the actions to carry out, in order. It reads the
+// timer's delay before a TimerFired event clears the timer, and detects outliers after the events and before the
+// rebalance, which takes their ejection into account.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
 	m.now, m.actions, m.healthFixed = now, nil, false
 	m.step++
-	m.stalled = m.timer.delay(now) > scale(m.classes.tightest, stalledShare)
+	m.stalled = m.timer.lateBy(now) > scale(m.classes.tightest, stalledShare)
 	for _, e := range events {
 		m.apply(e)
 	}
@@ -152,8 +156,8 @@
 	}
 }
 
-// advanceQueries decides on the admission of queries that arrived in this step, and advances every open query that is
-// not idle.
+// advanceQueries decides on the admission of queries that arrived in this step, even if they were cancelled in it,
+// and advances every open query that is not idle.
 func (m *Machine) advanceQueries() {
 	for _, q := range m.queries.open {
 		if !q.admissionDecided {
@@ -176,8 +180,8 @@
 	at time.Duration // when it fires; 0 if none is set
 }
 
-// delay returns how late the timer is: negative before it is due, and 0 if none is set.
-func (t *timer) delay(now time.Duration) time.Duration {
+// lateBy returns how late the timer is: negative before it is due, and 0 if none is set.
+func (t *timer) lateBy(now time.Duration) time.Duration {
 	if t.at == 0 {
 		return 0
 	}
@@ -186,7 +190,8 @@
 
 func (t *timer) clear() { t.at = 0 }
 
-// setTimer requests a timer for the next time at which something is due, and every few ticks while queries are open.
+// setTimer requests a timer for the next rebalance, subscription, or answer or end of a query, and every few ticks
+// while queries are open: overdue attempts, notBefore, nextProbe and rejectingUntil have no timer of their own.
 func (m *Machine) setTimer() {
 	due := m.shares.nextRebalance
 	sooner := func(times ...time.Duration) {
--- a/internal/decide/scatter/picker.go
+++ b/internal/decide/scatter/picker.go
@@ -5,20 +5,22 @@
 	"slices"
 )
 
-// distrustFor is how long after an error a replica gets no parts that may not run twice, as a multiple of the tightest
-// latency objective: an error loses such a part for good, and errors come in series.
+// distrustFor is how long after an error other replicas are preferred for parts that may not run twice, as a multiple
+// of the tightest latency objective: an error loses such a part for good, and errors come in series. It also scales the
+// time after an unanswered part, during which a replica is only used if no other is left.
 const distrustFor = 8.0
 
-// eligible reports whether a replica may be picked.
+// eligible reports whether a kind of choice includes a replica; candidates adds conditions that apply to every kind.
 type eligible func(*replica) bool
 
 // pickReplica picks a replica for a part's next attempt; nil if there is none. It tries these replicas in turn:
 //
 //  1. usable ones that have not been tried with the part, are not avoided, and are not excluded for its class;
 //  2. usable ones that are not avoided;
-//  3. any that have not been tried and do not fail fast, since ejection may never leave a part without a choice;
-//  4. any whose last failure at once is at least a backoff ago.
+//  3. any that have not been tried and do not fail fast, since ejection alone may not leave a part without a choice;
+//  4. any whose lastFailure is at least minProbeBackoff ago.
 //
+// All four kinds leave out replicas that are rejecting parts and those that slow start does not admit (candidates).
 // With firstChoicesOnly, for what is sent beside an overdue attempt, it tries only the first kind.
 func (m *Machine) pickReplica(p *part, firstChoicesOnly bool) *replica {
 	s, c := m.shardOf(p.Shard), p.query.class
@@ -46,8 +48,9 @@
 	return nil
 }
 
-// pickTrusted picks a replica for a part that may not run twice. It considers replicas that have recently left no part
-// of the class unanswered, and prefers those without a recent error.
+// pickTrusted picks a replica for a part that may not run twice. It considers replicas of pickReplica's first kind that
+// do not leave a part of the class unanswered now, and have not for a time that grows with their class faults in a row.
+// Of these it prefers those without an error in the last distrustFor.
 func (m *Machine) pickTrusted(p *part, s *shard, fresh eligible) *replica {
 	c, distrust := p.query.class, scale(m.classes.tightest, distrustFor)
 	answers := func(r *replica) bool {
@@ -65,7 +68,8 @@
 }
 
 // leavesUnanswered reports whether an attempt of a class has been outstanding at a replica for so long that the replica
-// may be leaving parts of just that class unanswered.
+// may be leaving parts of just that class unanswered. Attempts during which the coordinator was stalled (excused) do
+// not count.
 func (m *Machine) leavesUnanswered(r *replica, c *class) bool {
 	return slices.ContainsFunc(r.attempts, func(at *attempt) bool {
 		return at.part.query.class == c && !at.excused &&
@@ -75,8 +79,8 @@
 
 // drawReplica draws one of a shard's eligible holders by the routing shares: the one with the smallest quotient of an
 // exponential variate and its share. A query draws one variate for each replica, so its parts go to the same replicas
-// where possible and share calls. Holders with more outstanding calls than the least loaded one are left out. A holder
-// beyond the subset is used only if none in it is eligible.
+// where possible and share calls. Holders with more outstanding calls (callsAt) than the least loaded one are left out.
+// A holder beyond the subset is used only if none in it is eligible.
 func (m *Machine) drawReplica(p *part, s *shard, ok eligible) *replica {
 	candidates, minCalls := m.candidates(p, s, ok)
 	shares := s.shares[p.query.class.index]
@@ -109,7 +113,7 @@
 }
 
 // callsAt returns the number of outstanding calls at a replica, without the one of this step that a part could still
-// join.
+// join, as joining it adds no call.
 func (m *Machine) callsAt(r *replica) int {
 	if m.openCall(r) != nil {
 		return r.openCalls - 1
--- a/internal/decide/scatter/placement.go
+++ b/internal/decide/scatter/placement.go
@@ -11,18 +11,19 @@
 	// minSubsetHolders is how many holders of each shard a coordinator of a large fleet sends to: two, so that there is
 	// an alternative to each.
 	minSubsetHolders = 2
-	// smallFleet is the number of coordinators up to which each of them sends to every replica often. In larger fleets
-	// backoffs grow with the number of coordinators.
+	// smallFleet is the number of coordinators that send to a replica, Fraction times all coordinators, up to which
+	// each of them sends to it often. Above it backoffs grow with that number.
 	smallFleet = 5.0
 )
 
-// placement holds what follows from this coordinator's ordinal in the fleet.
+// placement holds what follows from this coordinator's ordinal, the size of the fleet, the ring and the number of
+// replicas listed as Ready.
 type placement struct {
-	subset subsetting.Subset // the running replicas that this coordinator sends to
+	subset subsetting.Subset // the replicas listed as Ready that this coordinator sends to
 	// fleetFactor is how many times more rarely a coordinator sends to a given replica in this fleet than in a small
 	// one; at least 1.
 	fleetFactor float64
-	basis       placementBasis // of the replicas' present keys
+	basis       placementBasis // from which the replicas' present keys were computed
 }
 
 // placementBasis holds what the keys of all replicas are computed from.
@@ -31,8 +32,9 @@
 	member subsetting.Member
 }
 
-// member returns this coordinator's index and the size of the fleet. It returns the zero value if the fleet is too
-// small for its coordinators to divide the replicas among them.
+// member returns this coordinator's index and the size of the fleet, by which probes and slow start are divided among
+// coordinators. It returns the zero value in a small fleet, where nothing is divided; the subset is made from
+// settingsMember in any case.
 func (m *Machine) member() subsetting.Member {
 	if m.placement.fleetFactor <= 1 {
 		return subsetting.Member{}
@@ -45,13 +47,14 @@
 	return subsetting.Member{Index: m.settings.Ordinal - 1, FleetSize: m.settings.Coordinators}
 }
 
-// sendsTo reports whether a replica takes part in the routing shares and this coordinator sends to it.
+// sendsTo reports whether a replica takes part in the routing shares and is in this coordinator's subset.
 func (m *Machine) sendsTo(r *replica) bool {
 	return r.usable() && m.placement.subset.Contains(r.subsetKey)
 }
 
-// updatePlacement recomputes this coordinator's subset of the replicas that are listed as Ready, and the key of each
-// replica whose rank or basis may have changed.
+// updatePlacement recomputes this coordinator's subset of the replicas that are listed as Ready, and the keys of
+// replicas whose rank among those at their ring position may have changed, or of all if the subset or the member has. A
+// key is a replica's distance from this coordinator on subsetting's circle; the subset contains the lowest keys.
 func (m *Machine) updatePlacement() {
 	p, g := &m.placement, &m.replicas.ring
 	ring := subsetting.Ring{
@@ -74,13 +77,13 @@
 	g.unranked = g.unranked[:0]
 }
 
-// rankSlot gives the running replicas of a slot, those listed as Ready, their keys. A key depends on the replica's rank
-// at its ring position.
+// rankSlot gives the replicas of a slot that are listed as Ready their keys. A key depends on the replica's ring
+// position and on its rank there: by StartedAt, then ID.
 func (m *Machine) rankSlot(c *slot) {
 	c.unranked = false
 	m.examined.replicas += len(c.replicas)
-	running := slices.DeleteFunc(slices.Clone(c.replicas), func(r *replica) bool { return r.State != Ready })
-	slices.SortFunc(running, func(x, y *replica) int {
+	ready := slices.DeleteFunc(slices.Clone(c.replicas), func(r *replica) bool { return r.State != Ready })
+	slices.SortFunc(ready, func(x, y *replica) int {
 		return cmp.Or(
 			cmp.Compare(x.RingPosition, y.RingPosition),
 			cmp.Compare(x.StartedAt, y.StartedAt),
@@ -88,9 +91,9 @@
 		)
 	})
 	rank := 0
-	for i, r := range running {
+	for i, r := range ready {
 		rank++
-		if i == 0 || running[i-1].RingPosition != r.RingPosition {
+		if i == 0 || ready[i-1].RingPosition != r.RingPosition {
 			rank = 0
 		}
 		m.setKey(r, m.placement.subset.Key(r.RingPosition, rank))
@@ -108,8 +111,8 @@
 	r.slowStart.sequence = offset.Sequence(subsetting.Salt(r.ID))
 }
 
-// updateHolders lists a shard's ready holders in the order of their keys, and determines how many of them are in this
-// coordinator's subset.
+// updateHolders lists a shard's ready holders in the order of their keys, and determines how many of them this
+// coordinator sends to: those in its subset, and further ones until minSubsetHolders of them are usable.
 func (m *Machine) updateHolders(s *shard) {
 	s.readyHolders = s.readyHolders[:0]
 	m.replicas.ring.holders(s.number, func(r *replica) {
@@ -121,10 +124,10 @@
 	slices.SortFunc(s.readyHolders, func(x, y *replica) int {
 		return cmp.Or(cmp.Compare(x.subsetKey, y.subsetKey), byListing(x, y))
 	})
-	keys, ready := m.scratch.keys[:0], m.scratch.ready[:0]
+	keys, usable := m.scratch.keys[:0], m.scratch.usable[:0]
 	for _, r := range s.readyHolders {
-		keys, ready = append(keys, r.subsetKey), append(ready, r.usable())
+		keys, usable = append(keys, r.subsetKey), append(usable, r.usable())
 	}
-	s.subsetSize = m.placement.subset.HolderCount(keys, ready, minSubsetHolders)
-	m.scratch.keys, m.scratch.ready = keys, ready
+	s.subsetSize = m.placement.subset.HolderCount(keys, usable, minSubsetHolders)
+	m.scratch.keys, m.scratch.usable = keys, usable
 }
--- a/internal/decide/scatter/replica.go
+++ b/internal/decide/scatter/replica.go
@@ -11,15 +11,17 @@
 // replica is the state of one entry of the endpoint list.
 type replica struct {
 	Replica
-	number   int        // in order of first listing
-	listedBy int        // number of the endpoint update that last contained it
-	siblings []*replica // replicas that hold a shard in common with it, in order of first listing
+	number   int // in order of first listing
+	listedBy int // number of the endpoint update that last contained it
+	// siblings are the replicas, in any state, that may hold a shard in common with it, in order of first listing.
+	// After a replica moves they are stale until Configure.
+	siblings []*replica
 
 	subsetKey float64           // decides whether it is in this coordinator's subset
-	offset    subsetting.Offset // of this coordinator among those whose subsets contain it
+	offset    subsetting.Offset // this coordinator's place among those whose subsets contain the replica
 	hasOffset bool              // offset has been set
 
-	latencyRatio float64 // its latency, as a multiple of the mean one of each class
+	latencyRatio float64 // moving mean of its parts' latencies, each relative to its class's mean latency
 	siblingRatio memo    // the median latency ratio of its siblings
 
 	attempts  []*attempt // outstanding
@@ -32,7 +34,7 @@
 	slowStart   slowStart
 
 	busy           bool          // it is in replicaTable.busy
-	removedAt      time.Duration // when it was first seen as removed; 0 if it is not removed
+	removedAt      time.Duration // when it was first seen as removed; 0 while its state is another
 	removalPending bool          // it is in replicaTable.removed
 }
 
@@ -55,7 +57,8 @@
 	siblingsStale bool       // some replica's siblings are not those that the ring gives
 }
 
-// count returns the number of replicas for which a condition holds.
+// count returns the number of known replicas, also removed ones, for which a condition holds, as a
+// float64, by which rates are divided.
 func (t *replicaTable) count(holds func(*replica) bool) (n float64) {
 	for _, r := range t.all {
 		if holds(r) {
@@ -83,7 +86,8 @@
 	return r
 }
 
-// update applies an entry of the endpoint list to its replica.
+// update applies an entry of the endpoint list to its replica. A slot is found by the position modulo the ring's size,
+// but rank and key depend on the position itself.
 func (t *replicaTable) update(r *replica, e Replica) {
 	old := r.Replica
 	moved := mod(old.RingPosition, t.ring.size) != mod(e.RingPosition, t.ring.size)
--- a/internal/decide/scatter/shares.go
+++ b/internal/decide/scatter/shares.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// capShares and floorShares bound a usable replica's routing share, as multiples of an equal share of its shard's
-	// traffic.
+	// capShares and floorShares bound a usable holder's traffic, as multiples of an equal share of its shard's traffic:
+	// floorShares that of each class, capShares that of all classes together.
 	capShares   = 1.2
 	floorShares = 0.5
 	// tieBand is the relative difference up to which latency ratios count as equal: less than the spread of a single
@@ -27,14 +27,14 @@
 	number int
 	// readyHolders are the holders listed as Ready, ejected or not, ordered by their keys in this coordinator's subset.
 	readyHolders []*replica
-	subsetSize   int  // how many readyHolders, from the first on, are in the subset
-	medianRatio  memo // median latency ratio of readyHolders
+	subsetSize   int  // how many readyHolders, from the first on, are in the subset or stand in for unusable ones there
+	medianRatio  memo // median latency ratio of the usable subsetHolders
 
-	arrived     []float64   // parts by class since the last periodic rebalance
-	rates       []float64   // parts by class per rebalance interval, decayed
-	decays      int         // how many periodic rebalances have been applied to rates
-	shares      [][]float64 // routing shares, by class, then holder; those of a class sum to 1
-	rebalancing int         // count of rebalances that the shares are from
+	arrived         []float64   // parts by class since the last periodic rebalance
+	rates           []float64   // parts by class: a decaying sum, about five times the parts of one rebalance interval
+	decays          int         // how many periodic rebalances have been applied to rates
+	shares          [][]float64 // routing shares, by class, then holder; a class sums to 1, or to 0 if none is usable
+	sharesRebalance int         // number of the rebalance that the shares are from
 }
 
 // subsetHolders returns the ready holders in this coordinator's subset.
@@ -52,7 +52,7 @@
 	rebalances    int           // how many rebalances there were, periodic or not
 	periods       int           // how many periodic ones there were, at which rates decay
 	nextRebalance time.Duration // when the next periodic one is due
-	dirty         bool          // settings, endpoint list or a replica's health changed since the last rebalance
+	dirty         bool          // rebalance pending: settings, endpoints or ejected replicas changed, or Restore ran
 	basis         shareBasis    // of the latest rebalance
 }
 
@@ -66,7 +66,8 @@
 func (s *shareState) due(now time.Duration) bool { return now >= s.nextRebalance }
 
 // rebalance makes the shares of all shards outdated; each shard's are recomputed when they are next used. A periodic
-// rebalance also updates traffic rates and quantiles, and forgets replicas that were removed long ago.
+// rebalance also raises the trusted idle time, updates traffic rates and quantiles, drops expired entries of the retry
+// budget, and forgets replicas that were removed long ago.
 func (m *Machine) rebalance() {
 	if m.shares.due(m.now) {
 		m.shares.nextRebalance = m.now + rebalanceInterval
@@ -97,9 +98,9 @@
 	return b
 }
 
-// shardOf returns a shard with up-to-date rates and, while queries are advanced, up-to-date shares. It refreshes no
-// shares while a rebalance is pending: between steps, new settings may have changed the classes since the basis was
-// made.
+// shardOf returns a shard, created at its first use, with up-to-date rates and, while queries are advanced, up-to-date
+// shares. It refreshes no shares while a rebalance is pending: between two calls of Step, Configure may have changed
+// the classes since the basis was made, and Restore uses shards then.
 func (m *Machine) shardOf(number int) *shard {
 	s := m.shards.byNumber[number]
 	if s == nil {
@@ -116,12 +117,12 @@
 func (m *Machine) newShard(number int) *shard {
 	n := len(m.classes.list)
 	s := &shard{
-		number:      number,
-		rebalancing: m.shares.rebalances,
-		decays:      m.shares.periods,
-		arrived:     make([]float64, n),
-		rates:       make([]float64, n),
-		shares:      make([][]float64, n),
+		number:          number,
+		sharesRebalance: m.shares.rebalances,
+		decays:          m.shares.periods,
+		arrived:         make([]float64, n),
+		rates:           make([]float64, n),
+		shares:          make([][]float64, n),
 	}
 	m.shards.byNumber[number] = s
 	m.shards.inUse = append(m.shards.inUse, s)
@@ -130,13 +131,14 @@
 	return s
 }
 
-// refreshShares brings a shard's shares to the latest rebalance. The result is the same as at the time of the
-// rebalance: each input is in the basis, stays unchanged until the next rebalance, or is handled by refreshSharesOf.
+// refreshShares recomputes a shard's shares if they are from before the latest rebalance. The result is the same as at
+// the time of that rebalance: each input is in the basis, stays unchanged until the next rebalance, or changes only
+// after refreshSharesOf.
 func (m *Machine) refreshShares(s *shard) {
-	if s.rebalancing == m.shares.rebalances {
+	if s.sharesRebalance == m.shares.rebalances {
 		return
 	}
-	s.rebalancing = m.shares.rebalances
+	s.sharesRebalance = m.shares.rebalances
 	m.shards.outdated--
 	s.decay(m.shares.periods)
 	m.computeShares(s, m.shares.basis)
@@ -150,7 +152,8 @@
 	}
 }
 
-// decay applies the periodic rebalances up to the given count to a shard's rates.
+// decay applies the periodic rebalances up to the given count to a shard's rates. It stops after one that leaves all
+// rates unchanged, as when all are 0.
 func (s *shard) decay(to int) {
 	for changed := true; changed && s.decays < to; s.decays++ {
 		changed = false
@@ -164,9 +167,10 @@
 }
 
 // computeShares divides a shard's traffic among its holders, class by class, beginning with the class of the tightest
-// objective. A class whose mean latency would exceed its objective moves to the front and the shares are computed
-// again, in all at most as many times as there are classes. It is enough to check each shard on its own: a query's
-// slowest part exceeds the objective exactly if a part at some shard does.
+// objective. The first class whose mean latency would exceed its objective moves to the front, unless it is there
+// already, and the shares are computed again, in all at most as many times as there are classes. It is enough to check
+// each shard on its own: a query's slowest part exceeds the objective exactly if a part at some shard does. The check
+// compares mean latencies only.
 func (m *Machine) computeShares(s *shard, basis shareBasis) {
 	m.examined.shards++
 	m.updateHolders(s)
@@ -186,8 +190,8 @@
 	}
 }
 
-// meanLatency returns the expected latency of a class at a shard under the present shares, in seconds. mean is the mean
-// latency of the class.
+// meanLatency returns the expected latency of a class at a shard under the present shares, in seconds; 0 if no holder
+// is usable. mean is the mean latency of the class as of the rebalance.
 func (s *shard) meanLatency(c *class, mean float64) (sum float64) {
 	for i, r := range s.readyHolders {
 		sum += s.shares[c.index][i] * r.latencyRatio * mean
@@ -195,8 +199,8 @@
 	return sum
 }
 
-// fillShares gives each holder its floor of each class. It divides the rest, class by class, among the holders with the
-// lowest latency ratios, up to their caps.
+// fillShares gives each usable holder in the subset its floor of each class. It divides the rest, class by class, among
+// the holders with the lowest latency ratios, up to their caps.
 func (m *Machine) fillShares(s *shard, order []*class, at time.Duration) {
 	equal := m.equalShares(s, at)
 	rate := 0.0
--- a/internal/decide/scatter/traffic.go
+++ b/internal/decide/scatter/traffic.go
@@ -7,13 +7,14 @@
 // counts in full.
 type trafficRates struct {
 	served       float64 // parts served by warmed up replicas in this interval
-	demand       float64 // parts of admitted queries in this interval, for each usable replica
+	demand       float64 // parts of admitted queries in this interval, for each usable replica (see admitted)
 	warmedUpRate float64 // parts per second served by each warmed up replica
-	demandRate   float64 // parts per second of admitted queries for each usable replica
+	demandRate   float64 // parts per second of admitted queries for each usable replica (see admitted)
 	intervals    float64 // how many have passed
 }
 
-// admitted counts the parts of an admitted query, divided by the number of usable replicas.
+// admitted counts the parts of an admitted query, divided by the number of usable replicas, or by RingSize if that is
+// less (the caller passes the smaller one).
 func (t *trafficRates) admitted(parts, usable int) {
 	t.demand += float64(parts) / max(1, float64(usable))
 }
