--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -19,8 +19,8 @@
 }
 
 // run processes all batches and returns nil at the clean end of the input.
-func run(in io.Reader, out io.Writer) error {
-	decoder, encoder := wire.NewDecoder(in), wire.NewEncoder(out)
+func run(stdin io.Reader, stdout io.Writer) error {
+	decoder, encoder := wire.NewDecoder(stdin), wire.NewEncoder(stdout)
 	a := adapter{machines: map[string]*scatter.Machine{}}
 	for {
 		batch, err := decoder.Next()
@@ -36,7 +36,7 @@
 		}
 		for _, in := range inputs {
 			if in.machine != nil {
-				in.writeReply(encoder, batch)
+				in.writeReply(encoder, batch) // a failed write is reported by End
 			}
 		}
 		if err := encoder.End(); err != nil {
@@ -50,10 +50,11 @@
 	machines map[string]*scatter.Machine
 }
 
-// input holds the events of one instance in a batch.
+// input holds the events of one instance in a batch. An instance that is started again within the batch has a second
+// input for the events that follow.
 type input struct {
 	instance string
-	machine  *scatter.Machine // nil if the instance was stopped in this batch
+	machine  *scatter.Machine // nil if the instance was stopped after these events and before any new start
 	events   []scatter.Event
 }
 
@@ -89,7 +90,7 @@
 	return inputs, nil
 }
 
-// writeReply steps an instance and writes its actions, or an exception if its code panicked.
+// writeReply steps an instance and writes its actions, or an exception line if its decision code panicked.
 func (in *input) writeReply(encoder *wire.Encoder, batch wire.Batch) {
 	actions, err := in.step(batch)
 	if err != nil {
@@ -100,7 +101,7 @@
 }
 
 // step passes the events to the decision code and converts a panic into an error, so that the other instances continue.
-// The simulator counts the error as a fault of this instance.
+// The simulator counts the exception line as a fault of this instance, which keeps running as well.
 func (in *input) step(batch wire.Batch) (actions []scatter.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -14,7 +14,7 @@
 // bufferSize is the size of the read and write buffers, in bytes.
 const bufferSize = 1 << 16
 
-// ErrTruncated is returned for input that ends inside a batch or a line.
+// ErrTruncated is returned for input that ends inside a batch, or inside a line, also between batches.
 var ErrTruncated = errors.New("input ends inside a batch")
 
 // SyntaxError reports a line that is not a message, or a message that is not allowed at its place.
@@ -57,7 +57,7 @@
 type Decoder struct {
 	r     *bufio.Reader
 	line  int                       // number of the line read last
-	lists map[int][]scatter.Replica // endpoint lists by their number
+	lists map[int][]scatter.Replica // endpoint lists by their number; each is kept until another list gets its number
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -66,7 +66,8 @@
 }
 
 // Next returns the next batch, or io.EOF if the input ends between batches. Any other error of the input is a
-// *SyntaxError, a *FieldError or wraps ErrTruncated, and names the line.
+// *SyntaxError, a *FieldError or wraps ErrTruncated, and names the line. An error of the reader itself is returned
+// unchanged.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
 	text, err := d.readLine()
@@ -116,7 +117,9 @@
 	return false, nil
 }
 
-// readLine reads a line and removes its line ending. It returns io.EOF if the input ends between lines.
+// readLine reads a line and removes all CR and LF at its end. Its length is not bounded, because the simulator is
+// trusted. It returns io.EOF if the input ends between lines, and ErrTruncated with the incomplete line's number if the
+// input ends inside a line.
 func (d *Decoder) readLine() (string, error) {
 	s, err := d.r.ReadString('\n')
 	if err == io.EOF && s != "" {
@@ -129,7 +132,8 @@
 	return strings.TrimRight(s, "\r\n"), nil
 }
 
-// parseInside reads and parses a line inside a batch, where the input must not end.
+// parseInside reads and parses a line inside a batch, where the input must not end. If it ends between two lines,
+// ErrTruncated names the last one.
 func (d *Decoder) parseInside() (*fields, error) {
 	text, err := d.readLine()
 	if err == io.EOF {
@@ -141,7 +145,8 @@
 	return d.parse(text)
 }
 
-// parse parses a line: a message name and fields of the form name=value, separated by single spaces.
+// parse parses a line: a message name and fields of the form name=value, separated by single spaces. If a name
+// is repeated, its last value counts.
 func (d *Decoder) parse(text string) (*fields, error) {
 	words := strings.Split(text, " ")
 	f := &fields{name: words[0], line: d.line, values: make(map[string]string, len(words)-1)}
