--- a/internal/test/capacity/page.go
+++ b/internal/test/capacity/page.go
@@ -45,6 +45,7 @@
 	return r, err
 }
 
+// loadOptionalScale reads a scale run; it returns nil without an error if the file does not exist.
 func loadOptionalScale(path string) (*Scale, error) {
 	s, err := LoadScale(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -56,8 +57,8 @@
 // pair is a row before and after the introduction of a mechanism; either may be nil.
 type pair struct{ before, now *Row }
 
-// any returns the current row if there is one, else the earlier one.
-func (p pair) any() *Row { return cmp.Or(p.now, p.before) }
+// latest returns the current row if there is one, else the earlier one.
+func (p pair) latest() *Row { return cmp.Or(p.now, p.before) }
 
 // pairs returns the rows of the baseline and the current run in order, and joins rows with the same key.
 func (r Results) pairs(size Size) (list []pair) {
@@ -115,6 +116,7 @@
 	return b.String()
 }
 
+// yes formats a truth value for a table.
 func yes(b bool) string {
 	if b {
 		return "yes"
@@ -128,7 +130,7 @@
 	fmt.Fprint(&b, "| situation | what | before | now | bound | before / bound | now / bound | basis | carried by |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	found := false
 	for _, p := range r.pairs(Asked) {
-		row := p.any()
+		row := p.latest()
 		if row.Role != role {
 			continue
 		}
@@ -183,7 +185,7 @@
 
 // basis formats the origin of the figures.
 func (p pair) basis() string {
-	row := p.any()
+	row := p.latest()
 	text := string(row.Basis) + ": " + row.How
 	if p.before != nil && p.now != nil && p.before.Basis != NotRun && p.before.How != p.now.How && p.before.Basis != Measured {
 		text = "before: " + string(p.before.Basis) + ": " + p.before.How + "; now: " + text
@@ -194,7 +196,7 @@
 // mechanism formats the mechanism of a row, before and now if they differ.
 func (p pair) mechanism() string {
 	if p.before == nil || p.now == nil || p.before.Mechanism == p.now.Mechanism {
-		return cmp.Or(p.any().Mechanism, "**none**")
+		return cmp.Or(p.latest().Mechanism, "**none**")
 	}
 	return "before: " + cmp.Or(p.before.Mechanism, "**none**") + "; now: " + cmp.Or(p.now.Mechanism, "**none**")
 }
@@ -210,7 +212,8 @@
 	return b.String()
 }
 
-// twiceText lists the rows that exceed their bound at twice the size.
+// twiceText lists the rows that exceed their bound at twice the size of Asked, from the current run or else the
+// baseline. It omits the rows of the scale run, which count as not run.
 func (r Results) twiceText() string {
 	twice := Asked.Twice()
 	if r.Current == nil {
@@ -228,6 +231,7 @@
 	return before, now
 }
 
+// overTable returns a table of the rows that exceed their bound, or a sentence if there are none.
 func overTable(rows []Row) string {
 	over := Over(rows)
 	if len(over) == 0 {
@@ -242,10 +246,10 @@
 	return b.String()
 }
 
-// choiceText lists the baseline rows that exceed their bound and have no mechanism, the largest ratio first.
+// choiceText returns the region "choice": a numbered list of the baseline's rowsWithoutMechanism.
 func (r Results) choiceText() string {
 	var b strings.Builder
-	for i, row := range missingFirst(Rows(Asked, r.Baseline, nil, false)) {
+	for i, row := range rowsWithoutMechanism(Rows(Asked, r.Baseline, nil, false)) {
 		over := "nothing bounds it"
 		if !math.IsInf(row.Figure, 1) {
 			over = fmt.Sprintf("%s, %s times the bound", quantity(row.Figure, row.Unit), number(row.Ratio()))
@@ -255,11 +259,13 @@
 	return b.String()
 }
 
-// missingFirst returns the rows that exceed their bound and have no mechanism in the code, the largest ratio first.
-func missingFirst(rows []Row) []Row {
+// rowsWithoutMechanism returns the rows that exceed their bound and have no mechanism in the code, the largest ratio
+// first.
+func rowsWithoutMechanism(rows []Row) []Row {
 	return slices.DeleteFunc(Over(rows), func(r Row) bool { return r.Mechanism != "" })
 }
 
+// sortByRatio sorts rows by the ratio of their figure to their bound, the largest first.
 func sortByRatio(rows []Row) {
 	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(b.Ratio(), a.Ratio()) })
 }
--- a/internal/test/experiments/handover/simulation.go
+++ b/internal/test/experiments/handover/simulation.go
@@ -16,12 +16,12 @@
 	replicationFactor = 3 // ring positions that hold a shard
 	partServiceTime   = 16 * time.Millisecond
 	replicaCores      = 2
-	replicaQueue      = 40 // parts that may wait at a replica; further parts are rejected
+	replicaQueue      = 40 // parts that may wait at a replica, about: fake.Machine rejects by the backlog's time
 )
 
 // The lookups.
 const (
-	lookupRate       = 120.0 // lookups per second, which keep warmed-up replicas half busy
+	lookupRate       = 120.0 // lookups per second, which keep warmed-up replicas about a third busy before retries
 	lookupParts      = 4     // consecutive shards, with a part for each
 	latencyObjective = 380 * time.Millisecond
 	queryDeadline    = time.Second
@@ -30,12 +30,13 @@
 // The instants of a simulation, as readings of its virtual clock.
 const (
 	startAt   = time.Second
-	restartAt = 20 * time.Second // restart of half of the replicas
-	upgradeAt = 22 * time.Second
+	restartAt = 20 * time.Second // restart of half of the replicas, at the first arrival from then on
+	upgradeAt = 22 * time.Second // start of the new version, at the first arrival from then on
 	endAt     = 28 * time.Second
 )
 
-// rngStream separates the random draws of the arrivals from those of other generators with the same seed.
+// rngStream is the second half of the seed of the arrivals' generator. It separates its draws from those of other
+// generators with the same first half.
 const rngStream = 0x68616e64
 
 var slowStart = scatter.SlowStart{
@@ -62,7 +63,8 @@
 // inTimeFraction returns the share of the lookups that were answered within the latency objective.
 func (c lookupCounts) inTimeFraction() float64 { return float64(c.inTime) / float64(c.arrived) }
 
-// simulate simulates one seed. With handOver, the new version gets the learned state of the old one.
+// simulate simulates one seed. With handOver, the new version gets the learned state of the old one. The new version's
+// own seed is seed+1. A lookup that is not answered before the last arrival counts as not in time.
 func simulate(seed uint64, handOver bool) (*simulation, error) {
 	s := newSimulation(seed)
 	if err := s.startVersion(seed); err != nil {
@@ -72,7 +74,7 @@
 	for number := int64(1); s.now < endAt; number++ {
 		next := s.now + time.Duration(s.rng.ExpFloat64()/lookupRate*float64(time.Second))
 		for at, e := range s.pending.Until(next) {
-			s.now = max(s.now, at)
+			s.now = max(s.now, at) // an event scheduled for the past must not turn the clock back
 			s.step(e.to, e.event)
 		}
 		s.now = next
@@ -91,7 +93,7 @@
 	return s, nil
 }
 
-// newSimulation sets up the replicas. No version serves yet.
+// newSimulation sets up the replicas. They are warmed up: their StartedAt of 0 means long ago. No version serves yet.
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
 		now: startAt, rng: rand.New(rand.NewPCG(seed, rngStream)),
@@ -162,8 +164,8 @@
 	return &s.before
 }
 
-// greatestPressure returns the most parts that any replica got within a window of its slow start, as a share of what it
-// tolerates.
+// greatestPressure returns the most parts that any replica got within a window of its latest slow start, as a multiple
+// of what it tolerates; above 1 the replica would fail.
 func (s *simulation) greatestPressure() (greatest float64) {
 	for _, r := range s.replicas {
 		greatest = max(greatest, r.Pressure())
--- a/internal/test/fake/frames.go
+++ b/internal/test/fake/frames.go
@@ -11,10 +11,12 @@
 	"time"
 )
 
-// partCallType is the first byte of a frame that requests a part. Frames of all other types are ignored.
+// partCallType is the type byte of a frame that requests a part. Frames of all other types are ignored, also those that
+// cancel a part.
 const partCallType = '1'
 
-// ServeFrames serves parts in the platform's frames until the listener is closed.
+// ServeFrames serves parts in the platform's frames until the listener is closed. Connections accepted by then stay
+// open.
 func (r *Replicas) ServeFrames(l net.Listener) {
 	for {
 		conn, err := l.Accept()
@@ -31,7 +33,8 @@
 	line string // the frame's first line, which describes the part
 }
 
-// parsePartCall parses a frame, given without its length prefix.
+// parsePartCall parses a frame, given without its length prefix. The line ends with the length of the part's body,
+// which must be present but is not used.
 func parsePartCall(frame []byte) (call partCall, err error) {
 	call.line, _, _ = strings.Cut(string(frame[1:]), "\n")
 	var length int
@@ -53,7 +56,9 @@
 	c.Write(append(length, text...))
 }
 
-// readFrame reads a length prefix and the frame that follows it.
+// readFrame reads a length prefix and the frame that follows it. The length counts the type byte but not the prefix
+// itself. It is not bounded, because the peer is trusted. The error is io.EOF also if the input ends right after the
+// prefix.
 func readFrame(r io.Reader) ([]byte, error) {
 	var length uint32
 	if err := binary.Read(r, binary.LittleEndian, &length); err != nil {
@@ -78,24 +83,25 @@
 		}
 		call, err := parsePartCall(frame)
 		if err != nil {
-			c.writeFrame("Xbad line")
+			c.writeFrame("Xbad line") // type X: the replica could not use a frame, and closes the connection
 			return
 		}
 		reply := r.receive(call.Shard, call.line)
 		if r.OnPart != nil {
 			r.OnPart(call.Part, reply.Kind)
 		}
-		time.AfterFunc(reply.After, func() { r.reply(c, call, reply.Kind) })
+		time.AfterFunc(reply.After, func() { r.sendReply(c, call, reply.Kind) })
 	}
 }
 
-// reply answers a part with a kind of reply. It does nothing for NoReply.
-func (r *Replicas) reply(c *frameConn, call partCall, kind Kind) {
+// sendReply answers a part with a kind of reply; for NoReply it sends nothing. An answer has type 5 and a line with the
+// part's ID, its end (S for success, E for error, B for rejection), a score and a report, followed by the value.
+func (r *Replicas) sendReply(c *frameConn, call partCall, kind Kind) {
 	switch kind {
 	case Serve:
 		c.writeFrame(fmt.Sprintf("5%s S 1 -\n%s", call.ID, r.value(call.Shard)))
 	case Corrupt:
-		c.writeFrame("5" + call.ID)
+		c.writeFrame("5" + call.ID) // the line breaks off after the ID
 	case Fail:
 		c.writeFrame(fmt.Sprintf("5%s E 0 -\n", call.ID))
 	case Reject:
--- a/internal/test/fake/search_api.go
+++ b/internal/test/fake/search_api.go
@@ -27,7 +27,7 @@
 	rejectionError   = `{"error":{"type":"rejected_execution_exception","reason":"queue full"},"status":429}`
 )
 
-// ServeAPI serves the search and index APIs until the listener is closed.
+// ServeAPI serves the search and index APIs until the listener is closed. Connections accepted by then stay open.
 func (r *Replicas) ServeAPI(l net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /{index}/_search", r.handleSearch)
@@ -35,7 +35,8 @@
 	http.Serve(l, mux)
 }
 
-// handleSearch answers a search of one shard. A geo_shape query fails, because the documents have no geo field.
+// handleSearch answers a search of one shard. A geo_shape query fails, because the documents have no geo field. A
+// preference without a readable shard gets the same error.
 func (r *Replicas) handleSearch(w http.ResponseWriter, req *http.Request) {
 	shard, err := strconv.Atoi(strings.TrimPrefix(req.URL.Query().Get("preference"), "_shards:"))
 	body, _ := io.ReadAll(req.Body)
@@ -53,7 +54,8 @@
 	})
 }
 
-// handleIndex stores a document in a shard.
+// handleIndex stores a document in a shard, and does so before the script decides: with Data, even a rejected or failed
+// request leaves its document. An unreadable document and an unreadable routing get the same error.
 func (r *Replicas) handleIndex(w http.ResponseWriter, req *http.Request) {
 	var doc struct {
 		Pin string `json:"pin"`
@@ -74,7 +76,7 @@
 // respond records a request and answers it as the script decides. A request that is served gets status and the body
 // that serve returns.
 func (r *Replicas) respond(w http.ResponseWriter, req *http.Request, shard, status int, serve func() string) {
-	io.Copy(io.Discard, req.Body) // the server detects that a client leaves only after the body is read
+	io.Copy(io.Discard, req.Body) // what handleIndex left; a client that leaves is detected only after the body is read
 	request := req.Method + " " + req.URL.String()
 	if keys := req.Header.Values("Idempotency-Key"); len(keys) > 0 {
 		request += " key=" + strings.Join(keys, ",")
--- a/internal/test/logsummary/print.go
+++ b/internal/test/logsummary/print.go
@@ -36,8 +36,9 @@
 	return nil
 }
 
-// Print writes tables of the events by second, then a table of the replicas with the smallest shares of served
-// attempts, at most worst of them. It returns ErrNoTrace if the summary has no attempt.
+// Print writes the number of coordinators, tables that count the events of each second of Line.At, and a table of the
+// replicas with the smallest shares of served attempts, at most worst of them, which must be at least 0. It returns
+// ErrNoTrace if the summary has no attempt.
 func (s *Summary) Print(w io.Writer, worst int) error {
 	tables := s.tables()
 	if tables[attempts] == nil {
@@ -73,7 +74,7 @@
 	return tables
 }
 
-// servedShare returns the share of a replica's attempts that were served.
+// servedShare returns the share of a replica's attempts that were served; 0 for a replica that has only connections.
 func (s *Summary) servedShare(replica string) float64 {
 	total := 0
 	for column, n := range s.Replicas[replica] {
