--- a/internal/test/faultinjection/site.go
+++ b/internal/test/faultinjection/site.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// The settings' names for the idempotency of a class.
+// Values of a class's idempotency in the settings.
 const (
 	idempotent    = "free"
 	keyed         = "guarded"
@@ -28,8 +28,8 @@
 	minFraction      float64 // the least share of the parts that an answer may have
 }
 
-// readSite reads settings in the JSON form that a process's configuration contains. An error that does not come from
-// JSON wraps ErrInvalidSettings.
+// readSite reads settings in the JSON form that a process's configuration contains. The error wraps ErrInvalidSettings
+// if they have no class or no tenant; any other error comes from JSON.
 func readSite(settings []byte) (*site, error) {
 	var raw struct {
 		Classes []struct {
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-// fractionAt is the i-th share of a list, or 1 if the list is shorter.
+// fractionAt returns the fraction of the class with index i, or 1 (all parts) if the list is shorter.
 func fractionAt(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
@@ -71,11 +71,11 @@
 	return 1
 }
 
-// allowsPartial reports whether an answer may have fewer than all parts. The clients of a Fleet ask all shards in these
-// classes.
+// allowsPartial reports whether an answer may have fewer than all parts. Clients' queries of such a class ask all
+// shards.
 func (c class) allowsPartial() bool { return c.minFraction < 1 || c.completeFraction < 1 }
 
-// queryID returns the ID of a query of the class; classOf finds the class by it.
+// queryID returns the ID of a query: the class's name, by which classOf finds the class, a hyphen and the rest.
 func (c class) queryID(rest string) string { return c.name + "-" + rest }
 
 // idempotencyKey is the idempotency key that a client sends with a query; empty if the class is not keyed.
@@ -86,8 +86,8 @@
 	return "key-" + queryID
 }
 
-// classOf finds the class of a query by the class name at the start of its ID. If several names match, the longest
-// decides.
+// classOf finds the class of a query by the class name at the start of its ID. If several names match, as "a" and "a-b"
+// match "a-b-7", the longest decides. If none matches, classOf returns the zero class.
 func (s *site) classOf(queryID string) (found class) {
 	for _, c := range s.classes {
 		if strings.HasPrefix(queryID, c.queryID("")) && len(c.name) > len(found.name) {
@@ -97,8 +97,10 @@
 	return found
 }
 
-// keyViolation compares the idempotency key of a part with the one that the query's client sent, given the parameter
-// list of the part's line in the frame. It returns a description of the difference, or an empty string for none.
+// keyViolation compares the idempotency key of a part with the one that the query's client sent, which it derives from
+// the query's ID; a query of an unknown class has none. The list is that of the part's line in the frame: parameters
+// NAME=VALUE, separated by commas, where the last k decides. It returns a description of the difference, or an empty
+// string for none.
 func (s *site) keyViolation(queryID, list string) string {
 	want, got := s.classOf(queryID).idempotencyKey(queryID), ""
 	for entry := range strings.SplitSeq(list, ",") {
--- a/internal/test/faultinjection/strict_client.go
+++ b/internal/test/faultinjection/strict_client.go
@@ -13,14 +13,15 @@
 
 // Outcomes of strict clients besides those of a ClientPool.
 const (
-	outcomeLeft    = "left"    // the client closed its connection without waiting for an answer
+	outcomeLeft    = "left"    // the client closed its connection without reading an answer
 	outcomeStalled = "stalled" // the client sent half a request and waited
 	outcomeKilled  = "killed"  // the coordinator was killed while the request was open
 	outcomeCrossed = "crossed" // the coordinator closed the connection before the client wrote the request
 )
 
 const (
-	// answerSlack is how long after its client's timeout an answer may arrive; a later one counts as lost.
+	// answerSlack is how long after its client's timeout an answer may arrive; a later one counts as lost. The slack of
+	// schedulingDelay is added to it.
 	answerSlack = 500 * time.Millisecond
 	// connectAfterTerm is how long after SIGTERM clients still open new connections.
 	connectAfterTerm = 400 * time.Millisecond
@@ -45,7 +46,8 @@
 
 // strictClient behaves as clients in production do, and checks that its coordinator answers each request. Its
 // connection is idle at times, it leaves after a whole or half a request, it stalls, and it uses a connection until the
-// connection ends. Only a kill excuses a request without an answer.
+// connection ends. A request whose answer it awaits may go unanswered only if the coordinator was killed, or had closed
+// the connection before the client wrote the request, which the client then repeats.
 type strictClient struct {
 	fleet  *Fleet
 	member *member
@@ -183,10 +185,12 @@
 	s.member.clients.count(outcomeStalled)
 }
 
-// sendQuery sends a request and waits for its answer. If the coordinator had closed the connection before the request
-// was written, sendQuery sends the request again on a new connection. On loopback, written bytes reach the other socket
-// at once, so a request on a connection that the coordinator closes later had arrived, and its missing answer is a
-// violation.
+// sendQuery sends a request and waits for its answer, up to connectionTimeout, and thus also sees an answer after the
+// client's timeout. If the coordinator had closed the connection before the request was written, sendQuery sends the
+// request on a new connection, as a new query with an ID and an idempotency key of its own. On loopback, written bytes
+// reach the other socket at once, so a request on a connection that the coordinator closes later had arrived, and its
+// missing answer is a violation. The close is looked for right after the write, so one between the two also counts as
+// earlier.
 func (s *strictClient) sendQuery(id string, q query) {
 	began := time.Now()
 	s.requestsOnConnection++
@@ -220,7 +224,7 @@
 	}
 }
 
-// checkAnswer counts an answer, or adds a violation if it arrived too late.
+// checkAnswer counts an answer by its status, or adds a violation if it arrived too late.
 func (s *strictClient) checkAnswer(id string, q query, a answer, status string, latency time.Duration) {
 	if s.exceedsTimeout(latency) {
 		s.addViolation(id, "was answered %v after it was sent; its client's timeout is %v", latency, s.timeout())
@@ -230,7 +234,7 @@
 }
 
 // exceedsTimeout reports whether an answer after this latency counts as lost. If this process was scheduled late, it
-// reports false and counts the answer as unjudged.
+// reports false and counts the answer as unjudged, besides its count by status.
 func (s *strictClient) exceedsTimeout(latency time.Duration) bool {
 	slack, judged := s.fleet.schedulingDelay.slack()
 	if !judged {
@@ -239,7 +243,8 @@
 	return judged && latency > s.timeout()+answerSlack+slack
 }
 
-// killedSince reports whether Fleet.kill has killed the coordinator since a moment, or up to pollInterval before it.
+// killedSince reports whether Fleet.kill has killed the coordinator since a moment, or up to pollInterval before it,
+// because kill records its time before the process ends.
 func (s *strictClient) killedSince(moment time.Time) bool {
 	return s.member.killedAt.Load() > moment.Add(-pollInterval).UnixNano()
 }
--- a/internal/test/scaletest/corrupting_proxy.go
+++ b/internal/test/scaletest/corrupting_proxy.go
@@ -17,14 +17,14 @@
 const (
 	corruptGarbled    = "garbled"      // the first half of the answer, then bytes that are not JSON
 	corruptOversized  = "oversized"    // larger than readers accept
-	corruptOutOfOrder = "out-of-order" // entries in reverse order, or a lower index
+	corruptOutOfOrder = "out-of-order" // entries in reverse order, or a lower index, at least 0
 	corruptReplayed   = "replayed"     // the last answer with entries before the corruption began
 )
 
 // Corruptions lists the non-empty values of Fault.CorruptAnswers.
 var Corruptions = []string{corruptGarbled, corruptOversized, corruptOutOfOrder, corruptReplayed}
 
-// paddingBytes is the number of spaces added to an answer to make it larger than readers accept.
+// paddingBytes is the number of spaces put in front of an answer to make it larger than readers accept.
 const paddingBytes = 1 << 20
 
 // indexSetback is subtracted from the index of an answer that has fewer than two entries to reverse.
@@ -38,11 +38,12 @@
 
 	mu           sync.Mutex
 	corruption   string            // one of Corruptions, or empty
-	savedAnswers map[string][]byte // by path: the last answer with entries that was passed on unchanged
-	corrupted    int               // answers changed since the latest corruption began
+	savedAnswers map[string][]byte // by path without query: the last answer with entries that was passed on unchanged
+	corrupted    int               // answers whose bytes were changed since the latest corruption began
 }
 
-// newCorruptingProxy starts a proxy for a relay. Answers pass unchanged until setCorruption is called.
+// newCorruptingProxy starts a proxy for the relay at an address. Answers pass unchanged until setCorruption is called.
+// If the relay cannot be reached or its answer cannot be read, the proxy answers 502 and logs nothing.
 func newCorruptingProxy(relay string) (*corruptingProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +55,7 @@
 	p.proxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) {
 		w.WriteHeader(http.StatusBadGateway)
 	}
-	go http.Serve(listener, p.proxy) // ends when close closes the listener
+	go http.Serve(listener, p.proxy) // accepts until close closes the listener; open connections are still served
 	return p, nil
 }
 
@@ -96,7 +97,8 @@
 }
 
 // corrupt returns the body to send instead of body, the relay's answer for path. Without a corruption, it returns the
-// body unchanged and saves it for replays if it has entries.
+// body unchanged and saves it for replays if it has entries. A replay without a saved answer leaves the body unchanged.
+// An answer counts as corrupted if its bytes differ, which encoding it again can cause by itself.
 func (p *corruptingProxy) corrupt(path string, body []byte) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/test/scaletest/fault.go
+++ b/internal/test/scaletest/fault.go
@@ -21,13 +21,13 @@
 	Fault
 	description      string
 	begin            time.Time
-	end              time.Time // when the fault was undone; if it is never undone, shortly after begin
+	end              time.Time // when the fault was undone; if it never is, shortly after beginFault returned
 	isolatedRegion   int       // -1 where no region is isolated
-	corruptedAnswers int
+	corruptedAnswers int       // set when the fault is undone
 }
 
 // runFaults injects the plan's faults at their times after began and returns once all have ended. Each fault ends in
-// its own goroutine, so faults may overlap.
+// its own goroutine, so faults may overlap. If a fault cannot begin, runFaults injects no further ones.
 func (f *fleet) runFaults(ctx context.Context, began time.Time) (faults []*faultRun, err error) {
 	var ending sync.WaitGroup
 	defer ending.Wait()
@@ -107,7 +107,8 @@
 
 // awaitFaultEnd publishes a probe soon after a fault's beginning, undoes the fault when its duration has passed and
 // publishes another probe. It omits the first probe for a removed zone, which itself is a change of the endpoint list,
-// and for a restart of all members, which waits until they have both resources.
+// and for a restart of all members, which waits until they have both resources, the endpoint list and the settings.
+// Until the fault is undone, run.end is provisional.
 func (f *fleet) awaitFaultEnd(ctx context.Context, run *faultRun) error {
 	if run.RemoveZone == nil && !run.RestartAll {
 		if err := f.wait(ctx, probeDelay); err != nil {
@@ -129,7 +130,7 @@
 	return err
 }
 
-// endFault undoes a fault.
+// endFault undoes a fault. A restart of all members leaves nothing to undo.
 func (f *fleet) endFault(run *faultRun) error {
 	switch {
 	case run.KillRelay != nil:
--- a/internal/test/scaletest/process_usage.go
+++ b/internal/test/scaletest/process_usage.go
@@ -10,7 +10,7 @@
 // ticksPerSecond is the number of clock ticks per second in /proc/stat and /proc/PID/stat.
 const ticksPerSecond = 100
 
-// Indexes of fields in /proc/PID/stat, counted from 0 after the process's name.
+// Indexes of fields in /proc/PID/stat. Index 0 is the field after the process's name.
 const (
 	statUserTicks   = 11
 	statSystemTicks = 12
@@ -20,7 +20,7 @@
 type Usage struct {
 	CPU        time.Duration // user and system time of all threads
 	ResidentKB int           // current resident size
-	Bytes      int64         // read and written, on sockets and files together
+	Bytes      int64         // passed to read and write calls, on sockets and files together
 }
 
 // readUsage reads a process's resource usage from /proc. The error wraps ErrUnreadableUsage if its stat file has an
@@ -30,7 +30,7 @@
 	if err != nil {
 		return u, err
 	}
-	_, rest, found := strings.Cut(string(stat), ") ") // the process's name before it may contain spaces
+	_, rest, found := strings.Cut(string(stat), ") ") // the name in parentheses before it may contain spaces
 	fields := strings.Fields(rest)
 	if !found || len(fields) <= statSystemTicks {
 		return u, fmt.Errorf("%w: /proc/%d/stat", ErrUnreadableUsage, pid)
@@ -45,8 +45,9 @@
 	return u, nil
 }
 
-// readMachineBusy returns the total busy time of all processors since the machine started. The error wraps
-// ErrUnreadableUsage if /proc/stat has an unknown format.
+// readMachineBusy returns the total busy time of all processors since the machine started: user (which includes guest),
+// nice, system and interrupt time, without idle, I/O wait and steal time. The error wraps ErrUnreadableUsage if
+// /proc/stat has an unknown format.
 func readMachineBusy() (time.Duration, error) {
 	stat, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -60,8 +61,8 @@
 	return time.Duration(user+nice+system+irq+softirq) * time.Second / ticksPerSecond, nil
 }
 
-// readProcField reads the number after a field's name in a /proc file of a process. It returns 0 if the file or the
-// field is missing.
+// readProcField reads the number after a field's name in a /proc file of a process. It returns 0 if the file, the field
+// or its number is missing.
 func readProcField(pid int, file, name string) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, file))
 	if err != nil {
