--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -194,7 +194,7 @@
 func capacityHelperCommand() *cobra.Command {
 	return &cobra.Command{Use: labcapacity.HelperCommand, Hidden: true, Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return capacity.Help(args, cmd.InOrStdin(), cmd.OutOrStdout())
+			return capacity.RunHelper(args, cmd.InOrStdin(), cmd.OutOrStdout())
 		}}
 }
 
--- a/internal/core/initial_list_test.go
+++ b/internal/core/initial_list_test.go
@@ -49,7 +49,7 @@
 
 // Discovery accepts the watch and stays silent for 10 s. The coordinator serves with its cached list after
 // cachedListDelay, whether that list arrived before the first tick or after it.
-func TestCachedListIsPresumed(t *testing.T) {
+func TestCachedListIsUsedAfterDelay(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		s := newStarting(t)
 		if !before {
--- a/internal/decide/scatter/admission_test.go
+++ b/internal/decide/scatter/admission_test.go
@@ -135,7 +135,7 @@
 
 // If a partial answer is allowed, most parts of an overloaded shard, which would be late, are left out. Some are still
 // sent, to show when it has recovered. With a little less load, or if all parts are needed, all parts are sent.
-func TestOverloadedShardIsSpared(t *testing.T) {
+func TestOverloadedShardIsSkipped(t *testing.T) {
 	for _, tc := range []struct {
 		minFraction, ratio float64
 		least, most        int
@@ -192,7 +192,7 @@
 // sent all of the shard's parts. It times out on all of them and serves nothing in time for seconds, because what was
 // sent cannot be taken back. So queries for the shard have to be rejected early, and what is admitted is served in
 // time. A holder that is merely unresponsive is not known to be overloaded, so all parts are sent.
-func TestOverloadedEjectedReplicaIsSpared(t *testing.T) {
+func TestOverloadedEjectedReplicaIsSkipped(t *testing.T) {
 	for _, tc := range []struct {
 		what        string
 		ratio       float64
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -18,7 +18,7 @@
 // Status and Counters at any time. Coordinators use a Follower, and so do relays, which follow other relays, and the
 // authority, which follows the discovery service.
 //
-// # Where each decision stands
+// # Where each decision is made
 //
 //	config.go         the resource, the sources and the defaults
 //	follower.go       the main loop: choose a source, poll it, switch to a better one
--- a/internal/relay/authority.go
+++ b/internal/relay/authority.go
@@ -69,7 +69,7 @@
 
 // publishEndpoints publishes the complete endpoint list that was read from EndpointsFile.
 func (a *Authority) publishEndpoints(list []versionlog.Change) error {
-	a.Endpoints.SetStaleness(neverStale)
+	a.Endpoints.SetStalenessFunc(neverStale)
 	published, err := a.Endpoints.Replace(list)
 	if err != nil {
 		return fmt.Errorf("%s: %w", a.EndpointsFile, err)
@@ -80,7 +80,7 @@
 
 // publishSettings publishes settings and logs what they change.
 func (a *Authority) publishSettings(settings json.RawMessage, changes []string) error {
-	a.Settings.SetStaleness(neverStale)
+	a.Settings.SetStalenessFunc(neverStale)
 	published, err := a.Settings.Publish([]versionlog.Change{settingsChange(settings)})
 	if err != nil {
 		return fmt.Errorf("%s: %w", a.SettingsFile, err)
@@ -113,7 +113,7 @@
 			case <-ctx.Done(): // publishBatches may have returned, and must not block the follower
 			}
 		}})
-	a.Endpoints.SetStaleness(func() time.Duration { return follower.Status().Staleness })
+	a.Endpoints.SetStalenessFunc(func() time.Duration { return follower.Status().Staleness })
 	var following sync.WaitGroup
 	following.Go(func() { follower.Run(ctx) })
 	defer following.Wait()
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -15,7 +15,7 @@
 //
 // Any goroutine may use a Resource, a Server or a SnapshotBudget. An Authority's Load and Run may run concurrently.
 //
-// # Where each decision stands
+// # Where each decision is made
 //
 //	resource.go         how a resource changes, and its staleness
 //	read.go             what a reader's call is answered, and when
--- a/internal/relay/resource.go
+++ b/internal/relay/resource.go
@@ -20,7 +20,7 @@
 	waiting  int // readers that wait for a change
 
 	publishedAt time.Time            // time of the last publication; before that, the time of NewResource
-	staleness   func() time.Duration // set by SetStaleness; if nil, the staleness is the time since publishedAt
+	staleness   func() time.Duration // set by SetStalenessFunc; if nil, the staleness is the time since publishedAt
 }
 
 // NewResource returns a resource with a log: an authority's, or an empty one that is filled by Apply.
@@ -87,9 +87,9 @@
 	return r.log.Version()
 }
 
-// SetStaleness sets the function that returns the time since the resource was last known to be the authority's newest
-// version. The function is called from any goroutine, with the resource's lock held.
-func (r *Resource) SetStaleness(staleness func() time.Duration) {
+// SetStalenessFunc sets the function that returns the time since the resource was last known to be the authority's
+// newest version. The function is called from any goroutine, with the resource's lock held.
+func (r *Resource) SetStalenessFunc(staleness func() time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.staleness = staleness
--- a/internal/relay/staleness_test.go
+++ b/internal/relay/staleness_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	near, far := newAuthorityServer(5, ampleBudget), newAuthorityServer(5, ampleBudget)
 	far.Endpoints = near.Endpoints
-	near.Endpoints.SetStaleness(neverStale)
+	near.Endpoints.SetStalenessFunc(neverStale)
 	r := &twoRelays{list: near.Endpoints}
 	r.nearSource, r.stopNearSource = start(t, near)
 	farSource, _ := start(t, far)
@@ -128,7 +128,7 @@
 	confirmedAt := time.Now()
 	for _, server := range []*Server{near, far} {
 		mustPublish(t, server.Endpoints, endpointChanges(3, 1))
-		server.Endpoints.SetStaleness(func() time.Duration { return time.Since(confirmedAt) })
+		server.Endpoints.SetStalenessFunc(func() time.Duration { return time.Since(confirmedAt) })
 	}
 	reader := runFollower(t, twoSources(nearAddress, farAddress))
 	waitFor(t, "the reader does not probe the far relay", func() bool { return far.Endpoints.Status().Calls >= 4 })
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -47,6 +47,6 @@
 	}
 	config.ConfirmedAt = time.Now().Add(-r.currentStaleness())
 	follower := distribution.New(config)
-	r.SetStaleness(func() time.Duration { return follower.Status().Staleness })
+	r.SetStalenessFunc(func() time.Duration { return follower.Status().Staleness })
 	follower.Run(ctx)
 }
--- a/internal/test/capacity/helper.go
+++ b/internal/test/capacity/helper.go
@@ -65,7 +65,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		out.CloseWithError(Help(args, in, out))
+		out.CloseWithError(RunHelper(args, in, out))
 	}()
 	return &helper{in: toHelper, out: bufio.NewReader(fromHelper), end: func() { <-done }}, nil
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// The kinds of helper: the first argument of Help.
+// The kinds of helper: the first argument of RunHelper.
 const (
 	// helpNodes serves data nodes at one address, which it writes first. Each part takes some milliseconds.
 	helpNodes = "nodes"
@@ -110,8 +110,8 @@
 // errUnknownHelper is returned for an unknown kind of helper or a wrong number of arguments.
 var errUnknownHelper = errors.New("capacity: unknown kind of helper or wrong number of arguments")
 
-// Help runs a helper until its input ends.
-func Help(args []string, in io.Reader, out io.Writer) error {
+// RunHelper runs a helper until its input ends.
+func RunHelper(args []string, in io.Reader, out io.Writer) error {
 	lines := bufio.NewReader(in)
 	switch {
 	case args[0] == helpNodes:
--- a/internal/test/endtoend/change_test.go
+++ b/internal/test/endtoend/change_test.go
@@ -14,7 +14,7 @@
 // startModelSite starts nodes with the data of the model, the first frameNodes of which speak frames, and a two-phase
 // coordinator that queries them.
 func startModelSite(t *testing.T, frameNodes int) (*Coordinator, Truth) {
-	truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
+	truth := Truth{RingSize: modelNodes, ReplicationFactor: modelNodes, MinFraction: 0.7}
 	for i := range modelNodes {
 		n := &Node{ID: fmt.Sprint("node", i), Cell: i}
 		n.Data, n.WorkUnit, n.Cores = fakedata.New(1, modelSections, 5).Data(true), ms, 2
@@ -23,7 +23,8 @@
 		}
 		truth.Nodes = append(truth.Nodes, n)
 	}
-	c, err := Site{Settings: SummarySettings(modelNodes, modelNodes), Sections: modelSections, Indices: SummaryIndices(true), Memory: 1 << 20, Nodes: truth.Nodes}.Start()
+	c, err := Site{Settings: SummarySettings(modelNodes, modelNodes), Sections: modelSections,
+		Indices: SummaryIndices(true), CacheBytes: 1 << 20, Nodes: truth.Nodes}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/test/endtoend/coordinator.go
+++ b/internal/test/endtoend/coordinator.go
@@ -27,12 +27,12 @@
 
 // Site is the configuration of a coordinator and its nodes.
 type Site struct {
-	Settings scatter.Settings
-	Sections int
-	Indices  map[string]*opensearch.Index
-	Memory   int // bytes for retained values
-	Nodes    []*Node
-	Gate     core.Admitter // nil admits every query
+	Settings   scatter.Settings
+	Sections   int
+	Indices    map[string]*opensearch.Index
+	CacheBytes int // bytes for retained values
+	Nodes      []*Node
+	Admitter   core.Admitter // nil admits every query
 }
 
 // Coordinator is a whole coordinator in the current process: the owner, its callers and its front. In-memory
@@ -60,14 +60,15 @@
 	if err := cfg.Check(s.Settings, s.Sections); err != nil {
 		return nil, err
 	}
-	c := &Coordinator{Clock: core.SystemClock(), Planner: twophase.New(s.Memory)}
+	c := &Coordinator{Clock: core.SystemClock(), Planner: twophase.New(s.CacheBytes)}
 	net := &fake.Network{}
 	frames := &platform.Caller{CallsPerConn: frameCallsPerConn, ConnectTimeout: connectTimeout,
 		ResponseTimeout: responseTimeout, KeepAlive: keepAlive, Dial: net.Dial}
 	api := &opensearch.Caller{Config: cfg, ConnectTimeout: connectTimeout, KeepAlive: keepAlive, Dial: net.Dial}
 	owner, err := core.New(core.Config{Seed: 1, Settings: s.Settings, Limits: core.Limits{Shards: s.Sections}, Clock: c.Clock,
 		Callers: map[string]core.Caller{platform.Scheme: frames, opensearch.Scheme: api}, Subscribe: func() {}, PolledSource: listSource,
-		Planner: c.Planner, TwoPhaseClasses: cfg.TwoPhaseClasses(), TwoPhaseSchemes: map[string]bool{opensearch.Scheme: true}, CacheBytes: s.Memory, Admitter: s.Gate})
+		Planner: c.Planner, TwoPhaseClasses: cfg.TwoPhaseClasses(),
+		TwoPhaseSchemes: map[string]bool{opensearch.Scheme: true}, CacheBytes: s.CacheBytes, Admitter: s.Admitter})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/test/endtoend/drain_test.go
+++ b/internal/test/endtoend/drain_test.go
@@ -19,7 +19,7 @@
 // the others at once.
 func TestDrainInARush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
+		truth := Truth{RingSize: modelNodes, ReplicationFactor: modelNodes, MinFraction: 0.7}
 		for i := range modelNodes {
 			n := &Node{ID: fmt.Sprint("node", i), Cell: i}
 			n.Data, n.WorkUnit, n.Cores = fakedata.New(1, modelSections, 5).Data(true), ms, 4
@@ -39,7 +39,8 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go g.Run(ctx)
-		c, err := Site{Settings: SummarySettings(modelNodes, modelNodes), Sections: modelSections, Indices: SummaryIndices(false), Nodes: truth.Nodes, Gate: g}.Start()
+		c, err := Site{Settings: SummarySettings(modelNodes, modelNodes), Sections: modelSections,
+			Indices: SummaryIndices(false), Nodes: truth.Nodes, Admitter: g}.Start()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/test/endtoend/model_test.go
+++ b/internal/test/endtoend/model_test.go
@@ -133,7 +133,7 @@
 func runScript(p script) (faults []string, answerCounts map[string]int) {
 	trails := fakedata.New(1, modelSections, 5)
 	began := time.Now()
-	truth := Truth{Cells: modelNodes, Reach: modelNodes, Floor: 0.7}
+	truth := Truth{RingSize: modelNodes, ReplicationFactor: modelNodes, MinFraction: 0.7}
 	for i := range modelNodes {
 		n := &Node{ID: fmt.Sprint("node", i), Cell: i}
 		n.Data = trails.Data(true)
@@ -152,7 +152,8 @@
 		}
 		truth.Nodes = append(truth.Nodes, n)
 	}
-	c, err := Site{Settings: SummarySettings(modelNodes, modelNodes), Sections: modelSections, Indices: SummaryIndices(true), Memory: 1 << 20, Nodes: truth.Nodes}.Start()
+	c, err := Site{Settings: SummarySettings(modelNodes, modelNodes), Sections: modelSections,
+		Indices: SummaryIndices(true), CacheBytes: 1 << 20, Nodes: truth.Nodes}.Start()
 	if err != nil {
 		return []string{err.Error()}, nil
 	}
--- a/internal/test/endtoend/truth.go
+++ b/internal/test/endtoend/truth.go
@@ -13,15 +13,15 @@
 
 // Truth knows what the nodes held at any time, so that answers can be checked against it.
 type Truth struct {
-	Nodes        []*Node
-	Cells, Reach int
-	Floor        float64 // minimum fraction of the sections, which all weigh the same, in an answer
+	Nodes                       []*Node
+	RingSize, ReplicationFactor int
+	MinFraction                 float64 // minimum fraction of the sections, which all weigh the same, in an answer
 }
 
 // holders returns the nodes that hold a section.
 func (t Truth) holders(section int) (list []*Node) {
 	for _, n := range t.Nodes {
-		if ((n.Cell-section)%t.Cells+t.Cells)%t.Cells < t.Reach {
+		if ((n.Cell-section)%t.RingSize+t.RingSize)%t.RingSize < t.ReplicationFactor {
 			list = append(list, n)
 		}
 	}
@@ -36,7 +36,7 @@
 	if err := json.Unmarshal(body, &a); err != nil {
 		return []string{err.Error()}
 	}
-	faults = a.checkCompleteness(len(sections), t.Floor)
+	faults = a.checkCompleteness(len(sections), t.MinFraction)
 	missing, values := a.missing(), a.values()
 	for _, s := range sections {
 		value := values[s]
--- a/internal/test/experiments/choices/situation.go
+++ b/internal/test/experiments/choices/situation.go
@@ -64,7 +64,7 @@
 	f.PublishEndpointList()
 	f.Run(size.afterFault)
 	for _, r := range f.Replicas {
-		res.slowStartPressure = max(res.slowStartPressure, r.Pressure())
+		res.slowStartPressure = max(res.slowStartPressure, r.OverloadRatio())
 	}
 	res.overloadedReplicas = countOverloaded(f.Replicas)
 	return res, nil
@@ -106,7 +106,7 @@
 // countOverloaded counts the replicas that got more parts in their slow start than they tolerate.
 func countOverloaded(replicas []*fleetsim.Replica) (overloaded int) {
 	for _, r := range replicas {
-		if r.Pressure() > 1 {
+		if r.OverloadRatio() > 1 {
 			overloaded++
 		}
 	}
--- a/internal/test/experiments/handover/simulation.go
+++ b/internal/test/experiments/handover/simulation.go
@@ -168,7 +168,7 @@
 // of what it tolerates; above 1 the replica would fail.
 func (s *simulation) greatestPressure() (greatest float64) {
 	for _, r := range s.replicas {
-		greatest = max(greatest, r.Pressure())
+		greatest = max(greatest, r.OverloadRatio())
 	}
 	return greatest
 }
--- a/internal/test/experiments/twophase/play.go
+++ b/internal/test/experiments/twophase/play.go
@@ -48,14 +48,15 @@
 func runMorning(m morning, twoPhases bool) (*tally, error) {
 	began := time.Now()
 	truth := endtoend.Truth{
-		Nodes: newReplicas(m, began), Cells: replicaCount, Reach: replicationFactor, Floor: minFraction,
+		Nodes:    newReplicas(m, began),
+		RingSize: replicaCount, ReplicationFactor: replicationFactor, MinFraction: minFraction,
 	}
 	c, err := endtoend.Site{
-		Settings: endtoend.SummarySettings(replicaCount, replicationFactor),
-		Sections: shards,
-		Indices:  endtoend.SummaryIndices(twoPhases),
-		Memory:   retainedBytes,
-		Nodes:    truth.Nodes,
+		Settings:   endtoend.SummarySettings(replicaCount, replicationFactor),
+		Sections:   shards,
+		Indices:    endtoend.SummaryIndices(twoPhases),
+		CacheBytes: retainedBytes,
+		Nodes:      truth.Nodes,
 	}.Start()
 	if err != nil {
 		return nil, err
--- a/internal/test/fake/machine.go
+++ b/internal/test/fake/machine.go
@@ -57,9 +57,9 @@
 	m.StartedAt, m.idleAt, m.slowStartArrivals = now, nil, nil
 }
 
-// Pressure returns the greatest number of arrivals in a window of the present slow start, as a multiple of what the
-// machine tolerates. Above 1 the process fails.
-func (m *Machine) Pressure() (greatest float64) {
+// OverloadRatio returns the greatest number of arrivals in a window of the present slow start, as a multiple of what
+// the machine tolerates. Above 1 the process fails.
+func (m *Machine) OverloadRatio() (greatest float64) {
 	from := 0
 	for i, at := range m.slowStartArrivals {
 		for at-m.slowStartArrivals[from] > m.OverloadWindow {
--- a/internal/test/faultinjection/fleet_replica.go
+++ b/internal/test/faultinjection/fleet_replica.go
@@ -166,5 +166,5 @@
 func (r *fleetReplica) pressure() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.machine.Pressure()
+	return r.machine.OverloadRatio()
 }
--- a/internal/test/fleetsim/fleet_test.go
+++ b/internal/test/fleetsim/fleet_test.go
@@ -61,7 +61,7 @@
 	f.Run(2 * time.Second)
 	worst := 0.0
 	for _, r := range f.Replicas {
-		worst = max(worst, r.Pressure())
+		worst = max(worst, r.OverloadRatio())
 	}
 	t.Logf("seed %d: highest pressure on a replica in slow start: %.2f", seed, worst)
 	if worst > 1 {
